--- a/benchmarks/granting.py
+++ b/benchmarks/granting.py
@@ -38,15 +38,15 @@
     from wharfcart.slots.events import (
         Granted,
         HolderId,
-        ItemBegun,
         ItemOffered,
+        ItemStarted,
         ItemsWaiting,
+        RunResult,
         SessionKey,
         SessionOpened,
-        SlotAsked,
         SlotNumber,
         SlotReleased,
-        Verdict,
+        SlotRequested,
     )
     from wharfcart.slots.granter import SlotGranter
     from wharfcart.slots.urgency import Urgency
@@ -69,11 +69,11 @@
             if isinstance(one, Granted):
                 held.append((one.session, one.number))
             elif isinstance(one, ItemOffered):
-                granter.handle(ItemBegun(leader, one.number, Urgency(15.0, 3.0)), now)
+                granter.handle(ItemStarted(leader, one.number, Urgency(15.0, 3.0)), now)
 
     def ask() -> None:
         number = SlotNumber(next(numbers))
-        asked = SlotAsked(rng.choice(gateways), number, SERVICE, now + 0.28, now + 2.0)
+        asked = SlotRequested(rng.choice(gateways), number, SERVICE, now + 0.28, now + 2.0)
         take(granter.handle(asked, now))
 
     if items:
@@ -90,7 +90,7 @@
             ask()
         elif held:
             session, number = held.popleft()
-            take(granter.handle(SlotReleased(session, number, Verdict.GOOD), now))
+            take(granter.handle(SlotReleased(session, number, RunResult.BACKEND_OK), now))
         if n % 50 == 0:
             take(granter.tick(now))
     return round((perf_counter() - began) / EVENTS * 1e6, 1)
--- a/src/wharfcart/batch/job_execution.py
+++ b/src/wharfcart/batch/job_execution.py
@@ -25,7 +25,7 @@
 from wharfcart.observability.serving_metrics import ServingMetrics
 from wharfcart.observability.tasks import BackgroundTasks
 from wharfcart.routing.backend_choice import BackendChoice, InstanceState
-from wharfcart.slots.events import LeaveCause, Verdict
+from wharfcart.slots.events import PreemptionCause, RunResult
 from wharfcart.slots.item_slots import ItemDemand, ItemSlot, ItemSlots
 from wharfcart.slots.session import HeldSlot
 from wharfcart.slots.urgency import Urgency
@@ -127,7 +127,7 @@
         self._start(scheduled, item, state, slot)
         self._work.set()
 
-    def _have_leave(self, slot: HeldSlot, cause: LeaveCause) -> None:
+    def _have_leave(self, slot: HeldSlot, cause: PreemptionCause) -> None:
         """Have an item leave; it goes on later where it stopped."""
         placed = self._placed.in_slot(slot)
         if placed is None or placed.stopped:
@@ -180,7 +180,7 @@
 
         def makes_it(scheduled: ScheduledJob) -> bool:
             item = next(iter(scheduled.waiting.values()))
-            return not self._urgency(scheduled, item, service).too_late
+            return not self._urgency(scheduled, item, service).is_too_late
 
         jobs = [
             scheduled
@@ -229,7 +229,7 @@
             excluded = set.intersection(
                 *(self._excluded(scheduled, item, service, now) for scheduled, item in found)
             )
-        urgent = sum(urgency.urgent for urgency in urgencies)
+        urgent = sum(urgency.is_urgent for urgency in urgencies)
         return ItemDemand(len(found), urgent, urgencies[0], frozenset(excluded))
 
     def _urgency(self, scheduled: ScheduledJob, item: RequestItem, service: str) -> Urgency:
@@ -338,7 +338,7 @@
             backend=state.instance.instance_id,
             group=slot.group,
             after_event=scheduled.progress_of(item.item_id).text.last_event,
-            due_in_s=round(urgency.left_s, 2),
+            due_in_s=round(urgency.until_due_s, 2),
             slack_s=round(urgency.slack_s, 2),
         )
 
@@ -346,7 +346,7 @@
         scheduled, item = placed.scheduled, placed.item
         progress = scheduled.progress_of(item.item_id)
         began_at = monotonic()
-        verdict = Verdict.UNKNOWN
+        verdict = RunResult.UNKNOWN
         try:
             outcome = await self._run_once(placed, progress)
             verdict = self._judge_backends(progress, placed.slot.instance_id, outcome)
@@ -383,7 +383,7 @@
 
     def _judge_backends(
         self, progress: ItemProgress, instance_id: str, outcome: RunOutcome
-    ) -> Verdict:
+    ) -> RunResult:
         """Return what an outcome says of its back end; blame others that failed the item before.
 
         An item that fails may itself be at fault: the back ends where it failed are to blame only
@@ -392,12 +392,12 @@
         if outcome is RunOutcome.FAILED:
             progress.text.failed_at.append(instance_id)
         elif outcome is RunOutcome.BROKEN:
-            return Verdict.BAD
+            return RunResult.BACKEND_FAILED
         elif outcome is RunOutcome.SUCCEEDED:
             for failed in progress.failed_at:
                 self._slots.blame(failed)
-            return Verdict.GOOD
-        return Verdict.UNKNOWN
+            return RunResult.BACKEND_OK
+        return RunResult.UNKNOWN
 
     def _has_failed_for_good(self, scheduled: ScheduledJob, progress: ItemProgress) -> bool:
         """Whether an item failed often enough, at back ends that do well otherwise."""
--- a/src/wharfcart/experiments/simulated_slots.py
+++ b/src/wharfcart/experiments/simulated_slots.py
@@ -46,7 +46,7 @@
 from wharfcart.slots.ledger import TakenSlot
 from wharfcart.slots.permit_relays import PermitRelays
 from wharfcart.slots.service import SlotService
-from wharfcart.slots.session import SlotNewsTaker
+from wharfcart.slots.session import SlotUpdateListener
 from wharfcart.slots.sessions import SlotSessions
 from wharfcart.slots.slot_room import SlotRoom
 from wharfcart.storage.job_group import JobGroup
@@ -357,7 +357,9 @@
         )
         return choice, placement, sessions
 
-    def _sessions(self, holder: str, choice: BackendChoice, taker: SlotNewsTaker) -> SlotSessions:
+    def _sessions(
+        self, holder: str, choice: BackendChoice, taker: SlotUpdateListener
+    ) -> SlotSessions:
         return SlotSessions(
             HolderId(holder),
             choice,
--- a/src/wharfcart/slots/asking_order.py
+++ b/src/wharfcart/slots/asking_order.py
@@ -14,10 +14,10 @@
 import xxhash
 
 from wharfcart.cluster.topology import Distance
-from wharfcart.slots.events import Manner
-from wharfcart.slots.picture import ServiceRoom
+from wharfcart.slots.events import RequestMode
+from wharfcart.slots.picture import ServiceCapacity
 
-Step = tuple[int, Manner]
+Step = tuple[int, RequestMode]
 
 # A line in another region is joined if it is shorter by so many requests a slot: those take about
 # as long to leave as a request takes to the other region and back, twice, and half as long again.
@@ -25,7 +25,7 @@
 
 
 def asking_order(
-    rooms_by_group: Mapping[int, ServiceRoom], distances: Mapping[int, Distance]
+    rooms_by_group: Mapping[int, ServiceCapacity], distances: Mapping[int, Distance]
 ) -> list[Step]:
     """Return the groups to ask, one after the other until one has a slot.
 
@@ -34,13 +34,13 @@
         distances: how far each group's back ends are from the gateway.
     """
     if len(rooms_by_group) < 2:
-        return [(group, Manner.WAIT) for group in rooms_by_group]
+        return [(group, RequestMode.WAIT) for group in rooms_by_group]
     own = [group for group in rooms_by_group if distances[group] is Distance.SAME_ZONE]
     far = [group for group in rooms_by_group if distances[group] is Distance.OTHER_REGION]
     near_rooms = {group: room for group, room in rooms_by_group.items() if group not in far}
     far_rooms = {group: rooms_by_group[group] for group in far}
-    steps = _best(near_rooms, own, Manner.FREE) + _best(near_rooms, own, Manner.YIELDED)
-    steps += _best(far_rooms, (), Manner.FREE) + _best(far_rooms, (), Manner.YIELDED)
+    steps = _best(near_rooms, own, RequestMode.FREE) + _best(near_rooms, own, RequestMode.PREEMPT)
+    steps += _best(far_rooms, (), RequestMode.FREE) + _best(far_rooms, (), RequestMode.PREEMPT)
 
     def wait_cost(group: int) -> tuple[float, bool]:
         room = rooms_by_group[group]
@@ -48,11 +48,11 @@
         return line + (FAR_LINE if group in far else 0.0), group not in own
 
     groups = sorted(rooms_by_group, key=wait_cost)
-    return steps + [(group, Manner.WAIT) for group in groups]
+    return steps + [(group, RequestMode.WAIT) for group in groups]
 
 
 def asking_order_by_affinity(
-    rooms_by_group: Mapping[int, ServiceRoom],
+    rooms_by_group: Mapping[int, ServiceCapacity],
     affinity_key: str,
     distances: Mapping[int, Distance] | None = None,
 ) -> list[Step]:
@@ -66,21 +66,21 @@
 
     def rank(group: int) -> tuple[bool, bool, int]:
         room = rooms_by_group[group]
-        full = room.free + room.yielding <= room.waiting
+        full = room.free + room.preemptible <= room.waiting
         far = distances is not None and distances[group] is Distance.OTHER_REGION
         return full, far, xxhash.xxh64_intdigest(f"{affinity_key}/{group}".encode())
 
-    return [(group, Manner.WAIT) for group in sorted(rooms_by_group, key=rank)]
+    return [(group, RequestMode.WAIT) for group in sorted(rooms_by_group, key=rank)]
 
 
 def _best(
-    rooms_by_group: Mapping[int, ServiceRoom], own: Collection[int], manner: Manner
+    rooms_by_group: Mapping[int, ServiceCapacity], own: Collection[int], manner: RequestMode
 ) -> list[Step]:
     """Return the own group and the best other one that have room in a manner."""
 
     def room_for(group: int) -> int:
         room = rooms_by_group[group]
-        room_left = room.free if manner is Manner.FREE else room.free + room.yielding
+        room_left = room.free if manner is RequestMode.FREE else room.free + room.preemptible
         return room_left - room.waiting
 
     with_room = [group for group in rooms_by_group if room_for(group) > 0]
--- a/src/wharfcart/slots/events.py
+++ b/src/wharfcart/slots/events.py
@@ -25,40 +25,40 @@
     number: int
 
 
-class Manner(Enum):
+class RequestMode(Enum):
     """How far a request for a slot goes.
 
     Attributes:
         FREE: takes a slot that nobody has.
-        YIELDED: takes one that a batch item gives up, too.
+        PREEMPT: takes one that a batch item gives up, too.
         WAIT: waits for one.
     """
 
     FREE = 1
-    YIELDED = 2
+    PREEMPT = 2
     WAIT = 3
 
 
-class Verdict(Enum):
+class RunResult(Enum):
     """What a run told about its back end."""
 
     UNKNOWN = 0
-    GOOD = 1
-    BAD = 2
+    BACKEND_OK = 1
+    BACKEND_FAILED = 2
 
 
 class RefusalCause(Enum):
     """Why a request that waited for a slot is refused."""
 
     QUEUE_FULL = "queue_full"
-    WAITED = "waited"
+    TIMED_OUT = "waited"
 
 
-class LeaveCause(Enum):
+class PreemptionCause(Enum):
     """Why a batch item must leave its slot."""
 
     GRANTED = "granted"
-    OVERFULL = "overfull"
+    OVERCOMMITTED = "overfull"
 
 
 @dataclass(frozen=True, slots=True)
@@ -96,7 +96,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SlotAsked:
+class SlotRequested:
     """A gateway asks for a slot.
 
     Attributes:
@@ -113,9 +113,9 @@
     session: SessionKey
     number: SlotNumber
     service: str
-    in_time_until: float
-    leave_at: float
-    manner: Manner = Manner.WAIT
+    start_deadline: float
+    queue_deadline: float
+    mode: RequestMode = RequestMode.WAIT
     affinity_key: str = ""
     excluded: frozenset[str] = frozenset()
     connected: frozenset[str] = frozenset()
@@ -139,20 +139,20 @@
 
     session: SessionKey
     number: SlotNumber
-    verdict: Verdict = Verdict.UNKNOWN
+    result: RunResult = RunResult.UNKNOWN
 
 
 @dataclass(frozen=True, slots=True)
-class SilenceChanged:
+class ResponsivenessChanged:
     """A back end has become silent to a holder, or speaks again."""
 
     session: SessionKey
     instance_id: str
-    silent: bool
+    unresponsive: bool
 
 
 @dataclass(frozen=True, slots=True)
-class BackendBlamed:
+class BackendFailureReported:
     """A back end was at fault for a run that had ended before."""
 
     session: SessionKey
@@ -175,15 +175,15 @@
     session: SessionKey
     service: str
     count: int
-    urgent: int
-    first: Urgency
+    urgent_count: int
+    first_urgency: Urgency
     excluded: frozenset[str] = frozenset()
     offers_seen: int = 0
     residence: Residence = ANYWHERE
 
 
 @dataclass(frozen=True, slots=True)
-class ItemBegun:
+class ItemStarted:
     """An item runs in a slot that was offered."""
 
     session: SessionKey
@@ -192,7 +192,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SentUnasked:
+class SentWithoutPermit:
     """A holder has sent a tenant's request without a permit."""
 
     session: SessionKey
@@ -202,14 +202,14 @@
 SlotEvent = (
     SessionOpened
     | SessionClosed
-    | SlotAsked
+    | SlotRequested
     | SlotTaken
     | SlotReleased
-    | SilenceChanged
-    | BackendBlamed
+    | ResponsivenessChanged
+    | BackendFailureReported
     | ItemsWaiting
-    | ItemBegun
-    | SentUnasked
+    | ItemStarted
+    | SentWithoutPermit
 )
 
 # ---- instructions ----
@@ -225,7 +225,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NoneHere:
+class NoSlot:
     """There is no slot in the manner asked for, or no back end at all."""
 
     session: SessionKey
@@ -262,12 +262,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ItemMustLeave:
+class ItemPreempted:
     """A batch item gives its slot up."""
 
     session: SessionKey
     number: SlotNumber
-    cause: LeaveCause
+    cause: PreemptionCause
 
 
-SlotInstruction = Granted | NoneHere | Refused | ItemOffered | ItemMustLeave
+SlotInstruction = Granted | NoSlot | Refused | ItemOffered | ItemPreempted
--- a/src/wharfcart/slots/fleet_load.py
+++ b/src/wharfcart/slots/fleet_load.py
@@ -2,31 +2,31 @@
 
 from wharfcart.clock import monotonic
 from wharfcart.routing.backend_choice import BackendChoice
-from wharfcart.slots.picture import BackendLoad, SlotPicture
-from wharfcart.slots.session import SlotNewsTaker
+from wharfcart.slots.picture import BackendLoad, SlotSnapshot
+from wharfcart.slots.session import SlotUpdateListener
 
 
-class FleetLoad(SlotNewsTaker):
+class FleetLoad(SlotUpdateListener):
     """Hands pictures of the load to a choice."""
 
     def __init__(self, choice: BackendChoice) -> None:
         self._choice = choice
         self._rates_by_group: dict[int, dict[str, float]] = {}
-        self._named_by_group: dict[int, set[str]] = {}
+        self._instances_by_group: dict[int, set[str]] = {}
 
-    def picture_told(self, group: int, picture: SlotPicture) -> None:
+    def snapshot_received(self, group: int, snapshot: SlotSnapshot) -> None:
         """Take the load of a group's back ends; one that is named no more has little."""
         now = monotonic()
-        named = {load.instance_id for load in picture.backends}
-        for instance_id in self._named_by_group.get(group, set()) - named:
-            self._take(BackendLoad(instance_id, 0), now)
-        for load in picture.backends:
-            self._take(load, now)
-        self._named_by_group[group] = named
-        self._rates_by_group[group] = picture.sends_per_s
+        named = {load.instance_id for load in snapshot.backends}
+        for instance_id in self._instances_by_group.get(group, set()) - named:
+            self._apply_load(BackendLoad(instance_id, 0), now)
+        for load in snapshot.backends:
+            self._apply_load(load, now)
+        self._instances_by_group[group] = named
+        self._rates_by_group[group] = snapshot.sends_per_s
         self._choice.rates_told(self._total_rates(), now)
 
-    def _take(self, load: BackendLoad, now: float) -> None:
+    def _apply_load(self, load: BackendLoad, now: float) -> None:
         self._choice.load_told(load.instance_id, load.in_use, load.unread_tokens, load.avoided, now)
 
     def _total_rates(self) -> dict[str, float]:
--- a/src/wharfcart/slots/granted_placement.py
+++ b/src/wharfcart/slots/granted_placement.py
@@ -20,7 +20,7 @@
 )
 from wharfcart.routing.running_quantile import RunningQuantile
 from wharfcart.slots.asking_order import Step, asking_order, asking_order_by_affinity
-from wharfcart.slots.events import Manner, SlotAsked, SlotUse, Verdict
+from wharfcart.slots.events import RequestMode, RunResult, SlotRequested, SlotUse
 from wharfcart.slots.permit_relays import PermitRelays
 from wharfcart.slots.permits import Permit
 from wharfcart.slots.session import HeldSlot, SlotSession
@@ -30,9 +30,9 @@
 FIRST_BYTE_SHARE = 0.8
 
 _VERDICTS = {
-    SendVerdict.UNKNOWN: Verdict.UNKNOWN,
-    SendVerdict.GOOD: Verdict.GOOD,
-    SendVerdict.BAD: Verdict.BAD,
+    SendVerdict.UNKNOWN: RunResult.UNKNOWN,
+    SendVerdict.GOOD: RunResult.BACKEND_OK,
+    SendVerdict.BAD: RunResult.BACKEND_FAILED,
 }
 
 
@@ -95,7 +95,7 @@
 
     def reaches(self, service: str, residence: Residence) -> bool:
         """Whether a node that grants slots of a service in some regions is heard from there."""
-        return bool(self._sessions.rooms(service, residence))
+        return bool(self._sessions.available_capacities(service, residence))
 
     def ended(self, placed: Placed, verdict: SendVerdict) -> None:
         """Note that a request is no longer at its back end, and what the send told of that."""
@@ -110,14 +110,14 @@
     # ---- inner ----
 
     def _steps(self, request: PlacementRequest) -> list[Step]:
-        rooms = self._sessions.rooms(request.service, request.residence)
+        rooms = self._sessions.available_capacities(request.service, request.residence)
         distances = {group: self._distance(group) for group in rooms}
         if request.affinity_key:
             return asking_order_by_affinity(rooms, request.affinity_key, distances)
         return asking_order(rooms, distances)
 
     async def _ask(
-        self, session: SlotSession, request: PlacementRequest, manner: Manner, permit: Permit
+        self, session: SlotSession, request: PlacementRequest, manner: RequestMode, permit: Permit
     ) -> Placed | None:
         if not permit.comes_with_slot(session):
             await permit.obtain()
@@ -129,14 +129,16 @@
             grant = await session.ask(asked)
         return None if grant is None else self._take(session, asked, grant, permit)
 
-    def _asked(self, session: SlotSession, request: PlacementRequest, manner: Manner) -> SlotAsked:
-        return SlotAsked(
+    def _asked(
+        self, session: SlotSession, request: PlacementRequest, manner: RequestMode
+    ) -> SlotRequested:
+        return SlotRequested(
             session=session.key,
             number=session.new_number(),
             service=request.service,
-            in_time_until=request.in_time_until - self._first_byte_s(request.route_name).value,
-            leave_at=request.leave_at,
-            manner=manner,
+            start_deadline=request.in_time_until - self._first_byte_s(request.route_name).value,
+            queue_deadline=request.leave_at,
+            mode=manner,
             affinity_key=request.affinity_key,
             excluded=request.excluded,
             connected=self._connected_of(session.group, request.service),
@@ -157,7 +159,7 @@
         return frozenset(found)
 
     def _take(
-        self, session: SlotSession, asked: SlotAsked, grant: SlotGrant, permit: Permit
+        self, session: SlotSession, asked: SlotRequested, grant: SlotGrant, permit: Permit
     ) -> Placed | None:
         if grant.limited:
             raise OverLimitError(grant.retry_after_ms / 1000, surely=True)
--- a/src/wharfcart/slots/granter.py
+++ b/src/wharfcart/slots/granter.py
@@ -16,33 +16,33 @@
 from wharfcart.routing.backend_choice import BackendChoice, InstanceState, by_affinity
 from wharfcart.routing.send_rates import SendRates
 from wharfcart.slots.events import (
-    BackendBlamed,
+    BackendFailureReported,
     Granted,
     HolderId,
-    ItemBegun,
-    ItemMustLeave,
     ItemOffered,
+    ItemPreempted,
+    ItemStarted,
     ItemsWaiting,
-    LeaveCause,
-    Manner,
-    NoneHere,
+    NoSlot,
+    PreemptionCause,
     RefusalCause,
     Refused,
+    RequestMode,
+    ResponsivenessChanged,
+    RunResult,
     SessionClosed,
     SessionKey,
     SessionOpened,
-    SilenceChanged,
-    SlotAsked,
     SlotEvent,
     SlotInstruction,
     SlotNumber,
     SlotReleased,
+    SlotRequested,
     SlotTaken,
     SlotUse,
-    Verdict,
 )
 from wharfcart.slots.ledger import SlotLedger, TakenSlot
-from wharfcart.slots.picture import ServiceRoom, SlotPicture
+from wharfcart.slots.picture import ServiceCapacity, SlotSnapshot
 from wharfcart.slots.queue import SlotQueue, Waiting
 from wharfcart.slots.slot_room import SlotRoom
 from wharfcart.slots.urgency import Urgency
@@ -55,7 +55,7 @@
 FEWEST_RETRY_AFTER_S = 0.2
 MOST_RETRY_AFTER_S = 1.5
 # A picture names the most loaded back ends: those left out have less, or nothing.
-MOST_BACKENDS_A_PICTURE = 48
+MAX_BACKENDS_PER_SNAPSHOT = 48
 # Slots that are offered to items have numbers from here on; holders draw theirs below.
 FIRST_OFFER = 1 << 40
 
@@ -83,10 +83,10 @@
 
     @property
     def urgent(self) -> bool:
-        return self.told.urgent > self.offered
+        return self.told.urgent_count > self.offered
 
     def first(self, now: float) -> Urgency:
-        return self.told.first.after_waiting(now - self.told_at)
+        return self.told.first_urgency.after_waiting(now - self.told_at)
 
 
 @dataclass
@@ -104,7 +104,7 @@
     leads_surely: Callable[[], bool] = lambda: True
     _ledger: SlotLedger = field(default_factory=SlotLedger)
     _queue: SlotQueue = field(default_factory=SlotQueue)
-    _asked_by_place: dict[int, SlotAsked] = field(default_factory=dict)  # by place in the queue
+    _asked_by_place: dict[int, SlotRequested] = field(default_factory=dict)  # by place in the queue
     _waiting_by_slot: dict[tuple[SessionKey, SlotNumber], Waiting] = field(default_factory=dict)
     _demands: dict[DemandKey, _Demand] = field(default_factory=dict)
     _offers: dict[DemandKey, int] = field(default_factory=dict)
@@ -128,22 +128,22 @@
                 self._open(event, now)
             case SessionClosed():
                 self._close(event.session)
-            case SlotAsked():
+            case SlotRequested():
                 return self._ask(event, now)
             case SlotTaken():
                 self._take(event, now)
                 return []
             case SlotReleased():
                 self._release(event, now)
-            case SilenceChanged():
+            case ResponsivenessChanged():
                 self._room.look_anew()
-                self._ledger.silence(event.session, event.instance_id, event.silent)
-            case BackendBlamed():
-                self._judge(event.instance_id, Verdict.BAD, now)
+                self._ledger.silence(event.session, event.instance_id, event.unresponsive)
+            case BackendFailureReported():
+                self._judge(event.instance_id, RunResult.BACKEND_FAILED, now)
                 return []
             case ItemsWaiting():
                 self._note_demand(event, now)
-            case ItemBegun():
+            case ItemStarted():
                 self._note_item(event)
                 return []
         return self._hand_out(now)
@@ -152,9 +152,9 @@
         """Do what time alone brings: refuse who waited long enough, try again what was avoided."""
         self._room.fill_cold_buckets(now)
         refused = [
-            self._refuse(asked, RefusalCause.WAITED, now)
+            self._refuse(asked, RefusalCause.TIMED_OUT, now)
             for asked in list(self._asked_by_place.values())
-            if now >= asked.leave_at
+            if now >= asked.queue_deadline
         ]
         return [*refused, *self._relieve(now), *self._hand_out(now)]
 
@@ -180,16 +180,16 @@
         """Return how many requests wait."""
         return self._queue.total()
 
-    def picture(self, now: float) -> SlotPicture:
+    def snapshot(self, now: float) -> SlotSnapshot:
         """Return what the holders are told: the load of each back end, and where there is room."""
         states = [state for state in self.choice.states() if self.owns(state.instance)]
         services = {state.instance.service for state in states}
         loads = [self._room.load_of(state, now) for state in states]
         loads = [load for load in loads if load.in_use or load.avoided]
         loads.sort(key=lambda load: (load.avoided, load.in_use), reverse=True)
-        return SlotPicture(
-            backends=tuple(loads[:MOST_BACKENDS_A_PICTURE]),
-            rooms=tuple(self._room_of(service, now) for service in sorted(services)),
+        return SlotSnapshot(
+            backends=tuple(loads[:MAX_BACKENDS_PER_SNAPSHOT]),
+            capacities=tuple(self._capacity_of(service, now) for service in sorted(services)),
             sends_per_s=self._rates.rates(now),
             holders=self._ledger.holders,
         )
@@ -237,28 +237,32 @@
             return
         taken = self._ledger.release(event.session, event.number)
         if taken is not None:
-            self._judge(taken.use.instance_id, event.verdict, now)
+            self._judge(taken.use.instance_id, event.result, now)
 
-    def _judge(self, instance_id: str, verdict: Verdict, now: float) -> None:
+    def _judge(self, instance_id: str, verdict: RunResult, now: float) -> None:
         state = self.choice.state(instance_id)
-        if verdict is Verdict.BAD:
+        if verdict is RunResult.BACKEND_FAILED:
             self._room.look_anew()
-        if state is not None and verdict is not Verdict.UNKNOWN:
-            self.choice.turned_out(state, verdict is Verdict.GOOD, now)
+        if state is not None and verdict is not RunResult.UNKNOWN:
+            self.choice.turned_out(state, verdict is RunResult.BACKEND_OK, now)
 
     # ---- online requests ----
 
-    def _ask(self, asked: SlotAsked, now: float) -> list[SlotInstruction]:
+    def _ask(self, asked: SlotRequested, now: float) -> list[SlotInstruction]:
         candidates = self._room.candidates(asked.service, asked.residence, now, asked.excluded)
         if not candidates or not self._ledger.is_open(asked.session):
-            return [NoneHere(asked.session, asked.number)]
+            return [NoSlot(asked.session, asked.number)]
         others_wait = self._queue.count_in(asked.service, asked.residence) > 0
-        if not others_wait and self._has_room(candidates, asked.manner, now):
+        if not others_wait and self._has_room(candidates, asked.mode, now):
             return self._grant(asked, candidates, now)
-        if asked.manner is not Manner.WAIT:
-            return [NoneHere(asked.session, asked.number)]
+        if asked.mode is not RequestMode.WAIT:
+            return [NoSlot(asked.session, asked.number)]
         waiting = self._queue.add(
-            asked.service, asked.in_time_until, asked.leave_at, asked.priority, asked.residence
+            asked.service,
+            asked.start_deadline,
+            asked.queue_deadline,
+            asked.priority,
+            asked.residence,
         )
         if waiting is None:
             return [self._refuse(asked, RefusalCause.QUEUE_FULL, now)]
@@ -266,16 +270,16 @@
         self._waiting_by_slot[asked.session, asked.number] = waiting
         return self._hand_out(now)
 
-    def _has_room(self, candidates: list[InstanceState], manner: Manner, now: float) -> bool:
+    def _has_room(self, candidates: list[InstanceState], manner: RequestMode, now: float) -> bool:
         candidates = self._room.bearing(candidates, now)
         if any(self._room.has_free_slot(state) for state in candidates):
             return True
-        if manner is Manner.FREE:
+        if manner is RequestMode.FREE:
             return False
         return any(self._room.has_yielding(state) for state in candidates)
 
     def _grant(
-        self, asked: SlotAsked, candidates: list[InstanceState], now: float
+        self, asked: SlotRequested, candidates: list[InstanceState], now: float
     ) -> list[SlotInstruction]:
         """Give a request the best slot; an item leaves where none is free."""
         state = self._best(asked, self._room.bearing(candidates, now), now)
@@ -283,7 +287,7 @@
         if not self._room.has_free_slot(state):
             leaving = next(iter(self._room.yielding(state, now)), None)
             if leaving is not None:
-                instructions.append(self._have_leave(leaving, LeaveCause.GRANTED))
+                instructions.append(self._have_leave(leaving, PreemptionCause.GRANTED))
         use = SlotUse(asked.number, state.instance.instance_id, asked.unread_tokens)
         self._room.granted(use.instance_id)
         self._ledger.take(asked.session, use, now)
@@ -291,7 +295,9 @@
         instructions.append(Granted(asked.session, asked.number, use.instance_id))
         return instructions
 
-    def _best(self, asked: SlotAsked, candidates: list[InstanceState], now: float) -> InstanceState:
+    def _best(
+        self, asked: SlotRequested, candidates: list[InstanceState], now: float
+    ) -> InstanceState:
         """Return where a request goes: a free slot, then one that an item gives up, then any."""
         if asked.affinity_key:
             return by_affinity(
@@ -311,7 +317,7 @@
         yielding = [state for state in candidates if self._room.has_yielding(state)]
         return min(yielding or candidates, key=cost)
 
-    def _refuse(self, asked: SlotAsked, cause: RefusalCause, now: float) -> Refused:
+    def _refuse(self, asked: SlotRequested, cause: RefusalCause, now: float) -> Refused:
         key = (asked.session, asked.number)
         waiting = self._waiting_by_slot.get(key)
         if waiting is not None:
@@ -341,13 +347,13 @@
             while (waiting := self._queue.next(service, now, full)) is not None:
                 asked = self._asked_by_place[waiting.number]
                 candidates = self._room.candidates(service, asked.residence, now, asked.excluded)
-                if candidates and not self._has_room(candidates, Manner.WAIT, now):
+                if candidates and not self._has_room(candidates, RequestMode.WAIT, now):
                     full.add(asked.residence)
                     continue
                 self._leave_queue((asked.session, asked.number), waiting)
                 if not candidates:
                     # Its back ends are gone or were emptied while it waited: others may have some.
-                    yield NoneHere(asked.session, asked.number)
+                    yield NoSlot(asked.session, asked.number)
                     continue
                 yield from self._grant(asked, candidates, now)
 
@@ -364,7 +370,7 @@
         on_their_way = self._offers.get(key, 0) - event.offers_seen
         self._demands[key] = _Demand(event, now, max(0, on_their_way))
 
-    def _note_item(self, event: ItemBegun) -> None:
+    def _note_item(self, event: ItemStarted) -> None:
         self._ledger.item_begun(event.session, event.number, event.urgency)
 
     def _offer_to_items(self, now: float) -> Iterator[SlotInstruction]:
@@ -413,7 +419,7 @@
 
         def order(entry: tuple[DemandKey, _Demand]) -> tuple[bool, float]:
             first = entry[1].first(now)
-            return first.too_late, first.left_s
+            return first.is_too_late, first.until_due_s
 
         return sorted(waiting, key=order)
 
@@ -450,19 +456,19 @@
             staying = self._ledger.in_use(instance_id) - self._ledger.leaving(instance_id)
             excess = staying - state.instance.slots
             for slot in self._room.yielding(state, now)[: max(0, excess)]:
-                yield self._have_leave(slot, LeaveCause.OVERFULL)
+                yield self._have_leave(slot, PreemptionCause.OVERCOMMITTED)
 
-    def _have_leave(self, slot: TakenSlot, cause: LeaveCause) -> ItemMustLeave:
+    def _have_leave(self, slot: TakenSlot, cause: PreemptionCause) -> ItemPreempted:
         self._ledger.item_leaves(slot)
-        return ItemMustLeave(slot.session, slot.use.number, cause)
+        return ItemPreempted(slot.session, slot.use.number, cause)
 
-    def _room_of(self, service: str, now: float) -> ServiceRoom:
+    def _capacity_of(self, service: str, now: float) -> ServiceCapacity:
         candidates = self._room.candidates(service, ANYWHERE, now)
         yielding = sum(
             self._ledger.staying_items(state.instance.instance_id)
             for state in self._room.bearing(candidates, now)
         )
-        return ServiceRoom(
+        return ServiceCapacity(
             service,
             sum(state.instance.slots for state in candidates),
             self._room.free_slots(service, ANYWHERE, now),
--- a/src/wharfcart/slots/item_slots.py
+++ b/src/wharfcart/slots/item_slots.py
@@ -8,16 +8,16 @@
 from wharfcart.cluster.messages_pb2 import SlotNews
 from wharfcart.configuration.residence import ANYWHERE, Residence, residence_from_message
 from wharfcart.slots.events import (
-    BackendBlamed,
-    ItemBegun,
+    BackendFailureReported,
+    ItemStarted,
     ItemsWaiting,
-    LeaveCause,
+    PreemptionCause,
+    RunResult,
     SlotNumber,
     SlotUse,
-    Verdict,
 )
-from wharfcart.slots.picture import ServiceRoom, SlotPicture
-from wharfcart.slots.session import HeldSlot, SlotNewsTaker
+from wharfcart.slots.picture import ServiceCapacity, SlotSnapshot
+from wharfcart.slots.session import HeldSlot, SlotUpdateListener
 from wharfcart.slots.sessions import SlotSessions
 from wharfcart.slots.urgency import Urgency
 
@@ -88,7 +88,7 @@
         return abs(slack_s - demand.first.slack_s) > LEAST_CHANGE_S
 
 
-class ItemSlots(SlotNewsTaker):
+class ItemSlots(SlotUpdateListener):
     """Asks for slots for items, and tells of offers and of items that must leave.
 
     Args:
@@ -104,7 +104,7 @@
         self._is_far = is_far
         self.sessions: SlotSessions
         self.on_offer: Callable[[ItemSlot], None] = lambda _slot: None
-        self.on_leave: Callable[[HeldSlot, LeaveCause], None] = lambda _slot, _cause: None
+        self.on_leave: Callable[[HeldSlot, PreemptionCause], None] = lambda _slot, _cause: None
         self._told: dict[_ToldKey, _Told] = {}
         self._offers_seen: dict[_ToldKey, int] = {}
         self._avoided_by_group: dict[int, frozenset[str]] = {}
@@ -126,7 +126,7 @@
 
         Those that grant nothing in these regions hear nothing.
         """
-        rooms = self.sessions.rooms_told(service, residence)
+        rooms = self.sessions.reported_capacities(service, residence)
         far = frozenset(group for group in rooms if self._is_far(group))
         for group, count in divide_items(demand.count, rooms, far).items():
             urgent = min(count, demand.urgent)
@@ -137,9 +137,9 @@
         """Tell that an item runs in a slot, and how it stands."""
         session = self.sessions.by_group[slot.group]
         session.hold(SlotUse(slot.number, slot.instance_id, item=urgency))
-        session.tell(ItemBegun(session.key, slot.number, urgency))
+        session.tell(ItemStarted(session.key, slot.number, urgency))
 
-    def release(self, slot: HeldSlot, verdict: Verdict = Verdict.UNKNOWN) -> None:
+    def release(self, slot: HeldSlot, verdict: RunResult = RunResult.UNKNOWN) -> None:
         """Give a slot back."""
         self.sessions.by_group[slot.group].release(slot.number, verdict)
 
@@ -147,14 +147,14 @@
         """Tell that a back end was at fault for a run that had ended before."""
         session = self.sessions.of_instance(instance_id)
         if session is not None:
-            session.tell(BackendBlamed(session.key, instance_id))
+            session.tell(BackendFailureReported(session.key, instance_id))
 
     # ---- news ----
 
-    def picture_told(self, group: int, picture: SlotPicture) -> None:
+    def snapshot_received(self, group: int, snapshot: SlotSnapshot) -> None:
         """Take which back ends are avoided."""
         self._avoided_by_group[group] = frozenset(
-            load.instance_id for load in picture.backends if load.avoided
+            load.instance_id for load in snapshot.backends if load.avoided
         )
 
     def session_opened(self, group: int) -> None:
@@ -164,16 +164,16 @@
         for key in [key for key in self._offers_seen if key[0] == group]:
             del self._offers_seen[key]
 
-    def items_told(self, group: int, news: SlotNews) -> None:
+    def item_updates_received(self, group: int, updates: SlotNews) -> None:
         """Take slots that are offered to items, and items that must leave."""
-        for offer in news.offers:
+        for offer in updates.offers:
             key = (group, offer.service, residence_from_message(offer))
             self._offers_seen[key] = self._offers_seen.get(key, 0) + 1
             number = SlotNumber(offer.number)
             self.on_offer(ItemSlot(group, number, offer.service, offer.instance_id))
-        for leaving in news.leaving:
+        for leaving in updates.leaving:
             slot = HeldSlot(group, SlotNumber(leaving.number))
-            self.on_leave(slot, LeaveCause(leaving.cause))
+            self.on_leave(slot, PreemptionCause(leaving.cause))
 
     # ---- inner ----
 
@@ -205,7 +205,7 @@
 
 
 def divide_items(
-    count: int, rooms_by_group: Mapping[int, ServiceRoom], far: Collection[int] = ()
+    count: int, rooms_by_group: Mapping[int, ServiceCapacity], far: Collection[int] = ()
 ) -> dict[int, int]:
     """Divide items over groups by their free slots; a group without any still hears of some.
 
@@ -228,7 +228,7 @@
     return parts
 
 
-def _by_free_slots(count: int, rooms_by_group: Mapping[int, ServiceRoom]) -> dict[int, int]:
+def _by_free_slots(count: int, rooms_by_group: Mapping[int, ServiceCapacity]) -> dict[int, int]:
     weights = {group: 1 + room.free for group, room in rooms_by_group.items()}
     total = sum(weights.values())
     return {group: math.ceil(count * weight / total) for group, weight in weights.items()}
--- a/src/wharfcart/slots/messages.py
+++ b/src/wharfcart/slots/messages.py
@@ -7,37 +7,37 @@
 from wharfcart.cluster import messages_pb2 as pb
 from wharfcart.configuration.residence import residence_from_message, residence_to_message
 from wharfcart.slots.events import (
-    BackendBlamed,
-    ItemBegun,
+    BackendFailureReported,
+    ItemStarted,
     ItemsWaiting,
-    Manner,
-    SentUnasked,
+    RequestMode,
+    ResponsivenessChanged,
+    RunResult,
+    SentWithoutPermit,
     SessionKey,
-    SilenceChanged,
-    SlotAsked,
     SlotEvent,
     SlotNumber,
     SlotReleased,
+    SlotRequested,
     SlotTaken,
     SlotUse,
-    Verdict,
 )
-from wharfcart.slots.picture import BackendLoad, ServiceRoom, SlotPicture
+from wharfcart.slots.picture import BackendLoad, ServiceCapacity, SlotSnapshot
 from wharfcart.slots.urgency import Urgency
 
-_MANNERS = {Manner.FREE: pb.FREE, Manner.YIELDED: pb.YIELDED, Manner.WAIT: pb.WAIT}
+_MANNERS = {RequestMode.FREE: pb.FREE, RequestMode.PREEMPT: pb.YIELDED, RequestMode.WAIT: pb.WAIT}
 _MANNERS_BY_VALUE = {value: manner for manner, value in _MANNERS.items()}
 _VERDICTS = {
-    Verdict.UNKNOWN: pb.VERDICT_UNKNOWN,
-    Verdict.GOOD: pb.GOOD,
-    Verdict.BAD: pb.BAD,
+    RunResult.UNKNOWN: pb.VERDICT_UNKNOWN,
+    RunResult.BACKEND_OK: pb.GOOD,
+    RunResult.BACKEND_FAILED: pb.BAD,
 }
 _VERDICTS_BY_VALUE = {value: verdict for verdict, value in _VERDICTS.items()}
 
 
 def urgency_to_message(urgency: Urgency) -> pb.ItemUrgency:
     """Write how an item stands."""
-    return pb.ItemUrgency(left_s=urgency.left_s, remaining_s=urgency.remaining_s)
+    return pb.ItemUrgency(left_s=urgency.until_due_s, remaining_s=urgency.remaining_s)
 
 
 def urgency_from_message(message: pb.ItemUrgency) -> Urgency:
@@ -65,7 +65,7 @@
     )
 
 
-def picture_to_message(picture: SlotPicture) -> pb.SlotPicture:
+def snapshot_to_message(snapshot: SlotSnapshot) -> pb.SlotPicture:
     """Write a picture of the load."""
     return pb.SlotPicture(
         backends=[
@@ -75,34 +75,34 @@
                 unread_tokens=load.unread_tokens,
                 avoided=load.avoided,
             )
-            for load in picture.backends
+            for load in snapshot.backends
         ],
         rooms=[
             pb.ServiceRoom(
                 service=room.service,
                 slots=room.slots,
                 free=room.free,
-                yielding=room.yielding,
+                yielding=room.preemptible,
                 waiting=room.waiting,
             )
-            for room in picture.rooms
+            for room in snapshot.capacities
         ],
-        sends_per_s=picture.sends_per_s,
-        holders=picture.holders,
-        usage=[pb.TenantUsage(tenant=name, count=n) for name, n in picture.usage.items()],
-        gateways=picture.gateways,
+        sends_per_s=snapshot.sends_per_s,
+        holders=snapshot.holders,
+        usage=[pb.TenantUsage(tenant=name, count=n) for name, n in snapshot.usage.items()],
+        gateways=snapshot.gateways,
     )
 
 
-def picture_from_message(message: pb.SlotPicture) -> SlotPicture:
+def snapshot_from_message(message: pb.SlotPicture) -> SlotSnapshot:
     """Read a picture of the load."""
-    return SlotPicture(
+    return SlotSnapshot(
         backends=tuple(
             BackendLoad(load.instance_id, load.in_use, load.unread_tokens, load.avoided)
             for load in message.backends
         ),
-        rooms=tuple(
-            ServiceRoom(room.service, room.slots, room.free, room.yielding, room.waiting)
+        capacities=tuple(
+            ServiceCapacity(room.service, room.slots, room.free, room.yielding, room.waiting)
             for room in message.rooms
         ),
         sends_per_s=dict(message.sends_per_s),
@@ -127,7 +127,7 @@
     return TenantUsage(message.tenant, message.count)
 
 
-def asked_to_message(group: int, asked: SlotAsked, tenant: str, now: float) -> pb.SlotRequest:
+def asked_to_message(group: int, asked: SlotRequested, tenant: str, now: float) -> pb.SlotRequest:
     """Write a request for a slot of a group; it counts towards the limit of a tenant, if any."""
     return pb.SlotRequest(
         group=group,
@@ -139,25 +139,25 @@
         excluded=asked.excluded,
         connected=asked.connected,
         unread_tokens=asked.unread_tokens,
-        in_time_for_ms=_milliseconds(asked.in_time_until - now),
-        waits_for_ms=_milliseconds(asked.leave_at - now),
+        in_time_for_ms=_milliseconds(asked.start_deadline - now),
+        waits_for_ms=_milliseconds(asked.queue_deadline - now),
         priority=asked.priority,
         request_id=asked.request_id,
-        manner=_MANNERS[asked.manner],
+        manner=_MANNERS[asked.mode],
         tenant=tenant,
         residence=residence_to_message(asked.residence),
     )
 
 
-def asked_from_message(session: SessionKey, message: pb.SlotRequest, now: float) -> SlotAsked:
+def asked_from_message(session: SessionKey, message: pb.SlotRequest, now: float) -> SlotRequested:
     """Read a request for a slot."""
-    return SlotAsked(
+    return SlotRequested(
         session=session,
         number=SlotNumber(message.number),
         service=message.service,
-        in_time_until=now + message.in_time_for_ms / 1000,
-        leave_at=now + message.waits_for_ms / 1000,
-        manner=_MANNERS_BY_VALUE[message.manner],
+        start_deadline=now + message.in_time_for_ms / 1000,
+        queue_deadline=now + message.waits_for_ms / 1000,
+        mode=_MANNERS_BY_VALUE[message.manner],
         affinity_key=message.affinity_key,
         excluded=frozenset(message.excluded),
         connected=frozenset(message.connected),
@@ -178,19 +178,19 @@
         case SlotTaken():
             return pb.SlotEvent(taken=use_to_message(event.use))
         case SlotReleased():
-            verdict = _VERDICTS[event.verdict]
+            verdict = _VERDICTS[event.result]
             return pb.SlotEvent(released=pb.SlotRelease(number=event.number, verdict=verdict))
-        case SilenceChanged():
-            silence = pb.BackendSilence(instance_id=event.instance_id, silent=event.silent)
+        case ResponsivenessChanged():
+            silence = pb.BackendSilence(instance_id=event.instance_id, silent=event.unresponsive)
             return pb.SlotEvent(silence=silence)
-        case BackendBlamed():
+        case BackendFailureReported():
             return pb.SlotEvent(blamed=event.instance_id)
         case ItemsWaiting():
             return pb.SlotEvent(waiting=_waiting_to_message(event))
-        case ItemBegun():
+        case ItemStarted():
             urgency = urgency_to_message(event.urgency)
             return pb.SlotEvent(begun=pb.BegunItem(number=event.number, urgency=urgency))
-        case SentUnasked():
+        case SentWithoutPermit():
             return pb.SlotEvent(sent_unasked=event.tenant)
     raise TypeError(f"no message for {type(event).__name__}")
 
@@ -205,19 +205,21 @@
         case "taken":
             return SlotTaken(session, use_from_message(message.taken))
         case "released":
-            verdict = _VERDICTS_BY_VALUE.get(message.released.verdict, Verdict.UNKNOWN)
+            verdict = _VERDICTS_BY_VALUE.get(message.released.verdict, RunResult.UNKNOWN)
             return SlotReleased(session, SlotNumber(message.released.number), verdict)
         case "silence":
-            return SilenceChanged(session, message.silence.instance_id, message.silence.silent)
+            return ResponsivenessChanged(
+                session, message.silence.instance_id, message.silence.silent
+            )
         case "blamed":
-            return BackendBlamed(session, message.blamed)
+            return BackendFailureReported(session, message.blamed)
         case "waiting":
             return _waiting_from_message(session, message.waiting)
         case "begun":
             urgency = urgency_from_message(message.begun.urgency)
-            return ItemBegun(session, SlotNumber(message.begun.number), urgency)
+            return ItemStarted(session, SlotNumber(message.begun.number), urgency)
         case "sent_unasked":
-            return SentUnasked(session, message.sent_unasked)
+            return SentWithoutPermit(session, message.sent_unasked)
     raise ValueError("unknown slot event")
 
 
@@ -225,8 +227,8 @@
     return pb.WaitingItems(
         service=event.service,
         count=event.count,
-        urgent=event.urgent,
-        first=urgency_to_message(event.first),
+        urgent=event.urgent_count,
+        first=urgency_to_message(event.first_urgency),
         excluded=event.excluded,
         offers_seen=event.offers_seen,
         residence=residence_to_message(event.residence),
@@ -238,8 +240,8 @@
         session=session,
         service=message.service,
         count=message.count,
-        urgent=message.urgent,
-        first=urgency_from_message(message.first),
+        urgent_count=message.urgent,
+        first_urgency=urgency_from_message(message.first),
         excluded=frozenset(message.excluded),
         offers_seen=message.offers_seen,
         residence=residence_from_message(message),
--- a/src/wharfcart/slots/permits.py
+++ b/src/wharfcart/slots/permits.py
@@ -11,7 +11,7 @@
 from wharfcart.cluster.messages_pb2 import PermitAnswer
 from wharfcart.configuration.serving import RequestLimit
 from wharfcart.routing.placement import OverLimitError
-from wharfcart.slots.events import SentUnasked
+from wharfcart.slots.events import SentWithoutPermit
 from wharfcart.slots.permit_relays import PermitRelays
 from wharfcart.slots.session import SlotSession
 from wharfcart.slots.sessions import SlotSessions
@@ -146,7 +146,7 @@
         self.taken()
         home = self._sessions.home(self._tenant)
         if home is not None:
-            home.tell(SentUnasked(home.key, self._tenant))
+            home.tell(SentWithoutPermit(home.key, self._tenant))
         return True
 
     def _may_send_alone(self) -> bool:
@@ -154,6 +154,6 @@
             return True
         home = self._sessions.home(self._tenant)
         contact_at = None if home is None else home.heard_at
-        usage = 0 if home is None else home.picture.usage.get(self._tenant, 0)
+        usage = 0 if home is None else home.snapshot.usage.get(self._tenant, 0)
         sends = self._sessions.sends
         return sends.may_send_alone(self._tenant, self._limit, contact_at, usage, monotonic())
--- a/src/wharfcart/slots/picture.py
+++ b/src/wharfcart/slots/picture.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServiceRoom:
+class ServiceCapacity:
     """Room for requests of one service at the back ends that one node grants.
 
     Attributes:
@@ -33,12 +33,12 @@
     service: str
     slots: int
     free: int
-    yielding: int = 0
+    preemptible: int = 0
     waiting: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class SlotPicture:
+class SlotSnapshot:
     """State of all slots that one node grants.
 
     Attributes:
@@ -50,17 +50,17 @@
     """
 
     backends: tuple[BackendLoad, ...] = ()
-    rooms: tuple[ServiceRoom, ...] = ()
+    capacities: tuple[ServiceCapacity, ...] = ()
     sends_per_s: dict[str, float] = field(default_factory=dict)
     holders: int = 0
     usage: dict[str, int] = field(default_factory=dict)
     gateways: int = 0
 
-    def brief(self) -> "SlotPicture":
+    def for_other_region(self) -> "SlotSnapshot":
         """Return what a holder in another region needs: where there is room, and what to avoid."""
         avoided = tuple(load for load in self.backends if load.avoided)
         return replace(self, backends=avoided)
 
-    def room(self, service: str) -> ServiceRoom | None:
+    def capacity_for(self, service: str) -> ServiceCapacity | None:
         """Return the room for a service; None if none of its back ends are granted there."""
-        return next((room for room in self.rooms if room.service == service), None)
+        return next((room for room in self.capacities if room.service == service), None)
--- a/src/wharfcart/slots/service.py
+++ b/src/wharfcart/slots/service.py
@@ -33,11 +33,11 @@
 from wharfcart.slots.events import (
     Granted,
     HolderId,
-    ItemMustLeave,
     ItemOffered,
-    NoneHere,
+    ItemPreempted,
+    NoSlot,
     Refused,
-    SentUnasked,
+    SentWithoutPermit,
     SessionClosed,
     SessionKey,
     SessionOpened,
@@ -50,12 +50,12 @@
 from wharfcart.slots.messages import (
     asked_from_message,
     event_from_message,
-    picture_to_message,
     send_from_message,
+    snapshot_to_message,
     usage_from_message,
     use_from_message,
 )
-from wharfcart.slots.picture import SlotPicture
+from wharfcart.slots.picture import SlotSnapshot
 
 # What time alone brings is looked at so often: who has waited long enough, who is avoided no more.
 TICK_S = 0.05
@@ -65,16 +65,16 @@
 # many. Those elsewhere send few requests here, and their pictures travel between zones. Holders in
 # other regions ask only where their own region is full: they hear as seldom, nothing at once, and
 # not the load of each back end, since bytes between regions cost most.
-PICTURE_S = 0.25
-PICTURE_FAR_S = 1.0
-PICTURE_ABROAD_S = 1.0
-MOST_PICTURES_A_SECOND = 400
+SNAPSHOT_INTERVAL_S = 0.25
+OTHER_ZONE_SNAPSHOT_INTERVAL_S = 1.0
+OTHER_REGION_SNAPSHOT_INTERVAL_S = 1.0
+MAX_SNAPSHOTS_PER_SECOND = 400
 # Gateways that are cut off ask by way of others; of six drawn by lot one has contact even if a
 # third of all gateways is cut off.
 RELAYS_S = 5.0
 MOST_RELAYS = 6
 # A back end that must be avoided is told at once, but no more often than this.
-FEWEST_PICTURE_GAP_S = 0.05
+MIN_SNAPSHOT_GAP_S = 0.05
 
 Respond = Callable[[Frame], Awaitable[None]]
 
@@ -140,9 +140,9 @@
         self._granter: SlotGranter | None = None
         self._outboxes: dict[SessionKey, _Outbox] = {}
         self._answers: dict[tuple[SessionKey, SlotNumber], asyncio.Future[SlotInstruction]] = {}
-        self._near_told_at = 0.0
-        self._far_told_at = 0.0
-        self._abroad_told_at = 0.0
+        self._same_zone_sent_at = 0.0
+        self._same_region_sent_at = 0.0
+        self._other_region_sent_at = 0.0
         self._relays_told_at = 0.0
         self._avoided: frozenset[str] = frozenset()
 
@@ -171,7 +171,7 @@
             outbox.wake.set()
         for (session, number), answer in list(self._answers.items()):
             if not answer.done():
-                answer.set_result(NoneHere(session, number))
+                answer.set_result(NoSlot(session, number))
 
     async def run(self) -> None:
         """Do what time brings until cancelled."""
@@ -183,7 +183,7 @@
             now = monotonic()
             self._carry_out(granter.tick(now))
             self._requests_waiting.set(granter.total_waiting())
-            self._tell_picture(granter, now)
+            self._send_due_snapshots(granter, now)
             self._tell_relays(now)
 
     # ---- calls of holders ----
@@ -203,10 +203,10 @@
         uses = tuple(use_from_message(use) for use in message.uses)
         limits = self._open_limits(message)
         self._apply(granter, SessionOpened(key, message.zone, uses))
-        picture = granter.picture(monotonic())
+        picture = granter.snapshot(monotonic())
         if outbox.distance is Distance.OTHER_REGION:
-            picture = picture.brief()
-        outbox.news.picture.CopyFrom(picture_to_message(picture))
+            picture = picture.for_other_region()
+        outbox.news.picture.CopyFrom(snapshot_to_message(picture))
         try:
             while self._granter is granter and granter.is_open(key):
                 await respond(Frame(slot_news=outbox.take()))
@@ -230,9 +230,9 @@
         try:
             while self._limits is limits:
                 now = monotonic()
-                picture = SlotPicture(usage=limits.usage(now), gateways=limits.gateways(now))
-                await respond(Frame(slot_news=SlotNews(picture=picture_to_message(picture))))
-                await asyncio.sleep(PICTURE_S)
+                picture = SlotSnapshot(usage=limits.usage(now), gateways=limits.gateways(now))
+                await respond(Frame(slot_news=SlotNews(picture=snapshot_to_message(picture))))
+                await asyncio.sleep(SNAPSHOT_INTERVAL_S)
             await respond(Frame(slot_news=SlotNews(refused=True), last=True))
         finally:
             now = monotonic()
@@ -295,7 +295,7 @@
         self._hear(key)
         for event in message.events:
             told = event_from_message(key, event)
-            if isinstance(told, SentUnasked):
+            if isinstance(told, SentWithoutPermit):
                 self._limits.count_unasked(key.holder, told.tenant, monotonic())
             else:
                 self._apply(granter, told)
@@ -353,7 +353,7 @@
     def _carry_out(self, instructions: Iterable[SlotInstruction]) -> None:
         for instruction in instructions:
             match instruction:
-                case Granted() | NoneHere() | Refused():
+                case Granted() | NoSlot() | Refused():
                     answer = self._answers.get((instruction.session, instruction.number))
                     if answer is not None and not answer.done():
                         answer.set_result(instruction)
@@ -365,7 +365,7 @@
                         residence=residence_to_message(instruction.residence),
                     )
                     self._tell(instruction.session, SlotNews(offers=[offer]))
-                case ItemMustLeave():
+                case ItemPreempted():
                     leave = ItemLeave(number=instruction.number, cause=instruction.cause.value)
                     self._tell(instruction.session, SlotNews(leaving=[leave]))
 
@@ -375,34 +375,38 @@
             outbox.news.MergeFrom(news)
             outbox.wake.set()
 
-    def _tell_picture(self, granter: SlotGranter, now: float) -> None:
+    def _send_due_snapshots(self, granter: SlotGranter, now: float) -> None:
         """Tell holders of the load, from time to time or when what is avoided has changed."""
         avoided = granter.avoided(now)
-        changed = avoided != self._avoided and now - self._near_told_at >= FEWEST_PICTURE_GAP_S
-        period_s = max(PICTURE_S, len(self._outboxes) / MOST_PICTURES_A_SECOND)
-        near_due = changed or now - self._near_told_at >= period_s
-        far_due = changed or now - self._far_told_at >= max(PICTURE_FAR_S, period_s)
-        abroad_due = now - self._abroad_told_at >= max(PICTURE_ABROAD_S, period_s)
+        changed = avoided != self._avoided and now - self._same_zone_sent_at >= MIN_SNAPSHOT_GAP_S
+        period_s = max(SNAPSHOT_INTERVAL_S, len(self._outboxes) / MAX_SNAPSHOTS_PER_SECOND)
+        near_due = changed or now - self._same_zone_sent_at >= period_s
+        far_due = changed or now - self._same_region_sent_at >= max(
+            OTHER_ZONE_SNAPSHOT_INTERVAL_S, period_s
+        )
+        abroad_due = now - self._other_region_sent_at >= max(
+            OTHER_REGION_SNAPSHOT_INTERVAL_S, period_s
+        )
         if not near_due and not far_due and not abroad_due:
             return
         if changed:
             self._avoided = avoided
         limits = self._limits
         picture = replace(
-            granter.picture(now), usage=limits.usage(now), gateways=limits.gateways(now)
+            granter.snapshot(now), usage=limits.usage(now), gateways=limits.gateways(now)
         )
         if near_due:
-            self._near_told_at = now
-            self._send_picture(Distance.SAME_ZONE, picture)
+            self._same_zone_sent_at = now
+            self._send_snapshot(Distance.SAME_ZONE, picture)
         if far_due:
-            self._far_told_at = now
-            self._send_picture(Distance.SAME_REGION, picture)
+            self._same_region_sent_at = now
+            self._send_snapshot(Distance.SAME_REGION, picture)
         if abroad_due:
-            self._abroad_told_at = now
-            self._send_picture(Distance.OTHER_REGION, picture.brief())
+            self._other_region_sent_at = now
+            self._send_snapshot(Distance.OTHER_REGION, picture.for_other_region())
 
-    def _send_picture(self, distance: Distance, picture: SlotPicture) -> None:
-        message = picture_to_message(picture)
+    def _send_snapshot(self, distance: Distance, snapshot: SlotSnapshot) -> None:
+        message = snapshot_to_message(snapshot)
         for outbox in self._outboxes.values():
             if outbox.distance is distance:
                 outbox.news.picture.CopyFrom(message)
--- a/src/wharfcart/slots/session.py
+++ b/src/wharfcart/slots/session.py
@@ -29,23 +29,23 @@
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.slots.events import (
     HolderId,
+    RunResult,
     SessionKey,
-    SlotAsked,
     SlotEvent,
     SlotNumber,
     SlotReleased,
+    SlotRequested,
     SlotTaken,
     SlotUse,
-    Verdict,
 )
 from wharfcart.slots.messages import (
     asked_to_message,
     event_to_message,
-    picture_from_message,
     send_to_message,
+    snapshot_from_message,
     use_to_message,
 )
-from wharfcart.slots.picture import SlotPicture
+from wharfcart.slots.picture import SlotSnapshot
 
 # A grant takes a look-up, besides the round trip that was observed to its node; one that takes
 # longer is not worth waiting for.
@@ -104,13 +104,13 @@
         ...
 
 
-class SlotNewsTaker:
+class SlotUpdateListener:
     """What a holder does with news of its sessions; this one does nothing."""
 
-    def picture_told(self, group: int, picture: SlotPicture) -> None:
+    def snapshot_received(self, group: int, snapshot: SlotSnapshot) -> None:
         """Take the load of a group's back ends."""
 
-    def items_told(self, group: int, news: SlotNews) -> None:
+    def item_updates_received(self, group: int, updates: SlotNews) -> None:
         """Take slots that are offered to batch items, and items that must leave."""
 
     def session_opened(self, group: int) -> None:
@@ -132,8 +132,8 @@
         limits_only: the session is for permits alone, with a node that grants no slots.
 
     Attributes:
-        picture: the load as it was told last.
-        picture_at: monotonic time at which it came.
+        snapshot: the load as it was received last.
+        snapshot_at: monotonic time at which it came.
         heard_at: monotonic time at which the node was heard last; None if it never was.
         failing: the node did not answer the last call.
         opened: how often a session was opened.
@@ -147,7 +147,7 @@
         zone: str,
         transport: Transport,
         address: Callable[[int], Address | None],
-        taker: SlotNewsTaker,
+        taker: SlotUpdateListener,
         log: DecisionLog,
         facts: LimitFacts,
         limits_only: bool = False,
@@ -169,8 +169,8 @@
         self._untold: list[SlotEvent] = []
         self._flushing = False
         self._paused_until = 0.0
-        self.picture = SlotPicture()
-        self.picture_at = monotonic()
+        self.snapshot = SlotSnapshot()
+        self.snapshot_at = monotonic()
         self.heard_at: float | None = None
         self.failing = False
         self.opened = 0
@@ -213,7 +213,7 @@
         self._uses_by_number[use.number] = use
         return HeldSlot(self.group, use.number)
 
-    def release(self, number: SlotNumber, verdict: Verdict = Verdict.UNKNOWN) -> None:
+    def release(self, number: SlotNumber, verdict: RunResult = RunResult.UNKNOWN) -> None:
         """Give a slot back."""
         self._uses_by_number.pop(number, None)
         self.tell(SlotReleased(self.key, number, verdict))
@@ -229,7 +229,7 @@
             self._flushing = True
             asyncio.get_running_loop().call_soon(self._flush)
 
-    async def ask(self, asked: SlotAsked, tenant: str = "") -> SlotGrant | None:
+    async def ask(self, asked: SlotRequested, tenant: str = "") -> SlotGrant | None:
         """Ask for a slot; None if the granting node does not answer or no longer grants.
 
         Cancelled, or without an answer in time, the request is withdrawn.
@@ -399,11 +399,11 @@
         if news.relays:
             self.relays = [Address.parse(text) for text in news.relays]
         if news.HasField("picture"):
-            self.picture = picture_from_message(news.picture)
-            self.picture_at = monotonic()
-            self._taker.picture_told(self.group, self.picture)
+            self.snapshot = snapshot_from_message(news.picture)
+            self.snapshot_at = monotonic()
+            self._taker.snapshot_received(self.group, self.snapshot)
         if news.offers or news.leaving:
-            self._taker.items_told(self.group, news)
+            self._taker.item_updates_received(self.group, news)
 
     def _flush(self) -> None:
         self._flushing = False
--- a/src/wharfcart/slots/sessions.py
+++ b/src/wharfcart/slots/sessions.py
@@ -11,9 +11,9 @@
 from wharfcart.observability.decisions import DecisionLog
 from wharfcart.observability.tasks import BackgroundTasks
 from wharfcart.routing.backend_choice import BackendChoice
-from wharfcart.slots.events import HolderId, SilenceChanged
-from wharfcart.slots.picture import ServiceRoom
-from wharfcart.slots.session import HeardUsage, SlotNewsTaker, SlotSession
+from wharfcart.slots.events import HolderId, ResponsivenessChanged
+from wharfcart.slots.picture import ServiceCapacity
+from wharfcart.slots.session import HeardUsage, SlotSession, SlotUpdateListener
 from wharfcart.storage.job_residence import group_of
 
 # So often it is looked for groups that are new, and for back ends that have fallen silent.
@@ -51,7 +51,7 @@
         groups: Callable[[], int],
         address: Callable[[int], Address | None],
         group_of: Callable[[str], int | None],
-        taker: SlotNewsTaker,
+        taker: SlotUpdateListener,
         log: DecisionLog,
         stand_ins: Callable[[int], list[Address]] | None = None,
         own_address: str = "",
@@ -110,20 +110,24 @@
         group = self._home_group(tenant)
         return group in self.by_group and self._stand_in_address(group) is not None
 
-    def rooms(self, service: str, residence: Residence = ANYWHERE) -> dict[int, ServiceRoom]:
+    def available_capacities(
+        self, service: str, residence: Residence = ANYWHERE
+    ) -> dict[int, ServiceCapacity]:
         """Return the room for a service, by group whose node may be asked now.
 
         Groups that grant no slots in the regions of a residence are left out.
         """
         now = monotonic()
-        told = self.rooms_told(service, residence)
+        told = self.reported_capacities(service, residence)
         return {
             group: room
             for group, room in told.items()
             if room.slots > 0 and self.by_group[group].answers(now)
         }
 
-    def rooms_told(self, service: str, residence: Residence = ANYWHERE) -> dict[int, ServiceRoom]:
+    def reported_capacities(
+        self, service: str, residence: Residence = ANYWHERE
+    ) -> dict[int, ServiceCapacity]:
         """Return the room for a service as it was told last, by group with an open session.
 
         Groups that grant no slots in the regions of a residence are left out.
@@ -132,14 +136,14 @@
         for group, session in self.by_group.items():
             if not session.is_open or not self._grants_in(group, residence):
                 continue
-            room = session.picture.room(service)
+            room = session.snapshot.capacity_for(service)
             if room is not None:
                 rooms[group] = room
         return rooms
 
     def holders(self) -> int:
         """Return how many holders the granting nodes know of."""
-        known = [session.picture.holders for session in self.by_group.values()]
+        known = [session.snapshot.holders for session in self.by_group.values()]
         return max(known, default=0)
 
     def _home_group(self, tenant: str) -> int:
@@ -160,8 +164,8 @@
     def heard_usage(self, group: int) -> HeardUsage:
         """Return what the granting node or its stand-in told last, whichever was later."""
         told = [self.by_group[group], self._stand_in_sessions.get(group)]
-        last = max((one for one in told if one is not None), key=lambda one: one.picture_at)
-        return HeardUsage(last.picture.usage, last.picture_at, last.picture.gateways)
+        last = max((one for one in told if one is not None), key=lambda one: one.snapshot_at)
+        return HeardUsage(last.snapshot.usage, last.snapshot_at, last.snapshot.gateways)
 
     # ---- inner ----
 
@@ -212,7 +216,7 @@
             self._choice.zone,
             self._transport,
             self._stand_in_address,
-            SlotNewsTaker(),
+            SlotUpdateListener(),
             self._log,
             self,
             limits_only=True,
@@ -237,4 +241,4 @@
     def _tell_silence_of(self, instance_id: str, silent: bool) -> None:
         session = self.of_instance(instance_id)
         if session is not None:
-            session.tell(SilenceChanged(session.key, instance_id, silent))
+            session.tell(ResponsivenessChanged(session.key, instance_id, silent))
--- a/src/wharfcart/slots/urgency.py
+++ b/src/wharfcart/slots/urgency.py
@@ -6,13 +6,13 @@
 from dataclasses import dataclass
 
 # An item is urgent once so little time is left beside what it probably still runs.
-LEAST_SLACK_S = 1.0
+MIN_SLACK_S = 1.0
 # With less time left than this part of what it probably still runs it comes too late. What is
 # planned is 1.3 times the mean, so that such an item is rather late than not. Where more comes than
 # fits, items with a smaller chance take slots from others, which then have a small one themselves.
-HOPELESS_SHARE = 0.77
+TOO_LATE_FRACTION = 0.77
 # An item that has run as long as was thought still runs for this part of that time.
-LEAST_REMAINING_SHARE = 0.2
+MIN_REMAINING_FRACTION = 0.2
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,34 +24,34 @@
         remaining_s: that it probably still runs.
     """
 
-    left_s: float
+    until_due_s: float
     remaining_s: float
 
     @property
     def slack_s(self) -> float:
         """Time that it may still wait."""
-        return self.left_s - self.remaining_s
+        return self.until_due_s - self.remaining_s
 
     @property
-    def too_late(self) -> bool:
+    def is_too_late(self) -> bool:
         """Whether it can't be done in time any more."""
-        return self.left_s < self.remaining_s * HOPELESS_SHARE
+        return self.until_due_s < self.remaining_s * TOO_LATE_FRACTION
 
     @property
-    def urgent(self) -> bool:
+    def is_urgent(self) -> bool:
         """Whether it is done in time only if it runs from now on."""
-        return not self.too_late and self.slack_s < LEAST_SLACK_S
+        return not self.is_too_late and self.slack_s < MIN_SLACK_S
 
     @property
     def order(self) -> tuple[bool, float]:
         """Sorts first what loses least if it waits."""
-        return not self.too_late, -self.slack_s
+        return not self.is_too_late, -self.slack_s
 
     def after_waiting(self, seconds: float) -> "Urgency":
         """Return how the item stands once it has waited for so long."""
-        return Urgency(self.left_s - seconds, self.remaining_s)
+        return Urgency(self.until_due_s - seconds, self.remaining_s)
 
     def after_running(self, seconds: float) -> "Urgency":
         """Return how the item stands once it has run for so long."""
-        least_s = self.remaining_s * LEAST_REMAINING_SHARE
-        return Urgency(self.left_s - seconds, max(least_s, self.remaining_s - seconds))
+        least_s = self.remaining_s * MIN_REMAINING_FRACTION
+        return Urgency(self.until_due_s - seconds, max(least_s, self.remaining_s - seconds))
--- a/tests/batch/test_job_execution.py
+++ b/tests/batch/test_job_execution.py
@@ -34,18 +34,18 @@
 from wharfcart.routing.eligibility import Eligibility
 from wharfcart.slots.events import (
     HolderId,
-    ItemBegun,
-    ItemMustLeave,
     ItemOffered,
+    ItemPreempted,
+    ItemStarted,
     ItemsWaiting,
-    Manner,
+    RequestMode,
+    RunResult,
     SessionKey,
     SessionOpened,
-    SlotAsked,
     SlotNumber,
     SlotReleased,
+    SlotRequested,
     SlotUse,
-    Verdict,
 )
 from wharfcart.slots.granter import RESTART_COST_S, SlotGranter
 from wharfcart.slots.item_slots import ItemDemand, ItemSlot, ItemSlots
@@ -101,7 +101,7 @@
                     self._offers[instruction.residence] += 1
                     slot = ItemSlot(0, instruction.number, "s", instruction.instance_id)
                     loop.call_soon(self.on_offer, slot)
-                case ItemMustLeave():
+                case ItemPreempted():
                     slot = HeldSlot(0, instruction.number)
                     loop.call_soon(self.on_leave, slot, instruction.cause)
 
@@ -120,7 +120,7 @@
         self._numbers += 1
         number = SlotNumber(self._numbers)
         now = asyncio.get_running_loop().time()
-        self.tell(SlotAsked(GATEWAY, number, "s", now + 9.0, now + 9.0, Manner.WAIT))
+        self.tell(SlotRequested(GATEWAY, number, "s", now + 9.0, now + 9.0, RequestMode.WAIT))
         return number
 
     def free(self, number: SlotNumber) -> None:
@@ -141,14 +141,14 @@
         )
 
     def begun(self, slot: ItemSlot, urgency: Urgency) -> None:
-        self.tell(ItemBegun(LEADER, slot.number, urgency))
+        self.tell(ItemStarted(LEADER, slot.number, urgency))
 
-    def release(self, slot: HeldSlot, verdict: Verdict = Verdict.UNKNOWN) -> None:
+    def release(self, slot: HeldSlot, verdict: RunResult = RunResult.UNKNOWN) -> None:
         self.tell(SlotReleased(LEADER, slot.number, verdict))
 
     def tick(self) -> None:
         for instruction in self.granter.tick(asyncio.get_running_loop().time()):
-            assert isinstance(instruction, ItemMustLeave)
+            assert isinstance(instruction, ItemPreempted)
             self.on_leave(HeldSlot(0, instruction.number), instruction.cause)
 
 
@@ -358,7 +358,7 @@
         bench.slots.tell(ItemsWaiting(LEADER, "s", 3, 0, Urgency(9.0, 4.0)))
         await bench.settle()
         now = asyncio.get_running_loop().time()
-        assert sum(load.in_use for load in bench.slots.granter.picture(now).backends) == 0
+        assert sum(load.in_use for load in bench.slots.granter.snapshot(now).backends) == 0
 
     play(scenario)
 
@@ -389,7 +389,7 @@
         bench.submit("j", 2)
         await bench.settle()
         assert not bench.runner.running
-        assert not bench.slots.granter.picture(asyncio.get_running_loop().time()).backends
+        assert not bench.slots.granter.snapshot(asyncio.get_running_loop().time()).backends
         bench.slots.on_offer = take
         bench.choice.eligibility.evacuated_zones = frozenset()
         async with asyncio.timeout(5.0):
--- a/tests/batch/test_run_estimate.py
+++ b/tests/batch/test_run_estimate.py
@@ -25,10 +25,10 @@
 
 
 def test_an_item_that_comes_too_late_is_not_urgent_and_waits_first() -> None:
-    late = Urgency(left_s=-3.0, remaining_s=4.0)
-    urgent = Urgency(left_s=4.5, remaining_s=4.0)
-    early = Urgency(left_s=15.0, remaining_s=4.0)
-    assert (late.urgent, urgent.urgent, early.urgent) == (False, True, False)
+    late = Urgency(until_due_s=-3.0, remaining_s=4.0)
+    urgent = Urgency(until_due_s=4.5, remaining_s=4.0)
+    early = Urgency(until_due_s=15.0, remaining_s=4.0)
+    assert (late.is_urgent, urgent.is_urgent, early.is_urgent) == (False, True, False)
     assert sorted([urgent, early, late], key=lambda one: one.order) == [late, early, urgent]
 
 
--- a/tests/slots/network.py
+++ b/tests/slots/network.py
@@ -26,7 +26,7 @@
 from wharfcart.slots.permit_relays import PermitRelays
 from wharfcart.slots.permits import Permit
 from wharfcart.slots.service import SlotService
-from wharfcart.slots.session import SlotNewsTaker
+from wharfcart.slots.session import SlotUpdateListener
 from wharfcart.slots.sessions import SlotSessions
 
 METRICS = ServingMetrics()
@@ -174,7 +174,7 @@
     """A gateway, or a leader with items."""
 
     def __init__(
-        self, fleet: "Fleet", name: str, taker: SlotNewsTaker | None = None, zone: str = "z"
+        self, fleet: "Fleet", name: str, taker: SlotUpdateListener | None = None, zone: str = "z"
     ) -> None:
         self.name = name
         self.choice = fleet.new_choice(zone)
@@ -263,7 +263,7 @@
         granter = self.leader.service.granter
         assert granter is not None
         now = asyncio.get_running_loop().time()
-        return sum(load.in_use for load in granter.picture(now).backends)
+        return sum(load.in_use for load in granter.snapshot(now).backends)
 
 
 def request(waits_s: float = 5.0, **more: object) -> PlacementRequest:
--- a/tests/slots/test_asking_order.py
+++ b/tests/slots/test_asking_order.py
@@ -3,15 +3,15 @@
 from wharfcart.cluster.topology import Distance
 from wharfcart.slots.asking_order import FAR_LINE, Step, asking_order_by_affinity
 from wharfcart.slots.asking_order import asking_order as order_by_distance
-from wharfcart.slots.events import Manner
-from wharfcart.slots.picture import ServiceRoom
+from wharfcart.slots.events import RequestMode
+from wharfcart.slots.picture import ServiceCapacity
 
 
-def room(free: int, yielding: int = 0, waiting: int = 0, slots: int = 8) -> ServiceRoom:
-    return ServiceRoom("s", slots, free, yielding, waiting)
+def room(free: int, yielding: int = 0, waiting: int = 0, slots: int = 8) -> ServiceCapacity:
+    return ServiceCapacity("s", slots, free, yielding, waiting)
 
 
-def asking_order(rooms: dict[int, ServiceRoom], own: list[int], far: tuple[int, ...] = ()):
+def asking_order(rooms: dict[int, ServiceCapacity], own: list[int], far: tuple[int, ...] = ()):
     """The order of a gateway whose zone has the own groups, with some in other regions."""
     distances = dict.fromkeys(rooms, Distance.SAME_REGION)
     distances |= dict.fromkeys(own, Distance.SAME_ZONE)
@@ -20,33 +20,33 @@
 
 
 def test_the_only_node_is_asked_once_and_waited_for() -> None:
-    assert asking_order({0: room(0)}, [0]) == [(0, Manner.WAIT)]
+    assert asking_order({0: room(0)}, [0]) == [(0, RequestMode.WAIT)]
     assert asking_order({}, []) == []
 
 
 def test_a_free_slot_in_the_own_zone_comes_first() -> None:
     order = asking_order({0: room(8), 1: room(1), 2: room(5)}, [1])
-    assert order[:2] == [(1, Manner.FREE), (0, Manner.FREE)]
+    assert order[:2] == [(1, RequestMode.FREE), (0, RequestMode.FREE)]
 
 
 def test_a_free_slot_elsewhere_comes_before_one_that_an_item_gives_up() -> None:
     order = asking_order({0: room(3), 1: room(0, yielding=4)}, [1])
-    assert order[:2] == [(0, Manner.FREE), (1, Manner.YIELDED)]
+    assert order[:2] == [(0, RequestMode.FREE), (1, RequestMode.PREEMPT)]
 
 
 def test_slots_that_others_wait_for_are_no_room() -> None:
     order = asking_order({0: room(1, waiting=3), 1: room(1)}, [0])
-    assert order[0] == (1, Manner.FREE)
+    assert order[0] == (1, RequestMode.FREE)
 
 
 def test_who_finds_nothing_waits_where_the_queue_is_shortest() -> None:
     order = asking_order({0: room(0, waiting=9), 1: room(0, waiting=2), 2: room(0, waiting=4)}, [0])
-    assert order == [(1, Manner.WAIT), (2, Manner.WAIT), (0, Manner.WAIT)]
+    assert order == [(1, RequestMode.WAIT), (2, RequestMode.WAIT), (0, RequestMode.WAIT)]
 
 
 def test_every_node_is_asked_in_the_end() -> None:
     order = asking_order({group: room(group) for group in range(5)}, [0])
-    assert {group for group, manner in order if manner is Manner.WAIT} == set(range(5))
+    assert {group for group, manner in order if manner is RequestMode.WAIT} == set(range(5))
 
 
 def test_a_shared_prompt_goes_to_the_same_node_as_long_as_that_has_room() -> None:
@@ -67,10 +67,10 @@
     rooms = {0: room(0, yielding=4), 1: room(0, yielding=2), 2: room(8), 3: room(0, yielding=3)}
     order = asking_order(rooms, [0], far=(2, 3))
     assert order[:4] == [
-        (0, Manner.YIELDED),
-        (1, Manner.YIELDED),
-        (2, Manner.FREE),
-        (2, Manner.YIELDED),
+        (0, RequestMode.PREEMPT),
+        (1, RequestMode.PREEMPT),
+        (2, RequestMode.FREE),
+        (2, RequestMode.PREEMPT),
     ]
 
 
@@ -82,7 +82,7 @@
 
 
 def waits(order: list[Step]) -> list[int]:
-    return [group for group, manner in order if manner is Manner.WAIT]
+    return [group for group, manner in order if manner is RequestMode.WAIT]
 
 
 def test_each_region_reads_a_shared_prompt_for_itself_until_it_is_full() -> None:
--- a/tests/slots/test_cold_granting.py
+++ b/tests/slots/test_cold_granting.py
@@ -9,24 +9,24 @@
 from wharfcart.slots.events import (
     Granted,
     HolderId,
-    ItemMustLeave,
     ItemOffered,
+    ItemPreempted,
     ItemsWaiting,
-    Manner,
     Refused,
+    RequestMode,
     SessionKey,
     SessionOpened,
-    SlotAsked,
     SlotInstruction,
     SlotNumber,
+    SlotRequested,
 )
 from wharfcart.slots.granter import SlotGranter
 from wharfcart.slots.urgency import Urgency
 
 GATEWAY = SessionKey(HolderId("g1"), 1)
 LEADER = SessionKey(HolderId("leader/0"), 1)
-PATIENT = Urgency(left_s=15.0, remaining_s=4.0)
-URGENT = Urgency(left_s=4.5, remaining_s=4.0)
+PATIENT = Urgency(until_due_s=15.0, remaining_s=4.0)
+URGENT = Urgency(until_due_s=4.5, remaining_s=4.0)
 RATE = 10.0
 INTERVAL_S = 1 / (RATE * GRANTED_SHARE)
 
@@ -54,17 +54,17 @@
         return self.granter.tick(self.now)
 
     def ask(
-        self, manner: Manner = Manner.WAIT, waits_s: float = 9.0, affinity_key: str = ""
+        self, manner: RequestMode = RequestMode.WAIT, waits_s: float = 9.0, affinity_key: str = ""
     ) -> list[SlotInstruction]:
         self.number += 1
         number = SlotNumber(self.number)
         until = self.now + waits_s
         return self.granter.handle(
-            SlotAsked(GATEWAY, number, "s", until, until, manner, affinity_key), self.now
+            SlotRequested(GATEWAY, number, "s", until, until, manner, affinity_key), self.now
         )
 
     def items(self, count: int, urgency: Urgency) -> list[str]:
-        urgent = count if urgency.urgent else 0
+        urgent = count if urgency.is_urgent else 0
         told = ItemsWaiting(LEADER, "s", count, urgent, urgency, offers_seen=self.offers)
         offers = offered(self.granter.handle(told, self.now))
         self.offers += len(offers)
@@ -141,13 +141,13 @@
     bench.tick(1.0)
     told = bench.ask()
     assert granted(told) == ["cold"]
-    assert not any(isinstance(one, ItemMustLeave) for one in told)
+    assert not any(isinstance(one, ItemPreempted) for one in told)
 
 
 def test_room_at_cold_back_ends_is_told_as_they_bear_it() -> None:
     bench = Bench(warm=0, slots=8)
-    room = bench.granter.picture(bench.now).room("s")
+    room = bench.granter.snapshot(bench.now).capacity_for("s")
     assert room is not None and room.free == 0
     bench.tick(INTERVAL_S * 1.1)
-    room = bench.granter.picture(bench.now).room("s")
+    room = bench.granter.snapshot(bench.now).capacity_for("s")
     assert room is not None and room.free == 1
--- a/tests/slots/test_cold_property.py
+++ b/tests/slots/test_cold_property.py
@@ -15,12 +15,12 @@
 from wharfcart.slots.events import (
     Granted,
     HolderId,
-    Manner,
+    RequestMode,
     SessionKey,
     SessionOpened,
-    SlotAsked,
     SlotNumber,
     SlotReleased,
+    SlotRequested,
 )
 from wharfcart.slots.granter import SlotGranter
 
@@ -139,8 +139,8 @@
         for name in segment.cold:
             others = frozenset(SERVERS) - {name}
             number = SlotNumber(next(self.numbers))
-            asked = SlotAsked(
-                session, number, "s", self.now + 1, self.now + 1, Manner.FREE, excluded=others
+            asked = SlotRequested(
+                session, number, "s", self.now + 1, self.now + 1, RequestMode.FREE, excluded=others
             )
             for told in granter.handle(asked, self.now):
                 if isinstance(told, Granted):
--- a/tests/slots/test_emptied_zones.py
+++ b/tests/slots/test_emptied_zones.py
@@ -11,12 +11,12 @@
 from wharfcart.routing.backend_choice import BackendChoice
 from wharfcart.routing.cold_rates import OwnColdShares
 from wharfcart.routing.placement import NoSlotError, Placed, SendVerdict
-from wharfcart.slots.events import LeaveCause
+from wharfcart.slots.events import PreemptionCause
 from wharfcart.slots.item_slots import ItemDemand, ItemSlot
 from wharfcart.slots.session import HeldSlot
 from wharfcart.slots.urgency import Urgency
 
-PATIENT = Urgency(left_s=15.0, remaining_s=4.0)
+PATIENT = Urgency(until_due_s=15.0, remaining_s=4.0)
 ZONES = {"i0": "a", "i1": "b", "i2": "c"}
 
 
@@ -151,7 +151,7 @@
         put_in_zones(fleet)
         empty(choices(fleet), "a", "b")
         await asyncio.sleep(1.0)
-        room = gateway.sessions.by_group[0].picture.room("s")
+        room = gateway.sessions.by_group[0].snapshot.capacity_for("s")
         assert room is not None and (room.slots, room.free) == (4, 4)
 
     play(scenario, servers=3, slots=4)
@@ -168,7 +168,7 @@
             running.append(slot)
             slots.begun(slot, PATIENT)
 
-        def leave(slot: HeldSlot, _cause: LeaveCause) -> None:
+        def leave(slot: HeldSlot, _cause: PreemptionCause) -> None:
             left.append(slot)
 
         slots.on_offer, slots.on_leave = take, leave
--- a/tests/slots/test_far_regions.py
+++ b/tests/slots/test_far_regions.py
@@ -7,8 +7,8 @@
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.routing.eligibility import Eligibility
 from wharfcart.slots.item_slots import divide_items
-from wharfcart.slots.picture import BackendLoad, ServiceRoom, SlotPicture
-from wharfcart.slots.service import PICTURE_ABROAD_S
+from wharfcart.slots.picture import BackendLoad, ServiceCapacity, SlotSnapshot
+from wharfcart.slots.service import OTHER_REGION_SNAPSHOT_INTERVAL_S
 from wharfcart.slots.session import GRANT_TIMEOUT_S
 
 BETWEEN_REGIONS_S = 0.025
@@ -40,7 +40,7 @@
             state = fleet.leader.choice.state(f"i{n % 2}")
             assert state is not None
             fleet.leader.choice.failed(state, asyncio.get_running_loop().time())
-            await asyncio.sleep(2 * PICTURE_ABROAD_S / 5)
+            await asyncio.sleep(2 * OTHER_REGION_SNAPSHOT_INTERVAL_S / 5)
         told = fleet.network.pictures_by_holder - before
         assert told["far"] <= 3
         assert told["near"] >= 8
@@ -49,22 +49,26 @@
 
 
 def test_what_is_told_abroad_names_only_what_is_avoided() -> None:
-    room = ServiceRoom("s", 8, 3)
-    picture = SlotPicture((BackendLoad("a", 5), BackendLoad("b", 1, avoided=True)), (room,))
-    brief = picture.brief()
+    room = ServiceCapacity("s", 8, 3)
+    picture = SlotSnapshot((BackendLoad("a", 5), BackendLoad("b", 1, avoided=True)), (room,))
+    brief = picture.for_other_region()
     assert [load.instance_id for load in brief.backends] == ["b"]
-    assert brief.room("s") == room
+    assert brief.capacity_for("s") == room
 
 
 def test_items_run_in_their_region_and_elsewhere_only_where_that_is_full() -> None:
-    rooms = {0: ServiceRoom("s", 8, 4), 1: ServiceRoom("s", 8, 8), 2: ServiceRoom("s", 8, 0)}
+    rooms = {
+        0: ServiceCapacity("s", 8, 4),
+        1: ServiceCapacity("s", 8, 8),
+        2: ServiceCapacity("s", 8, 0),
+    }
     assert divide_items(4, rooms, far=(1, 2)) == {0: 4, 1: 0, 2: 0}
     assert divide_items(10, rooms, far=(1, 2)) == {0: 10, 1: 6, 2: 0}
     assert divide_items(40, rooms, far=(1, 2)) == {0: 40, 1: 8, 2: 0}
 
 
 def test_items_of_a_region_without_back_ends_run_elsewhere() -> None:
-    rooms = {1: ServiceRoom("s", 8, 0), 2: ServiceRoom("s", 8, 0)}
+    rooms = {1: ServiceCapacity("s", 8, 0), 2: ServiceCapacity("s", 8, 0)}
     assert divide_items(4, rooms, far=(1, 2)) == {1: 2, 2: 2}
 
 
--- a/tests/slots/test_granter.py
+++ b/tests/slots/test_granter.py
@@ -5,33 +5,33 @@
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.routing.backend_choice import BackendChoice
 from wharfcart.slots.events import (
-    BackendBlamed,
+    BackendFailureReported,
     Granted,
     HolderId,
-    ItemBegun,
-    ItemMustLeave,
     ItemOffered,
+    ItemPreempted,
+    ItemStarted,
     ItemsWaiting,
-    LeaveCause,
-    Manner,
-    NoneHere,
+    NoSlot,
+    PreemptionCause,
     RefusalCause,
     Refused,
+    RequestMode,
+    ResponsivenessChanged,
+    RunResult,
     SessionClosed,
     SessionKey,
     SessionOpened,
-    SilenceChanged,
-    SlotAsked,
     SlotInstruction,
     SlotNumber,
     SlotReleased,
+    SlotRequested,
     SlotTaken,
     SlotUse,
-    Verdict,
 )
 from wharfcart.slots.granter import (
     FIRST_OFFER,
-    MOST_BACKENDS_A_PICTURE,
+    MAX_BACKENDS_PER_SNAPSHOT,
     RESTART_COST_S,
     SlotGranter,
 )
@@ -41,9 +41,9 @@
 G1 = SessionKey(HolderId("g1"), 1)
 G2 = SessionKey(HolderId("g2"), 1)
 LEADER = SessionKey(HolderId("leader/0"), 1)
-PATIENT = Urgency(left_s=15.0, remaining_s=4.0)
-URGENT = Urgency(left_s=4.5, remaining_s=4.0)
-TOO_LATE = Urgency(left_s=-3.0, remaining_s=4.0)
+PATIENT = Urgency(until_due_s=15.0, remaining_s=4.0)
+URGENT = Urgency(until_due_s=4.5, remaining_s=4.0)
+TOO_LATE = Urgency(until_due_s=-3.0, remaining_s=4.0)
 
 
 class Bench:
@@ -74,12 +74,12 @@
         key: SessionKey = G1,
         in_time_s: float = 9.0,
         waits_s: float = 9.0,
-        manner: Manner = Manner.WAIT,
+        manner: RequestMode = RequestMode.WAIT,
         **more: object,
     ) -> list[SlotInstruction]:
         self.number += 1
         return self.tell(
-            SlotAsked(
+            SlotRequested(
                 key,
                 SlotNumber(self.number),
                 "s",
@@ -100,16 +100,16 @@
         self, count: int, urgency: Urgency = PATIENT, key: SessionKey = LEADER, **more: object
     ) -> list[ItemOffered]:
         """Have items wait; begin those that are offered a slot."""
-        urgent = count if urgency.urgent else 0
+        urgent = count if urgency.is_urgent else 0
         told = self.tell(ItemsWaiting(key, "s", count, urgent, urgency, **more))
         offers = [one for one in told if isinstance(one, ItemOffered)]
         for offer in offers:
-            self.tell(ItemBegun(offer.session, offer.number, urgency))
+            self.tell(ItemStarted(offer.session, offer.number, urgency))
         return offers
 
 
 def leaving(instructions: list[SlotInstruction]) -> list[SlotNumber]:
-    return [one.number for one in instructions if isinstance(one, ItemMustLeave)]
+    return [one.number for one in instructions if isinstance(one, ItemPreempted)]
 
 
 def test_grants_in_a_row_fill_every_slot_once() -> None:
@@ -151,7 +151,7 @@
     assert bench.tick(0.4) == []
     (refusal,) = bench.tick(0.2)
     assert isinstance(refusal, Refused)
-    assert refusal.cause is RefusalCause.WAITED
+    assert refusal.cause is RefusalCause.TIMED_OUT
     assert refusal.retry_after_s > 0
     assert bench.granter.waiting("s") == 0
 
@@ -214,31 +214,31 @@
 def test_manners_go_as_far_as_they_say() -> None:
     bench = Bench("a", slots=1)
     (offer,) = bench.items(1)
-    assert isinstance(bench.ask(manner=Manner.FREE)[0], NoneHere)
-    told = bench.ask(manner=Manner.YIELDED)
+    assert isinstance(bench.ask(manner=RequestMode.FREE)[0], NoSlot)
+    told = bench.ask(manner=RequestMode.PREEMPT)
     assert leaving(told) == [offer.number]
-    assert isinstance(bench.ask(manner=Manner.YIELDED)[0], NoneHere)
-    assert bench.ask(manner=Manner.WAIT) == []
+    assert isinstance(bench.ask(manner=RequestMode.PREEMPT)[0], NoSlot)
+    assert bench.ask(manner=RequestMode.WAIT) == []
 
 
 def test_nobody_overtakes_those_who_wait() -> None:
     bench = Bench("a", slots=1)
     bench.granted()
     bench.ask()
-    assert isinstance(bench.ask(G2, manner=Manner.YIELDED)[0], NoneHere)
+    assert isinstance(bench.ask(G2, manner=RequestMode.PREEMPT)[0], NoSlot)
 
 
 def test_a_session_that_is_not_known_gets_nothing() -> None:
     bench = Bench("a")
     stranger = SessionKey(HolderId("g9"), 1)
-    assert isinstance(bench.ask(stranger)[0], NoneHere)
+    assert isinstance(bench.ask(stranger)[0], NoSlot)
 
 
 def test_back_ends_of_other_groups_are_not_granted_here() -> None:
     bench = Bench("a", "b", slots=1, owns="b")
     assert bench.granted() == "b"
     assert bench.ask() == []
-    assert isinstance(bench.ask(excluded=frozenset("b"))[0], NoneHere)
+    assert isinstance(bench.ask(excluded=frozenset("b"))[0], NoSlot)
 
 
 def test_a_back_end_in_the_gateways_zone_comes_first() -> None:
@@ -295,9 +295,9 @@
 
 def test_an_item_that_has_become_urgent_leaves_last() -> None:
     bench = Bench("a", slots=2)
-    (first,) = bench.items(1, Urgency(left_s=8.0, remaining_s=4.0))
+    (first,) = bench.items(1, Urgency(until_due_s=8.0, remaining_s=4.0))
     bench.now = 7.0
-    (second,) = bench.items(1, Urgency(left_s=15.0, remaining_s=4.0), offers_seen=1)
+    (second,) = bench.items(1, Urgency(until_due_s=15.0, remaining_s=4.0), offers_seen=1)
     assert leaving(bench.ask()) == [second.number]
     assert leaving(bench.ask()) == [first.number]
 
@@ -390,7 +390,9 @@
     first, second = bench.items(2)
     bench.tell(SlotTaken(G1, SlotUse(SlotNumber(90), "a")))
     told = bench.tick(0.05)
-    assert [(one.number, one.cause) for one in told] == [(first.number, LeaveCause.OVERFULL)]
+    assert [(one.number, one.cause) for one in told] == [
+        (first.number, PreemptionCause.OVERCOMMITTED)
+    ]
     assert bench.tick(0.05) == []
     bench.tell(SlotTaken(G1, SlotUse(SlotNumber(91), "a")))
     assert leaving(bench.tick(0.05)) == [second.number]
@@ -416,10 +418,10 @@
 
 def test_a_silent_back_end_is_left_out_and_comes_back() -> None:
     bench = Bench("a", "b")
-    bench.tell(SilenceChanged(G2, "a", True))
+    bench.tell(ResponsivenessChanged(G2, "a", True))
     assert [bench.granted() for _ in range(2)] == ["b", "b"]
     assert bench.ask() == []
-    told = bench.tell(SilenceChanged(G2, "a", False))
+    told = bench.tell(ResponsivenessChanged(G2, "a", False))
     assert [one.instance_id for one in told] == ["a"]
 
 
@@ -427,16 +429,16 @@
     bench = Bench("a", "b", slots=4)
     bench.tell(SlotTaken(G1, SlotUse(SlotNumber(90), "a")))
     bench.tell(SlotTaken(G2, SlotUse(SlotNumber(91), "a")))
-    bench.tell(SlotReleased(G1, SlotNumber(90), Verdict.BAD))
-    bench.tell(SlotReleased(G2, SlotNumber(91), Verdict.BAD))
+    bench.tell(SlotReleased(G1, SlotNumber(90), RunResult.BACKEND_FAILED))
+    bench.tell(SlotReleased(G2, SlotNumber(91), RunResult.BACKEND_FAILED))
     assert bench.granter.avoided(bench.now) == {"a"}
     assert {bench.granted() for _ in range(4)} == {"b"}
 
 
 def test_a_back_end_that_failed_an_item_is_blamed_later() -> None:
     bench = Bench("a", "b")
-    bench.tell(BackendBlamed(LEADER, "a"))
-    bench.tell(BackendBlamed(LEADER, "a"))
+    bench.tell(BackendFailureReported(LEADER, "a"))
+    bench.tell(BackendFailureReported(LEADER, "a"))
     assert bench.granter.avoided(bench.now) == {"a"}
 
 
@@ -447,9 +449,9 @@
         for copy in range(n):
             use = SlotUse(SlotNumber(1000 * n + copy + 1), name)
             bench.tell(SlotTaken(G1, use))
-    bench.tell(SilenceChanged(G2, "i0", True))
-    backends = bench.granter.picture(bench.now).backends
-    assert len(backends) == MOST_BACKENDS_A_PICTURE
+    bench.tell(ResponsivenessChanged(G2, "i0", True))
+    backends = bench.granter.snapshot(bench.now).backends
+    assert len(backends) == MAX_BACKENDS_PER_SNAPSHOT
     assert [load.instance_id for load in backends[:3]] == ["i0", "i199", "i198"]
 
 
@@ -457,14 +459,14 @@
     bench = Bench("a", "b", slots=2)
     bench.items(1)
     bench.granted()
-    bench.tell(SilenceChanged(G1, "b", True))
-    picture = bench.granter.picture(bench.now)
+    bench.tell(ResponsivenessChanged(G1, "b", True))
+    picture = bench.granter.snapshot(bench.now)
     loads = {load.instance_id: load for load in picture.backends}
     assert sum(load.in_use for load in loads.values()) == 2
     assert loads["b"].avoided and not loads["a"].avoided
-    room = picture.room("s")
+    room = picture.capacity_for("s")
     assert room is not None and (room.slots, room.waiting) == (2, 0)
-    assert picture.room("other") is None
+    assert picture.capacity_for("other") is None
     assert picture.holders == 3
 
 
@@ -472,13 +474,13 @@
     bench = Bench("a", "b", slots=2)
     assert bench.granter.backend_reported("a", 2) == 2
     for _ in range(2):
-        (granted,) = bench.ask(manner=Manner.FREE)
+        (granted,) = bench.ask(manner=RequestMode.FREE)
         assert isinstance(granted, Granted) and granted.instance_id == "b"
-    (none,) = bench.ask(manner=Manner.FREE)
-    assert isinstance(none, NoneHere)
+    (none,) = bench.ask(manner=RequestMode.FREE)
+    assert isinstance(none, NoSlot)
     assert bench.granter.backend_reported("b", 2) == 0
     assert bench.granter.backend_reported("a", 1) == 1
-    (granted,) = bench.ask(manner=Manner.FREE)
+    (granted,) = bench.ask(manner=RequestMode.FREE)
     assert isinstance(granted, Granted) and granted.instance_id == "a"
 
 
@@ -487,25 +489,25 @@
     assert bench.granter.backend_reported("a", 2) == 2
     late = SessionKey(HolderId("late"), 1)
     bench.tell(SessionOpened(late, "z", (SlotUse(SlotNumber(1), "a"),)))
-    assert bench.granter.picture(bench.now).backends[0].in_use == 2
+    assert bench.granter.snapshot(bench.now).backends[0].in_use == 2
     bench.tell(SlotReleased(late, SlotNumber(1)))
-    (granted,) = bench.ask(manner=Manner.FREE)
+    (granted,) = bench.ask(manner=RequestMode.FREE)
     assert isinstance(granted, Granted)
-    (none,) = bench.ask(manner=Manner.FREE)
-    assert isinstance(none, NoneHere)
+    (none,) = bench.ask(manner=RequestMode.FREE)
+    assert isinstance(none, NoSlot)
 
 
 def test_items_leave_a_back_end_that_leftover_runs_make_overfull() -> None:
     bench = Bench("a", slots=2)
     bench.tell(ItemsWaiting(LEADER, "s", 2, 0, PATIENT))
     bench.granter.backend_reported("a", 3)
-    assert [type(one) for one in bench.tick(0.1)] == [ItemMustLeave]
+    assert [type(one) for one in bench.tick(0.1)] == [ItemPreempted]
 
 
 def test_a_back_end_that_is_full_is_not_silent() -> None:
     bench = Bench("a", "b", slots=2)
     bench.granter.backend_reported("a", 2)
-    bench.tell(SilenceChanged(G1, "a", True))
+    bench.tell(ResponsivenessChanged(G1, "a", True))
     assert bench.granter.avoided(bench.now) == frozenset()
     bench.granter.backend_reported("a", 1)
     assert bench.granter.avoided(bench.now) == frozenset("a")
--- a/tests/slots/test_granter_residence.py
+++ b/tests/slots/test_granter_residence.py
@@ -12,16 +12,16 @@
     HolderId,
     ItemOffered,
     ItemsWaiting,
-    Manner,
-    NoneHere,
+    NoSlot,
     RefusalCause,
     Refused,
+    RequestMode,
     SessionKey,
     SessionOpened,
-    SlotAsked,
     SlotInstruction,
     SlotNumber,
     SlotReleased,
+    SlotRequested,
 )
 from wharfcart.slots.granter import SlotGranter
 from wharfcart.slots.messages import (
@@ -37,7 +37,7 @@
 LEADER = SessionKey(HolderId("leader/0"), 1)
 NORTH, SOUTH, EAST = (residence_in([name]) for name in ("north", "south", "east"))
 TOPOLOGY = Topology({"n1": RegionName("north"), "s1": RegionName("south")})
-PATIENT = Urgency(left_s=15.0, remaining_s=4.0)
+PATIENT = Urgency(until_due_s=15.0, remaining_s=4.0)
 
 
 class Bench:
@@ -57,12 +57,12 @@
         return self.granter.handle(event, self.now)
 
     def ask(
-        self, residence: Residence, in_time_s: float = 9.0, manner: Manner = Manner.WAIT
+        self, residence: Residence, in_time_s: float = 9.0, manner: RequestMode = RequestMode.WAIT
     ) -> list[SlotInstruction]:
         self.number += 1
         number = SlotNumber(self.number)
         until = self.now + in_time_s
-        asked = SlotAsked(GATEWAY, number, "s", until, 20.0, manner, residence=residence)
+        asked = SlotRequested(GATEWAY, number, "s", until, 20.0, manner, residence=residence)
         return self.tell(asked)
 
     def free(self, number: int) -> list[SlotInstruction]:
@@ -87,8 +87,8 @@
 
 def test_a_request_without_any_back_end_in_its_regions_is_told_so_at_once() -> None:
     bench = Bench()
-    assert bench.ask(EAST) == [NoneHere(GATEWAY, SlotNumber(1))]
-    assert bench.ask(NORTH.within(SOUTH)) == [NoneHere(GATEWAY, SlotNumber(2))]
+    assert bench.ask(EAST) == [NoSlot(GATEWAY, SlotNumber(1))]
+    assert bench.ask(NORTH.within(SOUTH)) == [NoSlot(GATEWAY, SlotNumber(2))]
 
 
 def test_a_request_that_waits_for_a_full_region_holds_up_no_other() -> None:
@@ -105,7 +105,7 @@
     bench = Bench()
     bench.ask(SOUTH)
     assert bench.ask(SOUTH) == []
-    assert backends(bench.ask(NORTH, manner=Manner.FREE)) == ["in-n1"]
+    assert backends(bench.ask(NORTH, manner=RequestMode.FREE)) == ["in-n1"]
 
 
 def test_of_two_lines_the_request_goes_first_that_has_the_least_time_left() -> None:
@@ -166,7 +166,7 @@
 
 
 def test_a_residence_travels_with_what_is_asked_and_told() -> None:
-    asked = SlotAsked(GATEWAY, SlotNumber(1), "s", 1.0, 2.0, residence=NORTH.within(SOUTH))
+    asked = SlotRequested(GATEWAY, SlotNumber(1), "s", 1.0, 2.0, residence=NORTH.within(SOUTH))
     message = asked_to_message(0, asked, "", 0.0)
     assert asked_from_message(GATEWAY, message, 0.0).residence == asked.residence
     told = ItemsWaiting(LEADER, "s", 1, 0, PATIENT, residence=SOUTH)
--- a/tests/slots/test_placement_residence.py
+++ b/tests/slots/test_placement_residence.py
@@ -23,9 +23,9 @@
         gateway = await fleet.gateway("g1")
         gateway.sessions._grants_in = grants_in_the_west
         gateway.choice.eligibility = Eligibility(TOPOLOGY)
-        assert list(gateway.sessions.rooms("s", WEST)) == [0]
-        assert list(gateway.sessions.rooms("s", ANYWHERE)) == [0]
-        assert gateway.sessions.rooms("s", EAST) == {}
+        assert list(gateway.sessions.available_capacities("s", WEST)) == [0]
+        assert list(gateway.sessions.available_capacities("s", ANYWHERE)) == [0]
+        assert gateway.sessions.available_capacities("s", EAST) == {}
         began_at = asyncio.get_running_loop().time()
         assert await gateway.placement.place(request(residence=EAST)) is None
         assert asyncio.get_running_loop().time() == began_at
--- a/tests/slots/test_sessions.py
+++ b/tests/slots/test_sessions.py
@@ -7,13 +7,13 @@
 
 from tests.slots.network import ONE_WAY_S, SETTLE_S, Fleet, Holder, play, request
 from wharfcart.routing.placement import NoSlotError, Placed, SendVerdict
-from wharfcart.slots.events import LeaveCause
+from wharfcart.slots.events import PreemptionCause
 from wharfcart.slots.item_slots import ItemDemand, ItemSlot, ItemSlots
-from wharfcart.slots.service import MOST_PICTURES_A_SECOND
+from wharfcart.slots.service import MAX_SNAPSHOTS_PER_SECOND
 from wharfcart.slots.session import GRANT_TIMEOUT_S, PAUSE_AFTER_SILENCE_S, HeldSlot
 from wharfcart.slots.urgency import Urgency
 
-PATIENT = Urgency(left_s=15.0, remaining_s=4.0)
+PATIENT = Urgency(until_due_s=15.0, remaining_s=4.0)
 
 
 def name_of(placed: Placed | None) -> str:
@@ -214,7 +214,7 @@
         await asyncio.sleep(0.4)
         placed = await gateway.placement.place(request())
         assert fleet.in_use() == 1
-        assert old.service.granter.picture(0.0).holders == 0
+        assert old.service.granter.snapshot(0.0).holders == 0
         gateway.placement.ended(placed, SendVerdict.GOOD)
 
     play(scenario)
@@ -272,7 +272,7 @@
         before = fleet.network.pictures
         await asyncio.sleep(5.0)
         rate = (fleet.network.pictures - before) / 5.0
-        assert MOST_PICTURES_A_SECOND / 2 < rate < MOST_PICTURES_A_SECOND * 1.05
+        assert MAX_SNAPSHOTS_PER_SECOND / 2 < rate < MAX_SNAPSHOTS_PER_SECOND * 1.05
 
     play(scenario)
 
@@ -313,7 +313,7 @@
         self.running[slot.group, slot.number] = slot
         self.slots.begun(slot, PATIENT)
 
-    def _leave(self, slot: HeldSlot, _cause: LeaveCause) -> None:
+    def _leave(self, slot: HeldSlot, _cause: PreemptionCause) -> None:
         if self.running.pop((slot.group, slot.number), None) is not None:
             self.waiting += 1
             self.slots.release(slot)
