--- a/src/wharfcart/experiments/simulated_slots.py
+++ b/src/wharfcart/experiments/simulated_slots.py
@@ -37,7 +37,7 @@
 from wharfcart.observability.serving_metrics import ServingMetrics
 from wharfcart.routing.backend_choice import BackendChoice, InstanceState
 from wharfcart.routing.placement import NoSlotError, PlacementRequest, SendVerdict
-from wharfcart.slots.asking_order import Step
+from wharfcart.slots.asking_order import RequestStep
 from wharfcart.slots.events import HolderId
 from wharfcart.slots.fleet_load import FleetLoad
 from wharfcart.slots.granted_placement import GrantedPlacement
@@ -48,7 +48,7 @@
 from wharfcart.slots.service import SlotService
 from wharfcart.slots.session import SlotUpdateListener
 from wharfcart.slots.sessions import SlotSessions
-from wharfcart.slots.slot_room import SlotRoom
+from wharfcart.slots.slot_room import GroupBackends
 from wharfcart.storage.job_group import JobGroup
 from wharfcart.storage.partial_texts import PartialTexts
 
@@ -181,20 +181,20 @@
 class OwnChoicePlacement(GrantedPlacement):
     """A gateway that asks for no slot, but tells which ones it takes."""
 
-    def _steps(self, request: PlacementRequest) -> list[Step]:
+    def _steps(self, request: PlacementRequest) -> list[RequestStep]:
         return []
 
 
-class _KeepingRoom(SlotRoom):
+class _KeepingRoom(GroupBackends):
     """Items stay where they are until they are done."""
 
-    def yielding(self, state: InstanceState, now: float) -> list[TakenSlot]:
+    def preemption_order(self, state: InstanceState, now: float) -> list[TakenSlot]:
         """Return no item: none leaves."""
         return []
 
 
 class _KeepingGranter(SlotGranter):
-    def new_room(self) -> SlotRoom:
+    def new_room(self) -> GroupBackends:
         return _KeepingRoom(self.choice, self.owns, self.leads_surely, self._ledger)
 
 
--- a/src/wharfcart/slots/granted_placement.py
+++ b/src/wharfcart/slots/granted_placement.py
@@ -19,7 +19,7 @@
     SendVerdict,
 )
 from wharfcart.routing.running_quantile import RunningQuantile
-from wharfcart.slots.asking_order import Step, asking_order, asking_order_by_affinity
+from wharfcart.slots.asking_order import RequestStep, order_groups, order_groups_by_affinity
 from wharfcart.slots.events import RequestMode, RunResult, SlotRequested, SlotUse
 from wharfcart.slots.permit_relays import PermitRelays
 from wharfcart.slots.permits import Permit
@@ -109,12 +109,12 @@
 
     # ---- inner ----
 
-    def _steps(self, request: PlacementRequest) -> list[Step]:
+    def _steps(self, request: PlacementRequest) -> list[RequestStep]:
         rooms = self._sessions.available_capacities(request.service, request.residence)
         distances = {group: self._distance(group) for group in rooms}
         if request.affinity_key:
-            return asking_order_by_affinity(rooms, request.affinity_key, distances)
-        return asking_order(rooms, distances)
+            return order_groups_by_affinity(rooms, request.affinity_key, distances)
+        return order_groups(rooms, distances)
 
     async def _ask(
         self, session: SlotSession, request: PlacementRequest, manner: RequestMode, permit: Permit
--- a/src/wharfcart/slots/granter.py
+++ b/src/wharfcart/slots/granter.py
@@ -43,8 +43,8 @@
 )
 from wharfcart.slots.ledger import SlotLedger, TakenSlot
 from wharfcart.slots.picture import ServiceCapacity, SlotSnapshot
-from wharfcart.slots.queue import SlotQueue, Waiting
-from wharfcart.slots.slot_room import SlotRoom
+from wharfcart.slots.queue import SlotQueue, WaitingRequest
+from wharfcart.slots.slot_room import GroupBackends
 from wharfcart.slots.urgency import Urgency
 
 # A new connection takes a round trip and a moment of the back end; a back end runs a request hardly
@@ -105,19 +105,21 @@
     _ledger: SlotLedger = field(default_factory=SlotLedger)
     _queue: SlotQueue = field(default_factory=SlotQueue)
     _asked_by_place: dict[int, SlotRequested] = field(default_factory=dict)  # by place in the queue
-    _waiting_by_slot: dict[tuple[SessionKey, SlotNumber], Waiting] = field(default_factory=dict)
+    _waiting_by_slot: dict[tuple[SessionKey, SlotNumber], WaitingRequest] = field(
+        default_factory=dict
+    )
     _demands: dict[DemandKey, _Demand] = field(default_factory=dict)
     _offers: dict[DemandKey, int] = field(default_factory=dict)
     _next_offer: int = FIRST_OFFER
     _rates: SendRates = field(default_factory=SendRates)
-    _room: SlotRoom = field(init=False)
+    _room: GroupBackends = field(init=False)
 
     def __post_init__(self) -> None:
         self._room = self.new_room()
 
-    def new_room(self) -> SlotRoom:
+    def new_room(self) -> GroupBackends:
         """Return the view of the back ends that decisions are made by."""
-        return SlotRoom(self.choice, self.owns, self.leads_surely, self._ledger)
+        return GroupBackends(self.choice, self.owns, self.leads_surely, self._ledger)
 
     # ---- events ----
 
@@ -136,8 +138,8 @@
             case SlotReleased():
                 self._release(event, now)
             case ResponsivenessChanged():
-                self._room.look_anew()
-                self._ledger.silence(event.session, event.instance_id, event.unresponsive)
+                self._room.refresh()
+                self._ledger.set_unresponsive(event.session, event.instance_id, event.unresponsive)
             case BackendFailureReported():
                 self._judge(event.instance_id, RunResult.BACKEND_FAILED, now)
                 return []
@@ -158,10 +160,10 @@
         ]
         return [*refused, *self._relieve(now), *self._hand_out(now)]
 
-    def backend_reported(self, instance_id: str, present: int) -> int:
+    def backend_reported(self, instance_id: str, request_count: int) -> int:
         """Take how many requests a back end has; return how many of them no session tells of."""
-        leftover = max(0, present - self._ledger.told(instance_id))
-        self._ledger.set_leftover(instance_id, leftover)
+        leftover = max(0, request_count - self._ledger.taken_count(instance_id))
+        self._ledger.set_orphaned_runs(instance_id, leftover)
         return leftover
 
     def is_open(self, session: SessionKey) -> bool:
@@ -191,7 +193,7 @@
             backends=tuple(loads[:MAX_BACKENDS_PER_SNAPSHOT]),
             capacities=tuple(self._capacity_of(service, now) for service in sorted(services)),
             sends_per_s=self._rates.rates(now),
-            holders=self._ledger.holders,
+            holders=self._ledger.session_count,
         )
 
     def avoided(self, now: float) -> frozenset[str]:
@@ -214,7 +216,7 @@
 
     def _close(self, session: SessionKey) -> None:
         self._ledger.close(session)
-        self._room.look_anew()
+        self._room.refresh()
         for key, waiting in list(self._waiting_by_slot.items()):
             if key[0] == session:
                 self._leave_queue(key, waiting)
@@ -242,7 +244,7 @@
     def _judge(self, instance_id: str, verdict: RunResult, now: float) -> None:
         state = self.choice.state(instance_id)
         if verdict is RunResult.BACKEND_FAILED:
-            self._room.look_anew()
+            self._room.refresh()
         if state is not None and verdict is not RunResult.UNKNOWN:
             self.choice.turned_out(state, verdict is RunResult.BACKEND_OK, now)
 
@@ -271,25 +273,25 @@
         return self._hand_out(now)
 
     def _has_room(self, candidates: list[InstanceState], manner: RequestMode, now: float) -> bool:
-        candidates = self._room.bearing(candidates, now)
+        candidates = self._room.accepting(candidates, now)
         if any(self._room.has_free_slot(state) for state in candidates):
             return True
         if manner is RequestMode.FREE:
             return False
-        return any(self._room.has_yielding(state) for state in candidates)
+        return any(self._room.has_preemptible(state) for state in candidates)
 
     def _grant(
         self, asked: SlotRequested, candidates: list[InstanceState], now: float
     ) -> list[SlotInstruction]:
         """Give a request the best slot; an item leaves where none is free."""
-        state = self._best(asked, self._room.bearing(candidates, now), now)
+        state = self._best(asked, self._room.accepting(candidates, now), now)
         instructions: list[SlotInstruction] = []
         if not self._room.has_free_slot(state):
-            leaving = next(iter(self._room.yielding(state, now)), None)
+            leaving = next(iter(self._room.preemption_order(state, now)), None)
             if leaving is not None:
                 instructions.append(self._have_leave(leaving, PreemptionCause.GRANTED))
         use = SlotUse(asked.number, state.instance.instance_id, asked.unread_tokens)
-        self._room.granted(use.instance_id)
+        self._room.record_grant(use.instance_id)
         self._ledger.take(asked.session, use, now)
         self._rates.sent(asked.service, now)
         instructions.append(Granted(asked.session, asked.number, use.instance_id))
@@ -301,7 +303,7 @@
         """Return where a request goes: a free slot, then one that an item gives up, then any."""
         if asked.affinity_key:
             return by_affinity(
-                self._room.warm_with_room(candidates, now) or candidates,
+                self._room.warm_with_free_slot(candidates, now) or candidates,
                 asked.affinity_key,
                 lambda state: self._room.load_without_items(state, now),
             )
@@ -314,7 +316,7 @@
         free = [state for state in candidates if self._room.has_free_slot(state)]
         if free:
             return min(free, key=cost)
-        yielding = [state for state in candidates if self._room.has_yielding(state)]
+        yielding = [state for state in candidates if self._room.has_preemptible(state)]
         return min(yielding or candidates, key=cost)
 
     def _refuse(self, asked: SlotRequested, cause: RefusalCause, now: float) -> Refused:
@@ -330,7 +332,7 @@
         retry_after_s = min(MOST_RETRY_AFTER_S, max(FEWEST_RETRY_AFTER_S, retry_after_s))
         return Refused(asked.session, asked.number, cause, retry_after_s, others, slots)
 
-    def _leave_queue(self, key: tuple[SessionKey, SlotNumber], waiting: Waiting) -> None:
+    def _leave_queue(self, key: tuple[SessionKey, SlotNumber], waiting: WaitingRequest) -> None:
         self._queue.remove(waiting)
         del self._asked_by_place[waiting.number]
         del self._waiting_by_slot[key]
@@ -371,7 +373,7 @@
         self._demands[key] = _Demand(event, now, max(0, on_their_way))
 
     def _note_item(self, event: ItemStarted) -> None:
-        self._ledger.item_begun(event.session, event.number, event.urgency)
+        self._ledger.item_started(event.session, event.number, event.urgency)
 
     def _offer_to_items(self, now: float) -> Iterator[SlotInstruction]:
         for service in {service for _, service, _ in self._demands}:
@@ -382,7 +384,7 @@
         """Offer a free slot to the items that go first, if it is worth starting one."""
         for key, demand in self._in_order(service, now):
             residence = key[2]
-            candidates = self._room.bearing(self._room.candidates(service, residence, now), now)
+            candidates = self._room.accepting(self._room.candidates(service, residence, now), now)
             free = [state for state in candidates if self._room.has_free_slot(state)]
             if not free:
                 continue
@@ -436,7 +438,7 @@
         number = SlotNumber(self._next_offer)
         self._next_offer += 1
         use = SlotUse(number, state.instance.instance_id, item=demand.first(now))
-        self._room.granted(use.instance_id)
+        self._room.record_grant(use.instance_id)
         self._ledger.take(session, use, now)
         demand.offered += 1
         self._offers[key] = self._offers.get(key, 0) + 1
@@ -453,20 +455,20 @@
             state = self.choice.state(instance_id)
             if state is None:
                 continue
-            staying = self._ledger.in_use(instance_id) - self._ledger.leaving(instance_id)
+            staying = self._ledger.in_use(instance_id) - self._ledger.preempted_count(instance_id)
             excess = staying - state.instance.slots
-            for slot in self._room.yielding(state, now)[: max(0, excess)]:
+            for slot in self._room.preemption_order(state, now)[: max(0, excess)]:
                 yield self._have_leave(slot, PreemptionCause.OVERCOMMITTED)
 
     def _have_leave(self, slot: TakenSlot, cause: PreemptionCause) -> ItemPreempted:
-        self._ledger.item_leaves(slot)
+        self._ledger.mark_preempted(slot)
         return ItemPreempted(slot.session, slot.use.number, cause)
 
     def _capacity_of(self, service: str, now: float) -> ServiceCapacity:
         candidates = self._room.candidates(service, ANYWHERE, now)
         yielding = sum(
-            self._ledger.staying_items(state.instance.instance_id)
-            for state in self._room.bearing(candidates, now)
+            self._ledger.preemptible_count(state.instance.instance_id)
+            for state in self._room.accepting(candidates, now)
         )
         return ServiceCapacity(
             service,
--- a/src/wharfcart/slots/ledger.py
+++ b/src/wharfcart/slots/ledger.py
@@ -12,8 +12,8 @@
 from wharfcart.slots.urgency import Urgency
 
 # A back end reads a prompt at least this fast, in tokens a second, and begins within a moment.
-READ_TOKENS_A_SECOND = 40_000
-BEGIN_S = 0.05
+PREFILL_TOKENS_PER_SECOND = 40_000
+READ_START_S = 0.05
 
 
 @dataclass(slots=True)
@@ -27,25 +27,27 @@
 
     session: SessionKey
     use: SlotUse
-    since: float
-    leaving: bool = False
+    taken_at: float
+    preempted: bool = False
 
     def urgency(self, now: float) -> Urgency | None:
         """Return how the batch item stands that runs there; None for an online request."""
         item = self.use.item
-        return None if item is None else item.after_running(now - self.since)
+        return None if item is None else item.after_running(now - self.taken_at)
 
     def unread_tokens(self, now: float) -> int:
         """Return the tokens of its prompt if they are probably not read yet."""
         tokens = self.use.unread_tokens
-        return tokens if now < self.since + BEGIN_S + tokens / READ_TOKENS_A_SECOND else 0
+        return (
+            tokens if now < self.taken_at + READ_START_S + tokens / PREFILL_TOKENS_PER_SECOND else 0
+        )
 
 
 @dataclass
 class _Session:
     zone: str
     taken_by_number: dict[SlotNumber, TakenSlot] = field(default_factory=dict)
-    silent: set[str] = field(default_factory=set)
+    unresponsive: set[str] = field(default_factory=set)
 
 
 @dataclass
@@ -55,15 +57,15 @@
     _sessions_by_key: dict[SessionKey, _Session] = field(default_factory=dict)
     _key_by_holder: dict[HolderId, SessionKey] = field(default_factory=dict)
     _taken_by_instance: dict[str, dict[int, TakenSlot]] = field(default_factory=dict)
-    _silent_to: dict[str, set[SessionKey]] = field(default_factory=dict)  # by incarnation
-    _leftover_by_instance: dict[str, int] = field(default_factory=dict)
+    _unresponsive_to: dict[str, set[SessionKey]] = field(default_factory=dict)  # by incarnation
+    _orphaned_by_instance: dict[str, int] = field(default_factory=dict)
     # Kept beside the slots themselves, since each event asks for all back ends.
     _in_use_by_instance: dict[str, int] = field(default_factory=dict)
-    _staying_items: dict[str, int] = field(default_factory=dict)  # by instance
+    _preemptible_by_instance: dict[str, int] = field(default_factory=dict)  # by instance
     _unread_by_instance: dict[str, list[TakenSlot]] = field(default_factory=dict)
 
     @property
-    def holders(self) -> int:
+    def session_count(self) -> int:
         """Number of sessions."""
         return len(self._sessions_by_key)
 
@@ -77,8 +79,8 @@
         for use in uses:
             self.take(key, use, now)
             # What a back end reported before may be this.
-            if use.instance_id in self._leftover_by_instance:
-                self.set_leftover(use.instance_id, self.leftover(use.instance_id) - 1)
+            if use.instance_id in self._orphaned_by_instance:
+                self.set_orphaned_runs(use.instance_id, self.orphaned_runs(use.instance_id) - 1)
 
     def close(self, key: SessionKey) -> bool:
         """End a session and free what it had taken; False if it is not open."""
@@ -87,8 +89,8 @@
             return False
         for number in list(session.taken_by_number):
             self.release(key, number)
-        for instance_id in list(session.silent):
-            self.silence(key, instance_id, False)
+        for instance_id in list(session.unresponsive):
+            self.set_unresponsive(key, instance_id, False)
         del self._sessions_by_key[key]
         if self._key_by_holder.get(key.holder) == key:
             del self._key_by_holder[key.holder]
@@ -117,7 +119,7 @@
         self._taken_by_instance.setdefault(use.instance_id, {})[id(taken)] = taken
         _add(self._in_use_by_instance, use.instance_id, 1)
         if use.item is not None:
-            _add(self._staying_items, use.instance_id, 1)
+            _add(self._preemptible_by_instance, use.instance_id, 1)
         if use.unread_tokens:
             self._unread_by_instance.setdefault(use.instance_id, []).append(taken)
 
@@ -133,54 +135,54 @@
         if not there:
             del self._taken_by_instance[instance_id]
         _add(self._in_use_by_instance, instance_id, -1)
-        if taken.use.item is not None and not taken.leaving:
-            _add(self._staying_items, instance_id, -1)
+        if taken.use.item is not None and not taken.preempted:
+            _add(self._preemptible_by_instance, instance_id, -1)
         if taken.use.unread_tokens:
             unread = self._unread_by_instance.get(instance_id, [])
             self._set_unread(instance_id, [slot for slot in unread if slot is not taken])
         return taken
 
-    def item_begun(self, key: SessionKey, number: SlotNumber, urgency: Urgency) -> None:
+    def item_started(self, key: SessionKey, number: SlotNumber, urgency: Urgency) -> None:
         """Note how the batch item stands that runs in a slot."""
         taken = self.find(key, number)
         if taken is None:
             return
-        if taken.use.item is None and not taken.leaving:
-            _add(self._staying_items, taken.use.instance_id, 1)
+        if taken.use.item is None and not taken.preempted:
+            _add(self._preemptible_by_instance, taken.use.instance_id, 1)
         taken.use = replace(taken.use, item=urgency)
 
-    def item_leaves(self, taken: TakenSlot) -> None:
+    def mark_preempted(self, taken: TakenSlot) -> None:
         """Note that a batch item was told to leave its slot."""
-        if not taken.leaving and taken.use.item is not None:
-            _add(self._staying_items, taken.use.instance_id, -1)
-        taken.leaving = True
+        if not taken.preempted and taken.use.item is not None:
+            _add(self._preemptible_by_instance, taken.use.instance_id, -1)
+        taken.preempted = True
 
     def find(self, key: SessionKey, number: SlotNumber) -> TakenSlot | None:
         """Return a slot that is taken."""
         session = self._sessions_by_key.get(key)
         return None if session is None else session.taken_by_number.get(number)
 
-    def told(self, instance_id: str) -> int:
+    def taken_count(self, instance_id: str) -> int:
         """Return how many slots of a back end the sessions tell to be taken."""
         return len(self._taken_by_instance.get(instance_id, ()))
 
-    def leftover(self, instance_id: str) -> int:
+    def orphaned_runs(self, instance_id: str) -> int:
         """Return how many runs there are at a back end of which no session tells."""
-        return self._leftover_by_instance.get(instance_id, 0)
+        return self._orphaned_by_instance.get(instance_id, 0)
 
-    def set_leftover(self, instance_id: str, count: int) -> None:
+    def set_orphaned_runs(self, instance_id: str, count: int) -> None:
         """Note how many runs there are at a back end of which no session tells."""
-        change = max(0, count) - self.leftover(instance_id)
-        _add(self._leftover_by_instance, instance_id, change)
+        change = max(0, count) - self.orphaned_runs(instance_id)
+        _add(self._orphaned_by_instance, instance_id, change)
         _add(self._in_use_by_instance, instance_id, change)
 
     def in_use(self, instance_id: str) -> int:
         """Return how many slots of a back end are taken."""
         return self._in_use_by_instance.get(instance_id, 0)
 
-    def staying_items(self, instance_id: str) -> int:
+    def preemptible_count(self, instance_id: str) -> int:
         """Return how many batch items run at a back end that were not told to leave."""
-        return self._staying_items.get(instance_id, 0)
+        return self._preemptible_by_instance.get(instance_id, 0)
 
     def unread_tokens(self, instance_id: str, now: float) -> int:
         """Return the prompt tokens that probably wait to be read at a back end."""
@@ -191,14 +193,14 @@
         self._set_unread(instance_id, [slot for slot, tokens in unread if tokens])
         return sum(tokens for _, tokens in unread)
 
-    def items(self, instance_id: str) -> list[TakenSlot]:
+    def preemptible_items(self, instance_id: str) -> list[TakenSlot]:
         """Return the slots of a back end where batch items run that were not told to leave."""
         taken = self._taken_by_instance.get(instance_id, {}).values()
-        return [slot for slot in taken if slot.use.item is not None and not slot.leaving]
+        return [slot for slot in taken if slot.use.item is not None and not slot.preempted]
 
-    def leaving(self, instance_id: str) -> int:
+    def preempted_count(self, instance_id: str) -> int:
         """Return how many batch items at a back end were told to leave and have not left yet."""
-        return sum(slot.leaving for slot in self._taken_by_instance.get(instance_id, {}).values())
+        return sum(slot.preempted for slot in self._taken_by_instance.get(instance_id, {}).values())
 
     def _set_unread(self, instance_id: str, slots: list[TakenSlot]) -> None:
         if slots:
@@ -210,25 +212,25 @@
         """Return the back ends where a session has taken any slot."""
         return list(self._taken_by_instance)
 
-    def silence(self, key: SessionKey, instance_id: str, silent: bool) -> None:
+    def set_unresponsive(self, key: SessionKey, instance_id: str, unresponsive: bool) -> None:
         """Note that a back end is silent to a holder, or speaks again."""
         session = self._sessions_by_key.get(key)
         if session is None:
             return
-        if silent:
-            session.silent.add(instance_id)
-            self._silent_to.setdefault(instance_id, set()).add(key)
+        if unresponsive:
+            session.unresponsive.add(instance_id)
+            self._unresponsive_to.setdefault(instance_id, set()).add(key)
             return
-        session.silent.discard(instance_id)
-        told_by = self._silent_to.get(instance_id)
+        session.unresponsive.discard(instance_id)
+        told_by = self._unresponsive_to.get(instance_id)
         if told_by is not None:
             told_by.discard(key)
             if not told_by:
-                del self._silent_to[instance_id]
+                del self._unresponsive_to[instance_id]
 
-    def is_silent(self, instance_id: str) -> bool:
+    def is_unresponsive(self, instance_id: str) -> bool:
         """Whether a back end is silent to any holder."""
-        return instance_id in self._silent_to
+        return instance_id in self._unresponsive_to
 
 
 def _add(count_by_key: dict[str, int], key: str, change: int) -> None:
--- a/src/wharfcart/slots/leftover_runs.py
+++ b/src/wharfcart/slots/leftover_runs.py
@@ -17,16 +17,16 @@
 from wharfcart.slots.granter import SlotGranter
 
 # Most holders have opened their session by then: what they run is no leftover.
-FIRST_ASKED_S = 0.1
-PERIOD_S = 0.2
+FIRST_PROBE_DELAY_S = 0.1
+PROBE_INTERVAL_S = 0.2
 # Longer than batch items run; a run that outlasts this is one of many.
-MOST_S = 8.0
-ANSWER_TIMEOUT_S = 0.3
-MOST_AT_ONCE = 16
+MAX_WATCH_S = 8.0
+PROBE_TIMEOUT_S = 0.3
+MAX_CONCURRENT_PROBES = 16
 STATUS_OK = 200
 
 
-class LeftoverRuns:
+class OrphanedRuns:
     """Finds leftover runs for the granting node of one group.
 
     Args:
@@ -43,9 +43,9 @@
         pool: ConnectionPool,
         connection_limit: Callable[[str], int],
         log: DecisionLog,
-        may_ask: Callable[[BackendInstance], bool] = lambda _instance: True,
+        may_probe: Callable[[BackendInstance], bool] = lambda _instance: True,
     ) -> None:
-        self._may_ask = may_ask
+        self._may_probe = may_probe
         self._group = group
         self._pool = pool
         self._connection_limit = connection_limit
@@ -58,10 +58,10 @@
             granter: is told of what they have.
             instances: the back ends that it grants.
         """
-        until = monotonic() + MOST_S
-        await asyncio.sleep(FIRST_ASKED_S)
+        until = monotonic() + MAX_WATCH_S
+        await asyncio.sleep(FIRST_PROBE_DELAY_S)
         while instances and monotonic() < until:
-            leftover = await self._ask_all(granter, instances)
+            leftover = await self._probe_all(granter, instances)
             if leftover:
                 self._log.write(
                     Event.LEFTOVER_RUNS,
@@ -70,22 +70,22 @@
                     backends=len(leftover),
                 )
             instances = [one for one in instances if one.instance_id in leftover]
-            await asyncio.sleep(PERIOD_S)
+            await asyncio.sleep(PROBE_INTERVAL_S)
         for instance in instances:
             granter.backend_reported(instance.instance_id, 0)
 
-    async def _ask_all(
+    async def _probe_all(
         self, granter: SlotGranter, instances: list[BackendInstance]
     ) -> dict[str, int]:
         """Return the leftover runs by back end that has any."""
-        limiter = asyncio.Semaphore(MOST_AT_ONCE)
+        limiter = asyncio.Semaphore(MAX_CONCURRENT_PROBES)
         found: dict[str, int] = {}
 
         async def ask(instance: BackendInstance) -> None:
             present = None
-            if self._may_ask(instance):
+            if self._may_probe(instance):
                 async with limiter:
-                    present = await self._ask(instance)
+                    present = await self._probe(instance)
             # A back end that does not answer takes nothing for now: it is left to the granter.
             leftover = granter.backend_reported(instance.instance_id, present or 0)
             if leftover:
@@ -94,7 +94,7 @@
         await asyncio.gather(*(ask(instance) for instance in instances))
         return found
 
-    async def _ask(self, instance: BackendInstance) -> int | None:
+    async def _probe(self, instance: BackendInstance) -> int | None:
         """Return how many requests a back end has; None if it does not tell."""
         limit = self._connection_limit(instance.service)
         try:
@@ -102,7 +102,7 @@
         except (ConnectFailedError, ConnectionLimitError):
             return None
         try:
-            async with asyncio.timeout(ANSWER_TIMEOUT_S):
+            async with asyncio.timeout(PROBE_TIMEOUT_S):
                 path, headers = exchanges.report_request(instance)
                 connection.send("GET", path, headers, b"")
                 head = await connection.read_head()
--- a/src/wharfcart/slots/slot_room.py
+++ b/src/wharfcart/slots/slot_room.py
@@ -22,11 +22,11 @@
 SLOT_TURNOVER_S = 0.5
 # Which back ends may be used is looked at anew after so long, and whenever one was at fault: what
 # time alone changes, as who is avoided no more, does not matter sooner.
-USABLE_KEPT_S = 0.02
+USABLE_TTL_S = 0.02
 
 
 @dataclass
-class SlotRoom:
+class GroupBackends:
     """The back ends that one node grants slots of.
 
     Attributes:
@@ -38,7 +38,7 @@
 
     choice: BackendChoice
     owns: Callable[[BackendInstance], bool]
-    leads_surely: Callable[[], bool]
+    is_leadership_confirmed: Callable[[], bool]
     ledger: SlotLedger
     _cold_buckets: ColdBuckets = field(default_factory=ColdBuckets)
     # By service and residence, of which a configuration names few.
@@ -58,37 +58,41 @@
         left = [state for state in usable if state.instance.instance_id not in excluded]
         if left:
             return left
-        return self.choice.usable(service, now, excluded, self.owns, self._is_silent, residence)
+        return self.choice.usable(
+            service, now, excluded, self.owns, self._is_unresponsive, residence
+        )
 
     def _usable_in(self, service: str, residence: Residence, now: float) -> list[InstanceState]:
-        looked_at, usable = self._usable.get((service, residence), (-USABLE_KEPT_S, []))
-        if now - looked_at >= USABLE_KEPT_S:
-            usable = self.choice.usable(service, now, (), self.owns, self._is_silent, residence)
+        looked_at, usable = self._usable.get((service, residence), (-USABLE_TTL_S, []))
+        if now - looked_at >= USABLE_TTL_S:
+            usable = self.choice.usable(
+                service, now, (), self.owns, self._is_unresponsive, residence
+            )
             self._usable[service, residence] = (now, usable)
         return usable
 
-    def look_anew(self) -> None:
+    def refresh(self) -> None:
         """Look anew at who may be used: one was at fault, or a holder has left."""
         self._usable.clear()
 
-    def granted(self, instance_id: str) -> None:
+    def record_grant(self, instance_id: str) -> None:
         """Note that a back end gets a request."""
         self._cold_buckets.take(instance_id)
 
     # ---- items ----
 
-    def has_yielding(self, state: InstanceState) -> bool:
+    def has_preemptible(self, state: InstanceState) -> bool:
         """Whether any item at a back end leaves if asked to."""
-        return self.ledger.staying_items(state.instance.instance_id) > 0
+        return self.ledger.preemptible_count(state.instance.instance_id) > 0
 
-    def yielding(self, state: InstanceState, now: float) -> list[TakenSlot]:
+    def preemption_order(self, state: InstanceState, now: float) -> list[TakenSlot]:
         """Return the items at a back end in the order in which they leave.
 
         First are those that come too late anyway, then those with the most time left.
         """
         stood = [
             (urgency.order, slot)
-            for slot in self.ledger.items(state.instance.instance_id)
+            for slot in self.ledger.preemptible_items(state.instance.instance_id)
             if (urgency := slot.urgency(now)) is not None
         ]
         stood.sort(key=lambda entry: entry[0])
@@ -96,13 +100,13 @@
 
     # ---- cold back ends ----
 
-    def bearing(self, candidates: list[InstanceState], now: float) -> list[InstanceState]:
+    def accepting(self, candidates: list[InstanceState], now: float) -> list[InstanceState]:
         """Return the back ends that bear one more request now: of cold ones, by their rate."""
         if not self.choice.cold.any_cold(now):
             return candidates
-        return [state for state in candidates if self._bears_one_more(state, now)]
+        return [state for state in candidates if self._accepts_one_more(state, now)]
 
-    def _bears_one_more(self, state: InstanceState, now: float) -> bool:
+    def _accepts_one_more(self, state: InstanceState, now: float) -> bool:
         per_s = self._cold_rate(state, now)
         return per_s is None or self._cold_buckets.allows(state.instance.instance_id, per_s, now)
 
@@ -111,9 +115,11 @@
         limit = self.choice.cold_limit(state.instance.service)
         if limit is None or not self.choice.is_cold(state, now):
             return None
-        return granted_rate(limit, self.leads_surely())
+        return granted_rate(limit, self.is_leadership_confirmed())
 
-    def warm_with_room(self, candidates: list[InstanceState], now: float) -> list[InstanceState]:
+    def warm_with_free_slot(
+        self, candidates: list[InstanceState], now: float
+    ) -> list[InstanceState]:
         """Return the back ends that are warm and have a slot; all while none is cold."""
         if not self.choice.cold.any_cold(now):
             return candidates
@@ -128,7 +134,7 @@
         cold = [state for state in self.choice.cold_states(now) if self.owns(state.instance)]
         self._cold_buckets.keep_only({state.instance.instance_id for state in cold})
         for state in cold:
-            self._bears_one_more(state, now)
+            self._accepts_one_more(state, now)
 
     def turnover_per_s(self, state: InstanceState, now: float) -> float:
         """Return about how many slots of a back end come free in a second."""
@@ -143,7 +149,7 @@
 
     def load_without_items(self, state: InstanceState, now: float) -> float:
         """Return the share of slots that online requests take."""
-        items = len(self.yielding(state, now))
+        items = len(self.preemption_order(state, now))
         return self._load(state) - items / max(1, state.instance.slots)
 
     def has_free_slot(self, state: InstanceState) -> bool:
@@ -161,7 +167,7 @@
         free = max(0, state.instance.slots - self.ledger.in_use(state.instance.instance_id))
         if self._cold_rate(state, now) is None:
             return free
-        return min(free, int(self._bears_one_more(state, now)))
+        return min(free, int(self._accepts_one_more(state, now)))
 
     def cost(self, state: InstanceState, zone: str, now: float) -> float:
         """Return how little a back end suits a request from a zone; '' for no zone."""
@@ -182,9 +188,9 @@
 
     def is_avoided(self, state: InstanceState, now: float) -> bool:
         """Whether failures or silence speak against a back end, as far as anybody told."""
-        return state.avoided(now) or self._is_silent(state.instance.instance_id)
+        return state.avoided(now) or self._is_unresponsive(state.instance.instance_id)
 
-    def _is_silent(self, instance_id: str) -> bool:
+    def _is_unresponsive(self, instance_id: str) -> bool:
         """Whether a back end answers nobody although it has a slot free.
 
         One that is full, perhaps with runs that nobody knows of, keeps whom it was sent waiting.
@@ -192,4 +198,4 @@
         state = self.choice.state(instance_id)
         if state is not None and not self.has_free_slot(state):
             return False
-        return self.ledger.is_silent(instance_id)
+        return self.ledger.is_unresponsive(instance_id)
--- a/tests/slots/test_asking_order.py
+++ b/tests/slots/test_asking_order.py
@@ -1,8 +1,8 @@
 """Whom a gateway asks for a slot."""
 
 from wharfcart.cluster.topology import Distance
-from wharfcart.slots.asking_order import FAR_LINE, Step, asking_order_by_affinity
-from wharfcart.slots.asking_order import asking_order as order_by_distance
+from wharfcart.slots.asking_order import REMOTE_QUEUE_PENALTY, RequestStep, order_groups_by_affinity
+from wharfcart.slots.asking_order import order_groups as order_by_distance
 from wharfcart.slots.events import RequestMode
 from wharfcart.slots.picture import ServiceCapacity
 
@@ -51,15 +51,15 @@
 
 def test_a_shared_prompt_goes_to_the_same_node_as_long_as_that_has_room() -> None:
     rooms = {group: room(4) for group in range(5)}
-    first = asking_order_by_affinity(rooms, "prompt")[0][0]
-    assert all(asking_order_by_affinity(rooms, "prompt")[0][0] == first for _ in range(3))
+    first = order_groups_by_affinity(rooms, "prompt")[0][0]
+    assert all(order_groups_by_affinity(rooms, "prompt")[0][0] == first for _ in range(3))
     rooms[first] = room(0, waiting=1)
-    assert asking_order_by_affinity(rooms, "prompt")[0][0] != first
+    assert order_groups_by_affinity(rooms, "prompt")[0][0] != first
 
 
 def test_shared_prompts_are_spread_over_the_nodes() -> None:
     rooms = {group: room(4) for group in range(5)}
-    firsts = {asking_order_by_affinity(rooms, f"prompt {n}")[0][0] for n in range(100)}
+    firsts = {order_groups_by_affinity(rooms, f"prompt {n}")[0][0] for n in range(100)}
     assert firsts == set(range(5))
 
 
@@ -77,11 +77,11 @@
 def test_who_waits_does_so_in_the_own_region_unless_its_line_is_much_longer() -> None:
     shorter = {0: room(0, waiting=1), 1: room(0, waiting=0)}
     assert waits(asking_order(shorter, [0], far=(1,))) == [0, 1]
-    much_shorter = {0: room(0, waiting=int(8 * FAR_LINE) + 1), 1: room(0, waiting=0)}
+    much_shorter = {0: room(0, waiting=int(8 * REMOTE_QUEUE_PENALTY) + 1), 1: room(0, waiting=0)}
     assert waits(asking_order(much_shorter, [0], far=(1,))) == [1, 0]
 
 
-def waits(order: list[Step]) -> list[int]:
+def waits(order: list[RequestStep]) -> list[int]:
     return [group for group, manner in order if manner is RequestMode.WAIT]
 
 
@@ -90,7 +90,7 @@
     for n in range(20):
         far = dict.fromkeys(range(3, 6), Distance.OTHER_REGION)
         distances = dict.fromkeys(range(3), Distance.SAME_REGION) | far
-        first = asking_order_by_affinity(rooms, f"prompt {n}", distances)[0][0]
+        first = order_groups_by_affinity(rooms, f"prompt {n}", distances)[0][0]
         assert first < 3
     full = rooms | {group: room(0, waiting=1) for group in range(3)}
-    assert asking_order_by_affinity(full, "prompt", distances)[0][0] >= 3
+    assert order_groups_by_affinity(full, "prompt", distances)[0][0] >= 3
--- a/tests/slots/test_granter.py
+++ b/tests/slots/test_granter.py
@@ -35,7 +35,7 @@
     RESTART_COST_S,
     SlotGranter,
 )
-from wharfcart.slots.queue import MOST_WAITING
+from wharfcart.slots.queue import MAX_WAITING
 from wharfcart.slots.urgency import Urgency
 
 G1 = SessionKey(HolderId("g1"), 1)
@@ -159,7 +159,7 @@
 def test_a_queue_that_is_full_refuses_at_once() -> None:
     bench = Bench("a", slots=1)
     bench.granted()
-    for _ in range(MOST_WAITING):
+    for _ in range(MAX_WAITING):
         assert bench.ask() == []
     (refusal,) = bench.ask()
     assert isinstance(refusal, Refused) and refusal.cause is RefusalCause.QUEUE_FULL
--- a/tests/slots/test_granter_residence.py
+++ b/tests/slots/test_granter_residence.py
@@ -30,7 +30,7 @@
     event_from_message,
     event_to_message,
 )
-from wharfcart.slots.queue import MOST_WAITING
+from wharfcart.slots.queue import MAX_WAITING
 from wharfcart.slots.urgency import Urgency
 
 GATEWAY = SessionKey(HolderId("g"), 1)
@@ -122,12 +122,12 @@
     bench = Bench()
     bench.ask(SOUTH)
     bench.ask(NORTH)
-    for _ in range(MOST_WAITING):
+    for _ in range(MAX_WAITING):
         bench.ask(SOUTH)
     refused = bench.ask(SOUTH)
     assert isinstance(refused[0], Refused)
     assert refused[0].cause is RefusalCause.QUEUE_FULL
-    assert (refused[0].slots, refused[0].waiting) == (1, MOST_WAITING)
+    assert (refused[0].slots, refused[0].waiting) == (1, MAX_WAITING)
     assert bench.ask(NORTH) == []
 
 
--- a/tests/slots/test_ledger.py
+++ b/tests/slots/test_ledger.py
@@ -62,7 +62,7 @@
     ledger.take(G1, use(2, "b"), 0.0)
     ledger.open(G1_AGAIN, "z", [use(2, "b"), use(3, "b")], 1.0)
     assert (ledger.in_use("a"), ledger.in_use("b")) == (0, 2)
-    assert ledger.holders == 1
+    assert ledger.session_count == 1
 
 
 def test_what_an_ended_session_tells_late_counts_for_nothing() -> None:
@@ -83,12 +83,12 @@
 
 def test_a_back_end_is_silent_as_long_as_it_is_to_anybody() -> None:
     ledger = opened(G1, G2)
-    ledger.silence(G1, "a", True)
-    ledger.silence(G2, "a", True)
-    ledger.silence(G1, "a", False)
-    assert ledger.is_silent("a")
+    ledger.set_unresponsive(G1, "a", True)
+    ledger.set_unresponsive(G2, "a", True)
+    ledger.set_unresponsive(G1, "a", False)
+    assert ledger.is_unresponsive("a")
     ledger.close(G2)
-    assert not ledger.is_silent("a")
+    assert not ledger.is_unresponsive("a")
 
 
 def test_a_prompt_counts_as_unread_until_it_has_probably_been_read() -> None:
@@ -101,10 +101,10 @@
 def test_items_that_were_told_to_leave_still_count_but_leave_only_once() -> None:
     ledger = opened(G1)
     ledger.take(G1, use(1, item=Urgency(10.0, 4.0)), 0.0)
-    (item,) = ledger.items("a")
-    item.leaving = True
-    assert ledger.items("a") == []
-    assert (ledger.in_use("a"), ledger.leaving("a")) == (1, 1)
+    (item,) = ledger.preemptible_items("a")
+    item.preempted = True
+    assert ledger.preemptible_items("a") == []
+    assert (ledger.in_use("a"), ledger.preempted_count("a")) == (1, 1)
 
 
 def test_counts_stay_right_whatever_happens() -> None:
--- a/tests/slots/test_leftover_runs.py
+++ b/tests/slots/test_leftover_runs.py
@@ -6,7 +6,7 @@
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.emulator.model_server import ModelServer
 from wharfcart.observability.decisions import DecisionLog
-from wharfcart.slots.leftover_runs import LeftoverRuns
+from wharfcart.slots.leftover_runs import OrphanedRuns
 
 
 class Granter:
@@ -40,7 +40,7 @@
         writer = await begin_run(instances[0])
         granter = Granter()
         pool = ConnectionPool()
-        runs = LeftoverRuns(0, pool, lambda _service: 4, DecisionLog("test"))
+        runs = OrphanedRuns(0, pool, lambda _service: 4, DecisionLog("test"))
         await runs.watch(granter, [*instances, dark])
         writer.close()
         pool.close()
--- a/tests/slots/test_queue.py
+++ b/tests/slots/test_queue.py
@@ -2,13 +2,13 @@
 
 from random import Random
 
-from wharfcart.slots.queue import MOST_WAITING, SlotQueue, Waiting
+from wharfcart.slots.queue import MAX_WAITING, SlotQueue, WaitingRequest
 
 
-def expected(waiting: list[Waiting], now: float) -> Waiting:
-    def order(one: Waiting) -> tuple[bool, int, float, int]:
-        late = now > one.in_time_until
-        return late, one.priority, one.leave_at if late else one.in_time_until, one.number
+def expected(waiting: list[WaitingRequest], now: float) -> WaitingRequest:
+    def order(one: WaitingRequest) -> tuple[bool, int, float, int]:
+        late = now > one.start_deadline
+        return late, one.priority, one.queue_deadline if late else one.start_deadline, one.number
 
     return min(waiting, key=order)
 
@@ -37,9 +37,9 @@
 
 def test_no_more_than_so_many_wait_and_who_has_left_makes_room() -> None:
     queue = SlotQueue()
-    waiting = [queue.add("s", 1.0, 2.0, 0) for _ in range(MOST_WAITING)]
+    waiting = [queue.add("s", 1.0, 2.0, 0) for _ in range(MAX_WAITING)]
     assert queue.add("s", 1.0, 2.0, 0) is None
-    assert queue.services() == ["s"] and queue.total() == MOST_WAITING
+    assert queue.services() == ["s"] and queue.total() == MAX_WAITING
     for one in waiting:
         assert one is not None
         queue.remove(one)
