--- a/src/wharfcart/batch/job_execution.py
+++ b/src/wharfcart/batch/job_execution.py
@@ -93,7 +93,7 @@
         self._work = asyncio.Event()
         self._forget_at = 0.0
         slots.on_offer = self._take_offer
-        slots.on_leave = self._have_leave
+        slots.on_preempted = self._have_leave
 
     # ---- calls of the job service ----
 
@@ -209,7 +209,7 @@
             if (service := self._service_of(scheduled.job))
         }
         for service, residence in with_demand | self._with_demand:
-            self._slots.items_wait(service, self._demand(service, residence), residence)
+            self._slots.report_demand(service, self._demand(service, residence), residence)
         self._with_demand = with_demand
 
     def _demand(self, service: str, residence: Residence) -> ItemDemand:
@@ -329,7 +329,7 @@
         self._scheduler.take(scheduled, item)
         placed = PlacedItem(scheduled, item, state, self._choice.sent(state, monotonic()), slot)
         self._placed.add(placed)
-        self._slots.begun(slot, urgency)
+        self._slots.report_started(slot, urgency)
         placed.task = self._tasks.spawn(self._run_item(placed))
         self._log.write(
             Event.ITEM_STARTED,
@@ -395,7 +395,7 @@
             return RunResult.BACKEND_FAILED
         elif outcome is RunOutcome.SUCCEEDED:
             for failed in progress.failed_at:
-                self._slots.blame(failed)
+                self._slots.report_backend_failure(failed)
             return RunResult.BACKEND_OK
         return RunResult.UNKNOWN
 
--- a/src/wharfcart/experiments/simulated_slots.py
+++ b/src/wharfcart/experiments/simulated_slots.py
@@ -168,7 +168,7 @@
     def send(self, _address: Address, frame: Frame, _traffic: TrafficClass) -> None:
         """Tell what happens within a session."""
         loop = asyncio.get_running_loop()
-        loop.call_later(ONE_WAY_S, self._service.take_events, frame.slot_events)
+        loop.call_later(ONE_WAY_S, self._service.handle_events, frame.slot_events)
 
     def round_trip_s(self, _address: Address) -> float:
         """Return the time of a message there and back."""
@@ -194,8 +194,8 @@
 
 
 class _KeepingGranter(SlotGranter):
-    def new_room(self) -> GroupBackends:
-        return _KeepingRoom(self.choice, self.owns, self.leads_surely, self._ledger)
+    def new_backends(self) -> GroupBackends:
+        return _KeepingRoom(self.choice, self.owns, self.is_leadership_confirmed, self._ledger)
 
 
 class _KeepingService(SlotService):
--- a/src/wharfcart/node/gateway_process.py
+++ b/src/wharfcart/node/gateway_process.py
@@ -63,8 +63,10 @@
             settings.cluster_address,
             self._node.grants_in,
         )
-        self._node.fleet_size = self._sessions.holders
-        self._node.choice.own_cold_shares = OwnColdShares(settings.node_id, self._sessions.holders)
+        self._node.fleet_size = self._sessions.holder_count
+        self._node.choice.own_cold_shares = OwnColdShares(
+            settings.node_id, self._sessions.holder_count
+        )
         self._relays = PermitRelays(self._node.transport, self._sessions.relays)
         self._node.handle_other = self._handle
         placement = GrantedPlacement(
@@ -148,7 +150,7 @@
         if self._node.configuration is None:
             return PermitAnswer(unsure=True)
         permit = Permit(self._sessions, self._relays, tenant, self._node.limit_of(tenant))
-        return await permit.answer_for_other()
+        return await permit.answer_for_peer()
 
     def _endpoint(self, address: str) -> Endpoint:
         return self._sockets.by_endpoint.get(address) or split_endpoint(address)
--- a/src/wharfcart/node/storage_process.py
+++ b/src/wharfcart/node/storage_process.py
@@ -154,7 +154,7 @@
     async def _handle(self, frame: Frame, respond: Responder) -> None:
         match frame.WhichOneof("body"):
             case "slot_events":
-                self._group(frame.slot_events.group).slots.take_events(frame.slot_events)
+                self._group(frame.slot_events.group).slots.handle_events(frame.slot_events)
             case "slot_request":
                 request = frame.slot_request
                 await self._group(request.group).slots.serve_request(request, respond)
--- a/src/wharfcart/slots/granted_placement.py
+++ b/src/wharfcart/slots/granted_placement.py
@@ -83,7 +83,7 @@
         permit = Permit(self._sessions, self._relays, request.tenant, request.limit)
         for group, manner in self._steps(request):
             session = self._sessions.by_group[group]
-            if not session.answers(monotonic()):
+            if not session.is_available(monotonic()):
                 continue
             placed = await self._ask(session, request, manner, permit)
             if placed is not None:
@@ -122,11 +122,11 @@
         if not permit.comes_with_slot(session):
             await permit.obtain()
         asked = self._asked(session, request, manner)
-        grant = await session.ask(asked, request.tenant if permit.needed else "")
+        grant = await session.request_slot(asked, request.tenant if permit.needed else "")
         if grant is not None and grant.unsure:
             await permit.obtain_elsewhere()
             asked = self._asked(session, request, manner)
-            grant = await session.ask(asked)
+            grant = await session.request_slot(asked)
         return None if grant is None else self._take(session, asked, grant, permit)
 
     def _asked(
@@ -167,8 +167,8 @@
             raise NoSlotError(grant.retry_after_ms / 1000)
         if not grant.instance_id:
             return None
-        permit.taken()
-        slot = session.hold(SlotUse(asked.number, grant.instance_id, asked.unread_tokens))
+        permit.record_obtained()
+        slot = session.record_granted(SlotUse(asked.number, grant.instance_id, asked.unread_tokens))
         state = self._choice.state(grant.instance_id)
         if (
             state is None
@@ -188,7 +188,7 @@
         if session is None:
             return placed
         use = SlotUse(session.new_number(), instance_id, request.unread_tokens)
-        return PlacedInSlot(placed.state, False, session.take(use))
+        return PlacedInSlot(placed.state, False, session.take_without_grant(use))
 
     def _first_byte_s(self, route_name: str) -> RunningQuantile:
         return self._first_byte_by_route.setdefault(route_name, RunningQuantile(FIRST_BYTE_SHARE))
--- a/src/wharfcart/slots/granter.py
+++ b/src/wharfcart/slots/granter.py
@@ -52,12 +52,12 @@
 NEW_CONNECTION_COST = 0.25
 # An item that must leave within this time has cost more than it has done.
 RESTART_COST_S = 0.06
-FEWEST_RETRY_AFTER_S = 0.2
-MOST_RETRY_AFTER_S = 1.5
+MIN_RETRY_AFTER_S = 0.2
+MAX_RETRY_AFTER_S = 1.5
 # A picture names the most loaded back ends: those left out have less, or nothing.
 MAX_BACKENDS_PER_SNAPSHOT = 48
 # Slots that are offered to items have numbers from here on; holders draw theirs below.
-FIRST_OFFER = 1 << 40
+FIRST_OFFER_NUMBER = 1 << 40
 
 
 # Whose items wait, for which service, and where their data may be.
@@ -73,20 +73,20 @@
         offered: slots that were offered since.
     """
 
-    told: ItemsWaiting
-    told_at: float
+    reported: ItemsWaiting
+    reported_at: float
     offered: int = 0
 
     @property
     def count(self) -> int:
-        return self.told.count - self.offered
+        return self.reported.count - self.offered
 
     @property
-    def urgent(self) -> bool:
-        return self.told.urgent_count > self.offered
+    def has_urgent(self) -> bool:
+        return self.reported.urgent_count > self.offered
 
-    def first(self, now: float) -> Urgency:
-        return self.told.first_urgency.after_waiting(now - self.told_at)
+    def current_urgency(self, now: float) -> Urgency:
+        return self.reported.first_urgency.after_waiting(now - self.reported_at)
 
 
 @dataclass
@@ -101,25 +101,27 @@
 
     choice: BackendChoice
     owns: Callable[[BackendInstance], bool]
-    leads_surely: Callable[[], bool] = lambda: True
+    is_leadership_confirmed: Callable[[], bool] = lambda: True
     _ledger: SlotLedger = field(default_factory=SlotLedger)
     _queue: SlotQueue = field(default_factory=SlotQueue)
-    _asked_by_place: dict[int, SlotRequested] = field(default_factory=dict)  # by place in the queue
+    _request_by_queue_number: dict[int, SlotRequested] = field(
+        default_factory=dict
+    )  # by place in the queue
     _waiting_by_slot: dict[tuple[SessionKey, SlotNumber], WaitingRequest] = field(
         default_factory=dict
     )
     _demands: dict[DemandKey, _Demand] = field(default_factory=dict)
-    _offers: dict[DemandKey, int] = field(default_factory=dict)
-    _next_offer: int = FIRST_OFFER
+    _offer_counts: dict[DemandKey, int] = field(default_factory=dict)
+    _next_offer: int = FIRST_OFFER_NUMBER
     _rates: SendRates = field(default_factory=SendRates)
-    _room: GroupBackends = field(init=False)
+    _backends: GroupBackends = field(init=False)
 
     def __post_init__(self) -> None:
-        self._room = self.new_room()
+        self._backends = self.new_backends()
 
-    def new_room(self) -> GroupBackends:
+    def new_backends(self) -> GroupBackends:
         """Return the view of the back ends that decisions are made by."""
-        return GroupBackends(self.choice, self.owns, self.leads_surely, self._ledger)
+        return GroupBackends(self.choice, self.owns, self.is_leadership_confirmed, self._ledger)
 
     # ---- events ----
 
@@ -131,34 +133,34 @@
             case SessionClosed():
                 self._close(event.session)
             case SlotRequested():
-                return self._ask(event, now)
+                return self._handle_request(event, now)
             case SlotTaken():
-                self._take(event, now)
+                self._record_taken(event, now)
                 return []
             case SlotReleased():
                 self._release(event, now)
             case ResponsivenessChanged():
-                self._room.refresh()
+                self._backends.refresh()
                 self._ledger.set_unresponsive(event.session, event.instance_id, event.unresponsive)
             case BackendFailureReported():
-                self._judge(event.instance_id, RunResult.BACKEND_FAILED, now)
+                self._record_result(event.instance_id, RunResult.BACKEND_FAILED, now)
                 return []
             case ItemsWaiting():
-                self._note_demand(event, now)
+                self._update_demand(event, now)
             case ItemStarted():
-                self._note_item(event)
+                self._start_item(event)
                 return []
-        return self._hand_out(now)
+        return self._assign_free_slots(now)
 
     def tick(self, now: float) -> list[SlotInstruction]:
         """Do what time alone brings: refuse who waited long enough, try again what was avoided."""
-        self._room.fill_cold_buckets(now)
+        self._backends.fill_cold_buckets(now)
         refused = [
             self._refuse(asked, RefusalCause.TIMED_OUT, now)
-            for asked in list(self._asked_by_place.values())
+            for asked in list(self._request_by_queue_number.values())
             if now >= asked.queue_deadline
         ]
-        return [*refused, *self._relieve(now), *self._hand_out(now)]
+        return [*refused, *self._preempt_excess_items(now), *self._assign_free_slots(now)]
 
     def backend_reported(self, instance_id: str, request_count: int) -> int:
         """Take how many requests a back end has; return how many of them no session tells of."""
@@ -186,7 +188,7 @@
         """Return what the holders are told: the load of each back end, and where there is room."""
         states = [state for state in self.choice.states() if self.owns(state.instance)]
         services = {state.instance.service for state in states}
-        loads = [self._room.load_of(state, now) for state in states]
+        loads = [self._backends.load_of(state, now) for state in states]
         loads = [load for load in loads if load.in_use or load.avoided]
         loads.sort(key=lambda load: (load.avoided, load.in_use), reverse=True)
         return SlotSnapshot(
@@ -201,7 +203,7 @@
         return frozenset(
             state.instance.instance_id
             for state in self.choice.states()
-            if self.owns(state.instance) and self._room.is_avoided(state, now)
+            if self.owns(state.instance) and self._backends.is_avoided(state, now)
         )
 
     # ---- sessions and slots ----
@@ -211,21 +213,23 @@
         if older is not None:
             self._close(older)
         self._ledger.open(event.session, event.zone, event.uses, now)
-        offered_elsewhere = [use.number + 1 for use in event.uses if use.number >= FIRST_OFFER]
+        offered_elsewhere = [
+            use.number + 1 for use in event.uses if use.number >= FIRST_OFFER_NUMBER
+        ]
         self._next_offer = max([self._next_offer, *offered_elsewhere])
 
     def _close(self, session: SessionKey) -> None:
         self._ledger.close(session)
-        self._room.refresh()
+        self._backends.refresh()
         for key, waiting in list(self._waiting_by_slot.items()):
             if key[0] == session:
-                self._leave_queue(key, waiting)
+                self._dequeue(key, waiting)
         for demand in [key for key in self._demands if key[0] == session]:
             del self._demands[demand]
-        for offers in [key for key in self._offers if key[0] == session]:
-            del self._offers[offers]
+        for offers in [key for key in self._offer_counts if key[0] == session]:
+            del self._offer_counts[offers]
 
-    def _take(self, event: SlotTaken, now: float) -> None:
+    def _record_taken(self, event: SlotTaken, now: float) -> None:
         state = self.choice.state(event.use.instance_id)
         if state is not None:
             self._rates.sent(state.instance.service, now)
@@ -235,111 +239,113 @@
         key = (event.session, event.number)
         waiting = self._waiting_by_slot.get(key)
         if waiting is not None:
-            self._leave_queue(key, waiting)
+            self._dequeue(key, waiting)
             return
         taken = self._ledger.release(event.session, event.number)
         if taken is not None:
-            self._judge(taken.use.instance_id, event.result, now)
+            self._record_result(taken.use.instance_id, event.result, now)
 
-    def _judge(self, instance_id: str, verdict: RunResult, now: float) -> None:
+    def _record_result(self, instance_id: str, result: RunResult, now: float) -> None:
         state = self.choice.state(instance_id)
-        if verdict is RunResult.BACKEND_FAILED:
-            self._room.refresh()
-        if state is not None and verdict is not RunResult.UNKNOWN:
-            self.choice.turned_out(state, verdict is RunResult.BACKEND_OK, now)
+        if result is RunResult.BACKEND_FAILED:
+            self._backends.refresh()
+        if state is not None and result is not RunResult.UNKNOWN:
+            self.choice.turned_out(state, result is RunResult.BACKEND_OK, now)
 
     # ---- online requests ----
 
-    def _ask(self, asked: SlotRequested, now: float) -> list[SlotInstruction]:
-        candidates = self._room.candidates(asked.service, asked.residence, now, asked.excluded)
-        if not candidates or not self._ledger.is_open(asked.session):
-            return [NoSlot(asked.session, asked.number)]
-        others_wait = self._queue.count_in(asked.service, asked.residence) > 0
-        if not others_wait and self._has_room(candidates, asked.mode, now):
-            return self._grant(asked, candidates, now)
-        if asked.mode is not RequestMode.WAIT:
-            return [NoSlot(asked.session, asked.number)]
+    def _handle_request(self, request: SlotRequested, now: float) -> list[SlotInstruction]:
+        candidates = self._backends.candidates(
+            request.service, request.residence, now, request.excluded
+        )
+        if not candidates or not self._ledger.is_open(request.session):
+            return [NoSlot(request.session, request.number)]
+        others_wait = self._queue.count_in(request.service, request.residence) > 0
+        if not others_wait and self._has_slot(candidates, request.mode, now):
+            return self._grant(request, candidates, now)
+        if request.mode is not RequestMode.WAIT:
+            return [NoSlot(request.session, request.number)]
         waiting = self._queue.add(
-            asked.service,
-            asked.start_deadline,
-            asked.queue_deadline,
-            asked.priority,
-            asked.residence,
+            request.service,
+            request.start_deadline,
+            request.queue_deadline,
+            request.priority,
+            request.residence,
         )
         if waiting is None:
-            return [self._refuse(asked, RefusalCause.QUEUE_FULL, now)]
-        self._asked_by_place[waiting.number] = asked
-        self._waiting_by_slot[asked.session, asked.number] = waiting
-        return self._hand_out(now)
-
-    def _has_room(self, candidates: list[InstanceState], manner: RequestMode, now: float) -> bool:
-        candidates = self._room.accepting(candidates, now)
-        if any(self._room.has_free_slot(state) for state in candidates):
+            return [self._refuse(request, RefusalCause.QUEUE_FULL, now)]
+        self._request_by_queue_number[waiting.number] = request
+        self._waiting_by_slot[request.session, request.number] = waiting
+        return self._assign_free_slots(now)
+
+    def _has_slot(self, candidates: list[InstanceState], mode: RequestMode, now: float) -> bool:
+        candidates = self._backends.accepting(candidates, now)
+        if any(self._backends.has_free_slot(state) for state in candidates):
             return True
-        if manner is RequestMode.FREE:
+        if mode is RequestMode.FREE:
             return False
-        return any(self._room.has_preemptible(state) for state in candidates)
+        return any(self._backends.has_preemptible(state) for state in candidates)
 
     def _grant(
-        self, asked: SlotRequested, candidates: list[InstanceState], now: float
+        self, request: SlotRequested, candidates: list[InstanceState], now: float
     ) -> list[SlotInstruction]:
         """Give a request the best slot; an item leaves where none is free."""
-        state = self._best(asked, self._room.accepting(candidates, now), now)
+        state = self._best_backend(request, self._backends.accepting(candidates, now), now)
         instructions: list[SlotInstruction] = []
-        if not self._room.has_free_slot(state):
-            leaving = next(iter(self._room.preemption_order(state, now)), None)
+        if not self._backends.has_free_slot(state):
+            leaving = next(iter(self._backends.preemption_order(state, now)), None)
             if leaving is not None:
-                instructions.append(self._have_leave(leaving, PreemptionCause.GRANTED))
-        use = SlotUse(asked.number, state.instance.instance_id, asked.unread_tokens)
-        self._room.record_grant(use.instance_id)
-        self._ledger.take(asked.session, use, now)
-        self._rates.sent(asked.service, now)
-        instructions.append(Granted(asked.session, asked.number, use.instance_id))
+                instructions.append(self._preempt(leaving, PreemptionCause.GRANTED))
+        use = SlotUse(request.number, state.instance.instance_id, request.unread_tokens)
+        self._backends.record_grant(use.instance_id)
+        self._ledger.take(request.session, use, now)
+        self._rates.sent(request.service, now)
+        instructions.append(Granted(request.session, request.number, use.instance_id))
         return instructions
 
-    def _best(
-        self, asked: SlotRequested, candidates: list[InstanceState], now: float
+    def _best_backend(
+        self, request: SlotRequested, candidates: list[InstanceState], now: float
     ) -> InstanceState:
         """Return where a request goes: a free slot, then one that an item gives up, then any."""
-        if asked.affinity_key:
+        if request.affinity_key:
             return by_affinity(
-                self._room.warm_with_free_slot(candidates, now) or candidates,
-                asked.affinity_key,
-                lambda state: self._room.load_without_items(state, now),
+                self._backends.warm_with_free_slot(candidates, now) or candidates,
+                request.affinity_key,
+                lambda state: self._backends.load_without_items(state, now),
             )
-        zone = self._ledger.zone(asked.session)
+        zone = self._ledger.zone(request.session)
 
         def cost(state: InstanceState) -> float:
-            new = state.instance.instance_id not in asked.connected
-            return self._room.cost(state, zone, now) + (NEW_CONNECTION_COST if new else 0.0)
+            new = state.instance.instance_id not in request.connected
+            return self._backends.cost(state, zone, now) + (NEW_CONNECTION_COST if new else 0.0)
 
-        free = [state for state in candidates if self._room.has_free_slot(state)]
+        free = [state for state in candidates if self._backends.has_free_slot(state)]
         if free:
             return min(free, key=cost)
-        yielding = [state for state in candidates if self._room.has_preemptible(state)]
+        yielding = [state for state in candidates if self._backends.has_preemptible(state)]
         return min(yielding or candidates, key=cost)
 
-    def _refuse(self, asked: SlotRequested, cause: RefusalCause, now: float) -> Refused:
-        key = (asked.session, asked.number)
+    def _refuse(self, request: SlotRequested, cause: RefusalCause, now: float) -> Refused:
+        key = (request.session, request.number)
         waiting = self._waiting_by_slot.get(key)
         if waiting is not None:
-            self._leave_queue(key, waiting)
-        candidates = self._room.candidates(asked.service, asked.residence, now)
+            self._dequeue(key, waiting)
+        candidates = self._backends.candidates(request.service, request.residence, now)
         slots = sum(state.instance.slots for state in candidates)
-        others = self._queue.count_in(asked.service, asked.residence)
-        per_s = sum(self._room.turnover_per_s(state, now) for state in candidates)
+        others = self._queue.count_in(request.service, request.residence)
+        per_s = sum(self._backends.turnover_per_s(state, now) for state in candidates)
         retry_after_s = (1 + others) / max(1.0, per_s)
-        retry_after_s = min(MOST_RETRY_AFTER_S, max(FEWEST_RETRY_AFTER_S, retry_after_s))
-        return Refused(asked.session, asked.number, cause, retry_after_s, others, slots)
+        retry_after_s = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, retry_after_s))
+        return Refused(request.session, request.number, cause, retry_after_s, others, slots)
 
-    def _leave_queue(self, key: tuple[SessionKey, SlotNumber], waiting: WaitingRequest) -> None:
+    def _dequeue(self, key: tuple[SessionKey, SlotNumber], waiting: WaitingRequest) -> None:
         self._queue.remove(waiting)
-        del self._asked_by_place[waiting.number]
+        del self._request_by_queue_number[waiting.number]
         del self._waiting_by_slot[key]
 
     # ---- what has come free ----
 
-    def _hand_out(self, now: float) -> list[SlotInstruction]:
+    def _assign_free_slots(self, now: float) -> list[SlotInstruction]:
         """Give slots that are free to the requests that wait, then to batch items."""
         return [*self._serve_queue(now), *self._offer_to_items(now)]
 
@@ -347,12 +353,14 @@
         for service in self._queue.services():
             full: set[Residence] = set()
             while (waiting := self._queue.next(service, now, full)) is not None:
-                asked = self._asked_by_place[waiting.number]
-                candidates = self._room.candidates(service, asked.residence, now, asked.excluded)
-                if candidates and not self._has_room(candidates, RequestMode.WAIT, now):
+                asked = self._request_by_queue_number[waiting.number]
+                candidates = self._backends.candidates(
+                    service, asked.residence, now, asked.excluded
+                )
+                if candidates and not self._has_slot(candidates, RequestMode.WAIT, now):
                     full.add(asked.residence)
                     continue
-                self._leave_queue((asked.session, asked.number), waiting)
+                self._dequeue((asked.session, asked.number), waiting)
                 if not candidates:
                     # Its back ends are gone or were emptied while it waited: others may have some.
                     yield NoSlot(asked.session, asked.number)
@@ -361,7 +369,7 @@
 
     # ---- batch items ----
 
-    def _note_demand(self, event: ItemsWaiting, now: float) -> None:
+    def _update_demand(self, event: ItemsWaiting, now: float) -> None:
         key = (event.session, event.service, event.residence)
         if not self._ledger.is_open(event.session):
             return
@@ -369,10 +377,10 @@
             self._demands.pop(key, None)
             return
         # Offers that were on their way when it was told are not in its count yet.
-        on_their_way = self._offers.get(key, 0) - event.offers_seen
+        on_their_way = self._offer_counts.get(key, 0) - event.offers_seen
         self._demands[key] = _Demand(event, now, max(0, on_their_way))
 
-    def _note_item(self, event: ItemStarted) -> None:
+    def _start_item(self, event: ItemStarted) -> None:
         self._ledger.item_started(event.session, event.number, event.urgency)
 
     def _offer_to_items(self, now: float) -> Iterator[SlotInstruction]:
@@ -382,23 +390,25 @@
 
     def _next_item_offer(self, service: str, now: float) -> ItemOffered | None:
         """Offer a free slot to the items that go first, if it is worth starting one."""
-        for key, demand in self._in_order(service, now):
+        for key, demand in self._demands_in_order(service, now):
             residence = key[2]
-            candidates = self._room.accepting(self._room.candidates(service, residence, now), now)
-            free = [state for state in candidates if self._room.has_free_slot(state)]
+            candidates = self._backends.accepting(
+                self._backends.candidates(service, residence, now), now
+            )
+            free = [state for state in candidates if self._backends.has_free_slot(state)]
             if not free:
                 continue
             warm = [state for state in free if not self.choice.is_cold(state, now)]
-            if self._held_back(service, residence, free, now) and not demand.urgent:
+            if self._reserved_for_online(service, residence, free, now) and not demand.has_urgent:
                 continue
-            state = self._emptiest(warm, demand.told.excluded, now)
-            if state is None and demand.urgent:
-                state = self._emptiest(free, demand.told.excluded, now)
+            state = self._least_costly(warm, demand.reported.excluded, now)
+            if state is None and demand.has_urgent:
+                state = self._least_costly(free, demand.reported.excluded, now)
             if state is not None:
                 return self._offer(key, demand, state, now)
         return None
 
-    def _held_back(
+    def _reserved_for_online(
         self, service: str, residence: Residence, free: list[InstanceState], now: float
     ) -> bool:
         """Whether free slots are kept from items that have time left, for online requests.
@@ -407,12 +417,12 @@
         """
         free_ids = {state.instance.instance_id for state in free}
         for waits_in in self._queue.residences(service):
-            usable = self._room.candidates(service, waits_in, now)
+            usable = self._backends.candidates(service, waits_in, now)
             if any(state.instance.instance_id in free_ids for state in usable):
                 return True
         return not self._worth_starting(service, residence, now)
 
-    def _in_order(self, service: str, now: float) -> list[tuple[DemandKey, _Demand]]:
+    def _demands_in_order(self, service: str, now: float) -> list[tuple[DemandKey, _Demand]]:
         waiting = [
             (key, demand)
             for key, demand in self._demands.items()
@@ -420,16 +430,16 @@
         ]
 
         def order(entry: tuple[DemandKey, _Demand]) -> tuple[bool, float]:
-            first = entry[1].first(now)
+            first = entry[1].current_urgency(now)
             return first.is_too_late, first.until_due_s
 
         return sorted(waiting, key=order)
 
-    def _emptiest(
+    def _least_costly(
         self, free: list[InstanceState], excluded: Collection[str], now: float
     ) -> InstanceState | None:
         usable = [state for state in free if state.instance.instance_id not in excluded]
-        return min(usable, key=lambda state: self._room.cost(state, "", now), default=None)
+        return min(usable, key=lambda state: self._backends.cost(state, "", now), default=None)
 
     def _offer(
         self, key: DemandKey, demand: _Demand, state: InstanceState, now: float
@@ -437,19 +447,19 @@
         session, service, residence = key
         number = SlotNumber(self._next_offer)
         self._next_offer += 1
-        use = SlotUse(number, state.instance.instance_id, item=demand.first(now))
-        self._room.record_grant(use.instance_id)
+        use = SlotUse(number, state.instance.instance_id, item=demand.current_urgency(now))
+        self._backends.record_grant(use.instance_id)
         self._ledger.take(session, use, now)
         demand.offered += 1
-        self._offers[key] = self._offers.get(key, 0) + 1
+        self._offer_counts[key] = self._offer_counts.get(key, 0) + 1
         return ItemOffered(session, number, service, use.instance_id, residence)
 
     def _worth_starting(self, service: str, residence: Residence, now: float) -> bool:
         """Whether the last free slot is probably not needed before a start has paid off."""
         needed_soon = self._rates.rates(now).get(service, 0.0) * RESTART_COST_S
-        return self._room.free_slots(service, residence, now) >= 1 + needed_soon
+        return self._backends.free_slots(service, residence, now) >= 1 + needed_soon
 
-    def _relieve(self, now: float) -> Iterator[SlotInstruction]:
+    def _preempt_excess_items(self, now: float) -> Iterator[SlotInstruction]:
         """Have items leave back ends that are fuller than they can be."""
         for instance_id in self._ledger.instances():
             state = self.choice.state(instance_id)
@@ -457,23 +467,23 @@
                 continue
             staying = self._ledger.in_use(instance_id) - self._ledger.preempted_count(instance_id)
             excess = staying - state.instance.slots
-            for slot in self._room.preemption_order(state, now)[: max(0, excess)]:
-                yield self._have_leave(slot, PreemptionCause.OVERCOMMITTED)
+            for slot in self._backends.preemption_order(state, now)[: max(0, excess)]:
+                yield self._preempt(slot, PreemptionCause.OVERCOMMITTED)
 
-    def _have_leave(self, slot: TakenSlot, cause: PreemptionCause) -> ItemPreempted:
+    def _preempt(self, slot: TakenSlot, cause: PreemptionCause) -> ItemPreempted:
         self._ledger.mark_preempted(slot)
         return ItemPreempted(slot.session, slot.use.number, cause)
 
     def _capacity_of(self, service: str, now: float) -> ServiceCapacity:
-        candidates = self._room.candidates(service, ANYWHERE, now)
+        candidates = self._backends.candidates(service, ANYWHERE, now)
         yielding = sum(
             self._ledger.preemptible_count(state.instance.instance_id)
-            for state in self._room.accepting(candidates, now)
+            for state in self._backends.accepting(candidates, now)
         )
         return ServiceCapacity(
             service,
             sum(state.instance.slots for state in candidates),
-            self._room.free_slots(service, ANYWHERE, now),
+            self._backends.free_slots(service, ANYWHERE, now),
             yielding,
             self._queue.count(service),
         )
--- a/src/wharfcart/slots/item_slots.py
+++ b/src/wharfcart/slots/item_slots.py
@@ -23,7 +23,7 @@
 
 # Demand is told anew once the first item's slack has moved by so much: the granting node itself
 # counts the time that passes.
-LEAST_CHANGE_S = 0.5
+MIN_SLACK_CHANGE_S = 0.5
 
 
 @dataclass(frozen=True)
@@ -50,17 +50,17 @@
     """
 
     count: int
-    urgent: int
-    first: Urgency
+    urgent_count: int
+    first_urgency: Urgency
     excluded: frozenset[str] = frozenset()
 
 
 # Which group was told, of items of which service, and where their data may be.
-_ToldKey = tuple[int, str, Residence]
+_DemandKey = tuple[int, str, Residence]
 
 
 @dataclass(frozen=True)
-class _Told:
+class _ReportedDemand:
     """What a granting node was told, and what it makes of it as time passes and slots are offered.
 
     Attributes:
@@ -69,7 +69,7 @@
     """
 
     demand: ItemDemand
-    at: float
+    reported_at: float
     offers_seen: int
 
     def differs(self, demand: ItemDemand, now: float, offers_seen: int) -> bool:
@@ -77,15 +77,15 @@
         offered = offers_seen - self.offers_seen
         reckoned = (
             max(0, self.demand.count - offered),
-            max(0, self.demand.urgent - offered),
+            max(0, self.demand.urgent_count - offered),
             self.demand.excluded,
         )
-        if reckoned != (demand.count, demand.urgent, demand.excluded):
+        if reckoned != (demand.count, demand.urgent_count, demand.excluded):
             return True
         if not demand.count:
             return False
-        slack_s = self.demand.first.after_waiting(now - self.at).slack_s
-        return abs(slack_s - demand.first.slack_s) > LEAST_CHANGE_S
+        slack_s = self.demand.first_urgency.after_waiting(now - self.reported_at).slack_s
+        return abs(slack_s - demand.first_urgency.slack_s) > MIN_SLACK_CHANGE_S
 
 
 class ItemSlots(SlotUpdateListener):
@@ -100,19 +100,19 @@
         on_leave: called with a slot whose item must leave.
     """
 
-    def __init__(self, is_far: Callable[[int], bool] = lambda _group: False) -> None:
-        self._is_far = is_far
+    def __init__(self, is_remote: Callable[[int], bool] = lambda _group: False) -> None:
+        self._is_remote = is_remote
         self.sessions: SlotSessions
         self.on_offer: Callable[[ItemSlot], None] = lambda _slot: None
-        self.on_leave: Callable[[HeldSlot, PreemptionCause], None] = lambda _slot, _cause: None
-        self._told: dict[_ToldKey, _Told] = {}
-        self._offers_seen: dict[_ToldKey, int] = {}
+        self.on_preempted: Callable[[HeldSlot, PreemptionCause], None] = lambda _slot, _cause: None
+        self._reported: dict[_DemandKey, _ReportedDemand] = {}
+        self._offers_seen: dict[_DemandKey, int] = {}
         self._avoided_by_group: dict[int, frozenset[str]] = {}
 
     def begin(self, sessions: SlotSessions) -> None:
         """Begin a leadership: nothing was told in these sessions yet."""
         self.sessions = sessions
-        self._told.clear()
+        self._reported.clear()
         self._offers_seen.clear()
 
     def is_avoided(self, instance_id: str) -> bool:
@@ -121,33 +121,35 @@
 
     # ---- what the leader tells ----
 
-    def items_wait(self, service: str, demand: ItemDemand, residence: Residence = ANYWHERE) -> None:
+    def report_demand(
+        self, service: str, demand: ItemDemand, residence: Residence = ANYWHERE
+    ) -> None:
         """Tell the granting nodes how many items of a residence wait; each is told its part.
 
         Those that grant nothing in these regions hear nothing.
         """
         rooms = self.sessions.reported_capacities(service, residence)
-        far = frozenset(group for group in rooms if self._is_far(group))
+        far = frozenset(group for group in rooms if self._is_remote(group))
         for group, count in divide_items(demand.count, rooms, far).items():
-            urgent = min(count, demand.urgent)
-            part = ItemDemand(count, urgent, demand.first, demand.excluded)
-            self._tell_demand(group, service, residence, part)
+            urgent = min(count, demand.urgent_count)
+            part = ItemDemand(count, urgent, demand.first_urgency, demand.excluded)
+            self._send_demand(group, service, residence, part)
 
-    def begun(self, slot: ItemSlot, urgency: Urgency) -> None:
+    def report_started(self, slot: ItemSlot, urgency: Urgency) -> None:
         """Tell that an item runs in a slot, and how it stands."""
         session = self.sessions.by_group[slot.group]
-        session.hold(SlotUse(slot.number, slot.instance_id, item=urgency))
-        session.tell(ItemStarted(session.key, slot.number, urgency))
+        session.record_granted(SlotUse(slot.number, slot.instance_id, item=urgency))
+        session.send(ItemStarted(session.key, slot.number, urgency))
 
-    def release(self, slot: HeldSlot, verdict: RunResult = RunResult.UNKNOWN) -> None:
+    def release(self, slot: HeldSlot, result: RunResult = RunResult.UNKNOWN) -> None:
         """Give a slot back."""
-        self.sessions.by_group[slot.group].release(slot.number, verdict)
+        self.sessions.by_group[slot.group].release(slot.number, result)
 
-    def blame(self, instance_id: str) -> None:
+    def report_backend_failure(self, instance_id: str) -> None:
         """Tell that a back end was at fault for a run that had ended before."""
         session = self.sessions.of_instance(instance_id)
         if session is not None:
-            session.tell(BackendFailureReported(session.key, instance_id))
+            session.send(BackendFailureReported(session.key, instance_id))
 
     # ---- news ----
 
@@ -159,8 +161,8 @@
 
     def session_opened(self, group: int) -> None:
         """Note that a session has begun: demand is told anew there."""
-        for key in [key for key in self._told if key[0] == group]:
-            del self._told[key]
+        for key in [key for key in self._reported if key[0] == group]:
+            del self._reported[key]
         for key in [key for key in self._offers_seen if key[0] == group]:
             del self._offers_seen[key]
 
@@ -173,30 +175,30 @@
             self.on_offer(ItemSlot(group, number, offer.service, offer.instance_id))
         for leaving in updates.leaving:
             slot = HeldSlot(group, SlotNumber(leaving.number))
-            self.on_leave(slot, PreemptionCause(leaving.cause))
+            self.on_preempted(slot, PreemptionCause(leaving.cause))
 
     # ---- inner ----
 
-    def _tell_demand(
+    def _send_demand(
         self, group: int, service: str, residence: Residence, demand: ItemDemand
     ) -> None:
         now = monotonic()
         key = (group, service, residence)
         offers_seen = self._offers_seen.get(key, 0)
-        told = self._told.get(key)
+        told = self._reported.get(key)
         if told is None and not demand.count:
             return
         if told is not None and not told.differs(demand, now, offers_seen):
             return
-        self._told[key] = _Told(demand, now, offers_seen)
+        self._reported[key] = _ReportedDemand(demand, now, offers_seen)
         session = self.sessions.by_group[group]
-        session.tell(
+        session.send(
             ItemsWaiting(
                 session.key,
                 service,
                 demand.count,
-                demand.urgent,
-                demand.first,
+                demand.urgent_count,
+                demand.first_urgency,
                 demand.excluded,
                 offers_seen,
                 residence,
@@ -205,7 +207,7 @@
 
 
 def divide_items(
-    count: int, rooms_by_group: Mapping[int, ServiceCapacity], far: Collection[int] = ()
+    count: int, capacity_by_group: Mapping[int, ServiceCapacity], remote: Collection[int] = ()
 ) -> dict[int, int]:
     """Divide items over groups by their free slots; a group without any still hears of some.
 
@@ -217,18 +219,20 @@
         rooms_by_group: room of each group, as it was told last.
         far: groups in other regions.
     """
-    near = {group: room for group, room in rooms_by_group.items() if group not in far}
+    near = {group: room for group, room in capacity_by_group.items() if group not in remote}
     if not near:
-        return _by_free_slots(count, rooms_by_group)
-    parts = _by_free_slots(count, near)
+        return _divide_by_free_slots(count, capacity_by_group)
+    parts = _divide_by_free_slots(count, near)
     left_over = max(0, count - sum(room.free for room in near.values()))
-    distant = {group: rooms_by_group[group] for group in far}
-    for group, part in _by_free_slots(left_over, distant).items():
+    distant = {group: capacity_by_group[group] for group in remote}
+    for group, part in _divide_by_free_slots(left_over, distant).items():
         parts[group] = min(part, distant[group].free)
     return parts
 
 
-def _by_free_slots(count: int, rooms_by_group: Mapping[int, ServiceCapacity]) -> dict[int, int]:
-    weights = {group: 1 + room.free for group, room in rooms_by_group.items()}
+def _divide_by_free_slots(
+    count: int, capacity_by_group: Mapping[int, ServiceCapacity]
+) -> dict[int, int]:
+    weights = {group: 1 + room.free for group, room in capacity_by_group.items()}
     total = sum(weights.values())
     return {group: math.ceil(count * weight / total) for group, weight in weights.items()}
--- a/src/wharfcart/slots/messages.py
+++ b/src/wharfcart/slots/messages.py
@@ -25,14 +25,14 @@
 from wharfcart.slots.picture import BackendLoad, ServiceCapacity, SlotSnapshot
 from wharfcart.slots.urgency import Urgency
 
-_MANNERS = {RequestMode.FREE: pb.FREE, RequestMode.PREEMPT: pb.YIELDED, RequestMode.WAIT: pb.WAIT}
-_MANNERS_BY_VALUE = {value: manner for manner, value in _MANNERS.items()}
-_VERDICTS = {
+_MODES = {RequestMode.FREE: pb.FREE, RequestMode.PREEMPT: pb.YIELDED, RequestMode.WAIT: pb.WAIT}
+_MODES_BY_VALUE = {value: manner for manner, value in _MODES.items()}
+_RESULTS = {
     RunResult.UNKNOWN: pb.VERDICT_UNKNOWN,
     RunResult.BACKEND_OK: pb.GOOD,
     RunResult.BACKEND_FAILED: pb.BAD,
 }
-_VERDICTS_BY_VALUE = {value: verdict for verdict, value in _VERDICTS.items()}
+_RESULTS_BY_VALUE = {value: verdict for verdict, value in _RESULTS.items()}
 
 
 def urgency_to_message(urgency: Urgency) -> pb.ItemUrgency:
@@ -127,29 +127,31 @@
     return TenantUsage(message.tenant, message.count)
 
 
-def asked_to_message(group: int, asked: SlotRequested, tenant: str, now: float) -> pb.SlotRequest:
+def request_to_message(
+    group: int, request: SlotRequested, tenant: str, now: float
+) -> pb.SlotRequest:
     """Write a request for a slot of a group; it counts towards the limit of a tenant, if any."""
     return pb.SlotRequest(
         group=group,
-        holder=asked.session.holder,
-        session=asked.session.number,
-        number=asked.number,
-        service=asked.service,
-        affinity_key=asked.affinity_key,
-        excluded=asked.excluded,
-        connected=asked.connected,
-        unread_tokens=asked.unread_tokens,
-        in_time_for_ms=_milliseconds(asked.start_deadline - now),
-        waits_for_ms=_milliseconds(asked.queue_deadline - now),
-        priority=asked.priority,
-        request_id=asked.request_id,
-        manner=_MANNERS[asked.mode],
+        holder=request.session.holder,
+        session=request.session.number,
+        number=request.number,
+        service=request.service,
+        affinity_key=request.affinity_key,
+        excluded=request.excluded,
+        connected=request.connected,
+        unread_tokens=request.unread_tokens,
+        in_time_for_ms=_milliseconds(request.start_deadline - now),
+        waits_for_ms=_milliseconds(request.queue_deadline - now),
+        priority=request.priority,
+        request_id=request.request_id,
+        manner=_MODES[request.mode],
         tenant=tenant,
-        residence=residence_to_message(asked.residence),
+        residence=residence_to_message(request.residence),
     )
 
 
-def asked_from_message(session: SessionKey, message: pb.SlotRequest, now: float) -> SlotRequested:
+def request_from_message(session: SessionKey, message: pb.SlotRequest, now: float) -> SlotRequested:
     """Read a request for a slot."""
     return SlotRequested(
         session=session,
@@ -157,7 +159,7 @@
         service=message.service,
         start_deadline=now + message.in_time_for_ms / 1000,
         queue_deadline=now + message.waits_for_ms / 1000,
-        mode=_MANNERS_BY_VALUE[message.manner],
+        mode=_MODES_BY_VALUE[message.manner],
         affinity_key=message.affinity_key,
         excluded=frozenset(message.excluded),
         connected=frozenset(message.connected),
@@ -178,7 +180,7 @@
         case SlotTaken():
             return pb.SlotEvent(taken=use_to_message(event.use))
         case SlotReleased():
-            verdict = _VERDICTS[event.result]
+            verdict = _RESULTS[event.result]
             return pb.SlotEvent(released=pb.SlotRelease(number=event.number, verdict=verdict))
         case ResponsivenessChanged():
             silence = pb.BackendSilence(instance_id=event.instance_id, silent=event.unresponsive)
@@ -205,7 +207,7 @@
         case "taken":
             return SlotTaken(session, use_from_message(message.taken))
         case "released":
-            verdict = _VERDICTS_BY_VALUE.get(message.released.verdict, RunResult.UNKNOWN)
+            verdict = _RESULTS_BY_VALUE.get(message.released.verdict, RunResult.UNKNOWN)
             return SlotReleased(session, SlotNumber(message.released.number), verdict)
         case "silence":
             return ResponsivenessChanged(
--- a/src/wharfcart/slots/permit_relays.py
+++ b/src/wharfcart/slots/permit_relays.py
@@ -12,7 +12,7 @@
 # Two calls of some milliseconds each, or one that waits until a node stands in.
 ANSWER_TIMEOUT_S = 0.3
 # A gateway that did not help is not asked again for so long.
-PAUSE_S = 0.5
+RETRY_PAUSE_S = 0.5
 
 
 class PermitRelays:
@@ -27,19 +27,19 @@
         self._transport = transport
         self._addresses = addresses
         self._paused_until: dict[Address, float] = {}
-        self._helped: Address | None = None
+        self._last_successful: Address | None = None
 
     async def ask(self, tenant: str) -> PermitAnswer | None:
         """Ask whether a tenant may send one more request; None if nobody surely knows."""
-        addresses = sorted(self._addresses(), key=lambda address: address != self._helped)
+        addresses = sorted(self._addresses(), key=lambda address: address != self._last_successful)
         for address in addresses:
             if monotonic() < self._paused_until.get(address, 0.0):
                 continue
             answer = await self._ask(address, tenant)
             if answer is not None and not answer.unsure:
-                self._helped = address
+                self._last_successful = address
                 return answer
-            self._paused_until[address] = monotonic() + PAUSE_S
+            self._paused_until[address] = monotonic() + RETRY_PAUSE_S
         return None
 
     async def _ask(self, address: Address, tenant: str) -> PermitAnswer | None:
--- a/src/wharfcart/slots/permits.py
+++ b/src/wharfcart/slots/permits.py
@@ -18,11 +18,11 @@
 
 # A node that stands in is reached within this time, and a request is still in time after it. Who
 # has been without contact for longer than a second is cut off, and waits for nobody.
-STAND_IN_WAIT_S = 0.2
-JUST_LOST_S = 1.0
-STAND_IN_POLL_S = 0.01
+BACKUP_WAIT_S = 0.2
+RECENT_CONTACT_S = 1.0
+BACKUP_POLL_S = 0.01
 # A request beyond a gateway's own part comes back once the limit's node has probably a successor.
-RETRY_AFTER_ALONE_S = 0.5
+DISCONNECTED_RETRY_AFTER_S = 0.5
 
 
 class Permit:
@@ -54,9 +54,9 @@
 
     def comes_with_slot(self, session: SlotSession) -> bool:
         """Whether a node that is asked for a slot tells of the permit, too."""
-        return self.needed and self._sessions.home(self._tenant) is session
+        return self.needed and self._sessions.coordinator(self._tenant) is session
 
-    def taken(self) -> None:
+    def record_obtained(self) -> None:
         """Note that it came with a slot."""
         if self.needed:
             self._sessions.sends.sent(self._tenant, monotonic())
@@ -68,7 +68,7 @@
         Raises:
             OverLimitError: the tenant may not send now.
         """
-        if self.needed and not await self._ask(self._sessions.home(self._tenant)):
+        if self.needed and not await self._ask(self._sessions.coordinator(self._tenant)):
             await self.obtain_elsewhere()
 
     async def obtain_elsewhere(self) -> None:
@@ -80,27 +80,30 @@
         Raises:
             OverLimitError: the tenant may not send now.
         """
-        if await self._ask(self._sessions.stand_in(self._tenant)) or self._take_alone():
+        if (
+            await self._ask(self._sessions.backup_coordinator(self._tenant))
+            or self._take_disconnected()
+        ):
             return
         if await self._ask_relay():
             return
-        await self._wait_for_stand_in()
-        if not await self._ask(self._sessions.stand_in(self._tenant)):
-            raise OverLimitError(RETRY_AFTER_ALONE_S, surely=False)
+        await self._wait_for_backup()
+        if not await self._ask(self._sessions.backup_coordinator(self._tenant)):
+            raise OverLimitError(DISCONNECTED_RETRY_AFTER_S, surely=False)
 
-    async def answer_for_other(self) -> PermitAnswer:
+    async def answer_for_peer(self) -> PermitAnswer:
         """Ask in place of another gateway; the request counts as this one's."""
         try:
-            permitted = not self.needed or await self._obtain_surely()
+            permitted = not self.needed or await self._obtain_from_coordinators()
         except OverLimitError as error:
             return PermitAnswer(retry_after_ms=int(error.retry_after_s * 1000) + 1)
         return PermitAnswer(permitted=permitted, unsure=not permitted)
 
-    async def _obtain_surely(self) -> bool:
-        if await self._ask(self._sessions.home(self._tenant)):
+    async def _obtain_from_coordinators(self) -> bool:
+        if await self._ask(self._sessions.coordinator(self._tenant)):
             return True
-        await self._wait_for_stand_in()
-        return await self._ask(self._sessions.stand_in(self._tenant))
+        await self._wait_for_backup()
+        return await self._ask(self._sessions.backup_coordinator(self._tenant))
 
     async def _ask_relay(self) -> bool:
         answer = await self._relays.ask(self._tenant)
@@ -111,17 +114,17 @@
         self._limit = None  # counted as the other gateway's
         return True
 
-    async def _wait_for_stand_in(self) -> None:
+    async def _wait_for_backup(self) -> None:
         """Wait for a moment until a node stands in, where one may."""
-        home = self._sessions.home(self._tenant)
-        heard_at = None if home is None else home.heard_at
-        if heard_at is not None and monotonic() - heard_at > JUST_LOST_S:
+        home = self._sessions.coordinator(self._tenant)
+        heard_at = None if home is None else home.last_contact_at
+        if heard_at is not None and monotonic() - heard_at > RECENT_CONTACT_S:
             return
-        until = monotonic() + STAND_IN_WAIT_S
-        while self._sessions.stand_in(self._tenant) is None and monotonic() < until:
-            if not self._sessions.has_stand_ins(self._tenant):
+        until = monotonic() + BACKUP_WAIT_S
+        while self._sessions.backup_coordinator(self._tenant) is None and monotonic() < until:
+            if not self._sessions.has_backup_coordinator(self._tenant):
                 return
-            await asyncio.sleep(STAND_IN_POLL_S)
+            await asyncio.sleep(BACKUP_POLL_S)
 
     async def _ask(self, session: SlotSession | None) -> bool:
         """Whether a node told that the permit is given.
@@ -129,31 +132,31 @@
         Raises:
             OverLimitError: it told that it is not.
         """
-        if session is None or not session.answers(monotonic()):
+        if session is None or not session.is_available(monotonic()):
             return False
-        answer = await session.ask_permit(self._tenant)
+        answer = await session.request_permit(self._tenant)
         if answer is None or answer.unsure:
             return False
         if not answer.permitted:
             raise OverLimitError(answer.retry_after_ms / 1000, surely=True)
-        self.taken()
+        self.record_obtained()
         return True
 
-    def _take_alone(self) -> bool:
+    def _take_disconnected(self) -> bool:
         """Whether it could be taken out of this gateway's own part."""
-        if not self._may_send_alone():
+        if not self._may_send_disconnected():
             return False
-        self.taken()
-        home = self._sessions.home(self._tenant)
+        self.record_obtained()
+        home = self._sessions.coordinator(self._tenant)
         if home is not None:
-            home.tell(SentWithoutPermit(home.key, self._tenant))
+            home.send(SentWithoutPermit(home.key, self._tenant))
         return True
 
-    def _may_send_alone(self) -> bool:
+    def _may_send_disconnected(self) -> bool:
         if self._limit is None:
             return True
-        home = self._sessions.home(self._tenant)
-        contact_at = None if home is None else home.heard_at
+        home = self._sessions.coordinator(self._tenant)
+        contact_at = None if home is None else home.last_contact_at
         usage = 0 if home is None else home.snapshot.usage.get(self._tenant, 0)
         sends = self._sessions.sends
         return sends.may_send_alone(self._tenant, self._limit, contact_at, usage, monotonic())
--- a/src/wharfcart/slots/service.py
+++ b/src/wharfcart/slots/service.py
@@ -48,8 +48,8 @@
 )
 from wharfcart.slots.granter import SlotGranter
 from wharfcart.slots.messages import (
-    asked_from_message,
     event_from_message,
+    request_from_message,
     send_from_message,
     snapshot_to_message,
     usage_from_message,
@@ -60,7 +60,7 @@
 # What time alone brings is looked at so often: who has waited long enough, who is avoided no more.
 TICK_S = 0.05
 # A holder that waits for a slot hears at least so often that it still waits.
-SIGN_OF_LIFE_S = 0.1
+WAIT_HEARTBEAT_S = 0.1
 # Holders in the zone of the group's back ends hear of the load so often, more seldom where they are
 # many. Those elsewhere send few requests here, and their pictures travel between zones. Holders in
 # other regions ask only where their own region is full: they hear as seldom, nothing at once, and
@@ -71,8 +71,8 @@
 MAX_SNAPSHOTS_PER_SECOND = 400
 # Gateways that are cut off ask by way of others; of six drawn by lot one has contact even if a
 # third of all gateways is cut off.
-RELAYS_S = 5.0
-MOST_RELAYS = 6
+RELAYS_INTERVAL_S = 5.0
+MAX_RELAYS = 6
 # A back end that must be avoided is told at once, but no more often than this.
 MIN_SNAPSHOT_GAP_S = 0.05
 
@@ -90,14 +90,14 @@
     """
 
     distance: Distance
-    heard_at: float
+    last_contact_at: float
     address: str
-    news: SlotNews = field(default_factory=SlotNews)
+    updates: SlotNews = field(default_factory=SlotNews)
     wake: asyncio.Event = field(default_factory=asyncio.Event)
 
     def take(self) -> SlotNews:
         """Return the news, and begin anew."""
-        news, self.news = self.news, SlotNews()
+        news, self.updates = self.updates, SlotNews()
         self.wake.clear()
         return news
 
@@ -125,7 +125,7 @@
         log: DecisionLog,
         requests_waiting: Gauge,
         limit_of: Callable[[str], RequestLimit | None] = lambda _tenant: None,
-        leads_freshly: Callable[[], bool] = lambda: True,
+        is_leadership_confirmed: Callable[[], bool] = lambda: True,
     ) -> None:
         self.group = group
         self._choice = choice
@@ -134,16 +134,16 @@
         self._log = log
         self._requests_waiting = requests_waiting
         self._limit_of = limit_of
-        self._leads_freshly = leads_freshly
+        self._is_leadership_confirmed = is_leadership_confirmed
         self._limits = TenantLimits(limit_of, monotonic())
-        self._permit_sessions: dict[SessionKey, float] = {}  # without slots; when heard last
+        self._permit_contact_at: dict[SessionKey, float] = {}  # without slots; when heard last
         self._granter: SlotGranter | None = None
         self._outboxes: dict[SessionKey, _Outbox] = {}
         self._answers: dict[tuple[SessionKey, SlotNumber], asyncio.Future[SlotInstruction]] = {}
         self._same_zone_sent_at = 0.0
         self._same_region_sent_at = 0.0
         self._other_region_sent_at = 0.0
-        self._relays_told_at = 0.0
+        self._relays_sent_at = 0.0
         self._avoided: frozenset[str] = frozenset()
 
     @property
@@ -159,7 +159,7 @@
 
     def new_granter(self) -> SlotGranter:
         """Return the decisions of a new leadership."""
-        return SlotGranter(self._choice, self._owns, self._leads_freshly)
+        return SlotGranter(self._choice, self._owns, self._is_leadership_confirmed)
 
     def end(self) -> None:
         """Grant no longer: another node does."""
@@ -181,10 +181,10 @@
             if granter is None:
                 continue
             now = monotonic()
-            self._carry_out(granter.tick(now))
+            self._execute(granter.tick(now))
             self._requests_waiting.set(granter.total_waiting())
             self._send_due_snapshots(granter, now)
-            self._tell_relays(now)
+            self._send_relays(now)
 
     # ---- calls of holders ----
 
@@ -206,7 +206,7 @@
         picture = granter.snapshot(monotonic())
         if outbox.distance is Distance.OTHER_REGION:
             picture = picture.for_other_region()
-        outbox.news.picture.CopyFrom(snapshot_to_message(picture))
+        outbox.updates.picture.CopyFrom(snapshot_to_message(picture))
         try:
             while self._granter is granter and granter.is_open(key):
                 await respond(Frame(slot_news=outbox.take()))
@@ -216,17 +216,17 @@
             del self._outboxes[key]
             if granter.session_of(key.holder) in (None, key):
                 now = monotonic()
-                limits.holder_lost(key.holder, now - outbox.heard_at, now)
+                limits.holder_lost(key.holder, now - outbox.last_contact_at, now)
             if self._granter is granter:
                 self._apply(granter, SessionClosed(key))
 
     async def _serve_permits_only(self, message: OpenSlotSession, respond: Respond) -> None:
         """Keep limits for a gateway that does not reach the granting node."""
-        if not self._permit_sessions:
+        if not self._permit_contact_at:
             self._begin_limits()
         key = SessionKey(HolderId(message.holder), message.session)
         limits = self._open_limits(message)
-        self._permit_sessions[key] = monotonic()
+        self._permit_contact_at[key] = monotonic()
         try:
             while self._limits is limits:
                 now = monotonic()
@@ -236,7 +236,7 @@
             await respond(Frame(slot_news=SlotNews(refused=True), last=True))
         finally:
             now = monotonic()
-            limits.holder_lost(key.holder, now - self._permit_sessions.pop(key), now)
+            limits.holder_lost(key.holder, now - self._permit_contact_at.pop(key), now)
 
     async def serve_request(self, message: SlotRequest, respond: Respond) -> None:
         """Answer a gateway that asks for a slot; cancelled if it wants none any more."""
@@ -245,10 +245,10 @@
         if granter is None or not granter.is_open(key):
             await respond(Frame(slot_grant=SlotGrant(no_session=True), last=True))
             return
-        self._hear(key)
-        asked = asked_from_message(key, message, monotonic())
+        self._record_contact(key)
+        asked = request_from_message(key, message, monotonic())
         if message.tenant:
-            unpermitted = self._permit_surely(key, message.tenant, message.request_id)
+            unpermitted = self._permit_if_confirmed(key, message.tenant, message.request_id)
             if unpermitted is not None:
                 await respond(Frame(slot_grant=unpermitted, last=True))
                 return
@@ -260,8 +260,8 @@
             self._apply(granter, asked)
             while not answer.done():
                 await respond(Frame(slot_grant=SlotGrant(waiting=True)))
-                await asyncio.wait((answer,), timeout=SIGN_OF_LIFE_S)
-            self._note_refusal(asked.service, asked.request_id, answer.result())
+                await asyncio.wait((answer,), timeout=WAIT_HEARTBEAT_S)
+            self._log_refusal(asked.service, asked.request_id, answer.result())
             await respond(Frame(slot_grant=_grant_message(answer.result()), last=True))
             told = True
         finally:
@@ -275,24 +275,24 @@
         """Answer a gateway that asks whether a tenant may send one more request."""
         key = SessionKey(HolderId(message.holder), message.session)
         grant: SlotGrant | None = SlotGrant(unsure=True)
-        if key in self._permit_sessions:
-            self._permit_sessions[key] = monotonic()
+        if key in self._permit_contact_at:
+            self._permit_contact_at[key] = monotonic()
             grant = self._permit(key, message.tenant, "")
         elif self._granter is not None and self._granter.is_open(key):
-            self._hear(key)
-            grant = self._permit_surely(key, message.tenant, "")
+            self._record_contact(key)
+            grant = self._permit_if_confirmed(key, message.tenant, "")
         answer = PermitAnswer(permitted=True)
         if grant is not None:
             answer = PermitAnswer(retry_after_ms=grant.retry_after_ms, unsure=grant.unsure)
         await respond(Frame(permit_answer=answer, last=True))
 
-    def take_events(self, message: SlotEvents) -> None:
+    def handle_events(self, message: SlotEvents) -> None:
         """Take what a holder tells within its session; a session that has ended tells nothing."""
         granter = self._granter
         key = SessionKey(HolderId(message.holder), message.session)
         if granter is None or not granter.is_open(key):
             return
-        self._hear(key)
+        self._record_contact(key)
         for event in message.events:
             told = event_from_message(key, event)
             if isinstance(told, SentWithoutPermit):
@@ -317,14 +317,16 @@
         )
         return self._limits
 
-    def _hear(self, key: SessionKey) -> None:
+    def _record_contact(self, key: SessionKey) -> None:
         outbox = self._outboxes.get(key)
         if outbox is not None:
-            outbox.heard_at = monotonic()
+            outbox.last_contact_at = monotonic()
 
-    def _permit_surely(self, key: SessionKey, tenant: str, request_id: str) -> SlotGrant | None:
+    def _permit_if_confirmed(
+        self, key: SessionKey, tenant: str, request_id: str
+    ) -> SlotGrant | None:
         """Permit a tenant's request unless another node may grant by now."""
-        if not self._leads_freshly():
+        if not self._is_leadership_confirmed():
             return SlotGrant(unsure=True)
         return self._permit(key, tenant, request_id)
 
@@ -348,9 +350,9 @@
         return SlotGrant(limited=True, retry_after_ms=int(retry_after_s * 1000) + 1)
 
     def _apply(self, granter: SlotGranter, event: SlotEvent) -> None:
-        self._carry_out(granter.handle(event, monotonic()))
+        self._execute(granter.handle(event, monotonic()))
 
-    def _carry_out(self, instructions: Iterable[SlotInstruction]) -> None:
+    def _execute(self, instructions: Iterable[SlotInstruction]) -> None:
         for instruction in instructions:
             match instruction:
                 case Granted() | NoSlot() | Refused():
@@ -364,15 +366,15 @@
                         instance_id=instruction.instance_id,
                         residence=residence_to_message(instruction.residence),
                     )
-                    self._tell(instruction.session, SlotNews(offers=[offer]))
+                    self._send_updates(instruction.session, SlotNews(offers=[offer]))
                 case ItemPreempted():
                     leave = ItemLeave(number=instruction.number, cause=instruction.cause.value)
-                    self._tell(instruction.session, SlotNews(leaving=[leave]))
+                    self._send_updates(instruction.session, SlotNews(leaving=[leave]))
 
-    def _tell(self, session: SessionKey, news: SlotNews) -> None:
+    def _send_updates(self, session: SessionKey, updates: SlotNews) -> None:
         outbox = self._outboxes.get(session)
         if outbox is not None:
-            outbox.news.MergeFrom(news)
+            outbox.updates.MergeFrom(updates)
             outbox.wake.set()
 
     def _send_due_snapshots(self, granter: SlotGranter, now: float) -> None:
@@ -409,23 +411,23 @@
         message = snapshot_to_message(snapshot)
         for outbox in self._outboxes.values():
             if outbox.distance is distance:
-                outbox.news.picture.CopyFrom(message)
+                outbox.updates.picture.CopyFrom(message)
                 outbox.wake.set()
 
-    def _tell_relays(self, now: float) -> None:
+    def _send_relays(self, now: float) -> None:
         """Tell each gateway of some others, for when it is cut off from here."""
-        if now - self._relays_told_at < RELAYS_S:
+        if now - self._relays_sent_at < RELAYS_INTERVAL_S:
             return
-        self._relays_told_at = now
+        self._relays_sent_at = now
         addresses = [outbox.address for outbox in self._outboxes.values() if outbox.address]
         for outbox in self._outboxes.values():
             if outbox.address:
                 others = [address for address in addresses if address != outbox.address]
-                some = sample(others, min(MOST_RELAYS, len(others)))
-                outbox.news.relays[:] = some
+                some = sample(others, min(MAX_RELAYS, len(others)))
+                outbox.updates.relays[:] = some
                 outbox.wake.set()
 
-    def _note_refusal(self, service: str, request_id: str, answer: SlotInstruction) -> None:
+    def _log_refusal(self, service: str, request_id: str, answer: SlotInstruction) -> None:
         if isinstance(answer, Refused):
             self._log.write(
                 Event.SLOT_REFUSED,
--- a/src/wharfcart/slots/session.py
+++ b/src/wharfcart/slots/session.py
@@ -39,8 +39,8 @@
     SlotUse,
 )
 from wharfcart.slots.messages import (
-    asked_to_message,
     event_to_message,
+    request_to_message,
     send_to_message,
     snapshot_from_message,
     use_to_message,
@@ -51,17 +51,17 @@
 # longer is not worth waiting for.
 GRANT_TIMEOUT_S = 0.04
 # After a grant that did not come, the node is not asked again for so long.
-PAUSE_AFTER_SILENCE_S = 0.5
+PAUSE_AFTER_TIMEOUT_S = 0.5
 # A node that has a request wait tells that it lives more often than this.
-SIGN_OF_LIFE_TIMEOUT_S = 0.25
+WAIT_HEARTBEAT_TIMEOUT_S = 0.25
 # A node that grants tells the load more often than this, however many holders there are.
-NEWS_TIMEOUT_S = 2.0
+UPDATES_TIMEOUT_S = 2.0
 # A stand-in that does not answer by then, besides the round trips of a connection and a call, is
 # passed by for the next one.
-STAND_IN_TIMEOUT_S = 0.15
+BACKUP_TIMEOUT_S = 0.15
 # So often it is looked whether another node grants now.
-ADDRESS_CHECK_S = 0.1
-RETRY_S = 0.1
+ADDRESS_CHECK_INTERVAL_S = 0.1
+REOPEN_DELAY_S = 0.1
 
 
 @dataclass(frozen=True)
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True)
-class HeardUsage:
+class ReportedUsage:
     """What a holder heard last of requests under tenants' limits.
 
     Attributes:
@@ -83,18 +83,18 @@
     """
 
     by_tenant: dict[str, int]
-    at: float
+    received_at: float
     gateways: int
 
 
-class LimitFacts(Protocol):
+class LimitReports(Protocol):
     """What a holder tells a node that keeps tenants' limits."""
 
     def sends_of(self, group: int) -> list[TenantSend]:
         """Return the holder's last requests of the tenants whose home a group is."""
         ...
 
-    def heard_usage(self, group: int) -> HeardUsage:
+    def reported_usage(self, group: int) -> ReportedUsage:
         """Return what any node told last of these tenants."""
         ...
 
@@ -147,9 +147,9 @@
         zone: str,
         transport: Transport,
         address: Callable[[int], Address | None],
-        taker: SlotUpdateListener,
+        listener: SlotUpdateListener,
         log: DecisionLog,
-        facts: LimitFacts,
+        limit_reports: LimitReports,
         limits_only: bool = False,
     ) -> None:
         self.group = group
@@ -157,23 +157,23 @@
         self._zone = zone
         self._transport = transport
         self._address = address
-        self._taker = taker
+        self._listener = listener
         self._log = log
-        self._facts = facts
+        self._limit_reports = limit_reports
         self._limits_only = limits_only
         self._uses_by_number: dict[SlotNumber, SlotUse] = {}
         self._next_number = 1
         self._session = 0
-        self._at: Address | None = None  # where the open session is held
+        self._open_address: Address | None = None  # where the open session is held
         self._opening = False
-        self._untold: list[SlotEvent] = []
+        self._unsent: list[SlotEvent] = []
         self._flushing = False
         self._paused_until = 0.0
         self.snapshot = SlotSnapshot()
         self.snapshot_at = monotonic()
-        self.heard_at: float | None = None
+        self.last_contact_at: float | None = None
         self.failing = False
-        self.opened = 0
+        self.open_count = 0
         self.relays: list[Address] = []
 
     @property
@@ -189,9 +189,9 @@
     @property
     def is_open(self) -> bool:
         """Whether the granting node knows this session."""
-        return self._at is not None
+        return self._open_address is not None
 
-    def answers(self, now: float) -> bool:
+    def is_available(self, now: float) -> bool:
         """Whether the granting node may be asked for a slot."""
         return self.is_open and now >= self._paused_until
 
@@ -202,34 +202,34 @@
         self._next_number += 1
         return SlotNumber(self._next_number)
 
-    def take(self, use: SlotUse) -> HeldSlot:
+    def take_without_grant(self, use: SlotUse) -> HeldSlot:
         """Note a slot that is taken without having been asked for, and tell of it."""
         self._uses_by_number[use.number] = use
-        self.tell(SlotTaken(self.key, use))
+        self.send(SlotTaken(self.key, use))
         return HeldSlot(self.group, use.number)
 
-    def hold(self, use: SlotUse) -> HeldSlot:
+    def record_granted(self, use: SlotUse) -> HeldSlot:
         """Note a slot that the granting node gave and so knows of."""
         self._uses_by_number[use.number] = use
         return HeldSlot(self.group, use.number)
 
-    def release(self, number: SlotNumber, verdict: RunResult = RunResult.UNKNOWN) -> None:
+    def release(self, number: SlotNumber, result: RunResult = RunResult.UNKNOWN) -> None:
         """Give a slot back."""
         self._uses_by_number.pop(number, None)
-        self.tell(SlotReleased(self.key, number, verdict))
+        self.send(SlotReleased(self.key, number, result))
 
-    def tell(self, event: SlotEvent) -> None:
+    def send(self, event: SlotEvent) -> None:
         """Tell the granting node of an event within the session.
 
         While a session opens it is kept: the list of what is taken may have left without it.
         """
         if self.is_open or self._opening:
-            self._untold.append(event)
+            self._unsent.append(event)
         if self.is_open and not self._flushing:
             self._flushing = True
             asyncio.get_running_loop().call_soon(self._flush)
 
-    async def ask(self, asked: SlotRequested, tenant: str = "") -> SlotGrant | None:
+    async def request_slot(self, request: SlotRequested, tenant: str = "") -> SlotGrant | None:
         """Ask for a slot; None if the granting node does not answer or no longer grants.
 
         Cancelled, or without an answer in time, the request is withdrawn.
@@ -238,10 +238,10 @@
             asked: what is asked for.
             tenant: whose limit the request counts towards; '' if that is settled.
         """
-        address = self._at
+        address = self._open_address
         if address is None:
             return None
-        frame = Frame(slot_request=asked_to_message(self.group, asked, tenant, monotonic()))
+        frame = Frame(slot_request=request_to_message(self.group, request, tenant, monotonic()))
         timeout_s = GRANT_TIMEOUT_S + self._transport.round_trip_s(address)
         answered = False
         answers = self._transport.stream(address, frame, TrafficClass.SLOTS)
@@ -250,24 +250,24 @@
                 while True:
                     async with asyncio.timeout(timeout_s):
                         answer = (await anext(answers)).slot_grant
-                    self._hear()
-                    if self._session != asked.session.number or answer.no_session:
+                    self._record_contact()
+                    if self._session != request.session.number or answer.no_session:
                         return None
                     if not answer.waiting:
                         answered = True
                         return answer
-                    timeout_s = SIGN_OF_LIFE_TIMEOUT_S
+                    timeout_s = WAIT_HEARTBEAT_TIMEOUT_S
         except (TimeoutError, PeerUnreachableError, ServingError, StopAsyncIteration):
             self._pause()
             return None
         finally:
             if not answered:
                 # A grant may be on its way that nobody waits for any more.
-                self.release(asked.number)
+                self.release(request.number)
 
-    async def ask_permit(self, tenant: str) -> PermitAnswer | None:
+    async def request_permit(self, tenant: str) -> PermitAnswer | None:
         """Ask whether a tenant may send one more request; None if the node does not answer."""
-        address = self._at
+        address = self._open_address
         if address is None:
             return None
         key = self.key
@@ -283,15 +283,15 @@
         except (TimeoutError, PeerUnreachableError, ServingError):
             self._pause()
             return None
-        self._hear()
+        self._record_contact()
         return answer.permit_answer
 
-    def _hear(self) -> None:
-        self.heard_at = monotonic()
+    def _record_contact(self) -> None:
+        self.last_contact_at = monotonic()
         self.failing = False
 
     def _pause(self) -> None:
-        self._paused_until = monotonic() + PAUSE_AFTER_SILENCE_S
+        self._paused_until = monotonic() + PAUSE_AFTER_TIMEOUT_S
         self.failing = True
 
     # ---- the session ----
@@ -308,21 +308,21 @@
             reason = await self._hold_session(address)
             self._opening = False
             if self.is_open:
-                self._at = None
+                self._open_address = None
                 self._log.write(
                     Event.GRANTER_LOST,
                     group=self.group,
                     reason=reason,
                     limits_only=self._limits_only,
                 )
-        await asyncio.sleep(RETRY_S * (0.5 + random()))
+        await asyncio.sleep(REOPEN_DELAY_S * (0.5 + random()))
 
     async def _hold_session(self, address: Address) -> str:
         """Open a session and take its news; return why it ended."""
         self._session = getrandbits(63)
-        self._untold.clear()
+        self._unsent.clear()
         self._opening = True
-        heard = self._facts.heard_usage(self.group)
+        heard = self._limit_reports.reported_usage(self.group)
         frame = Frame(
             open_slot_session=OpenSlotSession(
                 group=self.group,
@@ -330,42 +330,42 @@
                 session=self._session,
                 zone=self._zone,
                 uses=[use_to_message(use) for use in self._uses_by_number.values()],
-                sends=[send_to_message(send) for send in self._facts.sends_of(self.group)],
+                sends=[send_to_message(send) for send in self._limit_reports.sends_of(self.group)],
                 usage=[
                     TenantUsage(tenant=tenant, count=count)
                     for tenant, count in heard.by_tenant.items()
                 ],
-                usage_age_ms=int((monotonic() - heard.at) * 1000),
+                usage_age_ms=int((monotonic() - heard.received_at) * 1000),
                 gateways_heard=heard.gateways,
                 limits_only=self._limits_only,
-                address=self._facts.own_address,
+                address=self._limit_reports.own_address,
             )
         )
         answers = self._transport.stream(address, frame, TrafficClass.SLOTS)
         try:
             async with aclosing(answers):
                 while True:
-                    answer = await self._next(anext(answers), address)
+                    answer = await self._next_frame(anext(answers), address)
                     if answer is None:
                         return "another node grants"
                     if answer.slot_news.refused:
                         return "refused"
-                    self._take_news(address, answer.slot_news)
+                    self._handle_updates(address, answer.slot_news)
         except TimeoutError:
             self._transport.drop(address, TrafficClass.SLOTS)
             return "silent"
         except (PeerUnreachableError, ServingError, StopAsyncIteration) as error:
             return f"{type(error).__name__}: {error}"
 
-    async def _next(self, answer: Awaitable[Frame], address: Address) -> Frame | None:
+    async def _next_frame(self, answer: Awaitable[Frame], address: Address) -> Frame | None:
         """Return the next news; None if another node grants now.
 
         Raises:
             TimeoutError: the node tells nothing.
         """
         opens_stand_in = self._limits_only and not self.is_open
-        stand_in_s = STAND_IN_TIMEOUT_S + 2 * self._transport.round_trip_s(address)
-        until = monotonic() + (stand_in_s if opens_stand_in else NEWS_TIMEOUT_S)
+        stand_in_s = BACKUP_TIMEOUT_S + 2 * self._transport.round_trip_s(address)
+        until = monotonic() + (stand_in_s if opens_stand_in else UPDATES_TIMEOUT_S)
         waiting = asyncio.ensure_future(answer)
         try:
             while not waiting.done():
@@ -373,7 +373,7 @@
                     return None
                 if monotonic() > until:
                     raise TimeoutError
-                await asyncio.wait((waiting,), timeout=ADDRESS_CHECK_S)
+                await asyncio.wait((waiting,), timeout=ADDRESS_CHECK_INTERVAL_S)
             return waiting.result()
         finally:
             if not waiting.done():
@@ -381,11 +381,11 @@
                 waiting.cancel()
                 await asyncio.wait((waiting,))
 
-    def _take_news(self, address: Address, news: SlotNews) -> None:
-        self._hear()
+    def _handle_updates(self, address: Address, updates: SlotNews) -> None:
+        self._record_contact()
         if not self.is_open:
-            self._at = address
-            self.opened += 1
+            self._open_address = address
+            self.open_count += 1
             self._opening = False
             self._paused_until = 0.0
             self._log.write(
@@ -395,23 +395,23 @@
                 limits_only=self._limits_only,
             )
             self._flush()
-            self._taker.session_opened(self.group)
-        if news.relays:
-            self.relays = [Address.parse(text) for text in news.relays]
-        if news.HasField("picture"):
-            self.snapshot = snapshot_from_message(news.picture)
+            self._listener.session_opened(self.group)
+        if updates.relays:
+            self.relays = [Address.parse(text) for text in updates.relays]
+        if updates.HasField("picture"):
+            self.snapshot = snapshot_from_message(updates.picture)
             self.snapshot_at = monotonic()
-            self._taker.snapshot_received(self.group, self.snapshot)
-        if news.offers or news.leaving:
-            self._taker.item_updates_received(self.group, news)
+            self._listener.snapshot_received(self.group, self.snapshot)
+        if updates.offers or updates.leaving:
+            self._listener.item_updates_received(self.group, updates)
 
     def _flush(self) -> None:
         self._flushing = False
-        address = self._at
-        if address is None or not self._untold:
+        address = self._open_address
+        if address is None or not self._unsent:
             return
-        events = [event_to_message(event) for event in self._untold]
-        self._untold.clear()
+        events = [event_to_message(event) for event in self._unsent]
+        self._unsent.clear()
         message = SlotEvents(
             group=self.group, holder=self._holder, session=self._session, events=events
         )
--- a/src/wharfcart/slots/sessions.py
+++ b/src/wharfcart/slots/sessions.py
@@ -13,11 +13,11 @@
 from wharfcart.routing.backend_choice import BackendChoice
 from wharfcart.slots.events import HolderId, ResponsivenessChanged
 from wharfcart.slots.picture import ServiceCapacity
-from wharfcart.slots.session import HeardUsage, SlotSession, SlotUpdateListener
+from wharfcart.slots.session import ReportedUsage, SlotSession, SlotUpdateListener
 from wharfcart.storage.job_residence import group_of
 
 # So often it is looked for groups that are new, and for back ends that have fallen silent.
-CHECK_S = 0.05
+CHECK_INTERVAL_S = 0.05
 
 
 class SlotSessions:
@@ -48,31 +48,31 @@
         holder: HolderId,
         choice: BackendChoice,
         transport: Transport,
-        groups: Callable[[], int],
+        group_count: Callable[[], int],
         address: Callable[[int], Address | None],
         group_of: Callable[[str], int | None],
-        taker: SlotUpdateListener,
+        listener: SlotUpdateListener,
         log: DecisionLog,
-        stand_ins: Callable[[int], list[Address]] | None = None,
+        backups: Callable[[int], list[Address]] | None = None,
         own_address: str = "",
         grants_in: Callable[[int, Residence], bool] = lambda _group, _residence: True,
     ) -> None:
         self._holder = holder
         self._choice = choice
         self._transport = transport
-        self._groups = groups
+        self._group_count = group_count
         self._address = address
         self.group_of = group_of
-        self._taker = taker
+        self._listener = listener
         self._log = log
-        self._stand_ins = stand_ins
+        self._backups = backups
         self.own_address = own_address
         self._grants_in = grants_in
-        self._stand_in_sessions: dict[int, SlotSession] = {}
-        self._stand_in_tries: dict[int, int] = {}  # by group
+        self._backup_sessions: dict[int, SlotSession] = {}
+        self._backup_attempts: dict[int, int] = {}  # by group
         self._tasks = BackgroundTasks()
-        self._silent: set[str] = set()
-        self._silence_told_in: dict[int, int] = {}  # session by group
+        self._unresponsive: set[str] = set()
+        self._unresponsive_sent_in: dict[int, int] = {}  # session by group
         self.by_group: dict[int, SlotSession] = {}
         self.sends = TenantSends()
 
@@ -81,8 +81,8 @@
         try:
             while True:
                 self._open_missing()
-                self._tell_silence()
-                await asyncio.sleep(CHECK_S)
+                self._send_responsiveness()
+                await asyncio.sleep(CHECK_INTERVAL_S)
         finally:
             self._tasks.cancel()
 
@@ -96,19 +96,19 @@
         group = self.group_of(instance_id)
         return None if group is None else self.by_group.get(group)
 
-    def home(self, tenant: str) -> SlotSession | None:
+    def coordinator(self, tenant: str) -> SlotSession | None:
         """Return the session with the node that keeps a tenant's limit, open or not."""
-        return self.by_group.get(self._home_group(tenant))
+        return self.by_group.get(self._coordinator_group(tenant))
 
-    def stand_in(self, tenant: str) -> SlotSession | None:
+    def backup_coordinator(self, tenant: str) -> SlotSession | None:
         """Return the open session with who keeps a tenant's limit meanwhile, or None."""
-        session = self._stand_in_sessions.get(self._home_group(tenant))
+        session = self._backup_sessions.get(self._coordinator_group(tenant))
         return session if session is not None and session.is_open else None
 
-    def has_stand_ins(self, tenant: str) -> bool:
+    def has_backup_coordinator(self, tenant: str) -> bool:
         """Whether another node may keep a tenant's limit now."""
-        group = self._home_group(tenant)
-        return group in self.by_group and self._stand_in_address(group) is not None
+        group = self._coordinator_group(tenant)
+        return group in self.by_group and self._backup_address(group) is not None
 
     def available_capacities(
         self, service: str, residence: Residence = ANYWHERE
@@ -122,7 +122,7 @@
         return {
             group: room
             for group, room in told.items()
-            if room.slots > 0 and self.by_group[group].answers(now)
+            if room.slots > 0 and self.by_group[group].is_available(now)
         }
 
     def reported_capacities(
@@ -141,13 +141,13 @@
                 rooms[group] = room
         return rooms
 
-    def holders(self) -> int:
+    def holder_count(self) -> int:
         """Return how many holders the granting nodes know of."""
         known = [session.snapshot.holders for session in self.by_group.values()]
         return max(known, default=0)
 
-    def _home_group(self, tenant: str) -> int:
-        return group_of(tenant, self._groups())
+    def _coordinator_group(self, tenant: str) -> int:
+        return group_of(tenant, self._group_count())
 
     def relays(self) -> list[Address]:
         """Return other gateways that may ask for permits in place of this one."""
@@ -159,86 +159,86 @@
     def sends_of(self, group: int) -> list[TenantSend]:
         """Return the holder's last requests of the tenants whose home a group is."""
         recent = self.sends.recent(monotonic())
-        return [send for send in recent if self._home_group(send.tenant) == group]
+        return [send for send in recent if self._coordinator_group(send.tenant) == group]
 
-    def heard_usage(self, group: int) -> HeardUsage:
+    def reported_usage(self, group: int) -> ReportedUsage:
         """Return what the granting node or its stand-in told last, whichever was later."""
-        told = [self.by_group[group], self._stand_in_sessions.get(group)]
+        told = [self.by_group[group], self._backup_sessions.get(group)]
         last = max((one for one in told if one is not None), key=lambda one: one.snapshot_at)
-        return HeardUsage(last.snapshot.usage, last.snapshot_at, last.snapshot.gateways)
+        return ReportedUsage(last.snapshot.usage, last.snapshot_at, last.snapshot.gateways)
 
     # ---- inner ----
 
-    def _stand_in_address(self, group: int) -> Address | None:
+    def _backup_address(self, group: int) -> Address | None:
         """Return where permits are asked for while the granting node is not reached.
 
         Who can't be reached is passed by; who has been reached stays until it fails.
         """
         primary = self.by_group[group]
-        if self._stand_ins is None or (primary.is_open and not primary.failing):
+        if self._backups is None or (primary.is_open and not primary.failing):
             return None
-        addresses = self._stand_ins(group)
-        tries = self._stand_in_tries.get(group, 0)
+        addresses = self._backups(group)
+        tries = self._backup_attempts.get(group, 0)
         return addresses[tries % len(addresses)] if addresses else None
 
-    async def _keep_stand_in(self, group: int, session: SlotSession) -> None:
+    async def _hold_backup_sessions(self, group: int, session: SlotSession) -> None:
         """Hold a session with one stand-in after the other, while one is needed."""
         while True:
-            if self._stand_in_address(group) is None:
-                await asyncio.sleep(CHECK_S)
+            if self._backup_address(group) is None:
+                await asyncio.sleep(CHECK_INTERVAL_S)
                 continue
-            opened = session.opened
+            opened = session.open_count
             await session.hold_once()
-            if session.opened == opened:
-                self._stand_in_tries[group] = self._stand_in_tries.get(group, 0) + 1
+            if session.open_count == opened:
+                self._backup_attempts[group] = self._backup_attempts.get(group, 0) + 1
 
     def _open_missing(self) -> None:
-        for group in range(len(self.by_group), self._groups()):
+        for group in range(len(self.by_group), self._group_count()):
             session = SlotSession(
                 group,
                 self._holder,
                 self._choice.zone,
                 self._transport,
                 self._address,
-                self._taker,
+                self._listener,
                 self._log,
                 self,
             )
             self.by_group[group] = session
             self._tasks.spawn(session.run())
-            if self._stand_ins is not None:
-                self._open_stand_in(group)
+            if self._backups is not None:
+                self._open_backup(group)
 
-    def _open_stand_in(self, group: int) -> None:
+    def _open_backup(self, group: int) -> None:
         session = SlotSession(
             group,
             self._holder,
             self._choice.zone,
             self._transport,
-            self._stand_in_address,
+            self._backup_address,
             SlotUpdateListener(),
             self._log,
             self,
             limits_only=True,
         )
-        self._stand_in_sessions[group] = session
-        self._tasks.spawn(self._keep_stand_in(group, session))
+        self._backup_sessions[group] = session
+        self._tasks.spawn(self._hold_backup_sessions(group, session))
 
-    def _tell_silence(self) -> None:
+    def _send_responsiveness(self) -> None:
         """Tell of back ends that keep a request waiting too long, and of those that spoke again."""
         silent = self._choice.silent_instances(monotonic())
-        for instance_id in silent ^ self._silent:
-            self._tell_silence_of(instance_id, instance_id in silent)
+        for instance_id in silent ^ self._unresponsive:
+            self._send_responsiveness_of(instance_id, instance_id in silent)
         for group, session in self.by_group.items():
-            if session.is_open and self._silence_told_in.get(group) != session.key.number:
+            if session.is_open and self._unresponsive_sent_in.get(group) != session.key.number:
                 # A new session knows of none.
-                self._silence_told_in[group] = session.key.number
-                for instance_id in silent & self._silent:
+                self._unresponsive_sent_in[group] = session.key.number
+                for instance_id in silent & self._unresponsive:
                     if self.group_of(instance_id) == group:
-                        self._tell_silence_of(instance_id, True)
-        self._silent = silent
+                        self._send_responsiveness_of(instance_id, True)
+        self._unresponsive = silent
 
-    def _tell_silence_of(self, instance_id: str, silent: bool) -> None:
+    def _send_responsiveness_of(self, instance_id: str, silent: bool) -> None:
         session = self.of_instance(instance_id)
         if session is not None:
-            session.tell(ResponsivenessChanged(session.key, instance_id, silent))
+            session.send(ResponsivenessChanged(session.key, instance_id, silent))
--- a/tests/batch/test_job_execution.py
+++ b/tests/batch/test_job_execution.py
@@ -103,7 +103,7 @@
                     loop.call_soon(self.on_offer, slot)
                 case ItemPreempted():
                     slot = HeldSlot(0, instruction.number)
-                    loop.call_soon(self.on_leave, slot, instruction.cause)
+                    loop.call_soon(self.on_preempted, slot, instruction.cause)
 
     @property
     def offers(self) -> int:
@@ -126,30 +126,32 @@
     def free(self, number: SlotNumber) -> None:
         self.tell(SlotReleased(GATEWAY, number))
 
-    def items_wait(self, service: str, demand: ItemDemand, residence: Residence = ANYWHERE) -> None:
+    def report_demand(
+        self, service: str, demand: ItemDemand, residence: Residence = ANYWHERE
+    ) -> None:
         self.tell(
             ItemsWaiting(
                 LEADER,
                 service,
                 demand.count,
-                demand.urgent,
-                demand.first,
+                demand.urgent_count,
+                demand.first_urgency,
                 demand.excluded,
                 self._offers[residence],
                 residence,
             )
         )
 
-    def begun(self, slot: ItemSlot, urgency: Urgency) -> None:
+    def report_started(self, slot: ItemSlot, urgency: Urgency) -> None:
         self.tell(ItemStarted(LEADER, slot.number, urgency))
 
-    def release(self, slot: HeldSlot, verdict: RunResult = RunResult.UNKNOWN) -> None:
-        self.tell(SlotReleased(LEADER, slot.number, verdict))
+    def release(self, slot: HeldSlot, result: RunResult = RunResult.UNKNOWN) -> None:
+        self.tell(SlotReleased(LEADER, slot.number, result))
 
     def tick(self) -> None:
         for instruction in self.granter.tick(asyncio.get_running_loop().time()):
             assert isinstance(instruction, ItemPreempted)
-            self.on_leave(HeldSlot(0, instruction.number), instruction.cause)
+            self.on_preempted(HeldSlot(0, instruction.number), instruction.cause)
 
 
 class Records:
@@ -524,7 +526,7 @@
         for number in range(91):
             bench.group.partial_texts.of("j", "j-7").add(number, "x")
         told: list[Urgency] = []
-        bench.slots.begun = lambda slot, urgency: told.append(urgency)
+        bench.slots.report_started = lambda slot, urgency: told.append(urgency)
         bench.execution.begin()
         bench.submit("j", 8)
         await bench.settle()
--- a/tests/slots/network.py
+++ b/tests/slots/network.py
@@ -160,7 +160,7 @@
         await self._network.reach(address)
         if before is not None:
             await before  # a connection keeps the order
-        self._network.nodes[address].service.take_events(events)
+        self._network.nodes[address].service.handle_events(events)
 
     def round_trip_s(self, address: Address) -> float:
         return self._network.round_trip_s
@@ -210,7 +210,7 @@
         """Ask for a permit in place of another gateway."""
         tenant = frame.relay_permit.tenant
         permit = Permit(self.sessions, self.relays, tenant, self._limits.get(tenant))
-        return Frame(permit_answer=await permit.answer_for_other())
+        return Frame(permit_answer=await permit.answer_for_peer())
 
 
 class Fleet:
--- a/tests/slots/test_emptied_zones.py
+++ b/tests/slots/test_emptied_zones.py
@@ -166,17 +166,17 @@
 
         def take(slot: ItemSlot) -> None:
             running.append(slot)
-            slots.begun(slot, PATIENT)
+            slots.report_started(slot, PATIENT)
 
         def leave(slot: HeldSlot, _cause: PreemptionCause) -> None:
             left.append(slot)
 
-        slots.on_offer, slots.on_leave = take, leave
-        slots.items_wait("s", ItemDemand(3, 0, PATIENT))
+        slots.on_offer, slots.on_preempted = take, leave
+        slots.report_demand("s", ItemDemand(3, 0, PATIENT))
         await asyncio.sleep(SETTLE_S)
         assert {slot.instance_id for slot in running} == set(ZONES)
         empty(choices(fleet), "a", "b")
-        slots.items_wait("s", ItemDemand(9, 0, PATIENT))
+        slots.report_demand("s", ItemDemand(9, 0, PATIENT))
         await asyncio.sleep(SETTLE_S)
         assert {slot.instance_id for slot in running[3:]} == {"i2"}
         assert not left
--- a/tests/slots/test_far_regions.py
+++ b/tests/slots/test_far_regions.py
@@ -62,14 +62,14 @@
         1: ServiceCapacity("s", 8, 8),
         2: ServiceCapacity("s", 8, 0),
     }
-    assert divide_items(4, rooms, far=(1, 2)) == {0: 4, 1: 0, 2: 0}
-    assert divide_items(10, rooms, far=(1, 2)) == {0: 10, 1: 6, 2: 0}
-    assert divide_items(40, rooms, far=(1, 2)) == {0: 40, 1: 8, 2: 0}
+    assert divide_items(4, rooms, remote=(1, 2)) == {0: 4, 1: 0, 2: 0}
+    assert divide_items(10, rooms, remote=(1, 2)) == {0: 10, 1: 6, 2: 0}
+    assert divide_items(40, rooms, remote=(1, 2)) == {0: 40, 1: 8, 2: 0}
 
 
 def test_items_of_a_region_without_back_ends_run_elsewhere() -> None:
     rooms = {1: ServiceCapacity("s", 8, 0), 2: ServiceCapacity("s", 8, 0)}
-    assert divide_items(4, rooms, far=(1, 2)) == {1: 2, 2: 2}
+    assert divide_items(4, rooms, remote=(1, 2)) == {1: 2, 2: 2}
 
 
 def test_a_gateway_that_chooses_itself_goes_abroad_only_when_its_region_is_full() -> None:
--- a/tests/slots/test_granter.py
+++ b/tests/slots/test_granter.py
@@ -30,7 +30,7 @@
     SlotUse,
 )
 from wharfcart.slots.granter import (
-    FIRST_OFFER,
+    FIRST_OFFER_NUMBER,
     MAX_BACKENDS_PER_SNAPSHOT,
     RESTART_COST_S,
     SlotGranter,
@@ -401,7 +401,7 @@
 def test_numbers_of_offers_never_meet_those_that_a_leader_brings_along() -> None:
     bench = Bench("a", slots=4)
     again = SessionKey(LEADER.holder, 5)
-    brought = SlotUse(SlotNumber(FIRST_OFFER + 2), "a", item=PATIENT)
+    brought = SlotUse(SlotNumber(FIRST_OFFER_NUMBER + 2), "a", item=PATIENT)
     bench.tell(SessionOpened(again, "z", (brought,)))
     offers = bench.items(3, key=again)
     assert brought.number not in [offer.number for offer in offers]
--- a/tests/slots/test_granter_residence.py
+++ b/tests/slots/test_granter_residence.py
@@ -25,10 +25,10 @@
 )
 from wharfcart.slots.granter import SlotGranter
 from wharfcart.slots.messages import (
-    asked_from_message,
-    asked_to_message,
     event_from_message,
     event_to_message,
+    request_from_message,
+    request_to_message,
 )
 from wharfcart.slots.queue import MAX_WAITING
 from wharfcart.slots.urgency import Urgency
@@ -167,7 +167,7 @@
 
 def test_a_residence_travels_with_what_is_asked_and_told() -> None:
     asked = SlotRequested(GATEWAY, SlotNumber(1), "s", 1.0, 2.0, residence=NORTH.within(SOUTH))
-    message = asked_to_message(0, asked, "", 0.0)
-    assert asked_from_message(GATEWAY, message, 0.0).residence == asked.residence
+    message = request_to_message(0, asked, "", 0.0)
+    assert request_from_message(GATEWAY, message, 0.0).residence == asked.residence
     told = ItemsWaiting(LEADER, "s", 1, 0, PATIENT, residence=SOUTH)
     assert event_from_message(LEADER, event_to_message(told)) == told
--- a/tests/slots/test_placement_residence.py
+++ b/tests/slots/test_placement_residence.py
@@ -59,15 +59,15 @@
         offered: list[str] = []
         slots.on_offer = lambda slot: offered.append(slot.instance_id)
         demand = ItemDemand(2, 0, Urgency(15.0, 4.0))
-        slots.items_wait("s", demand, EAST)
+        slots.report_demand("s", demand, EAST)
         await asyncio.sleep(0.2)
         assert offered == []
-        assert slots._told == {}
-        slots.items_wait("s", demand, WEST)
+        assert slots._reported == {}
+        slots.report_demand("s", demand, WEST)
         await asyncio.sleep(0.2)
         assert len(offered) == 2
         # What was offered is counted by residence, too: these are more items.
-        slots.items_wait("s", replace(demand, count=1), WEST)
+        slots.report_demand("s", replace(demand, count=1), WEST)
         await asyncio.sleep(0.2)
         assert len(offered) == 3
 
--- a/tests/slots/test_sessions.py
+++ b/tests/slots/test_sessions.py
@@ -10,7 +10,7 @@
 from wharfcart.slots.events import PreemptionCause
 from wharfcart.slots.item_slots import ItemDemand, ItemSlot, ItemSlots
 from wharfcart.slots.service import MAX_SNAPSHOTS_PER_SECOND
-from wharfcart.slots.session import GRANT_TIMEOUT_S, PAUSE_AFTER_SILENCE_S, HeldSlot
+from wharfcart.slots.session import GRANT_TIMEOUT_S, PAUSE_AFTER_TIMEOUT_S, HeldSlot
 from wharfcart.slots.urgency import Urgency
 
 PATIENT = Urgency(until_due_s=15.0, remaining_s=4.0)
@@ -300,10 +300,10 @@
         self.waiting = waiting
         self.running: dict[tuple[int, int], ItemSlot] = {}
         slots.on_offer = self._take
-        slots.on_leave = self._leave
+        slots.on_preempted = self._leave
 
     def tell(self) -> None:
-        self.slots.items_wait("s", ItemDemand(self.waiting, 0, PATIENT))
+        self.slots.report_demand("s", ItemDemand(self.waiting, 0, PATIENT))
 
     def _take(self, slot: ItemSlot) -> None:
         if not self.waiting:
@@ -311,7 +311,7 @@
             return
         self.waiting -= 1
         self.running[slot.group, slot.number] = slot
-        self.slots.begun(slot, PATIENT)
+        self.slots.report_started(slot, PATIENT)
 
     def _leave(self, slot: HeldSlot, _cause: PreemptionCause) -> None:
         if self.running.pop((slot.group, slot.number), None) is not None:
@@ -402,7 +402,7 @@
 
     async def faults(fleet: Fleet, until: float) -> None:
         loop = asyncio.get_running_loop()
-        while loop.time() < until - PAUSE_AFTER_SILENCE_S:
+        while loop.time() < until - PAUSE_AFTER_TIMEOUT_S:
             await asyncio.sleep(rng.uniform(0.05, 0.6))
             name = rng.choice(list(fleet.holders))
             match rng.randrange(4):
--- a/tests/slots/test_tenant_permits.py
+++ b/tests/slots/test_tenant_permits.py
@@ -8,8 +8,8 @@
 from wharfcart.admission.tenant_limits import WINDOW_S
 from wharfcart.configuration.serving import RequestLimit
 from wharfcart.routing.placement import OverLimitError, SendVerdict
-from wharfcart.slots.permits import STAND_IN_WAIT_S
-from wharfcart.slots.service import RELAYS_S
+from wharfcart.slots.permits import BACKUP_WAIT_S
+from wharfcart.slots.service import RELAYS_INTERVAL_S
 from wharfcart.slots.session import GRANT_TIMEOUT_S
 
 LIMIT = RequestLimit(4.0, 4.0)
@@ -115,7 +115,7 @@
         fleet.network.dark.add(fleet.leader.address)
         began = asyncio.get_running_loop().time()
         await send(second)  # notices that the node is dark, and waits until the other one stands in
-        assert asyncio.get_running_loop().time() - began < STAND_IN_WAIT_S + GRANT_TIMEOUT_S
+        assert asyncio.get_running_loop().time() - began < BACKUP_WAIT_S + GRANT_TIMEOUT_S
         await asyncio.sleep(5.0)
         assert await sent(second) >= 4  # of its own it would have none
         with pytest.raises(OverLimitError) as refused:
@@ -162,7 +162,7 @@
     async def scenario(fleet: Fleet) -> None:
         fleet.limits["t"] = LIMIT
         cut_off, other = await fleet.gateway("g1"), await fleet.gateway("g2")
-        await asyncio.sleep(RELAYS_S)
+        await asyncio.sleep(RELAYS_INTERVAL_S)
         fleet.network.break_connection("g1", fleet.leader)
         cut_off.task.cancel()
         await asyncio.sleep(1.0)
@@ -180,7 +180,7 @@
     async def scenario(fleet: Fleet) -> None:
         fleet.limits["t"] = LIMIT
         first, _ = await fleet.gateway("g1"), await fleet.gateway("g2")
-        await asyncio.sleep(RELAYS_S)
+        await asyncio.sleep(RELAYS_INTERVAL_S)
         fleet.network.dark.add(fleet.leader.address)
         with pytest.raises(OverLimitError) as refused:
             await send(first)
