--- a/src/wharfcart/experiments/simulated_slots.py
+++ b/src/wharfcart/experiments/simulated_slots.py
@@ -37,18 +37,18 @@
 from wharfcart.observability.serving_metrics import ServingMetrics
 from wharfcart.routing.backend_choice import BackendChoice, InstanceState
 from wharfcart.routing.placement import NoSlotError, PlacementRequest, SendVerdict
-from wharfcart.slots.asking_order import RequestStep
 from wharfcart.slots.events import HolderId
 from wharfcart.slots.fleet_load import FleetLoad
 from wharfcart.slots.granted_placement import GrantedPlacement
 from wharfcart.slots.granter import SlotGranter
+from wharfcart.slots.group_backends import GroupBackends
+from wharfcart.slots.group_order import RequestStep
 from wharfcart.slots.item_slots import ItemSlots
 from wharfcart.slots.ledger import TakenSlot
 from wharfcart.slots.permit_relays import PermitRelays
 from wharfcart.slots.service import SlotService
 from wharfcart.slots.session import SlotUpdateListener
 from wharfcart.slots.sessions import SlotSessions
-from wharfcart.slots.slot_room import GroupBackends
 from wharfcart.storage.job_group import JobGroup
 from wharfcart.storage.partial_texts import PartialTexts
 
@@ -195,12 +195,12 @@
 
 class _KeepingGranter(SlotGranter):
     def new_backends(self) -> GroupBackends:
-        return _KeepingRoom(self.choice, self.owns, self.is_leadership_confirmed, self._ledger)
+        return _KeepingRoom(self.selector, self.owns, self.is_leadership_confirmed, self._ledger)
 
 
 class _KeepingService(SlotService):
     def new_granter(self) -> SlotGranter:
-        return _KeepingGranter(self._choice, self._owns)
+        return _KeepingGranter(self._selector, self._owns)
 
 
 class SlotFleet:
--- a/src/wharfcart/node/led_group.py
+++ b/src/wharfcart/node/led_group.py
@@ -12,7 +12,7 @@
 from wharfcart.observability.tasks import BackgroundTasks
 from wharfcart.slots.events import HolderId
 from wharfcart.slots.item_slots import ItemSlots
-from wharfcart.slots.leftover_runs import OrphanedRuns
+from wharfcart.slots.orphaned_runs import OrphanedRuns
 from wharfcart.slots.service import SlotService
 from wharfcart.slots.sessions import SlotSessions
 from wharfcart.storage.group_context import GroupContext
--- a/src/wharfcart/slots/fleet_load.py
+++ b/src/wharfcart/slots/fleet_load.py
@@ -2,15 +2,15 @@
 
 from wharfcart.clock import monotonic
 from wharfcart.routing.backend_choice import BackendChoice
-from wharfcart.slots.picture import BackendLoad, SlotSnapshot
 from wharfcart.slots.session import SlotUpdateListener
+from wharfcart.slots.snapshot import BackendLoad, SlotSnapshot
 
 
 class FleetLoad(SlotUpdateListener):
     """Hands pictures of the load to a choice."""
 
-    def __init__(self, choice: BackendChoice) -> None:
-        self._choice = choice
+    def __init__(self, selector: BackendChoice) -> None:
+        self._selector = selector
         self._rates_by_group: dict[int, dict[str, float]] = {}
         self._instances_by_group: dict[int, set[str]] = {}
 
@@ -24,10 +24,12 @@
             self._apply_load(load, now)
         self._instances_by_group[group] = named
         self._rates_by_group[group] = snapshot.sends_per_s
-        self._choice.rates_told(self._total_rates(), now)
+        self._selector.rates_told(self._total_rates(), now)
 
     def _apply_load(self, load: BackendLoad, now: float) -> None:
-        self._choice.load_told(load.instance_id, load.in_use, load.unread_tokens, load.avoided, now)
+        self._selector.load_told(
+            load.instance_id, load.in_use, load.unread_tokens, load.avoided, now
+        )
 
     def _total_rates(self) -> dict[str, float]:
         total: dict[str, float] = {}
--- a/src/wharfcart/slots/granted_placement.py
+++ b/src/wharfcart/slots/granted_placement.py
@@ -19,17 +19,17 @@
     SendVerdict,
 )
 from wharfcart.routing.running_quantile import RunningQuantile
-from wharfcart.slots.asking_order import RequestStep, order_groups, order_groups_by_affinity
 from wharfcart.slots.events import RequestMode, RunResult, SlotRequested, SlotUse
+from wharfcart.slots.group_order import RequestStep, order_groups, order_groups_by_affinity
 from wharfcart.slots.permit_relays import PermitRelays
 from wharfcart.slots.permits import Permit
 from wharfcart.slots.session import HeldSlot, SlotSession
 from wharfcart.slots.sessions import SlotSessions
 
 # Part of the requests whose answers begin within the time that is planned for it.
-FIRST_BYTE_SHARE = 0.8
+FIRST_BYTE_QUANTILE = 0.8
 
-_VERDICTS = {
+_RESULTS = {
     SendVerdict.UNKNOWN: RunResult.UNKNOWN,
     SendVerdict.GOOD: RunResult.BACKEND_OK,
     SendVerdict.BAD: RunResult.BACKEND_FAILED,
@@ -57,20 +57,20 @@
 
     def __init__(
         self,
-        choice: BackendChoice,
+        selector: BackendChoice,
         sessions: SlotSessions,
         distance: Callable[[int], Distance],
         connected: Callable[[], Collection[str]],
         counter: Counter,
         relays: PermitRelays,
     ) -> None:
-        self._choice = choice
+        self._selector = selector
         self._sessions = sessions
         self._distance = distance
         self._connected = connected
         self._counter = counter
         self._relays = relays
-        self._local = LocalPlacement(choice)
+        self._local = LocalPlacement(selector)
         self._first_byte_by_route: dict[str, RunningQuantile] = {}
 
     async def place(self, request: PlacementRequest) -> Placed | None:
@@ -85,13 +85,13 @@
             session = self._sessions.by_group[group]
             if not session.is_available(monotonic()):
                 continue
-            placed = await self._ask(session, request, manner, permit)
+            placed = await self._request_slot(session, request, manner, permit)
             if placed is not None:
                 self._counter.add("grant")
                 return placed
         self._counter.add("own_choice")
         await permit.obtain()
-        return await self._place_by_own_choice(request)
+        return await self._place_locally(request)
 
     def reaches(self, service: str, residence: Residence) -> bool:
         """Whether a node that grants slots of a service in some regions is heard from there."""
@@ -101,7 +101,7 @@
         """Note that a request is no longer at its back end, and what the send told of that."""
         if isinstance(placed, PlacedInSlot):
             session = self._sessions.by_group[placed.slot.group]
-            session.release(placed.slot.number, _VERDICTS[verdict])
+            session.release(placed.slot.number, _RESULTS[verdict])
 
     def answer_begun(self, route_name: str, seconds: float) -> None:
         """Note how long after it was sent a request's answer began."""
@@ -116,21 +116,21 @@
             return order_groups_by_affinity(rooms, request.affinity_key, distances)
         return order_groups(rooms, distances)
 
-    async def _ask(
-        self, session: SlotSession, request: PlacementRequest, manner: RequestMode, permit: Permit
+    async def _request_slot(
+        self, session: SlotSession, request: PlacementRequest, mode: RequestMode, permit: Permit
     ) -> Placed | None:
         if not permit.comes_with_slot(session):
             await permit.obtain()
-        asked = self._asked(session, request, manner)
+        asked = self._slot_request(session, request, mode)
         grant = await session.request_slot(asked, request.tenant if permit.needed else "")
         if grant is not None and grant.unsure:
             await permit.obtain_elsewhere()
-            asked = self._asked(session, request, manner)
+            asked = self._slot_request(session, request, mode)
             grant = await session.request_slot(asked)
-        return None if grant is None else self._take(session, asked, grant, permit)
+        return None if grant is None else self._accept_grant(session, asked, grant, permit)
 
-    def _asked(
-        self, session: SlotSession, request: PlacementRequest, manner: RequestMode
+    def _slot_request(
+        self, session: SlotSession, request: PlacementRequest, mode: RequestMode
     ) -> SlotRequested:
         return SlotRequested(
             session=session.key,
@@ -138,7 +138,7 @@
             service=request.service,
             start_deadline=request.in_time_until - self._first_byte_s(request.route_name).value,
             queue_deadline=request.leave_at,
-            mode=manner,
+            mode=mode,
             affinity_key=request.affinity_key,
             excluded=request.excluded,
             connected=self._connected_of(session.group, request.service),
@@ -152,13 +152,13 @@
         """Return the back ends of a service and group that a connection is kept to."""
         found = []
         for instance_id in self._connected():
-            state = self._choice.state(instance_id)
+            state = self._selector.state(instance_id)
             in_group = self._sessions.group_of(instance_id) == group
             if state is not None and in_group and state.instance.service == service:
                 found.append(instance_id)
         return frozenset(found)
 
-    def _take(
+    def _accept_grant(
         self, session: SlotSession, asked: SlotRequested, grant: SlotGrant, permit: Permit
     ) -> Placed | None:
         if grant.limited:
@@ -169,17 +169,17 @@
             return None
         permit.record_obtained()
         slot = session.record_granted(SlotUse(asked.number, grant.instance_id, asked.unread_tokens))
-        state = self._choice.state(grant.instance_id)
+        state = self._selector.state(grant.instance_id)
         if (
             state is None
-            or self._choice.ruled_out(state, asked.residence)
+            or self._selector.ruled_out(state, asked.residence)
             or state.failed_lately(monotonic())
         ):
             session.release(slot.number)
             return None
         return PlacedInSlot(state, True, slot)
 
-    async def _place_by_own_choice(self, request: PlacementRequest) -> Placed | None:
+    async def _place_locally(self, request: PlacementRequest) -> Placed | None:
         placed = await self._local.place(request)
         if placed is None:
             return None
@@ -191,4 +191,6 @@
         return PlacedInSlot(placed.state, False, session.take_without_grant(use))
 
     def _first_byte_s(self, route_name: str) -> RunningQuantile:
-        return self._first_byte_by_route.setdefault(route_name, RunningQuantile(FIRST_BYTE_SHARE))
+        return self._first_byte_by_route.setdefault(
+            route_name, RunningQuantile(FIRST_BYTE_QUANTILE)
+        )
--- a/src/wharfcart/slots/granter.py
+++ b/src/wharfcart/slots/granter.py
@@ -41,10 +41,10 @@
     SlotTaken,
     SlotUse,
 )
+from wharfcart.slots.group_backends import GroupBackends
 from wharfcart.slots.ledger import SlotLedger, TakenSlot
-from wharfcart.slots.picture import ServiceCapacity, SlotSnapshot
 from wharfcart.slots.queue import SlotQueue, WaitingRequest
-from wharfcart.slots.slot_room import GroupBackends
+from wharfcart.slots.snapshot import ServiceCapacity, SlotSnapshot
 from wharfcart.slots.urgency import Urgency
 
 # A new connection takes a round trip and a moment of the back end; a back end runs a request hardly
@@ -99,7 +99,7 @@
         leads_surely: whether no other node can grant yet.
     """
 
-    choice: BackendChoice
+    selector: BackendChoice
     owns: Callable[[BackendInstance], bool]
     is_leadership_confirmed: Callable[[], bool] = lambda: True
     _ledger: SlotLedger = field(default_factory=SlotLedger)
@@ -121,7 +121,7 @@
 
     def new_backends(self) -> GroupBackends:
         """Return the view of the back ends that decisions are made by."""
-        return GroupBackends(self.choice, self.owns, self.is_leadership_confirmed, self._ledger)
+        return GroupBackends(self.selector, self.owns, self.is_leadership_confirmed, self._ledger)
 
     # ---- events ----
 
@@ -186,7 +186,7 @@
 
     def snapshot(self, now: float) -> SlotSnapshot:
         """Return what the holders are told: the load of each back end, and where there is room."""
-        states = [state for state in self.choice.states() if self.owns(state.instance)]
+        states = [state for state in self.selector.states() if self.owns(state.instance)]
         services = {state.instance.service for state in states}
         loads = [self._backends.load_of(state, now) for state in states]
         loads = [load for load in loads if load.in_use or load.avoided]
@@ -202,7 +202,7 @@
         """Return the back ends that are left out for now."""
         return frozenset(
             state.instance.instance_id
-            for state in self.choice.states()
+            for state in self.selector.states()
             if self.owns(state.instance) and self._backends.is_avoided(state, now)
         )
 
@@ -230,7 +230,7 @@
             del self._offer_counts[offers]
 
     def _record_taken(self, event: SlotTaken, now: float) -> None:
-        state = self.choice.state(event.use.instance_id)
+        state = self.selector.state(event.use.instance_id)
         if state is not None:
             self._rates.sent(state.instance.service, now)
         self._ledger.take(event.session, event.use, now)
@@ -246,11 +246,11 @@
             self._record_result(taken.use.instance_id, event.result, now)
 
     def _record_result(self, instance_id: str, result: RunResult, now: float) -> None:
-        state = self.choice.state(instance_id)
+        state = self.selector.state(instance_id)
         if result is RunResult.BACKEND_FAILED:
             self._backends.refresh()
         if state is not None and result is not RunResult.UNKNOWN:
-            self.choice.turned_out(state, result is RunResult.BACKEND_OK, now)
+            self.selector.turned_out(state, result is RunResult.BACKEND_OK, now)
 
     # ---- online requests ----
 
@@ -398,7 +398,7 @@
             free = [state for state in candidates if self._backends.has_free_slot(state)]
             if not free:
                 continue
-            warm = [state for state in free if not self.choice.is_cold(state, now)]
+            warm = [state for state in free if not self.selector.is_cold(state, now)]
             if self._reserved_for_online(service, residence, free, now) and not demand.has_urgent:
                 continue
             state = self._least_costly(warm, demand.reported.excluded, now)
@@ -462,7 +462,7 @@
     def _preempt_excess_items(self, now: float) -> Iterator[SlotInstruction]:
         """Have items leave back ends that are fuller than they can be."""
         for instance_id in self._ledger.instances():
-            state = self.choice.state(instance_id)
+            state = self.selector.state(instance_id)
             if state is None:
                 continue
             staying = self._ledger.in_use(instance_id) - self._ledger.preempted_count(instance_id)
--- a/src/wharfcart/slots/slot_room.py
+++ b/src/wharfcart/slots/group_backends.py
@@ -14,7 +14,7 @@
 from wharfcart.routing.backend_choice import TOKENS_A_FULL_LOAD, BackendChoice, InstanceState
 from wharfcart.routing.cold_rates import ColdBuckets, granted_rate
 from wharfcart.slots.ledger import SlotLedger, TakenSlot
-from wharfcart.slots.picture import BackendLoad
+from wharfcart.slots.snapshot import BackendLoad
 
 # A cold back end takes what no warm one has a slot for: it costs more than a full warm one.
 COLD_COST = 2.0
@@ -36,7 +36,7 @@
         ledger: what is taken.
     """
 
-    choice: BackendChoice
+    selector: BackendChoice
     owns: Callable[[BackendInstance], bool]
     is_leadership_confirmed: Callable[[], bool]
     ledger: SlotLedger
@@ -58,14 +58,14 @@
         left = [state for state in usable if state.instance.instance_id not in excluded]
         if left:
             return left
-        return self.choice.usable(
+        return self.selector.usable(
             service, now, excluded, self.owns, self._is_unresponsive, residence
         )
 
     def _usable_in(self, service: str, residence: Residence, now: float) -> list[InstanceState]:
         looked_at, usable = self._usable.get((service, residence), (-USABLE_TTL_S, []))
         if now - looked_at >= USABLE_TTL_S:
-            usable = self.choice.usable(
+            usable = self.selector.usable(
                 service, now, (), self.owns, self._is_unresponsive, residence
             )
             self._usable[service, residence] = (now, usable)
@@ -102,7 +102,7 @@
 
     def accepting(self, candidates: list[InstanceState], now: float) -> list[InstanceState]:
         """Return the back ends that bear one more request now: of cold ones, by their rate."""
-        if not self.choice.cold.any_cold(now):
+        if not self.selector.cold.any_cold(now):
             return candidates
         return [state for state in candidates if self._accepts_one_more(state, now)]
 
@@ -112,8 +112,8 @@
 
     def _cold_rate(self, state: InstanceState, now: float) -> float | None:
         """Return the requests a second that a back end is granted; None for one that is warm."""
-        limit = self.choice.cold_limit(state.instance.service)
-        if limit is None or not self.choice.is_cold(state, now):
+        limit = self.selector.cold_limit(state.instance.service)
+        if limit is None or not self.selector.is_cold(state, now):
             return None
         return granted_rate(limit, self.is_leadership_confirmed())
 
@@ -121,17 +121,17 @@
         self, candidates: list[InstanceState], now: float
     ) -> list[InstanceState]:
         """Return the back ends that are warm and have a slot; all while none is cold."""
-        if not self.choice.cold.any_cold(now):
+        if not self.selector.cold.any_cold(now):
             return candidates
         return [
             state
             for state in candidates
-            if not self.choice.is_cold(state, now) and self.has_free_slot(state)
+            if not self.selector.is_cold(state, now) and self.has_free_slot(state)
         ]
 
     def fill_cold_buckets(self, now: float) -> None:
         """Have the buckets of cold back ends fill from the time on at which they turned cold."""
-        cold = [state for state in self.choice.cold_states(now) if self.owns(state.instance)]
+        cold = [state for state in self.selector.cold_states(now) if self.owns(state.instance)]
         self._cold_buckets.keep_only({state.instance.instance_id for state in cold})
         for state in cold:
             self._accepts_one_more(state, now)
@@ -171,9 +171,9 @@
 
     def cost(self, state: InstanceState, zone: str, now: float) -> float:
         """Return how little a back end suits a request from a zone; '' for no zone."""
-        distance = self.choice.distance_cost(zone, state.instance.zone) if zone else 0.0
+        distance = self.selector.distance_cost(zone, state.instance.zone) if zone else 0.0
         unread = self.ledger.unread_tokens(state.instance.instance_id, now)
-        cold = COLD_COST if self.choice.is_cold(state, now) else 0.0
+        cold = COLD_COST if self.selector.is_cold(state, now) else 0.0
         return self._load(state) + distance + unread / TOKENS_A_FULL_LOAD + cold
 
     def load_of(self, state: InstanceState, now: float) -> BackendLoad:
@@ -195,7 +195,7 @@
 
         One that is full, perhaps with runs that nobody knows of, keeps whom it was sent waiting.
         """
-        state = self.choice.state(instance_id)
+        state = self.selector.state(instance_id)
         if state is not None and not self.has_free_slot(state):
             return False
         return self.ledger.is_unresponsive(instance_id)
--- a/src/wharfcart/slots/asking_order.py
+++ b/src/wharfcart/slots/group_order.py
@@ -15,7 +15,7 @@
 
 from wharfcart.cluster.topology import Distance
 from wharfcart.slots.events import RequestMode
-from wharfcart.slots.picture import ServiceCapacity
+from wharfcart.slots.snapshot import ServiceCapacity
 
 RequestStep = tuple[int, RequestMode]
 
--- a/src/wharfcart/slots/item_slots.py
+++ b/src/wharfcart/slots/item_slots.py
@@ -16,9 +16,9 @@
     SlotNumber,
     SlotUse,
 )
-from wharfcart.slots.picture import ServiceCapacity, SlotSnapshot
 from wharfcart.slots.session import HeldSlot, SlotUpdateListener
 from wharfcart.slots.sessions import SlotSessions
+from wharfcart.slots.snapshot import ServiceCapacity, SlotSnapshot
 from wharfcart.slots.urgency import Urgency
 
 # Demand is told anew once the first item's slack has moved by so much: the granting node itself
--- a/src/wharfcart/slots/messages.py
+++ b/src/wharfcart/slots/messages.py
@@ -22,7 +22,7 @@
     SlotTaken,
     SlotUse,
 )
-from wharfcart.slots.picture import BackendLoad, ServiceCapacity, SlotSnapshot
+from wharfcart.slots.snapshot import BackendLoad, ServiceCapacity, SlotSnapshot
 from wharfcart.slots.urgency import Urgency
 
 _MODES = {RequestMode.FREE: pb.FREE, RequestMode.PREEMPT: pb.YIELDED, RequestMode.WAIT: pb.WAIT}
--- a/src/wharfcart/slots/service.py
+++ b/src/wharfcart/slots/service.py
@@ -55,7 +55,7 @@
     usage_from_message,
     use_from_message,
 )
-from wharfcart.slots.picture import SlotSnapshot
+from wharfcart.slots.snapshot import SlotSnapshot
 
 # What time alone brings is looked at so often: who has waited long enough, who is avoided no more.
 TICK_S = 0.05
@@ -119,7 +119,7 @@
     def __init__(
         self,
         group: int,
-        choice: BackendChoice,
+        selector: BackendChoice,
         owns: Callable[[BackendInstance], bool],
         distance: Callable[[str], Distance],
         log: DecisionLog,
@@ -128,7 +128,7 @@
         is_leadership_confirmed: Callable[[], bool] = lambda: True,
     ) -> None:
         self.group = group
-        self._choice = choice
+        self._selector = selector
         self._owns = owns
         self._distance = distance
         self._log = log
@@ -159,7 +159,7 @@
 
     def new_granter(self) -> SlotGranter:
         """Return the decisions of a new leadership."""
-        return SlotGranter(self._choice, self._owns, self._is_leadership_confirmed)
+        return SlotGranter(self._selector, self._owns, self._is_leadership_confirmed)
 
     def end(self) -> None:
         """Grant no longer: another node does."""
--- a/src/wharfcart/slots/session.py
+++ b/src/wharfcart/slots/session.py
@@ -45,7 +45,7 @@
     snapshot_from_message,
     use_to_message,
 )
-from wharfcart.slots.picture import SlotSnapshot
+from wharfcart.slots.snapshot import SlotSnapshot
 
 # A grant takes a look-up, besides the round trip that was observed to its node; one that takes
 # longer is not worth waiting for.
--- a/src/wharfcart/slots/sessions.py
+++ b/src/wharfcart/slots/sessions.py
@@ -12,8 +12,8 @@
 from wharfcart.observability.tasks import BackgroundTasks
 from wharfcart.routing.backend_choice import BackendChoice
 from wharfcart.slots.events import HolderId, ResponsivenessChanged
-from wharfcart.slots.picture import ServiceCapacity
 from wharfcart.slots.session import ReportedUsage, SlotSession, SlotUpdateListener
+from wharfcart.slots.snapshot import ServiceCapacity
 from wharfcart.storage.job_residence import group_of
 
 # So often it is looked for groups that are new, and for back ends that have fallen silent.
@@ -46,7 +46,7 @@
     def __init__(
         self,
         holder: HolderId,
-        choice: BackendChoice,
+        selector: BackendChoice,
         transport: Transport,
         group_count: Callable[[], int],
         address: Callable[[int], Address | None],
@@ -58,7 +58,7 @@
         grants_in: Callable[[int, Residence], bool] = lambda _group, _residence: True,
     ) -> None:
         self._holder = holder
-        self._choice = choice
+        self._selector = selector
         self._transport = transport
         self._group_count = group_count
         self._address = address
@@ -197,7 +197,7 @@
             session = SlotSession(
                 group,
                 self._holder,
-                self._choice.zone,
+                self._selector.zone,
                 self._transport,
                 self._address,
                 self._listener,
@@ -213,7 +213,7 @@
         session = SlotSession(
             group,
             self._holder,
-            self._choice.zone,
+            self._selector.zone,
             self._transport,
             self._backup_address,
             SlotUpdateListener(),
@@ -226,7 +226,7 @@
 
     def _send_responsiveness(self) -> None:
         """Tell of back ends that keep a request waiting too long, and of those that spoke again."""
-        silent = self._choice.silent_instances(monotonic())
+        silent = self._selector.silent_instances(monotonic())
         for instance_id in silent ^ self._unresponsive:
             self._send_responsiveness_of(instance_id, instance_id in silent)
         for group, session in self.by_group.items():
--- a/tests/slots/network.py
+++ b/tests/slots/network.py
@@ -44,19 +44,21 @@
 class Node:
     """A node that may grant slots of groups."""
 
-    def __init__(self, number: int, choice: BackendChoice, limits: dict[str, RequestLimit]) -> None:
+    def __init__(
+        self, number: int, selector: BackendChoice, limits: dict[str, RequestLimit]
+    ) -> None:
         self.address = Address("node", number)
-        self.unsure = False  # another one may lead by now
-        self.choice = choice
+        self.leadership_unconfirmed = False  # another one may lead by now
+        self.selector = selector
         self.service = SlotService(
             0,
-            choice,
+            selector,
             lambda _instance: True,
             distance_from_z,
             DecisionLog("test"),
             METRICS.requests_waiting,
             limits.get,
-            lambda: not self.unsure,
+            lambda: not self.leadership_unconfirmed,
         )
 
 
@@ -67,27 +69,27 @@
         self.nodes: dict[Address, Node] = {}
         self.one_way_s = ONE_WAY_S
         self.round_trip_s = 0.0  # as it was observed; 0 where nothing is known
-        self.dark: set[Address] = set()  # what goes there and comes from there waits
-        self.pictures_by_holder: Counter[str] = Counter()
+        self.unreachable: set[Address] = set()  # what goes there and comes from there waits
+        self.snapshots_by_holder: Counter[str] = Counter()
         self.serving: dict[tuple[str, Address], set[asyncio.Task[None]]] = {}
         self.broken: dict[tuple[str, Address], asyncio.Event] = {}
         self.relays: dict[Address, Holder] = {}
 
     @property
-    def pictures(self) -> int:
+    def snapshots(self) -> int:
         """Pictures of the load that were told to all holders."""
-        return self.pictures_by_holder.total()
+        return self.snapshots_by_holder.total()
 
     async def reach(self, address: Address) -> None:
         """Take one way's time, and longer while the node is dark."""
         await asyncio.sleep(self.one_way_s)
-        while address in self.dark:
+        while address in self.unreachable:
             await asyncio.sleep(ONE_WAY_S)
 
-    def break_connection(self, holder: str, node: Node, told: bool = True) -> None:
+    def break_connection(self, holder: str, node: Node, notify_node: bool = True) -> None:
         """End a holder's connection; the node is told of it at once, or never."""
         key = (holder, node.address)
-        if told:
+        if notify_node:
             for task in self.serving.pop(key, set()):
                 task.cancel()
         self.broken.pop(key, asyncio.Event()).set()
@@ -111,7 +113,7 @@
         answers: asyncio.Queue[Frame] = asyncio.Queue()
 
         async def answer(frame: Frame) -> None:
-            network.pictures_by_holder[self._holder] += frame.slot_news.HasField("picture")
+            network.snapshots_by_holder[self._holder] += frame.slot_news.HasField("picture")
             answers.put_nowait(Frame.FromString(frame.SerializeToString()))
 
         await network.reach(address)
@@ -167,27 +169,29 @@
 
     def drop(self, address: Address, _traffic: TrafficClass) -> None:
         """Close the connection."""
-        self._network.break_connection(self._holder, self._network.nodes[address], told=False)
+        self._network.break_connection(
+            self._holder, self._network.nodes[address], notify_node=False
+        )
 
 
 class Holder:
     """A gateway, or a leader with items."""
 
     def __init__(
-        self, fleet: "Fleet", name: str, taker: SlotUpdateListener | None = None, zone: str = "z"
+        self, fleet: "Fleet", name: str, listener: SlotUpdateListener | None = None, zone: str = "z"
     ) -> None:
         self.name = name
-        self.choice = fleet.new_choice(zone)
+        self.selector = fleet.new_selector(zone)
         self.sessions = SlotSessions(
             HolderId(name),
-            self.choice,
+            self.selector,
             cast(Transport, HolderTransport(fleet.network, name)),
             lambda: 1,
             lambda _group: fleet.leader.address,
             lambda _instance_id: 0,
-            taker or FleetLoad(self.choice),
+            listener or FleetLoad(self.selector),
             DecisionLog(name),
-            lambda _group: [node.address for node in fleet.stand_ins],
+            lambda _group: [node.address for node in fleet.backups],
             f"{name}:1",
         )
         self.connected: set[str] = set()
@@ -197,7 +201,7 @@
             self.sessions.relays,
         )
         self.placement = GrantedPlacement(
-            self.choice,
+            self.selector,
             self.sessions,
             lambda _group: Distance.SAME_ZONE,
             lambda: self.connected,
@@ -222,16 +226,16 @@
         self.rng = Random(1)
         self.network = Network()
         self.limits: dict[str, RequestLimit] = {}
-        self.nodes = [Node(number, self.new_choice(), self.limits) for number in range(2)]
+        self.nodes = [Node(number, self.new_selector(), self.limits) for number in range(2)]
         for node in self.nodes:
             self.network.nodes[node.address] = node
         self.leader = self.nodes[0]
-        self.stand_ins: list[Node] = []  # keep limits while the leader is not reached
+        self.backups: list[Node] = []  # keep limits while the leader is not reached
         self.leader.service.begin(1)
         self.tasks = [asyncio.create_task(node.service.run()) for node in self.nodes]
         self.holders: dict[str, Holder] = {}
 
-    def new_choice(self, zone: str = "z") -> BackendChoice:
+    def new_selector(self, zone: str = "z") -> BackendChoice:
         choice = BackendChoice(zone, self.rng)
         for n in range(self.servers):
             choice.put(BackendInstance(f"i{n}", "s", "127.0.0.1", 1, "z", self.slots, True))
--- a/tests/slots/test_cold_granting.py
+++ b/tests/slots/test_cold_granting.py
@@ -27,24 +27,26 @@
 LEADER = SessionKey(HolderId("leader/0"), 1)
 PATIENT = Urgency(until_due_s=15.0, remaining_s=4.0)
 URGENT = Urgency(until_due_s=4.5, remaining_s=4.0)
-RATE = 10.0
-INTERVAL_S = 1 / (RATE * GRANTED_SHARE)
+COLD_RATE_PER_S = 10.0
+INTERVAL_S = 1 / (COLD_RATE_PER_S * GRANTED_SHARE)
 
 
-class Bench:
+class GranterHarness:
     """A granter with one warm and one cold back end."""
 
     def __init__(self, warm: int = 1, slots: int = 2) -> None:
         self.now = 0.0
-        self.sure = True
+        self.leadership_confirmed = True
         self.number = 0
         self.offers = 0
-        self.choice = BackendChoice("z", Random(1))
-        self.choice.cold.limits = {"s": ColdLimit(RATE, 60.0)}
+        self.selector = BackendChoice("z", Random(1))
+        self.selector.cold.limits = {"s": ColdLimit(COLD_RATE_PER_S, 60.0)}
         for n in range(warm):
-            self.choice.put(BackendInstance(f"w{n}", "s", "h", 1, "z", slots, True))
-        self.choice.put(BackendInstance("cold", "s", "h", 1, "z", slots, True, 60.0))
-        self.granter = SlotGranter(self.choice, lambda _instance: True, lambda: self.sure)
+            self.selector.put(BackendInstance(f"w{n}", "s", "h", 1, "z", slots, True))
+        self.selector.put(BackendInstance("cold", "s", "h", 1, "z", slots, True, 60.0))
+        self.granter = SlotGranter(
+            self.selector, lambda _instance: True, lambda: self.leadership_confirmed
+        )
         for key in (GATEWAY, LEADER):
             self.granter.handle(SessionOpened(key, "z"), self.now)
         self.tick()
@@ -53,99 +55,99 @@
         self.now += seconds
         return self.granter.tick(self.now)
 
-    def ask(
-        self, manner: RequestMode = RequestMode.WAIT, waits_s: float = 9.0, affinity_key: str = ""
+    def request(
+        self, mode: RequestMode = RequestMode.WAIT, waits_s: float = 9.0, affinity_key: str = ""
     ) -> list[SlotInstruction]:
         self.number += 1
         number = SlotNumber(self.number)
         until = self.now + waits_s
         return self.granter.handle(
-            SlotRequested(GATEWAY, number, "s", until, until, manner, affinity_key), self.now
+            SlotRequested(GATEWAY, number, "s", until, until, mode, affinity_key), self.now
         )
 
-    def items(self, count: int, urgency: Urgency) -> list[str]:
+    def offer_items(self, count: int, urgency: Urgency) -> list[str]:
         urgent = count if urgency.is_urgent else 0
         told = ItemsWaiting(LEADER, "s", count, urgent, urgency, offers_seen=self.offers)
-        offers = offered(self.granter.handle(told, self.now))
+        offers = offered_instances(self.granter.handle(told, self.now))
         self.offers += len(offers)
         return offers
 
 
-def granted(instructions: list[SlotInstruction]) -> list[str]:
+def granted_instances(instructions: list[SlotInstruction]) -> list[str]:
     return [one.instance_id for one in instructions if isinstance(one, Granted)]
 
 
-def offered(instructions: list[SlotInstruction]) -> list[str]:
+def offered_instances(instructions: list[SlotInstruction]) -> list[str]:
     return [one.instance_id for one in instructions if isinstance(one, ItemOffered)]
 
 
 def test_a_cold_back_end_is_granted_only_once_the_warm_ones_are_full() -> None:
-    bench = Bench()
+    bench = GranterHarness()
     bench.tick(1.0)
-    assert [granted(bench.ask()) for _ in range(3)] == [["w0"], ["w0"], ["cold"]]
+    assert [granted_instances(bench.request()) for _ in range(3)] == [["w0"], ["w0"], ["cold"]]
 
 
 def test_a_long_shared_prompt_goes_to_a_cold_back_end_only_once_the_warm_ones_are_full() -> None:
     for key in map(str, range(20)):
-        bench = Bench()
+        bench = GranterHarness()
         bench.tick(1.0)
-        placed = [granted(bench.ask(affinity_key=key)) for _ in range(3)]
+        placed = [granted_instances(bench.request(affinity_key=key)) for _ in range(3)]
         assert placed == [["w0"], ["w0"], ["cold"]]
 
 
-def test_a_cold_back_end_gets_nothing_at_once_and_its_rate_from_then_on() -> None:
-    bench = Bench(warm=0, slots=100)
-    assert granted(bench.ask()) == []
-    assert granted(bench.tick(INTERVAL_S * 0.9)) == []
-    assert granted(bench.tick(INTERVAL_S * 0.2)) == ["cold"]
+def test_cold_back_end_starts_empty_and_is_granted_at_its_rate() -> None:
+    bench = GranterHarness(warm=0, slots=100)
+    assert granted_instances(bench.request()) == []
+    assert granted_instances(bench.tick(INTERVAL_S * 0.9)) == []
+    assert granted_instances(bench.tick(INTERVAL_S * 0.2)) == ["cold"]
     for _ in range(30):
-        bench.ask()
-    served = sum(len(granted(bench.tick(0.05))) for _ in range(40))
+        bench.request()
+    served = sum(len(granted_instances(bench.tick(0.05))) for _ in range(40))
     assert 0.8 * 2.0 / INTERVAL_S <= served <= 2.0 / INTERVAL_S + 1
 
 
-def test_its_rate_counts_from_when_it_turned_cold_although_nobody_asked() -> None:
-    bench = Bench(warm=0)
+def test_rate_of_cold_back_end_accrues_from_when_it_turned_cold() -> None:
+    bench = GranterHarness(warm=0)
     bench.tick(INTERVAL_S * 1.1)
-    assert granted(bench.ask()) == ["cold"]
+    assert granted_instances(bench.request()) == ["cold"]
 
 
-def test_a_granter_that_may_have_been_replaced_keeps_to_a_smaller_part() -> None:
-    bench = Bench(warm=0, slots=100)
-    bench.sure = False
+def test_granter_without_confirmed_leadership_grants_a_smaller_share() -> None:
+    bench = GranterHarness(warm=0, slots=100)
+    bench.leadership_confirmed = False
     for _ in range(30):
-        bench.ask()
-    served = sum(len(granted(bench.tick(0.05))) for _ in range(40))
-    assert 0 < served <= 2.0 * RATE * UNSURE_SHARE + 1
+        bench.request()
+    served = sum(len(granted_instances(bench.tick(0.05))) for _ in range(40))
+    assert 0 < served <= 2.0 * COLD_RATE_PER_S * UNSURE_SHARE + 1
 
 
-def test_a_refusal_at_cold_back_ends_tells_the_time_that_their_rate_takes() -> None:
-    bench = Bench(warm=0, slots=100)
+def test_refusal_at_cold_back_ends_returns_retry_after_from_their_rate() -> None:
+    bench = GranterHarness(warm=0, slots=100)
     for _ in range(8):
-        bench.ask(waits_s=0.05)
+        bench.request(waits_s=0.05)
     refused = [one for one in bench.tick(0.06) if isinstance(one, Refused)]
     assert len(refused) == 8
     assert abs(refused[0].retry_after_s - 8 * INTERVAL_S) < 0.01
 
 
 def test_an_item_goes_to_a_cold_back_end_only_if_it_is_urgent() -> None:
-    bench = Bench(slots=4)
+    bench = GranterHarness(slots=4)
     bench.tick(1.0)
-    assert set(bench.items(9, PATIENT)) == {"w0"}
-    assert bench.items(1, URGENT) == ["cold"]
+    assert set(bench.offer_items(9, PATIENT)) == {"w0"}
+    assert bench.offer_items(1, URGENT) == ["cold"]
 
 
-def test_a_request_goes_to_a_cold_back_end_before_an_item_is_cut_for_it() -> None:
-    bench = Bench()
-    bench.items(2, PATIENT)
+def test_request_goes_to_cold_back_end_before_preempting_an_item() -> None:
+    bench = GranterHarness()
+    bench.offer_items(2, PATIENT)
     bench.tick(1.0)
-    told = bench.ask()
-    assert granted(told) == ["cold"]
+    told = bench.request()
+    assert granted_instances(told) == ["cold"]
     assert not any(isinstance(one, ItemPreempted) for one in told)
 
 
-def test_room_at_cold_back_ends_is_told_as_they_bear_it() -> None:
-    bench = Bench(warm=0, slots=8)
+def test_reported_capacity_of_cold_back_ends_follows_their_rate() -> None:
+    bench = GranterHarness(warm=0, slots=8)
     room = bench.granter.snapshot(bench.now).capacity_for("s")
     assert room is not None and room.free == 0
     bench.tick(INTERVAL_S * 1.1)
--- a/tests/slots/test_cold_property.py
+++ b/tests/slots/test_cold_property.py
@@ -26,10 +26,10 @@
 
 STEP_S = 0.025
 SEGMENT_S = 0.4
-SERVERS = ("i0", "i1", "i2")
+INSTANCE_IDS = ("i0", "i1", "i2")
 # A back end is taken to fail above so many requests in one second: rate times this, and some more.
-BORNE_TIMES = 1.5
-BORNE_MORE = 5.0
+TOLERATED_RATE_FACTOR = 1.5
+TOLERATED_BURST = 5.0
 
 
 @dataclass(frozen=True)
@@ -44,18 +44,18 @@
         late: how long requests take to arrive after they were permitted, 0 to 1 of the most.
     """
 
-    cut_off: float
+    disconnected_fraction: float
     cold: frozenset[str]
     change: str
-    late: float
-    rests: bool = False
+    delay_fraction: float
+    idle: bool = False
 
 
 SEGMENTS = st.lists(
     st.builds(
         Segment,
         st.sampled_from((0.0, 0.3, 1.0)),
-        st.frozensets(st.sampled_from(SERVERS), min_size=1),
+        st.frozensets(st.sampled_from(INSTANCE_IDS), min_size=1),
         st.sampled_from(("none", "one", "unsure", "replaced", "two")),
         st.sampled_from((0.0, 0.5, 1.0)),
         st.booleans(),
@@ -72,50 +72,52 @@
     rate: float
     gateways: int
     now: float = 100.0
-    sure: SlotGranter | None = None
+    confirmed_granter: SlotGranter | None = None
     granters: list[SlotGranter] = field(default_factory=list)
     arrivals: dict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
 
     def __post_init__(self) -> None:
         self.numbers = count(1)
         names = [f"g{n}" for n in range(self.gateways)]
-        self.choices = {name: self._choice(name, names) for name in names}
-        self.shared = self._choice("", [])  # of the nodes that grant
+        self.selectors = {name: self._new_selector(name, names) for name in names}
+        self.granter_selector = self._new_selector("", [])  # of the nodes that grant
         self.sessions = {name: SessionKey(HolderId(name), 1) for name in names}
-        self.lead_anew()
+        self.elect_granter()
 
-    def _choice(self, name: str, names: list[str]) -> BackendChoice:
+    def _new_selector(self, name: str, names: list[str]) -> BackendChoice:
         choice = BackendChoice("z", Random(1))
         choice.own_cold_shares = OwnColdShares(name, lambda: len(names)) if name else None
         choice.cold.limits = {"s": ColdLimit(self.rate, 3.0)}
         return choice
 
-    def lead_anew(self) -> None:
+    def elect_granter(self) -> None:
         """Have a node grant that knows nothing; the one before can't be sure any more."""
         granter: SlotGranter
-        granter = SlotGranter(self.shared, lambda _instance: True, lambda: self.sure is granter)
+        granter = SlotGranter(
+            self.granter_selector, lambda _instance: True, lambda: self.confirmed_granter is granter
+        )
         for session in self.sessions.values():
             granter.handle(SessionOpened(session, "z"), self.now)
         self.granters = [granter, *self.granters][:2]
-        self.sure = granter
+        self.confirmed_granter = granter
 
-    def change(self, change: str) -> None:
+    def apply_change(self, change: str) -> None:
         if change == "none":
             return
         if change == "one":
             self.granters = self.granters[:1]
-            self.sure = self.granters[0]
+            self.confirmed_granter = self.granters[0]
         elif change == "unsure":
-            self.sure = None
+            self.confirmed_granter = None
         elif change == "replaced":
-            self.lead_anew()
+            self.elect_granter()
             self.granters = self.granters[:1]
         else:
-            self.lead_anew()
+            self.elect_granter()
 
-    def tell(self, cold: frozenset[str]) -> None:
-        for choice in (self.shared, *self.choices.values()):
-            for name in SERVERS:
+    def set_cold(self, cold: frozenset[str]) -> None:
+        for choice in (self.granter_selector, *self.selectors.values()):
+            for name in INSTANCE_IDS:
                 cold_for_s = 9.0 if name in cold else 0.0
                 entry = BackendInstance(name, "s", "h", 1, "z", 8, True, cold_for_s)
                 choice.put(entry, self.now)
@@ -125,39 +127,39 @@
         self.now += STEP_S
         for granter in self.granters:
             granter.tick(self.now)
-        if segment.rests:
+        if segment.idle:
             return
-        cut_off = round(len(self.choices) * segment.cut_off)
-        for n, (name, choice) in enumerate(self.choices.items()):
+        cut_off = round(len(self.selectors) * segment.disconnected_fraction)
+        for n, (name, choice) in enumerate(self.selectors.items()):
             if n < cut_off:
-                self._choose_all(choice, segment)
+                self._select_all(choice, segment)
             else:
                 granter = self.granters[n % len(self.granters)]
-                self._ask_all(granter, self.sessions[name], segment)
+                self._request_all(granter, self.sessions[name], segment)
 
-    def _ask_all(self, granter: SlotGranter, session: SessionKey, segment: Segment) -> None:
+    def _request_all(self, granter: SlotGranter, session: SessionKey, segment: Segment) -> None:
         for name in segment.cold:
-            others = frozenset(SERVERS) - {name}
+            others = frozenset(INSTANCE_IDS) - {name}
             number = SlotNumber(next(self.numbers))
             asked = SlotRequested(
                 session, number, "s", self.now + 1, self.now + 1, RequestMode.FREE, excluded=others
             )
             for told in granter.handle(asked, self.now):
                 if isinstance(told, Granted):
-                    self._arrives(told.instance_id, segment)
+                    self._record_arrival(told.instance_id, segment)
             granter.handle(SlotReleased(session, number), self.now)
 
-    def _choose_all(self, choice: BackendChoice, segment: Segment) -> None:
+    def _select_all(self, choice: BackendChoice, segment: Segment) -> None:
         for name in segment.cold:
-            others = frozenset(SERVERS) - {name}
+            others = frozenset(INSTANCE_IDS) - {name}
             while (state := choice.choose("s", self.now, others)) is not None:
-                self._arrives(state.instance.instance_id, segment)
+                self._record_arrival(state.instance.instance_id, segment)
 
-    def _arrives(self, name: str, segment: Segment) -> None:
+    def _record_arrival(self, name: str, segment: Segment) -> None:
         if name in segment.cold:
-            self.arrivals[name].append(self.now + segment.late * PERMIT_KEPT_S)
+            self.arrivals[name].append(self.now + segment.delay_fraction * PERMIT_KEPT_S)
 
-    def worst_second(self) -> int:
+    def max_arrivals_per_second(self) -> int:
         """Return the most arrivals at one back end within a second."""
         worst = 0
         for times in self.arrivals.values():
@@ -170,41 +172,46 @@
         return worst
 
 
-def two_grant(rests: int) -> list[Segment]:
+def two_granters(idle_segments: int) -> list[Segment]:
     """Return a history in which two nodes grant for long.
 
     Args:
         rests: segments before and after the second one has begun in which nobody sends.
     """
-    sends = Segment(0.3, frozenset(SERVERS), "none", 0.0)
-    resting = [replace(sends, rests=True)] * rests
-    return [*resting, replace(sends, change="two", rests=bool(rests)), *resting, *[sends] * 4]
-
-
-@example(segments=two_grant(rests=0), rate=40.0, gateways=40)
-@example(segments=two_grant(rests=5), rate=4.0, gateways=40)
+    sends = Segment(0.3, frozenset(INSTANCE_IDS), "none", 0.0)
+    resting = [replace(sends, idle=True)] * idle_segments
+    return [
+        *resting,
+        replace(sends, change="two", idle=bool(idle_segments)),
+        *resting,
+        *[sends] * 4,
+    ]
+
+
+@example(segments=two_granters(idle_segments=0), rate=40.0, gateways=40)
+@example(segments=two_granters(idle_segments=5), rate=4.0, gateways=40)
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(
     segments=SEGMENTS,
     rate=st.sampled_from((2.0, 4.0, 19.0, 40.0)),
     gateways=st.sampled_from((2, 10, 40)),
 )
-def test_no_cold_back_end_gets_more_than_it_bears_in_any_second(
+def test_cold_back_end_never_exceeds_its_tolerated_rate_in_any_second(
     segments: list[Segment], rate: float, gateways: int
 ) -> None:
     system = System(rate, gateways)
     for segment in segments:
-        system.tell(segment.cold)
-        system.change(segment.change)
+        system.set_cold(segment.cold)
+        system.apply_change(segment.change)
         for _ in range(round(SEGMENT_S / STEP_S)):
             system.step(segment)
-    assert system.worst_second() <= BORNE_TIMES * rate + BORNE_MORE
+    assert system.max_arrivals_per_second() <= TOLERATED_RATE_FACTOR * rate + TOLERATED_BURST
 
 
-def test_the_rate_of_cold_back_ends_is_used_by_a_node_that_surely_grants() -> None:
+def test_granter_with_confirmed_leadership_uses_most_of_the_cold_rate() -> None:
     system = System(rate=19.0, gateways=10)
-    segment = Segment(0.0, frozenset(SERVERS), "none", 0.0)
-    system.tell(segment.cold)
+    segment = Segment(0.0, frozenset(INSTANCE_IDS), "none", 0.0)
+    system.set_cold(segment.cold)
     for _ in range(round(2.0 / STEP_S)):
         system.step(segment)
     for times in system.arrivals.values():
--- a/tests/slots/test_emptied_zones.py
+++ b/tests/slots/test_evacuated_zones.py
@@ -20,79 +20,79 @@
 ZONES = {"i0": "a", "i1": "b", "i2": "c"}
 
 
-def choices(fleet: Fleet) -> list[BackendChoice]:
+def selectors(fleet: Fleet) -> list[BackendChoice]:
     return [
-        *(node.choice for node in fleet.nodes),
-        *(holder.choice for holder in fleet.holders.values()),
+        *(node.selector for node in fleet.nodes),
+        *(holder.selector for holder in fleet.holders.values()),
     ]
 
 
 def put_in_zones(fleet: Fleet, cold_for_s: float = 0.0) -> None:
     now = asyncio.get_running_loop().time()
-    for choice in choices(fleet):
+    for choice in selectors(fleet):
         for name, zone in ZONES.items():
             entry = BackendInstance(name, "s", "127.0.0.1", 1, zone, fleet.slots, True, cold_for_s)
             choice.put(entry, now)
 
 
-def empty(known_to: Iterable[BackendChoice], *zones: str) -> None:
+def evacuate_zones(known_to: Iterable[BackendChoice], *zones: str) -> None:
     for choice in known_to:
         choice.eligibility.evacuated_zones = frozenset(zones)
 
 
-def name_of(placed: Placed | None) -> str:
+def instance_id_of(placed: Placed | None) -> str:
     return "" if placed is None else placed.state.instance.instance_id
 
 
-async def places(fleet: Fleet, count: int) -> set[str]:
+async def placed_instances(fleet: Fleet, count: int) -> set[str]:
     gateway = fleet.holders["g1"]
-    return {name_of(await gateway.placement.place(request(0.3))) for _ in range(count)}
+    return {instance_id_of(await gateway.placement.place(request(0.3))) for _ in range(count)}
 
 
-def test_nothing_is_granted_in_zones_that_are_emptied_and_again_when_they_are_given_back() -> None:
+def test_slots_are_granted_in_evacuated_zones_only_after_they_are_restored() -> None:
     async def scenario(fleet: Fleet) -> None:
         await fleet.gateway("g1")
         put_in_zones(fleet)
-        empty(choices(fleet), "a", "b")
+        evacuate_zones(selectors(fleet), "a", "b")
         await asyncio.sleep(SETTLE_S)
-        assert await places(fleet, 4) == {"i2"}
-        empty(choices(fleet), "b", "c")
+        assert await placed_instances(fleet, 4) == {"i2"}
+        evacuate_zones(selectors(fleet), "b", "c")
         await asyncio.sleep(SETTLE_S)
-        assert await places(fleet, 4) == {"i0"}
+        assert await placed_instances(fleet, 4) == {"i0"}
 
     play(scenario, servers=3, slots=4)
 
 
-def test_a_grant_in_a_zone_that_only_the_gateway_knows_to_be_emptied_is_given_back() -> None:
+def test_gateway_releases_grant_in_zone_that_only_it_knows_is_evacuated() -> None:
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
         put_in_zones(fleet)
-        empty([gateway.choice], "a", "b")
-        assert await places(fleet, 4) == {"i2"}
+        evacuate_zones([gateway.selector], "a", "b")
+        assert await placed_instances(fleet, 4) == {"i2"}
         await asyncio.sleep(SETTLE_S)
         assert fleet.in_use() == 4
 
     play(scenario, servers=3, slots=8)
 
 
-def test_a_gateway_that_chooses_itself_leaves_emptied_zones_out() -> None:
+def test_local_choice_excludes_evacuated_zones() -> None:
     async def scenario(fleet: Fleet) -> None:
         await fleet.gateway("g1")
         put_in_zones(fleet)
-        empty(choices(fleet), "a", "b")
-        fleet.network.dark.add(fleet.leader.address)
-        assert await places(fleet, 4) == {"i2"}
+        evacuate_zones(selectors(fleet), "a", "b")
+        fleet.network.unreachable.add(fleet.leader.address)
+        assert await placed_instances(fleet, 4) == {"i2"}
 
     play(scenario, servers=3, slots=4)
 
 
-def test_a_long_shared_prompt_leaves_the_zone_where_it_was_read() -> None:
+def test_shared_prompt_moves_out_of_an_evacuated_zone() -> None:
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
         put_in_zones(fleet)
         first = await gateway.placement.place(request(affinity_key="k"))
         assert first is not None
-        empty(choices(fleet), first.state.instance.zone)
+        evacuate_zones(selectors(fleet), first.state.instance.zone)
         await asyncio.sleep(SETTLE_S)
         second = await gateway.placement.place(request(affinity_key="k"))
         assert second is not None and second.state is not first.state
@@ -100,56 +100,56 @@
     play(scenario, servers=3, slots=4)
 
 
-def test_back_ends_that_have_vanished_count_only_outside_emptied_zones() -> None:
+def test_missing_back_ends_count_only_outside_evacuated_zones() -> None:
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
         put_in_zones(fleet)
         now = asyncio.get_running_loop().time()
         for name in ZONES:
-            gateway.choice.remove(name, now, in_outage=True)
-        fleet.network.dark.add(fleet.leader.address)
-        empty([gateway.choice], "a", "b")
-        assert await places(fleet, 4) == {"i2"}
+            gateway.selector.remove(name, now, in_outage=True)
+        fleet.network.unreachable.add(fleet.leader.address)
+        evacuate_zones([gateway.selector], "a", "b")
+        assert await placed_instances(fleet, 4) == {"i2"}
 
     play(scenario, servers=3, slots=4)
 
 
-def test_with_all_zones_emptied_a_request_is_refused_at_once() -> None:
+def test_request_is_refused_at_once_when_all_zones_are_evacuated() -> None:
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
         put_in_zones(fleet)
-        empty(choices(fleet), "a", "b", "c")
+        evacuate_zones(selectors(fleet), "a", "b", "c")
         await asyncio.sleep(SETTLE_S)
         began_at = asyncio.get_running_loop().time()
         assert await gateway.placement.place(request(9.0)) is None
         assert asyncio.get_running_loop().time() - began_at < 0.1
-        assert gateway.choice.is_all_evacuated("s")
+        assert gateway.selector.is_all_evacuated("s")
 
     play(scenario, servers=3, slots=4)
 
 
-def test_a_request_that_waits_as_the_last_zone_is_emptied_waits_no_longer() -> None:
+def test_waiting_request_fails_when_the_last_zone_is_evacuated() -> None:
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
         put_in_zones(fleet)
-        empty(choices(fleet), "b", "c")
+        evacuate_zones(selectors(fleet), "b", "c")
         await asyncio.sleep(SETTLE_S)
         await gateway.placement.place(request())
         waiting = asyncio.create_task(gateway.placement.place(request(9.0)))
         await asyncio.sleep(0.5)
         assert not waiting.done()
-        empty(choices(fleet), "a", "b", "c")
+        evacuate_zones(selectors(fleet), "a", "b", "c")
         async with asyncio.timeout(0.3):
             assert await waiting is None
 
     play(scenario, servers=3, slots=1)
 
 
-def test_room_is_told_without_emptied_zones() -> None:
+def test_reported_capacity_excludes_evacuated_zones() -> None:
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
         put_in_zones(fleet)
-        empty(choices(fleet), "a", "b")
+        evacuate_zones(selectors(fleet), "a", "b")
         await asyncio.sleep(1.0)
         room = gateway.sessions.by_group[0].snapshot.capacity_for("s")
         assert room is not None and (room.slots, room.free) == (4, 4)
@@ -157,7 +157,7 @@
     play(scenario, servers=3, slots=4)
 
 
-def test_items_are_offered_nothing_in_emptied_zones_and_end_where_they_run() -> None:
+def test_items_get_no_offers_in_evacuated_zones_and_running_ones_finish() -> None:
     async def scenario(fleet: Fleet) -> None:
         slots = await fleet.items()
         put_in_zones(fleet)
@@ -175,7 +175,7 @@
         slots.report_demand("s", ItemDemand(3, 0, PATIENT))
         await asyncio.sleep(SETTLE_S)
         assert {slot.instance_id for slot in running} == set(ZONES)
-        empty(choices(fleet), "a", "b")
+        evacuate_zones(selectors(fleet), "a", "b")
         slots.report_demand("s", ItemDemand(9, 0, PATIENT))
         await asyncio.sleep(SETTLE_S)
         assert {slot.instance_id for slot in running[3:]} == {"i2"}
@@ -184,15 +184,15 @@
     play(scenario, servers=3, slots=4)
 
 
-def bear_cold(fleet: Fleet, per_s: float) -> None:
-    for choice in choices(fleet):
+def set_cold_limit(fleet: Fleet, per_s: float) -> None:
+    for choice in selectors(fleet):
         choice.cold.limits = {"s": ColdLimit(per_s, 6.0)}
 
 
-def test_with_all_back_ends_cold_requests_wait_for_the_rate_and_are_served_by_time_alone() -> None:
+def test_requests_wait_for_the_cold_rate_when_all_back_ends_are_cold() -> None:
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
-        bear_cold(fleet, 2.0)
+        set_cold_limit(fleet, 2.0)
         put_in_zones(fleet, cold_for_s=6.0)
         loop = asyncio.get_running_loop()
         began_at = loop.time()
@@ -205,13 +205,13 @@
     play(scenario, servers=3, slots=8)
 
 
-def test_a_gateway_without_a_share_refuses_at_once_where_all_back_ends_are_cold() -> None:
+def test_disconnected_gateway_refuses_requests_beyond_its_cold_share() -> None:
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
-        bear_cold(fleet, 4.0)
-        gateway.choice.own_cold_shares = OwnColdShares("g1", lambda: 1)
+        set_cold_limit(fleet, 4.0)
+        gateway.selector.own_cold_shares = OwnColdShares("g1", lambda: 1)
         put_in_zones(fleet, cold_for_s=60.0)
-        fleet.network.dark.add(fleet.leader.address)
+        fleet.network.unreachable.add(fleet.leader.address)
         sent = 0
         for _ in range(100):
             try:
@@ -229,21 +229,21 @@
 
 
 @pytest.mark.parametrize("heard", [False, True])
-def test_a_zone_that_is_given_back_counts_as_cold_until_its_back_ends_have_told(
+def test_restored_zone_counts_as_cold_until_its_back_ends_report(
     heard: bool,
 ) -> None:
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
-        bear_cold(fleet, 4.0)
+        set_cold_limit(fleet, 4.0)
         put_in_zones(fleet)
         now = asyncio.get_running_loop().time()
-        for choice in choices(fleet):
+        for choice in selectors(fleet):
             for zone in ZONES.values():
                 choice.cold.given_back(zone, now, revision=50)
             for name, zone in ZONES.items():
                 entry = BackendInstance(name, "s", "127.0.0.1", 1, zone, 8, True)
                 choice.put(entry, now, revision=51 if heard else 49)
-        assert len(gateway.choice.cold_states(now)) == (0 if heard else 3)
-        assert not gateway.choice.cold_states(now + 3.0)
+        assert len(gateway.selector.cold_states(now)) == (0 if heard else 3)
+        assert not gateway.selector.cold_states(now + 3.0)
 
     play(scenario, servers=3, slots=8)
--- a/tests/slots/test_granter_residence.py
+++ b/tests/slots/test_granter_residence.py
@@ -40,7 +40,7 @@
 PATIENT = Urgency(until_due_s=15.0, remaining_s=4.0)
 
 
-class Bench:
+class GranterHarness:
     """A granter before one back end in each of two regions."""
 
     def __init__(self, slots: int = 1) -> None:
@@ -51,121 +51,123 @@
         self.now = 0.0
         self.number = 0
         for key in (GATEWAY, LEADER):
-            self.tell(SessionOpened(key, "n1"))
+            self.send_event(SessionOpened(key, "n1"))
 
-    def tell(self, event: object) -> list[SlotInstruction]:
+    def send_event(self, event: object) -> list[SlotInstruction]:
         return self.granter.handle(event, self.now)
 
-    def ask(
-        self, residence: Residence, in_time_s: float = 9.0, manner: RequestMode = RequestMode.WAIT
+    def request(
+        self, residence: Residence, in_time_s: float = 9.0, mode: RequestMode = RequestMode.WAIT
     ) -> list[SlotInstruction]:
         self.number += 1
         number = SlotNumber(self.number)
         until = self.now + in_time_s
-        asked = SlotRequested(GATEWAY, number, "s", until, 20.0, manner, residence=residence)
-        return self.tell(asked)
+        asked = SlotRequested(GATEWAY, number, "s", until, 20.0, mode, residence=residence)
+        return self.send_event(asked)
 
-    def free(self, number: int) -> list[SlotInstruction]:
-        return self.tell(SlotReleased(GATEWAY, SlotNumber(number)))
+    def release(self, number: int) -> list[SlotInstruction]:
+        return self.send_event(SlotReleased(GATEWAY, SlotNumber(number)))
 
-    def demand(self, count: int, residence: Residence, **more: int) -> list[SlotInstruction]:
-        return self.tell(ItemsWaiting(LEADER, "s", count, 0, PATIENT, residence=residence, **more))
+    def report_demand(self, count: int, residence: Residence, **more: int) -> list[SlotInstruction]:
+        return self.send_event(
+            ItemsWaiting(LEADER, "s", count, 0, PATIENT, residence=residence, **more)
+        )
 
 
-def backends(instructions: list[SlotInstruction]) -> list[str]:
+def instance_ids(instructions: list[SlotInstruction]) -> list[str]:
     kinds = (Granted, ItemOffered)
     return [found.instance_id for found in instructions if isinstance(found, kinds)]
 
 
-def test_a_bound_request_gets_a_slot_in_its_regions_alone() -> None:
-    bench = Bench(slots=3)
+def test_request_with_residence_gets_a_slot_only_in_its_regions() -> None:
+    bench = GranterHarness(slots=3)
     for _ in range(3):
-        assert backends(bench.ask(SOUTH)) == ["in-s1"]
-    assert bench.ask(SOUTH) == []
-    assert backends(bench.ask(NORTH)) == ["in-n1"]
+        assert instance_ids(bench.request(SOUTH)) == ["in-s1"]
+    assert bench.request(SOUTH) == []
+    assert instance_ids(bench.request(NORTH)) == ["in-n1"]
 
 
-def test_a_request_without_any_back_end_in_its_regions_is_told_so_at_once() -> None:
-    bench = Bench()
-    assert bench.ask(EAST) == [NoSlot(GATEWAY, SlotNumber(1))]
-    assert bench.ask(NORTH.within(SOUTH)) == [NoSlot(GATEWAY, SlotNumber(2))]
+def test_request_without_back_end_in_its_regions_gets_no_slot_at_once() -> None:
+    bench = GranterHarness()
+    assert bench.request(EAST) == [NoSlot(GATEWAY, SlotNumber(1))]
+    assert bench.request(NORTH.within(SOUTH)) == [NoSlot(GATEWAY, SlotNumber(2))]
 
 
-def test_a_request_that_waits_for_a_full_region_holds_up_no_other() -> None:
-    bench = Bench()
-    assert backends(bench.ask(SOUTH)) == ["in-s1"]
-    assert bench.ask(SOUTH) == []
-    assert backends(bench.ask(ANYWHERE)) == ["in-n1"]
-    assert bench.ask(ANYWHERE, in_time_s=10.0) == []
-    assert bench.free(3) == [Granted(GATEWAY, SlotNumber(4), "in-n1")]
-    assert bench.free(1) == [Granted(GATEWAY, SlotNumber(2), "in-s1")]
+def test_request_waiting_for_a_full_region_does_not_block_others() -> None:
+    bench = GranterHarness()
+    assert instance_ids(bench.request(SOUTH)) == ["in-s1"]
+    assert bench.request(SOUTH) == []
+    assert instance_ids(bench.request(ANYWHERE)) == ["in-n1"]
+    assert bench.request(ANYWHERE, in_time_s=10.0) == []
+    assert bench.release(3) == [Granted(GATEWAY, SlotNumber(4), "in-n1")]
+    assert bench.release(1) == [Granted(GATEWAY, SlotNumber(2), "in-s1")]
 
 
-def test_a_free_slot_is_given_at_once_while_others_wait_elsewhere() -> None:
-    bench = Bench()
-    bench.ask(SOUTH)
-    assert bench.ask(SOUTH) == []
-    assert backends(bench.ask(NORTH, manner=RequestMode.FREE)) == ["in-n1"]
+def test_free_slot_is_granted_at_once_while_others_wait_for_other_regions() -> None:
+    bench = GranterHarness()
+    bench.request(SOUTH)
+    assert bench.request(SOUTH) == []
+    assert instance_ids(bench.request(NORTH, mode=RequestMode.FREE)) == ["in-n1"]
 
 
-def test_of_two_lines_the_request_goes_first_that_has_the_least_time_left() -> None:
-    bench = Bench()
-    bench.ask(SOUTH)
-    bench.ask(NORTH)
-    bench.ask(ANYWHERE, in_time_s=5.0)
-    bench.ask(SOUTH, in_time_s=2.0)
-    assert bench.free(1) == [Granted(GATEWAY, SlotNumber(4), "in-s1")]
-    assert bench.free(2) == [Granted(GATEWAY, SlotNumber(3), "in-n1")]
+def test_request_with_the_least_time_left_goes_first_across_queues() -> None:
+    bench = GranterHarness()
+    bench.request(SOUTH)
+    bench.request(NORTH)
+    bench.request(ANYWHERE, in_time_s=5.0)
+    bench.request(SOUTH, in_time_s=2.0)
+    assert bench.release(1) == [Granted(GATEWAY, SlotNumber(4), "in-s1")]
+    assert bench.release(2) == [Granted(GATEWAY, SlotNumber(3), "in-n1")]
 
 
-def test_a_full_line_turns_away_its_own_requests_alone() -> None:
-    bench = Bench()
-    bench.ask(SOUTH)
-    bench.ask(NORTH)
+def test_full_queue_refuses_only_requests_of_its_residence() -> None:
+    bench = GranterHarness()
+    bench.request(SOUTH)
+    bench.request(NORTH)
     for _ in range(MAX_WAITING):
-        bench.ask(SOUTH)
-    refused = bench.ask(SOUTH)
+        bench.request(SOUTH)
+    refused = bench.request(SOUTH)
     assert isinstance(refused[0], Refused)
     assert refused[0].cause is RefusalCause.QUEUE_FULL
     assert (refused[0].slots, refused[0].waiting) == (1, MAX_WAITING)
-    assert bench.ask(NORTH) == []
+    assert bench.request(NORTH) == []
 
 
-def test_items_are_offered_slots_in_their_regions_alone() -> None:
-    bench = Bench(slots=2)
-    assert backends(bench.demand(5, SOUTH)) == ["in-s1", "in-s1"]
-    assert bench.demand(5, EAST) == []
-    assert backends(bench.demand(5, NORTH)) == ["in-n1", "in-n1"]
+def test_items_are_offered_slots_only_in_their_regions() -> None:
+    bench = GranterHarness(slots=2)
+    assert instance_ids(bench.report_demand(5, SOUTH)) == ["in-s1", "in-s1"]
+    assert bench.report_demand(5, EAST) == []
+    assert instance_ids(bench.report_demand(5, NORTH)) == ["in-n1", "in-n1"]
 
 
-def test_an_offer_tells_which_items_it_is_for() -> None:
-    bench = Bench()
-    offers = bench.demand(1, SOUTH)
+def test_offer_carries_the_residence_of_its_items() -> None:
+    bench = GranterHarness()
+    offers = bench.report_demand(1, SOUTH)
     assert isinstance(offers[0], ItemOffered)
     assert offers[0].residence == SOUTH
 
 
-def test_requests_that_wait_elsewhere_keep_no_slot_from_items() -> None:
-    bench = Bench(slots=3)
+def test_requests_waiting_for_other_regions_reserve_no_slot() -> None:
+    bench = GranterHarness(slots=3)
     for _ in range(3):
-        bench.ask(NORTH)
-    assert bench.ask(NORTH) == []
-    assert backends(bench.demand(1, SOUTH)) == ["in-s1"]
-
-
-def test_a_request_that_may_go_there_keeps_a_slot_from_items() -> None:
-    bench = Bench(slots=2)
-    bench.ask(NORTH)
-    bench.ask(NORTH)
-    bench.ask(SOUTH)
-    bench.ask(SOUTH)
-    assert bench.ask(ANYWHERE) == []
-    assert bench.demand(1, SOUTH) == []
-    assert backends(bench.free(3)) == ["in-s1"]
+        bench.request(NORTH)
+    assert bench.request(NORTH) == []
+    assert instance_ids(bench.report_demand(1, SOUTH)) == ["in-s1"]
+
+
+def test_waiting_request_for_the_region_reserves_a_slot() -> None:
+    bench = GranterHarness(slots=2)
+    bench.request(NORTH)
+    bench.request(NORTH)
+    bench.request(SOUTH)
+    bench.request(SOUTH)
+    assert bench.request(ANYWHERE) == []
+    assert bench.report_demand(1, SOUTH) == []
+    assert instance_ids(bench.release(3)) == ["in-s1"]
     assert bench.granter.total_waiting() == 0
 
 
-def test_a_residence_travels_with_what_is_asked_and_told() -> None:
+def test_residence_is_kept_in_messages() -> None:
     asked = SlotRequested(GATEWAY, SlotNumber(1), "s", 1.0, 2.0, residence=NORTH.within(SOUTH))
     message = request_to_message(0, asked, "", 0.0)
     assert request_from_message(GATEWAY, message, 0.0).residence == asked.residence
--- a/tests/slots/test_ledger.py
+++ b/tests/slots/test_ledger.py
@@ -15,7 +15,7 @@
     return SlotUse(SlotNumber(number), instance_id, **more)
 
 
-def opened(*keys: SessionKey) -> SlotLedger:
+def ledger_with_sessions(*keys: SessionKey) -> SlotLedger:
     ledger = SlotLedger()
     for key in keys:
         ledger.open(key, "z", (), 0.0)
@@ -23,15 +23,15 @@
 
 
 def test_a_slot_is_taken_until_it_is_released() -> None:
-    ledger = opened(G1)
+    ledger = ledger_with_sessions(G1)
     ledger.take(G1, use(1), 0.0)
     assert ledger.in_use("a") == 1
     assert ledger.release(G1, SlotNumber(1)) is not None
     assert ledger.in_use("a") == 0
 
 
-def test_a_release_that_comes_twice_frees_one_slot() -> None:
-    ledger = opened(G1)
+def test_duplicate_release_frees_one_slot() -> None:
+    ledger = ledger_with_sessions(G1)
     ledger.take(G1, use(1), 0.0)
     ledger.take(G1, use(2), 0.0)
     ledger.release(G1, SlotNumber(1))
@@ -39,15 +39,15 @@
     assert ledger.in_use("a") == 1
 
 
-def test_a_slot_never_lapses_by_time() -> None:
-    ledger = opened(G1)
+def test_slot_does_not_expire() -> None:
+    ledger = ledger_with_sessions(G1)
     ledger.take(G1, use(1), 0.0)
     assert ledger.unread_tokens("a", 1e9) == 0
     assert ledger.in_use("a") == 1
 
 
 def test_all_slots_of_a_session_are_free_once_it_ends() -> None:
-    ledger = opened(G1, G2)
+    ledger = ledger_with_sessions(G1, G2)
     for number in range(3):
         ledger.take(G1, use(number), 0.0)
     ledger.take(G2, use(0), 0.0)
@@ -56,8 +56,8 @@
     assert not ledger.close(G1)
 
 
-def test_a_holder_that_comes_again_tells_what_it_has_taken() -> None:
-    ledger = opened(G1)
+def test_reopened_session_reports_its_taken_slots() -> None:
+    ledger = ledger_with_sessions(G1)
     ledger.take(G1, use(1), 0.0)
     ledger.take(G1, use(2, "b"), 0.0)
     ledger.open(G1_AGAIN, "z", [use(2, "b"), use(3, "b")], 1.0)
@@ -65,24 +65,24 @@
     assert ledger.session_count == 1
 
 
-def test_what_an_ended_session_tells_late_counts_for_nothing() -> None:
-    ledger = opened(G1)
+def test_late_events_of_a_closed_session_are_ignored() -> None:
+    ledger = ledger_with_sessions(G1)
     ledger.open(G1_AGAIN, "z", [use(1)], 1.0)
     ledger.take(G1, use(5), 1.0)
     assert ledger.release(G1, SlotNumber(1)) is None
     assert ledger.in_use("a") == 1
 
 
-def test_the_end_of_an_older_session_does_not_touch_the_newer_one() -> None:
-    ledger = opened(G1)
+def test_closing_an_older_session_does_not_affect_the_newer_one() -> None:
+    ledger = ledger_with_sessions(G1)
     ledger.open(G1_AGAIN, "z", [use(1)], 1.0)
     assert not ledger.close(G1)
     assert ledger.is_open(G1_AGAIN)
     assert ledger.in_use("a") == 1
 
 
-def test_a_back_end_is_silent_as_long_as_it_is_to_anybody() -> None:
-    ledger = opened(G1, G2)
+def test_back_end_is_unresponsive_while_any_session_reports_it() -> None:
+    ledger = ledger_with_sessions(G1, G2)
     ledger.set_unresponsive(G1, "a", True)
     ledger.set_unresponsive(G2, "a", True)
     ledger.set_unresponsive(G1, "a", False)
@@ -92,14 +92,14 @@
 
 
 def test_a_prompt_counts_as_unread_until_it_has_probably_been_read() -> None:
-    ledger = opened(G1)
+    ledger = ledger_with_sessions(G1)
     ledger.take(G1, use(1, unread_tokens=40_000), 0.0)
     assert ledger.unread_tokens("a", 0.5) == 40_000
     assert ledger.unread_tokens("a", 1.1) == 0
 
 
-def test_items_that_were_told_to_leave_still_count_but_leave_only_once() -> None:
-    ledger = opened(G1)
+def test_preempted_items_still_count_but_are_preempted_once() -> None:
+    ledger = ledger_with_sessions(G1)
     ledger.take(G1, use(1, item=Urgency(10.0, 4.0)), 0.0)
     (item,) = ledger.preemptible_items("a")
     item.preempted = True
@@ -107,7 +107,7 @@
     assert (ledger.in_use("a"), ledger.preempted_count("a")) == (1, 1)
 
 
-def test_counts_stay_right_whatever_happens() -> None:
+def test_counts_match_the_slots_after_random_events() -> None:
     rng = random.Random(7)
     ledger = SlotLedger()
     model: dict[str, dict[int, str]] = {}  # slots by holder and number
--- a/tests/slots/test_leftover_runs.py
+++ b/tests/slots/test_orphaned_runs.py
@@ -6,10 +6,10 @@
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.emulator.model_server import ModelServer
 from wharfcart.observability.decisions import DecisionLog
-from wharfcart.slots.leftover_runs import OrphanedRuns
+from wharfcart.slots.orphaned_runs import OrphanedRuns
 
 
-class Granter:
+class FakeGranter:
     """Takes every report; knows of no session."""
 
     def __init__(self) -> None:
@@ -26,7 +26,7 @@
     return writer
 
 
-def test_back_ends_are_asked_until_they_have_no_leftover_runs() -> None:
+def test_back_ends_are_probed_until_they_have_no_orphaned_runs() -> None:
     async def scenario() -> list[tuple[str, int]]:
         servers = [ModelServer(name, 60, 0.01) for name in ("busy", "idle")]
         instances = []
@@ -38,7 +38,7 @@
             )
         dark = BackendInstance("dark", "s", "127.0.0.1", 1, "z", 8, True)
         writer = await begin_run(instances[0])
-        granter = Granter()
+        granter = FakeGranter()
         pool = ConnectionPool()
         runs = OrphanedRuns(0, pool, lambda _service: 4, DecisionLog("test"))
         await runs.watch(granter, [*instances, dark])
--- a/tests/slots/test_far_regions.py
+++ b/tests/slots/test_other_regions.py
@@ -7,48 +7,48 @@
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.routing.eligibility import Eligibility
 from wharfcart.slots.item_slots import divide_items
-from wharfcart.slots.picture import BackendLoad, ServiceCapacity, SlotSnapshot
 from wharfcart.slots.service import OTHER_REGION_SNAPSHOT_INTERVAL_S
 from wharfcart.slots.session import GRANT_TIMEOUT_S
+from wharfcart.slots.snapshot import BackendLoad, ServiceCapacity, SlotSnapshot
 
-BETWEEN_REGIONS_S = 0.025
+INTER_REGION_ONE_WAY_S = 0.025
 
 
 def test_a_grant_from_another_region_comes_in_time_once_its_distance_is_known() -> None:
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1", "far")
         network = fleet.network
-        network.one_way_s = BETWEEN_REGIONS_S
-        assert 2 * BETWEEN_REGIONS_S > GRANT_TIMEOUT_S
+        network.one_way_s = INTER_REGION_ONE_WAY_S
+        assert 2 * INTER_REGION_ONE_WAY_S > GRANT_TIMEOUT_S
         placed = await gateway.placement.place(request())
         assert placed is not None and not placed.granted
         await asyncio.sleep(1.0)
-        network.round_trip_s = 2 * BETWEEN_REGIONS_S
+        network.round_trip_s = 2 * INTER_REGION_ONE_WAY_S
         placed = await gateway.placement.place(request())
         assert placed is not None and placed.granted
 
     play(scenario)
 
 
-def test_holders_in_another_region_hear_seldom_and_not_of_each_change() -> None:
+def test_holders_in_other_region_receive_snapshots_rarely_and_not_on_each_change() -> None:
     async def scenario(fleet: Fleet) -> None:
         await fleet.gateway("near")
         await fleet.gateway("far", "far-away")
         await asyncio.sleep(1.0)
-        before = fleet.network.pictures_by_holder.copy()
+        before = fleet.network.snapshots_by_holder.copy()
         for n in range(5):
-            state = fleet.leader.choice.state(f"i{n % 2}")
+            state = fleet.leader.selector.state(f"i{n % 2}")
             assert state is not None
-            fleet.leader.choice.failed(state, asyncio.get_running_loop().time())
+            fleet.leader.selector.failed(state, asyncio.get_running_loop().time())
             await asyncio.sleep(2 * OTHER_REGION_SNAPSHOT_INTERVAL_S / 5)
-        told = fleet.network.pictures_by_holder - before
+        told = fleet.network.snapshots_by_holder - before
         assert told["far"] <= 3
         assert told["near"] >= 8
 
     play(scenario)
 
 
-def test_what_is_told_abroad_names_only_what_is_avoided() -> None:
+def test_snapshot_for_other_region_lists_only_avoided_back_ends() -> None:
     room = ServiceCapacity("s", 8, 3)
     picture = SlotSnapshot((BackendLoad("a", 5), BackendLoad("b", 1, avoided=True)), (room,))
     brief = picture.for_other_region()
@@ -56,7 +56,7 @@
     assert brief.capacity_for("s") == room
 
 
-def test_items_run_in_their_region_and_elsewhere_only_where_that_is_full() -> None:
+def test_items_run_in_other_region_only_when_their_own_is_full() -> None:
     rooms = {
         0: ServiceCapacity("s", 8, 4),
         1: ServiceCapacity("s", 8, 8),
@@ -67,14 +67,14 @@
     assert divide_items(40, rooms, remote=(1, 2)) == {0: 40, 1: 8, 2: 0}
 
 
-def test_items_of_a_region_without_back_ends_run_elsewhere() -> None:
+def test_items_of_region_without_back_ends_run_in_other_region() -> None:
     rooms = {1: ServiceCapacity("s", 8, 0), 2: ServiceCapacity("s", 8, 0)}
     assert divide_items(4, rooms, remote=(1, 2)) == {1: 2, 2: 2}
 
 
-def test_a_gateway_that_chooses_itself_goes_abroad_only_when_its_region_is_full() -> None:
+def test_local_choice_uses_other_region_only_when_own_region_is_full() -> None:
     async def scenario(fleet: Fleet) -> None:
-        choice = fleet.new_choice("near-1")
+        choice = fleet.new_selector("near-1")
         west, east = RegionName("west"), RegionName("east")
         topology = Topology({"near-1": west, "near-2": west, "far": east})
         choice.eligibility = Eligibility(topology)
@@ -93,11 +93,11 @@
     play(scenario)
 
 
-def test_a_granting_node_prefers_back_ends_in_the_region_of_who_asks() -> None:
+def test_granting_node_prefers_back_ends_in_the_region_of_the_gateway() -> None:
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1", "west")
         topology = Topology({"west": RegionName("west"), "east": RegionName("east")})
-        for choice in (fleet.leader.choice, gateway.choice):
+        for choice in (fleet.leader.selector, gateway.selector):
             choice.eligibility = Eligibility(topology)
             for name, zone in (("a", "east"), ("b", "west")):
                 choice.put(BackendInstance(name, "t", "127.0.0.1", 1, zone, 4, True))
--- a/tests/slots/test_placement_residence.py
+++ b/tests/slots/test_placement_residence.py
@@ -14,15 +14,15 @@
 TOPOLOGY = Topology({"z": RegionName("west")})
 
 
-def grants_in_the_west(_group: int, residence: Residence) -> bool:
+def grants_in_west(_group: int, residence: Residence) -> bool:
     return residence.allows(RegionName("west"))
 
 
-def test_nobody_is_asked_for_a_slot_in_regions_where_nobody_grants() -> None:
+def test_no_slot_is_requested_in_regions_without_granting_node() -> None:
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
-        gateway.sessions._grants_in = grants_in_the_west
-        gateway.choice.eligibility = Eligibility(TOPOLOGY)
+        gateway.sessions._grants_in = grants_in_west
+        gateway.selector.eligibility = Eligibility(TOPOLOGY)
         assert list(gateway.sessions.available_capacities("s", WEST)) == [0]
         assert list(gateway.sessions.available_capacities("s", ANYWHERE)) == [0]
         assert gateway.sessions.available_capacities("s", EAST) == {}
@@ -35,14 +35,14 @@
     play(scenario)
 
 
-def test_a_granted_back_end_that_this_gateway_knows_elsewhere_is_given_back() -> None:
+def test_gateway_releases_grant_of_back_end_outside_the_residence() -> None:
     """The granting node has another zone for it, as a gateway's settings may be newer."""
 
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
         for node in fleet.nodes:
-            node.choice.eligibility = Eligibility(TOPOLOGY)
-        gateway.choice.eligibility = Eligibility(Topology({"z": RegionName("east")}))
+            node.selector.eligibility = Eligibility(TOPOLOGY)
+        gateway.selector.eligibility = Eligibility(Topology({"z": RegionName("east")}))
         assert await gateway.placement.place(request(residence=WEST)) is None
         await asyncio.sleep(0.2)
         assert fleet.in_use() == 0
@@ -50,12 +50,12 @@
     play(scenario)
 
 
-def test_demand_is_told_only_where_somebody_grants_and_by_residence() -> None:
+def test_demand_is_reported_by_residence_to_groups_that_grant_there() -> None:
     async def scenario(fleet: Fleet) -> None:
         for node in fleet.nodes:
-            node.choice.eligibility = Eligibility(TOPOLOGY)
+            node.selector.eligibility = Eligibility(TOPOLOGY)
         slots = await fleet.items()
-        slots.sessions._grants_in = grants_in_the_west
+        slots.sessions._grants_in = grants_in_west
         offered: list[str] = []
         slots.on_offer = lambda slot: offered.append(slot.instance_id)
         demand = ItemDemand(2, 0, Urgency(15.0, 4.0))
--- a/tests/slots/test_queue.py
+++ b/tests/slots/test_queue.py
@@ -13,7 +13,7 @@
     return min(waiting, key=order)
 
 
-def test_who_can_be_in_time_goes_first_then_by_priority_and_time() -> None:
+def test_requests_in_time_go_first_then_by_priority_and_deadline() -> None:
     for seed in range(60):
         rng = Random(seed)
         queue, present, now = SlotQueue(), [], 0.0
@@ -35,7 +35,7 @@
             assert queue.count("s") == len(present)
 
 
-def test_no_more_than_so_many_wait_and_who_has_left_makes_room() -> None:
+def test_queue_is_bounded_and_removal_frees_a_place() -> None:
     queue = SlotQueue()
     waiting = [queue.add("s", 1.0, 2.0, 0) for _ in range(MAX_WAITING)]
     assert queue.add("s", 1.0, 2.0, 0) is None
--- a/tests/slots/test_sessions.py
+++ b/tests/slots/test_sessions.py
@@ -16,16 +16,16 @@
 PATIENT = Urgency(until_due_s=15.0, remaining_s=4.0)
 
 
-def name_of(placed: Placed | None) -> str:
+def instance_id_of(placed: Placed | None) -> str:
     assert placed is not None
     return placed.state.instance.instance_id
 
 
-def test_a_gateway_sends_where_it_was_granted_a_slot_and_gives_it_back() -> None:
+def test_gateway_uses_and_releases_a_granted_slot() -> None:
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
         placed = [await gateway.placement.place(request()) for _ in range(4)]
-        assert sorted(map(name_of, placed)) == ["i0", "i0", "i1", "i1"]
+        assert sorted(map(instance_id_of, placed)) == ["i0", "i0", "i1", "i1"]
         assert fleet.in_use() == 4
         for one in placed:
             gateway.placement.ended(one, SendVerdict.GOOD)
@@ -35,17 +35,17 @@
     play(scenario)
 
 
-def test_a_gateway_goes_on_with_the_back_ends_that_it_is_connected_to() -> None:
+def test_gateway_reuses_back_ends_with_an_open_connection() -> None:
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
         gateway.connected = {"i3", "gone"}
         placed = [await gateway.placement.place(request()) for _ in range(2)]
-        assert set(map(name_of, placed)) == {"i3"}
+        assert set(map(instance_id_of, placed)) == {"i3"}
 
     play(scenario, servers=4, slots=8)
 
 
-def test_a_gateway_waits_while_it_hears_that_the_request_waits() -> None:
+def test_gateway_waits_while_heartbeats_arrive() -> None:
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
         first = await gateway.placement.place(request())
@@ -53,13 +53,13 @@
         await asyncio.sleep(1.0)
         assert not waiting.done()
         gateway.placement.ended(first, SendVerdict.GOOD)
-        assert name_of(await waiting) == "i0"
+        assert instance_id_of(await waiting) == "i0"
         assert fleet.in_use() == 1
 
     play(scenario, servers=1, slots=1)
 
 
-def test_a_refusal_tells_when_to_come_back() -> None:
+def test_refusal_has_retry_after() -> None:
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
         await gateway.placement.place(request())
@@ -71,7 +71,7 @@
     play(scenario, servers=1, slots=1)
 
 
-def test_a_caller_that_leaves_while_it_waits_takes_no_slot() -> None:
+def test_cancelled_waiting_request_takes_no_slot() -> None:
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
         first = await gateway.placement.place(request())
@@ -86,32 +86,32 @@
     play(scenario, servers=1, slots=1)
 
 
-def test_a_gateway_that_hears_nothing_chooses_itself_and_does_not_ask_at_once_again() -> None:
+def test_gateway_without_response_chooses_locally_and_pauses_requests() -> None:
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
-        fleet.network.dark.add(fleet.leader.address)
+        fleet.network.unreachable.add(fleet.leader.address)
         began_at = asyncio.get_running_loop().time()
         for _ in range(5):
-            assert name_of(await gateway.placement.place(request()))
+            assert instance_id_of(await gateway.placement.place(request()))
         assert asyncio.get_running_loop().time() - began_at < 2 * GRANT_TIMEOUT_S
 
     play(scenario)
 
 
-def test_a_node_that_falls_silent_while_a_request_waits_is_not_waited_for() -> None:
+def test_gateway_stops_waiting_for_an_unresponsive_node() -> None:
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
         await gateway.placement.place(request())
         waiting = asyncio.create_task(gateway.placement.place(request()))
         await asyncio.sleep(0.5)
-        fleet.network.dark.add(fleet.leader.address)
+        fleet.network.unreachable.add(fleet.leader.address)
         async with asyncio.timeout(0.5):
-            assert name_of(await waiting) == "i0"
+            assert instance_id_of(await waiting) == "i0"
 
     play(scenario, servers=1, slots=1)
 
 
-def test_a_node_that_no_longer_grants_is_left_by_those_who_wait() -> None:
+def test_waiting_requests_leave_a_node_that_stopped_granting() -> None:
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
         await gateway.placement.place(request())
@@ -119,31 +119,31 @@
         await asyncio.sleep(0.5)
         fleet.change_leader()
         async with asyncio.timeout(0.5):
-            assert name_of(await waiting) == "i0"
+            assert instance_id_of(await waiting) == "i0"
 
     play(scenario, servers=1, slots=1)
 
 
-def test_a_grant_of_a_back_end_that_has_left_is_given_back() -> None:
+def test_grant_of_a_removed_back_end_is_released() -> None:
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
-        gateway.choice.remove("i0", 0.0, drained=True)
+        gateway.selector.remove("i0", 0.0, drained=True)
         placed = [await gateway.placement.place(request()) for _ in range(2)]
-        assert list(map(name_of, placed)) == ["i1", "i1"]
+        assert list(map(instance_id_of, placed)) == ["i1", "i1"]
         await asyncio.sleep(SETTLE_S)
         assert fleet.in_use() == 2
 
     play(scenario)
 
 
-def test_slots_taken_while_nobody_grants_are_told_once_the_node_is_found_again() -> None:
+def test_slots_taken_without_granting_node_are_reported_on_reconnect() -> None:
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
-        fleet.network.dark.add(fleet.leader.address)
+        fleet.network.unreachable.add(fleet.leader.address)
         fleet.network.break_connection("g1", fleet.leader)
         await asyncio.sleep(0.1)
         placed = await gateway.placement.place(request())
-        fleet.network.dark.clear()
+        fleet.network.unreachable.clear()
         await asyncio.sleep(1.0)
         assert fleet.in_use() == 1
         gateway.placement.ended(placed, SendVerdict.GOOD)
@@ -163,12 +163,12 @@
         gateway.task.cancel()
         fleet.network.break_connection("g1", fleet.leader)
         async with asyncio.timeout(0.5):
-            assert name_of(await waiting) == "i0"
+            assert instance_id_of(await waiting) == "i0"
 
     play(scenario, servers=1, slots=1)
 
 
-def test_a_gateway_whose_connection_broke_tells_what_it_still_has() -> None:
+def test_gateway_reports_its_slots_after_a_broken_connection() -> None:
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
         placed = [await gateway.placement.place(request()) for _ in range(3)]
@@ -180,18 +180,18 @@
     play(scenario)
 
 
-def test_a_connection_of_which_the_node_never_hears_again_counts_nothing_twice() -> None:
+def test_lost_connection_unnoticed_by_the_node_does_not_count_slots_twice() -> None:
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
         await gateway.placement.place(request())
-        fleet.network.break_connection("g1", fleet.leader, told=False)
+        fleet.network.break_connection("g1", fleet.leader, notify_node=False)
         await asyncio.sleep(SETTLE_S)
         assert fleet.in_use() == 1
 
     play(scenario)
 
 
-def test_the_next_granting_node_knows_all_slots_within_a_fraction_of_a_second() -> None:
+def test_next_granting_node_knows_all_slots_within_a_fraction_of_a_second() -> None:
     async def scenario(fleet: Fleet) -> None:
         gateways = [await fleet.gateway(f"g{n}") for n in range(3)]
         for gateway in gateways:
@@ -199,13 +199,13 @@
         fleet.change_leader()
         await asyncio.sleep(0.4)
         assert fleet.in_use() == 3
-        assert name_of(await gateways[0].placement.place(request()))
+        assert instance_id_of(await gateways[0].placement.place(request()))
         assert fleet.in_use() == 4
 
     play(scenario)
 
 
-def test_a_node_that_thinks_it_still_grants_harms_nobody() -> None:
+def test_node_with_stale_leadership_does_no_harm() -> None:
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
         old = fleet.leader
@@ -220,14 +220,14 @@
     play(scenario)
 
 
-def test_a_grant_that_comes_too_late_is_given_back() -> None:
+def test_late_grant_is_released() -> None:
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
         asking = asyncio.create_task(gateway.placement.place(request()))
         await asyncio.sleep(1.5 * ONE_WAY_S)
-        fleet.network.dark.add(fleet.leader.address)
+        fleet.network.unreachable.add(fleet.leader.address)
         placed = await asking
-        fleet.network.dark.clear()
+        fleet.network.unreachable.clear()
         await asyncio.sleep(SETTLE_S)
         assert fleet.in_use() == 1, "its own choice, not the grant that came later"
         gateway.placement.ended(placed, SendVerdict.GOOD)
@@ -237,54 +237,54 @@
     play(scenario)
 
 
-def test_a_back_end_silent_to_one_gateway_is_spared_by_all_at_once() -> None:
+def test_back_end_unresponsive_to_one_gateway_is_avoided_by_all() -> None:
     async def scenario(fleet: Fleet) -> None:
         first, second = await fleet.gateway("g1"), await fleet.gateway("g2")
         loop = asyncio.get_running_loop()
-        first.choice.sent(first.choice.state("i0"), loop.time() - 1.0)
+        first.selector.sent(first.selector.state("i0"), loop.time() - 1.0)
         await asyncio.sleep(0.1)
         placed = [await second.placement.place(request()) for _ in range(2)]
-        assert list(map(name_of, placed)) == ["i1", "i1"]
+        assert list(map(instance_id_of, placed)) == ["i1", "i1"]
         # Told with the next picture, which an avoided back end brings about.
         await asyncio.sleep(0.1)
-        assert second.choice.state("i0").avoided(loop.time())
+        assert second.selector.state("i0").avoided(loop.time())
 
     play(scenario)
 
 
-def test_what_runs_told_of_a_back_end_reaches_everybody() -> None:
+def test_run_results_reach_all_gateways() -> None:
     async def scenario(fleet: Fleet) -> None:
         first, second = await fleet.gateway("g1"), await fleet.gateway("g2")
         for _ in range(2):
             placed = await first.placement.place(request(excluded=frozenset({"i1"})))
             first.placement.ended(placed, SendVerdict.BAD)
         await asyncio.sleep(0.1)
-        assert second.choice.state("i0").avoided(asyncio.get_running_loop().time())
+        assert second.selector.state("i0").avoided(asyncio.get_running_loop().time())
 
     play(scenario)
 
 
-def test_the_rate_of_pictures_is_bounded_however_many_holders_there_are() -> None:
+def test_snapshot_rate_is_bounded_for_any_number_of_holders() -> None:
     async def scenario(fleet: Fleet) -> None:
         for number in range(250):
             fleet.holders[f"g{number}"] = Holder(fleet, f"g{number}")
         await asyncio.sleep(2.0)
-        before = fleet.network.pictures
+        before = fleet.network.snapshots
         await asyncio.sleep(5.0)
-        rate = (fleet.network.pictures - before) / 5.0
+        rate = (fleet.network.snapshots - before) / 5.0
         assert MAX_SNAPSHOTS_PER_SECOND / 2 < rate < MAX_SNAPSHOTS_PER_SECOND * 1.05
 
     play(scenario)
 
 
-def test_holders_elsewhere_hear_of_the_load_more_seldom() -> None:
+def test_holders_in_other_zones_receive_snapshots_less_often() -> None:
     async def scenario(fleet: Fleet) -> None:
         await fleet.gateway("near")
         await fleet.gateway("far", zone="y")
-        before = dict(fleet.network.pictures_by_holder)
+        before = dict(fleet.network.snapshots_by_holder)
         await asyncio.sleep(10.0)
         told = {
-            name: count - before[name] for name, count in fleet.network.pictures_by_holder.items()
+            name: count - before[name] for name, count in fleet.network.snapshots_by_holder.items()
         }
         assert told["near"] > 3 * told["far"]
         assert told["far"] >= 9
@@ -300,9 +300,9 @@
         self.waiting = waiting
         self.running: dict[tuple[int, int], ItemSlot] = {}
         slots.on_offer = self._take
-        slots.on_preempted = self._leave
+        slots.on_preempted = self._stop
 
-    def tell(self) -> None:
+    def send_demand(self) -> None:
         self.slots.report_demand("s", ItemDemand(self.waiting, 0, PATIENT))
 
     def _take(self, slot: ItemSlot) -> None:
@@ -313,20 +313,20 @@
         self.running[slot.group, slot.number] = slot
         self.slots.report_started(slot, PATIENT)
 
-    def _leave(self, slot: HeldSlot, _cause: PreemptionCause) -> None:
+    def _stop(self, slot: HeldSlot, _cause: PreemptionCause) -> None:
         if self.running.pop((slot.group, slot.number), None) is not None:
             self.waiting += 1
             self.slots.release(slot)
 
 
-def test_items_are_offered_slots_and_leave_them() -> None:
+def test_items_are_offered_slots_and_preempted() -> None:
     async def scenario(fleet: Fleet) -> None:
         items = Items(await fleet.items(), 9)
         gateway = await fleet.gateway("g1")
-        items.tell()
+        items.send_demand()
         await asyncio.sleep(0.1)
         assert len(items.running) == 4
-        assert name_of(await gateway.placement.place(request()))
+        assert instance_id_of(await gateway.placement.place(request()))
         await asyncio.sleep(0.01)
         assert len(items.running) == 3
         assert fleet.in_use() == 4
@@ -334,15 +334,15 @@
     play(scenario)
 
 
-def test_items_go_on_under_the_next_granting_node() -> None:
+def test_items_keep_running_under_the_next_granting_node() -> None:
     async def scenario(fleet: Fleet) -> None:
         items = Items(await fleet.items(), 3)
         gateway = await fleet.gateway("g1")
-        items.tell()
+        items.send_demand()
         await asyncio.sleep(0.1)
         fleet.change_leader()
         await asyncio.sleep(0.4)
-        items.tell()
+        items.send_demand()
         await asyncio.sleep(0.1)
         assert len(items.running) == 3
         assert fleet.in_use() == 3
@@ -354,10 +354,10 @@
     play(scenario)
 
 
-def test_offers_beyond_what_waits_are_given_back() -> None:
+def test_surplus_offers_are_released() -> None:
     async def scenario(fleet: Fleet) -> None:
         items = Items(await fleet.items(), 2)
-        items.tell()
+        items.send_demand()
         items.waiting = 1
         await asyncio.sleep(0.1)
         assert len(items.running) == 1
@@ -366,10 +366,10 @@
     play(scenario)
 
 
-def test_a_leader_that_is_killed_leaves_no_item_behind() -> None:
+def test_slots_of_a_killed_leader_are_freed() -> None:
     async def scenario(fleet: Fleet) -> None:
         items = Items(await fleet.items(), 3)
-        items.tell()
+        items.send_demand()
         await asyncio.sleep(0.1)
         assert fleet.in_use() == 3
         fleet.holders["leader/0"].task.cancel()
@@ -381,7 +381,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_after_any_faults_the_granting_node_knows_exactly_what_is_taken(seed: int) -> None:
+def test_granting_node_knows_taken_slots_after_random_faults(seed: int) -> None:
     rng = Random(seed)
 
     async def gateway_at_work(fleet: Fleet, name: str, held: list[Placed], until: float) -> None:
@@ -409,13 +409,13 @@
                 case 0:
                     fleet.network.break_connection(name, fleet.leader)
                 case 1:
-                    fleet.network.break_connection(name, fleet.leader, told=False)
+                    fleet.network.break_connection(name, fleet.leader, notify_node=False)
                 case 2:
                     fleet.change_leader()
                 case 3:
-                    fleet.network.dark.add(fleet.leader.address)
+                    fleet.network.unreachable.add(fleet.leader.address)
                     await asyncio.sleep(rng.uniform(0.01, 0.1))
-                    fleet.network.dark.clear()
+                    fleet.network.unreachable.clear()
 
     async def scenario(fleet: Fleet) -> None:
         held: dict[str, list[Placed]] = {}
@@ -437,13 +437,13 @@
     play(scenario, servers=4, slots=3)
 
 
-def test_a_granted_slot_is_used_although_others_say_that_its_back_end_is_avoided() -> None:
+def test_granted_slot_is_used_although_peers_avoid_its_back_end() -> None:
     """Who grants knows more: a gateway that chose itself instead would follow a herd."""
 
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
-        for state in gateway.choice.states():
-            gateway.choice.load_told(state.instance.instance_id, 0, 0, True, state.others_at)
+        for state in gateway.selector.states():
+            gateway.selector.load_told(state.instance.instance_id, 0, 0, True, state.others_at)
             state.others_at = asyncio.get_running_loop().time()
         placed = await gateway.placement.place(request())
         assert placed is not None and placed.granted
@@ -451,11 +451,11 @@
     play(scenario, servers=1)
 
 
-def test_a_granted_slot_is_given_back_where_the_gateway_could_not_connect() -> None:
+def test_granted_slot_is_released_when_the_gateway_could_not_connect() -> None:
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
-        for state in gateway.choice.states():
-            gateway.choice.failed(state, asyncio.get_running_loop().time())
+        for state in gateway.selector.states():
+            gateway.selector.failed(state, asyncio.get_running_loop().time())
         placed = await gateway.placement.place(request())
         assert placed is not None and not placed.granted
         await asyncio.sleep(SETTLE_S)
--- a/tests/slots/test_tenant_permits.py
+++ b/tests/slots/test_tenant_permits.py
@@ -22,21 +22,21 @@
     holder.placement.ended(placed, SendVerdict.GOOD)
 
 
-async def sent(holder: Holder, most: int = 50) -> int:
+async def send_until_refused(holder: Holder, max_sends: int = 50) -> int:
     """Send until the tenant may send no more; return how many that were."""
-    for count in range(most):
+    for count in range(max_sends):
         try:
             await send(holder)
         except OverLimitError:
             return count
-    return most
+    return max_sends
 
 
 def test_a_tenant_over_its_limit_is_refused_and_others_are_not() -> None:
     async def scenario(fleet: Fleet) -> None:
         fleet.limits["t"] = LIMIT
         first, second = await fleet.gateway("g1"), await fleet.gateway("g2")
-        assert await sent(first) == 4
+        assert await send_until_refused(first) == 4
         with pytest.raises(OverLimitError) as refused:
             await send(second)
         assert refused.value.surely
@@ -58,7 +58,7 @@
                 await gateway.placement.place(request(waits_s=0.0, tenant="t", limit=LIMIT))
         for placed in taken:
             gateway.placement.ended(placed, SendVerdict.GOOD)
-        assert await sent(gateway) == 4
+        assert await send_until_refused(gateway) == 4
 
     play(scenario)
 
@@ -67,25 +67,25 @@
     async def scenario(fleet: Fleet) -> None:
         fleet.limits["t"] = LIMIT
         first, second = await fleet.gateway("g1"), await fleet.gateway("g2")
-        assert await sent(first) == 4
+        assert await send_until_refused(first) == 4
         fleet.change_leader()
         await asyncio.sleep(SETTLE_S)
-        assert await sent(second) <= 2
+        assert await send_until_refused(second) <= 2
 
     play(scenario)
 
 
-def test_a_gateway_without_a_granting_node_goes_on_at_its_pace() -> None:
+def test_disconnected_gateway_keeps_sending_at_its_recent_rate() -> None:
     async def scenario(fleet: Fleet) -> None:
         fleet.limits["t"] = LIMIT
         first, second = await fleet.gateway("g1"), await fleet.gateway("g2")
         for _ in range(20):
             await send(first)
             await asyncio.sleep(0.4)
-        fleet.network.dark.add(fleet.leader.address)
+        fleet.network.unreachable.add(fleet.leader.address)
         await asyncio.sleep(0.4)
         await send(first)
-        assert await sent(second) == 0
+        assert await send_until_refused(second) == 0
         with pytest.raises(OverLimitError) as refused:
             await send(second)
         assert not refused.value.surely
@@ -93,31 +93,31 @@
     play(scenario)
 
 
-def test_a_node_that_may_not_keep_limits_any_more_permits_nothing() -> None:
+def test_node_without_confirmed_leadership_grants_no_permits() -> None:
     async def scenario(fleet: Fleet) -> None:
         fleet.limits["t"] = LIMIT
         gateway = await fleet.gateway("g1")
         await send(gateway)
-        fleet.leader.unsure = True
+        fleet.leader.leadership_unconfirmed = True
         await asyncio.sleep(5.0)
         await send(gateway)  # its own part, and a slot all the same
-        assert await sent(gateway) == 0
+        assert await send_until_refused(gateway) == 0
 
     play(scenario)
 
 
-def test_another_node_stands_in_for_one_that_is_dark() -> None:
+def test_backup_coordinator_takes_over_for_an_unreachable_node() -> None:
     async def scenario(fleet: Fleet) -> None:
         fleet.limits["t"] = LIMIT
-        fleet.stand_ins = [fleet.nodes[1]]
+        fleet.backups = [fleet.nodes[1]]
         first, second = await fleet.gateway("g1"), await fleet.gateway("g2")
-        assert await sent(first) == 4
-        fleet.network.dark.add(fleet.leader.address)
+        assert await send_until_refused(first) == 4
+        fleet.network.unreachable.add(fleet.leader.address)
         began = asyncio.get_running_loop().time()
         await send(second)  # notices that the node is dark, and waits until the other one stands in
         assert asyncio.get_running_loop().time() - began < BACKUP_WAIT_S + GRANT_TIMEOUT_S
         await asyncio.sleep(5.0)
-        assert await sent(second) >= 4  # of its own it would have none
+        assert await send_until_refused(second) >= 4  # of its own it would have none
         with pytest.raises(OverLimitError) as refused:
             await send(second)
         assert refused.value.surely
@@ -125,25 +125,25 @@
     play(scenario)
 
 
-def test_a_new_granting_node_takes_over_from_the_one_that_stood_in() -> None:
+def test_new_granting_node_takes_over_from_the_backup_coordinator() -> None:
     async def scenario(fleet: Fleet) -> None:
         fleet.limits["t"] = LIMIT
-        fleet.stand_ins = [fleet.nodes[1]]
+        fleet.backups = [fleet.nodes[1]]
         first, second = await fleet.gateway("g1"), await fleet.gateway("g2")
-        fleet.network.dark.add(fleet.leader.address)
+        fleet.network.unreachable.add(fleet.leader.address)
         with pytest.raises(OverLimitError):
-            await sent_all(first)
+            await send_until_error(first)
         await asyncio.sleep(6.0)
         count = 0
         for _ in range(10):  # 2.5 s at the stand-in
-            count += await sent(first)
+            count += await send_until_refused(first)
             await asyncio.sleep(0.25)
         assert count >= 10
         fleet.leader = fleet.nodes[1]
         fleet.leader.service.begin(2)
         await asyncio.sleep(SETTLE_S)
         for _ in range(8):  # 2 s at the new granting node
-            count += await sent(second)
+            count += await send_until_refused(second)
             await asyncio.sleep(0.25)
         assert 16 <= count <= LIMIT.per_s * WINDOW_S + LIMIT.burst
         await asyncio.sleep(SETTLE_S)
@@ -152,13 +152,13 @@
     play(scenario)
 
 
-async def sent_all(holder: Holder) -> None:
+async def send_until_error(holder: Holder) -> None:
     """Send until the tenant may send no more."""
     for _ in range(50):
         await send(holder)
 
 
-def test_a_gateway_that_is_cut_off_asks_by_way_of_another_one() -> None:
+def test_disconnected_gateway_obtains_permits_through_a_relay() -> None:
     async def scenario(fleet: Fleet) -> None:
         fleet.limits["t"] = LIMIT
         cut_off, other = await fleet.gateway("g1"), await fleet.gateway("g2")
@@ -166,22 +166,22 @@
         fleet.network.break_connection("g1", fleet.leader)
         cut_off.task.cancel()
         await asyncio.sleep(1.0)
-        assert await sent(cut_off) == 4  # of its own it would have none
+        assert await send_until_refused(cut_off) == 4  # of its own it would have none
         with pytest.raises(OverLimitError) as refused:
             await send(other)
         assert refused.value.surely
         await asyncio.sleep(0.5)
-        assert await sent(cut_off) == 2
+        assert await send_until_refused(cut_off) == 2
 
     play(scenario)
 
 
-def test_a_gateway_that_has_no_contact_either_is_no_help() -> None:
+def test_relay_without_contact_does_not_help() -> None:
     async def scenario(fleet: Fleet) -> None:
         fleet.limits["t"] = LIMIT
         first, _ = await fleet.gateway("g1"), await fleet.gateway("g2")
         await asyncio.sleep(RELAYS_INTERVAL_S)
-        fleet.network.dark.add(fleet.leader.address)
+        fleet.network.unreachable.add(fleet.leader.address)
         with pytest.raises(OverLimitError) as refused:
             await send(first)
         assert not refused.value.surely
