--- a/src/wharfcart/cluster/coordination.py
+++ b/src/wharfcart/cluster/coordination.py
@@ -9,27 +9,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class KeyChange:
     """A key as it was written at a revision; ``value`` None means that it was removed.
 
-    ``last`` is the value that a removed key had, where that is known.
+    ``last_value`` is the value that a removed key had, where that is known.
     """
 
     key: str
     revision: int
     value: bytes | None
-    last: bytes | None = None
+    last_value: bytes | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class Changes:
-    """Changes up to and including revision ``at``.
+class ChangeBatch:
+    """Changes up to and including revision ``last_revision``.
 
     ``complete`` tells that these are all keys there are, so that any other key is gone.
     """
 
-    changes: tuple[Change, ...]
-    at: int
+    changes: tuple[KeyChange, ...]
+    last_revision: int
     complete: bool = False
 
 
@@ -70,7 +70,7 @@
 class CoordinationService(Protocol):
     """What wharfcart asks of the service."""
 
-    async def read_all(self, stale: bool = False) -> Changes:
+    async def read_all(self, stale: bool = False) -> ChangeBatch:
         """Return every key.
 
         ``stale`` allows an answer that is seconds old, which costs the service little.
@@ -81,7 +81,7 @@
         """
         ...
 
-    async def wait_for_changes(self, after: int, wait_s: float) -> Changes:
+    async def wait_for_changes(self, after: int, wait_s: float) -> ChangeBatch:
         """Return the changes after a revision as soon as one exists, or none after ``wait_s``.
 
         Raises
@@ -90,7 +90,7 @@
         """
         ...
 
-    async def read(self, key: str) -> Change | None:
+    async def read(self, key: str) -> KeyChange | None:
         """Return one key, never an older state than the service has acknowledged.
 
         Raises
--- a/src/wharfcart/cluster/mirror.py
+++ b/src/wharfcart/cluster/mirror.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass, field, replace
 
-from wharfcart.cluster.coordination import Change, Changes
+from wharfcart.cluster.coordination import ChangeBatch, KeyChange
 
 MOST_REMOVED_KEPT = 4096
 
@@ -17,8 +17,8 @@
     """Keys, the revision up to which they are complete, and what was removed lately."""
 
     at: int = 0
-    _entries: dict[str, Change] = field(default_factory=dict)
-    _removed: dict[str, Change] = field(default_factory=dict)
+    _entries: dict[str, KeyChange] = field(default_factory=dict)
+    _removed: dict[str, KeyChange] = field(default_factory=dict)
     _removed_horizon: int = 0
 
     @property
@@ -26,36 +26,38 @@
         """Whether any complete state was ever taken."""
         return self.at > 0
 
-    def get(self, key: str) -> Change | None:
+    def get(self, key: str) -> KeyChange | None:
         """Return a key's newest known state, or None where it does not exist."""
         return self._entries.get(key)
 
-    def under(self, prefix: str) -> list[Change]:
+    def under(self, prefix: str) -> list[KeyChange]:
         """Return the keys that begin with a prefix."""
         return [entry for key, entry in self._entries.items() if key.startswith(prefix)]
 
-    def apply(self, batch: Changes) -> list[Change]:
+    def apply(self, batch: ChangeBatch) -> list[KeyChange]:
         """Take changes; return those that were news, removals among them."""
-        if batch.complete and batch.at < self.at:
+        if batch.complete and batch.last_revision < self.at:
             return []
         news = [change for change in batch.changes if self._take(change)]
         if batch.complete:
-            news += self._remove_unlisted({change.key for change in batch.changes}, batch.at)
+            news += self._remove_unlisted(
+                {change.key for change in batch.changes}, batch.last_revision
+            )
             # A key that came and went before this listing is not known here: whoever is complete
             # up to an older revision only may still hold it.
-            self._removed_horizon = max(self._removed_horizon, batch.at)
-        self.at = max(self.at, batch.at)
+            self._removed_horizon = max(self._removed_horizon, batch.last_revision)
+        self.at = max(self.at, batch.last_revision)
         return news
 
-    def since(self, after: int) -> Changes:
+    def since(self, after: int) -> ChangeBatch:
         """Return what a peer that is complete up to ``after`` lacks."""
         if after < self._removed_horizon or after == 0:
-            return Changes(tuple(self._entries.values()), self.at, complete=True)
+            return ChangeBatch(tuple(self._entries.values()), self.at, complete=True)
         changed = [entry for entry in self._entries.values() if entry.revision > after]
         removed = [change for change in self._removed.values() if change.revision > after]
-        return Changes(tuple(changed + removed), self.at)
+        return ChangeBatch(tuple(changed + removed), self.at)
 
-    def _take(self, change: Change) -> bool:
+    def _take(self, change: KeyChange) -> bool:
         known = self._entries.get(change.key)
         if known is not None and known.revision >= change.revision:
             return False
@@ -70,10 +72,10 @@
         self._removed.pop(change.key, None)
         return True
 
-    def _remove_unlisted(self, listed: set[str], at: int) -> list[Change]:
+    def _remove_unlisted(self, listed: set[str], at: int) -> list[KeyChange]:
         # A key written after `at` is not in an answer as of `at`, and yet exists.
         gone = [
-            Change(key, at, None, entry.value)
+            KeyChange(key, at, None, entry.value)
             for key, entry in self._entries.items()
             if key not in listed and entry.revision <= at
         ]
@@ -82,7 +84,7 @@
             self._remember_removed(change)
         return gone
 
-    def _remember_removed(self, change: Change) -> None:
+    def _remember_removed(self, change: KeyChange) -> None:
         self._removed.pop(change.key, None)
         self._removed[change.key] = change
         if len(self._removed) > MOST_REMOVED_KEPT:
@@ -90,7 +92,7 @@
             self._removed_horizon = max(self._removed_horizon, self._removed.pop(oldest).revision)
 
 
-def _with_last_value(removal: Change, known: Change | None) -> Change:
-    if removal.last is not None or known is None:
+def _with_last_value(removal: KeyChange, known: KeyChange | None) -> KeyChange:
+    if removal.last_value is not None or known is None:
         return removal
-    return replace(removal, last=known.value)
+    return replace(removal, last_value=known.value)
--- a/src/wharfcart/cluster/mirror_link.py
+++ b/src/wharfcart/cluster/mirror_link.py
@@ -15,11 +15,11 @@
 
 from wharfcart.clock import monotonic
 from wharfcart.cluster.coordination import (
-    Change,
-    Changes,
+    ChangeBatch,
     CoordinationService,
     CoordinationUnavailableError,
     HistoryLostError,
+    KeyChange,
 )
 from wharfcart.cluster.mirror import Mirror
 from wharfcart.cluster.news_sources import STALE_S, NewsSources, Peer
@@ -64,7 +64,7 @@
         age_s: seconds since the peer itself was surely up to date.
     """
 
-    changes: Changes
+    changes: ChangeBatch
     age_s: float
 
 
@@ -105,7 +105,7 @@
         service: CoordinationService,
         sources: NewsSources,
         calls: PeerCalls,
-        on_changes: Callable[[list[Change]], None],
+        on_changes: Callable[[list[KeyChange]], None],
         log: DecisionLog,
         seeds: Sequence[Peer] = (),
     ) -> None:
@@ -190,7 +190,7 @@
                 return
             await _sleep_about(FIRST_PEERS_POLL_S)
 
-    async def _first_state(self) -> Changes | None:
+    async def _first_state(self) -> ChangeBatch | None:
         """Return the state that the service tells, or a seed if the service takes long."""
         pending = {
             asyncio.create_task(self._read_old_state()),
@@ -207,18 +207,18 @@
             for task in pending:
                 task.cancel()
 
-    async def _read_old_state(self) -> Changes | None:
+    async def _read_old_state(self) -> ChangeBatch | None:
         try:
             return await self._service.read_all(stale=True)
         except CoordinationUnavailableError as error:
             self._failure = error.reason
             return None
 
-    async def _ask_seeds(self) -> Changes | None:
+    async def _ask_seeds(self) -> ChangeBatch | None:
         await asyncio.sleep(SEEDS_DELAY_S)
         for seed in sample(self._seeds, len(self._seeds)):
             news = await self._ask(seed, SEED_S)
-            if news is not None and news.changes.at > 0:
+            if news is not None and news.changes.last_revision > 0:
                 return news.changes
         return None
 
@@ -308,7 +308,7 @@
     async def _wait_for_changes(self) -> None:
         known_at = self.mirror.at
         changes = await self._service.wait_for_changes(known_at, WATCH_S)
-        if changes.at > known_at and not changes.changes:
+        if changes.last_revision > known_at and not changes.changes:
             raise HistoryLostError  # something changed that was not told
         self._take(changes)
         self._watch_confirmed()
@@ -320,7 +320,7 @@
 
     # -- state ---------------------------------------------------------
 
-    def _take(self, changes: Changes) -> None:
+    def _take(self, changes: ChangeBatch) -> None:
         known_at = self.mirror.at
         news = self.mirror.apply(changes)
         if news:
--- a/src/wharfcart/cluster/peer_news.py
+++ b/src/wharfcart/cluster/peer_news.py
@@ -2,7 +2,7 @@
 
 import zlib
 
-from wharfcart.cluster.coordination import Change, Changes
+from wharfcart.cluster.coordination import ChangeBatch, KeyChange
 from wharfcart.cluster.messages_pb2 import (
     CoordinationChange,
     CoordinationChanges,
@@ -51,15 +51,15 @@
     def message(self, news: PeerNews) -> CoordinationChanges:
         """Return news as they travel."""
         return CoordinationChanges(
-            at=news.changes.at,
+            at=news.changes.last_revision,
             complete=news.changes.complete,
             changes=[self._change(change) for change in news.changes.changes],
             age_ms=int(min(news.age_s * 1000, MOST_AGE_MS)),
         )
 
-    def _change(self, change: Change) -> CoordinationChange:
+    def _change(self, change: KeyChange) -> CoordinationChange:
         removed = change.value is None
-        value = (change.last if removed else change.value) or b""
+        value = (change.last_value if removed else change.value) or b""
         deflated = len(value) >= FEWEST_DEFLATED_BYTES
         return CoordinationChange(
             key=change.key,
@@ -69,7 +69,7 @@
             deflated=deflated,
         )
 
-    def _deflate(self, change: Change, value: bytes) -> bytes:
+    def _deflate(self, change: KeyChange, value: bytes) -> bytes:
         known = self._deflated_by_key.get(change.key)
         if known is None or known[0] != change.revision:
             known = (change.revision, zlib.compress(value, DEFLATE_LEVEL))
@@ -80,11 +80,11 @@
 def news_from_message(message: CoordinationChanges) -> PeerNews:
     """Return news as they arrived."""
     changes = tuple(_change_from(change) for change in message.changes)
-    return PeerNews(Changes(changes, message.at, message.complete), message.age_ms / 1000)
+    return PeerNews(ChangeBatch(changes, message.at, message.complete), message.age_ms / 1000)
 
 
-def _change_from(message: CoordinationChange) -> Change:
+def _change_from(message: CoordinationChange) -> KeyChange:
     value = zlib.decompress(message.value) if message.deflated else message.value
     if message.removed:
-        return Change(message.key, message.revision, None, value or None)
-    return Change(message.key, message.revision, value)
+        return KeyChange(message.key, message.revision, None, value or None)
+    return KeyChange(message.key, message.revision, value)
--- a/src/wharfcart/experiments/job_group_simulation.py
+++ b/src/wharfcart/experiments/job_group_simulation.py
@@ -15,7 +15,7 @@
 
 from wharfcart.batch.job_service import JobService
 from wharfcart.cluster.coordination import (
-    Changes,
+    ChangeBatch,
 )
 from wharfcart.cluster.messages_pb2 import (
     DONE,
@@ -147,7 +147,7 @@
             for node in self.nodes.values():
                 if not self.coordination.down and self.random.random() < 0.7:
                     entries = tuple(self.coordination.entries.values())
-                    node.mirror.apply(Changes(entries, self.coordination.revision, True))
+                    node.mirror.apply(ChangeBatch(entries, self.coordination.revision, True))
 
     async def _append_results(self) -> None:
         while True:
--- a/src/wharfcart/experiments/simulated_storage.py
+++ b/src/wharfcart/experiments/simulated_storage.py
@@ -14,10 +14,10 @@
 from wharfcart.batch.job_service import JobService, OtherGroups
 from wharfcart.cluster.address import Address
 from wharfcart.cluster.coordination import (
-    Change,
     ConditionFailedError,
     CoordinationService,
     CoordinationUnavailableError,
+    KeyChange,
     Transaction,
 )
 from wharfcart.cluster.messages_pb2 import (
@@ -108,7 +108,7 @@
     """The coordination service: linearizable, at times away, at times without an answer."""
 
     random: random.Random
-    entries: dict[str, Change] = field(default_factory=dict)
+    entries: dict[str, KeyChange] = field(default_factory=dict)
     revision: int = 0
     down: bool = False
     lost_part: float = 0.0
@@ -116,9 +116,9 @@
     def put(self, key: str, value: bytes) -> None:
         """Write a key as the operator or a node's announcement does."""
         self.revision += 1
-        self.entries[key] = Change(key, self.revision, value)
+        self.entries[key] = KeyChange(key, self.revision, value)
 
-    async def read(self, key: str) -> Change | None:
+    async def read(self, key: str) -> KeyChange | None:
         """Return a key."""
         await self._call()
         return self.entries.get(key)
@@ -296,7 +296,7 @@
         self._whole = whole
         self._node = node
 
-    async def read(self, key: str) -> Change | None:
+    async def read(self, key: str) -> KeyChange | None:
         """Return a key unless refused."""
         self._check()
         return await self._whole.read(key)
--- a/src/wharfcart/node/backend_news.py
+++ b/src/wharfcart/node/backend_news.py
@@ -9,7 +9,7 @@
 
 from wharfcart.backends.connection_pool import ConnectionPool
 from wharfcart.clock import monotonic
-from wharfcart.cluster.coordination import Change
+from wharfcart.cluster.coordination import KeyChange
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.platform import documents, names, server_entry
@@ -54,7 +54,7 @@
         self._log = log
         self._untold: list[_BackendEvent] = []
 
-    def take(self, change: Change) -> None:
+    def take(self, change: KeyChange) -> None:
         """Take a change of one back end's entry."""
         instance_id = change.key.removeprefix(names.SERVER_PREFIX)
         known = self._choice.state(instance_id)
@@ -83,7 +83,7 @@
         if state is not None and self._choice.is_cold(state, monotonic()) and not was_cold:
             self._note(Event.BACKEND_COLD, instance_id, instance.service, change)
 
-    def _read(self, change: Change) -> BackendInstance | None:
+    def _read(self, change: KeyChange) -> BackendInstance | None:
         """Return what an entry names; None if it was removed, or names no back end.
 
         One that turns bad takes out what it named at once: who wrote it is not known, and whether
@@ -114,7 +114,7 @@
                 self._write(alike[-1], {"backends": [one.instance_id for one in alike]})
 
     def _note(
-        self, event: Event, instance_id: str, service: str, change: Change, drained: bool = False
+        self, event: Event, instance_id: str, service: str, change: KeyChange, drained: bool = False
     ) -> None:
         self._untold.append(_BackendEvent(event, instance_id, service, change.revision, drained))
 
--- a/src/wharfcart/node/evacuations.py
+++ b/src/wharfcart/node/evacuations.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from wharfcart.clock import monotonic
-from wharfcart.cluster.coordination import Change
+from wharfcart.cluster.coordination import KeyChange
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.observability.serving_metrics import ServingMetrics
 from wharfcart.platform import names
@@ -41,7 +41,7 @@
         self._begun_at: dict[str, float] = {}  # by zone
         self._quiet: set[str] = set()
 
-    def take(self, change: Change) -> None:
+    def take(self, change: KeyChange) -> None:
         """Take an order to empty a zone, or that it was taken back."""
         zone = change.key.removeprefix(names.EVACUATE_PREFIX)
         if change.value is None:
--- a/src/wharfcart/node/serving_node.py
+++ b/src/wharfcart/node/serving_node.py
@@ -11,12 +11,12 @@
 
 from wharfcart.admission.suspects import SPREAD_S, Suspects
 from wharfcart.backends.connection_pool import ConnectionPool
-from wharfcart.clock import Suspensions, monotonic
+from wharfcart.clock import SuspensionDetector, monotonic
 from wharfcart.cluster.address import Address
 from wharfcart.cluster.coordination import (
-    Change,
     ConditionFailedError,
     CoordinationUnavailableError,
+    KeyChange,
     Transaction,
 )
 from wharfcart.cluster.messages_pb2 import BackendEnds, Frame
@@ -106,7 +106,7 @@
             self.choice, self.pool, lambda: self.link.in_outage, lambda: self.link.age_s, log
         )
         self._evacuations = Evacuations(self.choice, log, self.metrics, lambda: self.link.age_s)
-        self.suspensions = Suspensions()
+        self.suspensions = SuspensionDetector()
         self.suspension_watch = SuspensionWatch(self.suspensions, log)
         suspects = Suspects(holds_longer_s=self.random.uniform(0.0, SPREAD_S))
         self.broken_runs = BrokenRuns(suspects, log)
@@ -250,7 +250,7 @@
 
     # ---- mirror ----
 
-    def _on_changes(self, news: list[Change]) -> None:
+    def _on_changes(self, news: list[KeyChange]) -> None:
         for change in news:
             if change.key == names.CONFIGURATION_KEY:
                 self._take_configuration(change)
@@ -268,7 +268,7 @@
                 self.layout = layout_from(change.value)
         self._backend_news.tell()
 
-    def _take_configuration(self, change: Change) -> None:
+    def _take_configuration(self, change: KeyChange) -> None:
         if change.value is None:
             return
         configuration = documents.configuration_from(change.value)
@@ -291,7 +291,7 @@
                 reason=finding.reason,
             )
 
-    def _take_record(self, change: Change) -> None:
+    def _take_record(self, change: KeyChange) -> None:
         group = int(change.key.removeprefix(GROUP_PREFIX))
         record = group_record_from(change.value, change.revision)
         if record is None:
@@ -299,7 +299,7 @@
         else:
             self.records_by_group[group] = record
 
-    def _take_node(self, change: Change) -> None:
+    def _take_node(self, change: KeyChange) -> None:
         entry = node_entry_from(change.value)
         if entry is None:
             left = self.nodes.pop(change.key.removeprefix(NODE_PREFIX), None)
--- a/src/wharfcart/node/suspect_news.py
+++ b/src/wharfcart/node/suspect_news.py
@@ -15,10 +15,10 @@
 from wharfcart.admission.request_content import ContentId
 from wharfcart.admission.suspects import BackendEnd, SuspectRecord, Suspects
 from wharfcart.cluster.coordination import (
-    Change,
     ConditionFailedError,
     CoordinationService,
     CoordinationUnavailableError,
+    KeyChange,
     Transaction,
 )
 from wharfcart.cluster.messages_pb2 import BackendEnds, ContentEnds, InstanceEnd
@@ -68,7 +68,7 @@
         self._news = asyncio.Event()
         suspects.on_news = self._news.set
 
-    def take(self, change: Change) -> None:
+    def take(self, change: KeyChange) -> None:
         """Take what was shared of a content."""
         content = ContentId(change.key.removeprefix(SUSPECT_PREFIX))
         record = record_from(change.value)
--- a/src/wharfcart/node/suspension_watch.py
+++ b/src/wharfcart/node/suspension_watch.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
-from wharfcart.clock import Suspensions, suspended_s
+from wharfcart.clock import SuspensionDetector, suspended_s
 from wharfcart.observability.decisions import DecisionLog, Event
 
 # A suspension is noticed so late at most: timers go on from where they stood.
@@ -21,7 +21,7 @@
         on_resumed: called after each suspension.
     """
 
-    def __init__(self, suspensions: Suspensions, log: DecisionLog) -> None:
+    def __init__(self, suspensions: SuspensionDetector, log: DecisionLog) -> None:
         self._suspensions = suspensions
         self._log = log
         self._resumed_at = suspensions.resumed_at()
--- a/src/wharfcart/platform/documents.py
+++ b/src/wharfcart/platform/documents.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 from typing import Any
 
-from wharfcart.cluster.coordination import Change
+from wharfcart.cluster.coordination import KeyChange
 from wharfcart.configuration.api_keys import digest_of
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.residence import residence_in
@@ -57,7 +57,7 @@
     )
 
 
-def instance_from(change: Change) -> BackendInstance | None:
+def instance_from(change: KeyChange) -> BackendInstance | None:
     """Read a server's entry; None if it was removed or can't be read."""
     try:
         return server_entry.instance_from(change)
@@ -65,11 +65,11 @@
         return None
 
 
-def was_accepting(removal: Change) -> bool | None:
+def was_accepting(removal: KeyChange) -> bool | None:
     """Tell whether a server whose entry was removed took requests; None if that is not known."""
-    if removal.last is None:
+    if removal.last_value is None:
         return None
-    instance = instance_from(replace(removal, value=removal.last))
+    instance = instance_from(replace(removal, value=removal.last_value))
     return None if instance is None else instance.accepting
 
 
--- a/src/wharfcart/platform/metadata_store.py
+++ b/src/wharfcart/platform/metadata_store.py
@@ -8,11 +8,11 @@
 
 from wharfcart.clock import monotonic
 from wharfcart.cluster.coordination import (
-    Change,
-    Changes,
+    ChangeBatch,
     ConditionFailedError,
     CoordinationUnavailableError,
     HistoryLostError,
+    KeyChange,
     Transaction,
 )
 from wharfcart.http.connection import (
@@ -38,9 +38,9 @@
         self._calls = calls
         self._idle: list[HttpConnection] = []
 
-    async def read_all(self, stale: bool = False) -> Changes:
+    async def read_all(self, stale: bool = False) -> ChangeBatch:
         """Return every key, a page at a time; ``stale`` ones may be seconds old."""
-        found: list[Change] = []
+        found: list[KeyChange] = []
         after = ""
         at = 0
         while True:
@@ -51,16 +51,16 @@
             at = at or int(page["at"])
             found += [_change(item) for item in page["requests"]]
             if not page.get("more") or not page["requests"]:
-                return Changes(tuple(found), at, complete=True)
+                return ChangeBatch(tuple(found), at, complete=True)
             after = str(page["requests"][-1]["key"])
 
-    async def wait_for_changes(self, after: int, wait_s: float) -> Changes:
+    async def wait_for_changes(self, after: int, wait_s: float) -> ChangeBatch:
         """Wait for changes after a revision."""
         query = f"?pathPrefix=&after={after}&waitMs={int(wait_s * 1000)}"
         page = await self._call("GET", names.WATCH + query, wait_s + WATCH_MARGIN_S)
-        return Changes(tuple(_change(event) for event in page["events"]), int(page["at"]))
+        return ChangeBatch(tuple(_change(event) for event in page["events"]), int(page["at"]))
 
-    async def read(self, key: str) -> Change | None:
+    async def read(self, key: str) -> KeyChange | None:
         """Return one key."""
         query = f"?key={quote(key, safe='')}"
         try:
@@ -138,6 +138,6 @@
     raise CoordinationUnavailableError(f"status {status}", writes and not refused)
 
 
-def _change(item: dict[str, Any]) -> Change:
+def _change(item: dict[str, Any]) -> KeyChange:
     value = None if item.get("gone") else base64.b64decode(item.get("value", ""))
-    return Change(str(item["key"]), int(item["revision"]), value)
+    return KeyChange(str(item["key"]), int(item["revision"]), value)
--- a/src/wharfcart/platform/server_entry.py
+++ b/src/wharfcart/platform/server_entry.py
@@ -9,7 +9,7 @@
 from ipaddress import ip_address
 from typing import Any, NoReturn
 
-from wharfcart.cluster.coordination import Change
+from wharfcart.cluster.coordination import KeyChange
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.platform import names
 
@@ -30,7 +30,7 @@
     """An entry names no back end; the text says why."""
 
 
-def instance_from(change: Change) -> BackendInstance | None:
+def instance_from(change: KeyChange) -> BackendInstance | None:
     """Read a server's entry; None if it was removed.
 
     Raises:
--- a/tests/cluster/test_mirror_link.py
+++ b/tests/cluster/test_mirror_link.py
@@ -7,7 +7,7 @@
 
 from wharfcart.cluster import mirror_link
 from wharfcart.cluster.address import Address
-from wharfcart.cluster.coordination import Change, Changes, CoordinationUnavailableError
+from wharfcart.cluster.coordination import ChangeBatch, CoordinationUnavailableError, KeyChange
 from wharfcart.cluster.mirror import Mirror
 from wharfcart.cluster.mirror_link import MirrorLink, PeerNews
 from wharfcart.cluster.news_sources import NewsSources, Peer
@@ -25,7 +25,7 @@
     """A coordination service; its calls are counted."""
 
     def __init__(self) -> None:
-        self.entries: dict[str, Change] = {}
+        self.entries: dict[str, KeyChange] = {}
         self.revision = 1
         self.stale_reads = 0
         self.calls = 0
@@ -34,16 +34,16 @@
 
     def put(self, key: str) -> None:
         self.revision += 1
-        self.entries[key] = Change(key, self.revision, b"v")
+        self.entries[key] = KeyChange(key, self.revision, b"v")
         changed, self._changed = self._changed, asyncio.Event()
         changed.set()
 
-    async def read_all(self, stale: bool = False) -> Changes:
+    async def read_all(self, stale: bool = False) -> ChangeBatch:
         self.stale_reads += stale
         self.calls += not stale
-        return Changes(tuple(self.entries.values()), self.revision, complete=True)
+        return ChangeBatch(tuple(self.entries.values()), self.revision, complete=True)
 
-    async def wait_for_changes(self, after: int, wait_s: float) -> Changes:
+    async def wait_for_changes(self, after: int, wait_s: float) -> ChangeBatch:
         self.calls += 1
         if self.refuses:
             raise CoordinationUnavailableError("refused")
@@ -54,7 +54,7 @@
         except TimeoutError:
             pass
         news = tuple(entry for entry in self.entries.values() if entry.revision > after)
-        return Changes(news, self.revision)
+        return ChangeBatch(news, self.revision)
 
 
 class Peers:
@@ -199,7 +199,7 @@
         watch = fleet.shared.wait_for_changes
         broken = iter([True] * 4)
 
-        async def odd(after: int, wait_s: float) -> Changes:
+        async def odd(after: int, wait_s: float) -> ChangeBatch:
             if next(broken, False):
                 raise ValueError("not an answer")
             return await watch(after, wait_s)
@@ -222,7 +222,7 @@
         await asyncio.sleep(0.5)
         silent = Service()
 
-        async def never(*_arguments: object, **_options: object) -> Changes:
+        async def never(*_arguments: object, **_options: object) -> ChangeBatch:
             await asyncio.sleep(3600)
             raise AssertionError
 
@@ -232,7 +232,7 @@
         seeds = [Peer("gone", "", Address("", 9)), known["s3"]]
         fleet.peers.silent.add("gone")
 
-        def on_changes(_news: list[Change]) -> None:
+        def on_changes(_news: list[KeyChange]) -> None:
             sources.set_peers(known)
 
         started = MirrorLink(
--- a/tests/node/test_backend_news.py
+++ b/tests/node/test_backend_news.py
@@ -4,7 +4,7 @@
 from random import Random
 from unittest import mock
 
-from wharfcart.cluster.coordination import Change
+from wharfcart.cluster.coordination import KeyChange
 from wharfcart.node.backend_news import BackendNews
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.routing.backend_choice import BackendChoice
@@ -24,7 +24,7 @@
         self.revision += 1
         fields = {"backend": "s", "address": "10.0.0.9:80", "zone": "z", "slots": 4}
         value = json.dumps({**fields, "state": "ready", **entry}).encode()
-        self.news.take(Change(f"servers/{name}", self.revision, value))
+        self.news.take(KeyChange(f"servers/{name}", self.revision, value))
 
     def logged(self) -> list[Event]:
         self.news.tell()
--- a/tests/node/test_serving_node.py
+++ b/tests/node/test_serving_node.py
@@ -4,7 +4,7 @@
 from time import monotonic
 from typing import Any
 
-from wharfcart.cluster.coordination import Change, Changes
+from wharfcart.cluster.coordination import ChangeBatch, KeyChange
 from wharfcart.configuration.serving import ColdLimit
 from wharfcart.node.serving_node import ServingNode
 from wharfcart.observability.decisions import DecisionLog, Event
@@ -21,9 +21,9 @@
         self.lines.append((event, fields))
 
 
-def entry(revision: int, state: str, instance_id: str = "i-1") -> Change:
+def entry(revision: int, state: str, instance_id: str = "i-1") -> KeyChange:
     value = {"backend": "lm", "address": "127.0.0.1:1", "zone": "z", "slots": 4, "state": state}
-    return Change(names.SERVER_PREFIX + instance_id, revision, json.dumps(value).encode())
+    return KeyChange(names.SERVER_PREFIX + instance_id, revision, json.dumps(value).encode())
 
 
 def node_and_log() -> tuple[ServingNode, RecordingLog]:
@@ -39,7 +39,7 @@
     node, log = node_and_log()
     node._on_changes([entry(1, "ready")])
     node._on_changes([entry(2, "draining")])
-    node._on_changes([Change(names.SERVER_PREFIX + "i-1", 3, None)])
+    node._on_changes([KeyChange(names.SERVER_PREFIX + "i-1", 3, None)])
     assert [event for event, _ in log.lines] == [
         Event.BACKEND_SEEN,
         Event.BACKEND_DRAINING,
@@ -61,7 +61,7 @@
     for last, drained in ((b'{"state": "draining"}', False), (entry(2, "draining").value, True)):
         node, log = node_and_log()
         node._on_changes([entry(1, "ready")])
-        node._on_changes([Change(names.SERVER_PREFIX + "i-1", 3, None, last)])
+        node._on_changes([KeyChange(names.SERVER_PREFIX + "i-1", 3, None, last)])
         assert log.lines[-1][1]["drained"] is drained
 
 
@@ -88,7 +88,7 @@
     ]
     tenants = [{"name": "t", "apiKeys": [], "allowedRegions": ["north"]}]
     body = {"version": 3, "routes": routes, "services": [], "tenants": tenants}
-    node._on_changes([Change(names.CONFIGURATION_KEY, 9, json.dumps(body).encode())])
+    node._on_changes([KeyChange(names.CONFIGURATION_KEY, 9, json.dumps(body).encode())])
     findings = [fields for event, fields in log.lines if event is Event.CONFIGURATION_FINDING]
     assert [(line["version"], line["place"]) for line in findings] == [
         (3, "routes.bad.residence"),
@@ -97,11 +97,11 @@
     assert "'wset'" in findings[0]["reason"]
 
 
-def order(zone: str, revision: int, given_back: bool = False) -> Change:
-    return Change(names.EVACUATE_PREFIX + zone, revision, None if given_back else b"{}")
+def order(zone: str, revision: int, given_back: bool = False) -> KeyChange:
+    return KeyChange(names.EVACUATE_PREFIX + zone, revision, None if given_back else b"{}")
 
 
-def in_zone(revision: int, zone: str, instance_id: str, cold_ms: int = 0) -> Change:
+def in_zone(revision: int, zone: str, instance_id: str, cold_ms: int = 0) -> KeyChange:
     value = {
         "backend": "lm",
         "address": "127.0.0.1:1",
@@ -110,7 +110,7 @@
         "zone": zone,
         "warmupLeftMs": cold_ms,
     }
-    return Change(names.SERVER_PREFIX + instance_id, revision, json.dumps(value).encode())
+    return KeyChange(names.SERVER_PREFIX + instance_id, revision, json.dumps(value).encode())
 
 
 def accepting(node: ServingNode) -> list[str]:
@@ -130,7 +130,7 @@
 
 def test_a_node_that_starts_while_a_zone_is_emptied_knows_it_with_its_first_back_ends() -> None:
     node, _ = node_and_log()
-    listing = Changes((in_zone(1, "a", "i-a"), order("a", 2)), at=3, complete=True)
+    listing = ChangeBatch((in_zone(1, "a", "i-a"), order("a", 2)), last_revision=3, complete=True)
     node._on_changes(node.mirror.apply(listing))
     assert accepting(node) == []
 
@@ -140,8 +140,10 @@
 ):
     node, _ = node_and_log()
     node.choice.cold.limits = {"lm": ColdLimit(4.0, 3.0)}
-    node._on_changes(node.mirror.apply(Changes((in_zone(1, "a", "i-a"), order("a", 2)), at=3)))
-    listing = Changes((in_zone(1, "a", "i-a"),), at=9, complete=True)
+    node._on_changes(
+        node.mirror.apply(ChangeBatch((in_zone(1, "a", "i-a"), order("a", 2)), last_revision=3))
+    )
+    listing = ChangeBatch((in_zone(1, "a", "i-a"),), last_revision=9, complete=True)
     node._on_changes(node.mirror.apply(listing))
     assert accepting(node) == ["i-a"]
     # It may have turned cold before: its entry is older than the order's end.
--- a/tests/node/test_suspect_news.py
+++ b/tests/node/test_suspect_news.py
@@ -8,10 +8,10 @@
 from wharfcart.admission.request_content import ContentId
 from wharfcart.admission.suspects import KEPT_S, Suspects
 from wharfcart.cluster.coordination import (
-    Change,
-    Changes,
+    ChangeBatch,
     ConditionFailedError,
     CoordinationUnavailableError,
+    KeyChange,
     Transaction,
 )
 from wharfcart.cluster.messages_pb2 import BackendEnds
@@ -29,7 +29,7 @@
 
     def __init__(self) -> None:
         self.revision = 1
-        self.keys: dict[str, Change] = {}
+        self.keys: dict[str, KeyChange] = {}
         self.nodes: list[Node] = []
         self.calls = 0
         self.down = False
@@ -45,8 +45,8 @@
             if (0 if known is None else known.revision) != revision:
                 raise ConditionFailedError
         self.revision += 1
-        changes = [Change(key, self.revision, value) for key, value in transaction.put.items()]
-        changes += [Change(key, self.revision, None) for key in transaction.remove]
+        changes = [KeyChange(key, self.revision, value) for key, value in transaction.put.items()]
+        changes += [KeyChange(key, self.revision, None) for key in transaction.remove]
         for change in changes:
             self.keys[change.key] = change
             if change.value is None:
@@ -79,8 +79,8 @@
         for node in self.relays:
             node.news.take_relayed(message)
 
-    def hear(self, changes: list[Change], at: int) -> None:
-        for change in self.mirror.apply(Changes(tuple(changes), at)):
+    def hear(self, changes: list[KeyChange], at: int) -> None:
+        for change in self.mirror.apply(ChangeBatch(tuple(changes), at)):
             self.news.take(change)
 
     def start_anew(self, service: Service) -> None:
--- a/tests/node/test_suspension_watch.py
+++ b/tests/node/test_suspension_watch.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from wharfcart.clock import Suspensions
+from wharfcart.clock import SuspensionDetector
 from wharfcart.node.suspension_watch import SuspensionWatch
 from wharfcart.observability.decisions import DecisionLog, Event
 
@@ -22,7 +22,7 @@
     now = {time.CLOCK_MONOTONIC: 10.0, time.CLOCK_BOOTTIME: 10.0}
     monkeypatch.setattr(time, "clock_gettime", lambda clock: now[clock])
     log = RecordingLog()
-    suspensions = Suspensions()
+    suspensions = SuspensionDetector()
     watch = SuspensionWatch(suspensions, log)
     heard: list[float] = []
     watch.on_resumed = lambda: heard.append(suspensions.resumed_at())
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from wharfcart.cluster.coordination import Change
+from wharfcart.cluster.coordination import KeyChange
 from wharfcart.cluster.messages_pb2 import ItemOutcome
 from wharfcart.configuration.serving import RequestLimit, RouteKind
 from wharfcart.http.connection import AnswerHead
@@ -42,7 +42,7 @@
 
 def test_server_entry() -> None:
     entry = {"backend": "s", "address": "10.0.0.9:80", "zone": "z", "slots": 3, "state": "draining"}
-    instance = documents.instance_from(Change("servers/i-1", 4, json.dumps(entry).encode()))
+    instance = documents.instance_from(KeyChange("servers/i-1", 4, json.dumps(entry).encode()))
     assert instance is not None
     assert (instance.instance_id, instance.host, instance.port) == ("i-1", "10.0.0.9", 80)
     assert not instance.accepting
@@ -50,7 +50,7 @@
 
 @pytest.mark.parametrize("value", [b"", b"{}", b"[]", b'{"backend": 1}', None])
 def test_an_entry_that_can_not_be_read_is_no_server(value: bytes | None) -> None:
-    assert documents.instance_from(Change("servers/i-1", 4, value)) is None
+    assert documents.instance_from(KeyChange("servers/i-1", 4, value)) is None
 
 
 def test_headers_for_a_server() -> None:
--- a/tests/platform/test_server_entry.py
+++ b/tests/platform/test_server_entry.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wharfcart.cluster.coordination import Change
+from wharfcart.cluster.coordination import KeyChange
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.platform import server_entry
 
@@ -38,14 +38,14 @@
 
 def read(entry: object, key: str = "servers/i-1") -> BackendInstance | None:
     value = entry if isinstance(entry, bytes) else json.dumps(entry).encode()
-    return server_entry.instance_from(Change(key, 4, value))
+    return server_entry.instance_from(KeyChange(key, 4, value))
 
 
 def test_an_entry_names_a_back_end() -> None:
     assert read(GOOD) == BackendInstance(
         "i-1", "s", "10.0.0.9", 80, "z", 3, True, 0.25, 1_764_700_000_000
     )
-    assert server_entry.instance_from(Change("servers/i-1", 4, None)) is None
+    assert server_entry.instance_from(KeyChange("servers/i-1", 4, None)) is None
 
 
 def test_what_it_need_not_say() -> None:
@@ -121,7 +121,7 @@
 def _read_or_refuse(value: bytes) -> None:
     """Nothing but BadEntryError leaves the reader, and what it reads can be used."""
     try:
-        instance = server_entry.instance_from(Change("servers/i-1", 4, value))
+        instance = server_entry.instance_from(KeyChange("servers/i-1", 4, value))
     except server_entry.BadEntryError:
         return
     assert instance is not None
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -11,7 +11,7 @@
 import pytest
 
 import wharfcart
-from wharfcart.clock import Suspensions, monotonic, suspended_s
+from wharfcart.clock import SuspensionDetector, monotonic, suspended_s
 
 SOURCE = Path(wharfcart.__file__).parent
 # What runs beside a fleet, not in it; the one module that reads the clocks; and the one that sets
@@ -46,7 +46,7 @@
 
 def test_a_suspension_is_noticed_when_it_is_asked_for(monkeypatch: pytest.MonkeyPatch) -> None:
     machine = Machine(monkeypatch)
-    suspensions = Suspensions()
+    suspensions = SuspensionDetector()
     machine.run(50.0)
     assert suspensions.resumed_at() < 0
     machine.suspend(2.0)
