--- a/src/wharfcart/cluster/gossip.py
+++ b/src/wharfcart/cluster/gossip.py
@@ -12,12 +12,12 @@
     MemberChanged,
     Membership,
     MembershipAction,
-    PeerRevision,
+    PeerRevisions,
     SendGossip,
 )
 from wharfcart.cluster.messages_pb2 import DEAD, Gossip, Member
 
-LONGEST_WAIT_S = 0.2
+MAX_TICK_INTERVAL_S = 0.2
 
 logger = logging.getLogger(__name__)
 
@@ -27,13 +27,13 @@
 
     def __init__(
         self,
-        myself: Member,
+        local_member: Member,
         seeds: list[Address],
         member_changed: Callable[[Member], None],
-        peer_revision: Callable[[PeerRevision], None],
+        peer_revision: Callable[[PeerRevisions], None],
         bytes_sent: Callable[[int], None],
     ) -> None:
-        self.membership = Membership(myself, seeds, random.Random())
+        self.membership = Membership(local_member, seeds, random.Random())
         self._member_changed = member_changed
         self._peer_revision = peer_revision
         self._bytes_sent = bytes_sent
@@ -44,12 +44,12 @@
         """Listen and join."""
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=(listen.host, listen.port))
-        self._carry_out(self.membership.start(monotonic()))
+        self._execute(self.membership.start(monotonic()))
         self._task = loop.create_task(self._run())
 
     async def leave(self) -> None:
         """Announce a planned stop."""
-        self._carry_out(self.membership.leave(monotonic()))
+        self._execute(self.membership.leave(monotonic()))
 
     async def stop(self) -> None:
         """Close the socket."""
@@ -58,7 +58,7 @@
         if self._transport is not None:
             self._transport.close()
 
-    def announce(self, configuration: int, placement: int, directory: int) -> None:
+    def announce(self, configuration: int, placement_digest: int, directory: int) -> None:
         """Tell peers a new digest of what this node knows."""
         membership = self.membership
         before = (
@@ -66,12 +66,12 @@
             membership.placement_version,
             membership.directory_revision,
         )
-        if before == (configuration, placement, directory):
+        if before == (configuration, placement_digest, directory):
             return
         membership.configuration_revision = configuration
-        membership.placement_version = placement
+        membership.placement_version = placement_digest
         membership.directory_revision = directory
-        self._carry_out(membership.announce_revision())
+        self._execute(membership.announce_revision())
 
     def address_of(self, node_id: str) -> Address | None:
         """Return a node's address."""
@@ -80,7 +80,7 @@
 
     def address_of_storage(self, identity: str) -> Address | None:
         """Return the address of the node that holds a disk."""
-        for member in [self.membership.myself, *self.membership.members.values()]:
+        for member in [self.membership.local_member, *self.membership.members.values()]:
             # A leaving node still replicates until it is gone.
             if member.storage_identity == identity and member.state != DEAD:
                 return Address(member.host, member.port)
@@ -100,16 +100,16 @@
             return
         now = monotonic()
         sender = Address(addr[0], addr[1])
-        self._carry_out(self.membership.receive(message, sender, now))
+        self._execute(self.membership.receive(message, sender, now))
 
     async def _run(self) -> None:
         while True:
             now = monotonic()
             wait = self.membership.next_deadline(now) - now
-            await asyncio.sleep(min(LONGEST_WAIT_S, max(0.005, wait)))
-            self._carry_out(self.membership.tick(monotonic()))
+            await asyncio.sleep(min(MAX_TICK_INTERVAL_S, max(0.005, wait)))
+            self._execute(self.membership.tick(monotonic()))
 
-    def _carry_out(self, actions: Sequence[MembershipAction]) -> None:
+    def _execute(self, actions: Sequence[MembershipAction]) -> None:
         for action in actions:
             if isinstance(action, SendGossip):
                 self._send(action)
--- a/src/wharfcart/cluster/membership.py
+++ b/src/wharfcart/cluster/membership.py
@@ -35,26 +35,26 @@
 
 PROBE_PERIOD_S = 1.0
 PROBE_TIMEOUT_S = 0.3
-SUSPICION_S = 2.0
-EAGER_ROUNDS = 2
-EAGER_AGAIN_S = 0.3
-EAGER_DELAY_S = 0.1  # news of failures is pushed on after this, several together
-SYNC_LEAST_S = 5.0  # between two whole member lists asked for
-PAUSE_S = 1.0  # a longer gap between ticks means that this process was stopped
+SUSPICION_TIMEOUT_S = 2.0
+PUSH_ROUNDS = 2
+PUSH_INTERVAL_S = 0.3
+PUSH_DELAY_S = 0.1  # news of failures is pushed on after this, several together
+MIN_SYNC_INTERVAL_S = 5.0  # between two whole member lists asked for
+PAUSE_THRESHOLD_S = 1.0  # a longer gap between ticks means that this process was stopped
 INDIRECT_PROBES = 3
-MOST_UPDATES_A_MESSAGE = 12
+MAX_UPDATES_PER_MESSAGE = 12
 RETRANSMIT_FACTOR = 4
-LOCAL_HEALTH_MOST = 8
-FORGET_DEAD_S = 7200.0  # regions lose each other for an hour
-RECONNECT_S = 5.0  # between two probes of a member that was declared dead
-MANY_SUSPECTS = 20  # with more at once, it is a zone or a link, and refutations take longer
-JOIN_RETRY_S = 0.5
+MAX_LOCAL_HEALTH = 8
+DEAD_RETENTION_S = 7200.0  # regions lose each other for an hour
+RECONNECT_INTERVAL_S = 5.0  # between two probes of a member that was declared dead
+MASS_SUSPICION_COUNT = 20  # with more at once, it is a zone or a link, and refutations take longer
+JOIN_RETRY_INTERVAL_S = 0.5
 DIGEST_FANOUT = 3
 RING_SIZE = 2**64
-MEMBERS_A_DATAGRAM = 16
+MEMBERS_PER_DATAGRAM = 16
 
 
-class RandomSource(Protocol):
+class ShufflingRandomSource(Protocol):
     """The part of :class:`random.Random` that the core draws on."""
 
     def random(self) -> float:
@@ -82,7 +82,7 @@
 
 
 @dataclass(frozen=True)
-class PeerRevision:
+class PeerRevisions:
     """Action: a peer told its configuration revision and placement version."""
 
     node_id: str
@@ -91,7 +91,7 @@
     directory_revision: int
 
 
-MembershipAction = SendGossip | MemberChanged | PeerRevision
+MembershipAction = SendGossip | MemberChanged | PeerRevisions
 
 
 class _ProbeStage(Enum):
@@ -128,9 +128,9 @@
     :meth:`next_deadline`.
     """
 
-    myself: Member
+    local_member: Member
     seeds: list[Address]
-    random: RandomSource
+    random: ShufflingRandomSource
     configuration_revision: int = 0
     placement_version: int = 0
     directory_revision: int = 0
@@ -143,15 +143,15 @@
     _relays: dict[int, _Relay] = field(default_factory=dict)
     _sequence: int = 0
     _local_health: int = 0
-    _probes: int = 0
-    _next_probe: float = 0.0
-    _next_join: float = 0.0
-    _eager_at: float | None = None
-    _eager_rounds: int = 0
-    _synced_at: float = 0.0
-    _changed_at: float = 0.0
-    _next_reconnect: float = 0.0
-    _ticked_at: float | None = None
+    _probe_count: int = 0
+    _next_probe_at: float = 0.0
+    _next_join_at: float = 0.0
+    _next_push_at: float | None = None
+    _push_rounds_left: int = 0
+    _last_sync_at: float = 0.0
+    _last_change_at: float = 0.0
+    _next_reconnect_at: float = 0.0
+    _last_tick_at: float | None = None
     _digest: int = 0
 
     # ---- views ----
@@ -159,23 +159,23 @@
     def live(self) -> list[Member]:
         """Return members that may be given work: alive or merely suspected, self included."""
         alive = [m for m in self.members.values() if m.state in (ALIVE, SUSPECT)]
-        return [*alive, self.myself] if self.myself.state == ALIVE else alive
+        return [*alive, self.local_member] if self.local_member.state == ALIVE else alive
 
     def find(self, node_id: str) -> Member | None:
         """Return the member of that id, or None."""
-        if node_id == self.myself.node_id:
-            return self.myself
+        if node_id == self.local_member.node_id:
+            return self.local_member
         return self.members.get(node_id)
 
     def next_deadline(self, now: float) -> float:
         """Return when :meth:`tick` must be called again at the latest."""
-        deadlines = [self._next_probe]
+        deadlines = [self._next_probe_at]
         if self._probe is not None:
             deadlines = [self._probe.deadline]
         if not self.members:
-            deadlines.append(self._next_join)
-        if self._eager_at is not None:
-            deadlines.append(self._eager_at)
+            deadlines.append(self._next_join_at)
+        if self._next_push_at is not None:
+            deadlines.append(self._next_push_at)
         deadlines.extend(self._suspected_until.values())
         return max(now, min(deadlines))
 
@@ -183,15 +183,15 @@
 
     def start(self, now: float) -> list[MembershipAction]:
         """Ask the seeds for the member list."""
-        self._next_probe = now + PROBE_PERIOD_S * self.random.random()
+        self._next_probe_at = now + PROBE_PERIOD_S * self.random.random()
         return self._join(now)
 
     def leave(self, now: float) -> list[MembershipAction]:
         """Announce a planned stop to a few peers at once; probes spread the rest."""
-        self.myself.state = LEFT
-        self.myself.incarnation += 1
-        self._add_rumour(self.myself)
-        peers = self._random_peers(DIGEST_FANOUT * 2, except_id="")
+        self.local_member.state = LEFT
+        self.local_member.incarnation += 1
+        self._add_rumour(self.local_member)
+        peers = self._random_peers(DIGEST_FANOUT * 2, excluded_id="")
         return [self._send(peer, PING) for peer in peers]
 
     def announce_revision(self) -> list[MembershipAction]:
@@ -203,75 +203,75 @@
         actions: list[MembershipAction] = []
         for update in message.updates:
             # A whole list is old news to others: it is taken, not passed on.
-            actions.extend(self._merge(update, now, pass_on=message.kind != MEMBERS))
-        if message.sender != self.myself.node_id:
+            actions.extend(self._merge(update, now, propagate=message.kind != MEMBERS))
+        if message.sender != self.local_member.node_id:
             actions.append(
-                PeerRevision(
+                PeerRevisions(
                     message.sender,
                     message.configuration_revision,
                     message.placement_version,
                     message.directory_revision,
                 )
             )
-        actions.extend(self._synchronize(message, sender, now))
+        actions.extend(self._request_sync(message, sender, now))
         if message.kind == PING:
-            actions.append(self._answer(message, sender))
+            actions.append(self._acknowledge(message, sender))
         elif message.kind == PING_REQUEST:
-            actions.append(self._relay(message, sender))
+            actions.append(self._relay_probe(message, sender))
         elif message.kind == ACK:
-            actions.extend(self._acknowledged(message, now))
+            actions.extend(self._handle_ack(message, now))
         elif message.kind == JOIN:
-            actions.extend(SendGossip(sender, part) for part in self._members_messages())
+            actions.extend(SendGossip(sender, part) for part in self._member_list_messages())
         return actions
 
     def tick(self, now: float) -> list[MembershipAction]:
         """Advance timers: probes, suspicion, joining, forgetting the dead."""
         actions: list[MembershipAction] = []
-        if self._ticked_at is not None and now - self._ticked_at > PAUSE_S:
+        if self._last_tick_at is not None and now - self._last_tick_at > PAUSE_THRESHOLD_S:
             self._probe = None  # the answer may have come while we were stopped: blame nobody
-        self._ticked_at = now
-        if not self.members and now >= self._next_join:
+        self._last_tick_at = now
+        if not self.members and now >= self._next_join_at:
             actions.extend(self._join(now))
         if self._probe is not None and now >= self._probe.deadline:
             actions.extend(self._probe_timed_out(now))
-        if self._probe is None and now >= self._next_probe:
+        if self._probe is None and now >= self._next_probe_at:
             actions.extend(self._start_probe(now))
         for node_id, until in list(self._suspected_until.items()):
             if now >= until:
                 actions.extend(self._declare_dead(node_id, now))
         self._forget_dead(now)
-        if now >= self._next_reconnect:
+        if now >= self._next_reconnect_at:
             actions.extend(self._reconnect(now))
-        if self._eager_at is not None and now >= self._eager_at:
+        if self._next_push_at is not None and now >= self._next_push_at:
             actions.extend(self._push(now))
         return actions
 
     # ---- whole lists ----
 
-    def _synchronize(self, message: Gossip, sender: Address, now: float) -> list[MembershipAction]:
+    def _request_sync(self, message: Gossip, sender: Address, now: float) -> list[MembershipAction]:
         """Ask a peer for its whole list when it differs though no news came: rumours were lost.
 
         That others agree with us tells nothing: they may lack the same member.
         """
         if message.members_digest in (0, self.members_digest):
             return []
-        if now - max(self._synced_at, self._changed_at) < SYNC_LEAST_S:
+        if now - max(self._last_sync_at, self._last_change_at) < MIN_SYNC_INTERVAL_S:
             return []
-        self._synced_at = now
+        self._last_sync_at = now
         return [SendGossip(sender, self._join_message())]
 
     def _join_message(self) -> Gossip:
         """Ask for a whole list, telling of ourselves: it may be us whom the others lack."""
         message = self._message(JOIN, 0, None)
-        message.updates.append(self.myself)
+        message.updates.append(self.local_member)
         return message
 
     def _put_member(self, member: Member) -> None:
-        self._forget_digest(member.node_id)
+        self._remove_from_digest(member.node_id)
         self.members[member.node_id] = member
         self._digest ^= _member_hash(member)
 
-    def _forget_digest(self, node_id: str) -> None:
+    def _remove_from_digest(self, node_id: str) -> None:
         known = self.members.get(node_id)
         if known is not None:
             self._digest ^= _member_hash(known)
@@ -279,32 +279,32 @@
     @property
     def members_digest(self) -> int:
         """Hash of the whole member list, this node included."""
-        return self._digest ^ _member_hash(self.myself)
+        return self._digest ^ _member_hash(self.local_member)
 
     # ---- probing ----
 
     def _start_probe(self, now: float) -> list[MembershipAction]:
         slowdown = 1 + self._local_health
-        self._next_probe = now + PROBE_PERIOD_S * slowdown
+        self._next_probe_at = now + PROBE_PERIOD_S * slowdown
         target = self._next_target()
         if target is None:
             return []
         self._sequence += 1
         self._probe = _Probe(
-            target, self._sequence, now + PROBE_TIMEOUT_S * slowdown, self._next_probe
+            target, self._sequence, now + PROBE_TIMEOUT_S * slowdown, self._next_probe_at
         )
         return [self._send(self.members[target], PING, self._sequence)]
 
     def _next_target(self) -> str | None:
         # Every other probe goes to the successor on a ring of hashes. Random probes alone leave a
         # node unprobed for five seconds with a chance of one in 150, too often for a whole rack.
-        self._probes += 1
-        if self._probes % 2 == 0:
+        self._probe_count += 1
+        if self._probe_count % 2 == 0:
             return self._ring_successor()
         return self._shuffled_target()
 
     def _ring_successor(self) -> str | None:
-        mine = _ring_position(self.myself.node_id)
+        mine = _ring_position(self.local_member.node_id)
         # Past a suspect: when a rack goes, the next one may be dead, too.
         unsuspected = [m.node_id for m in self.members.values() if m.state == ALIVE]
         return min(
@@ -337,13 +337,13 @@
         if probe.stage is _ProbeStage.DIRECT:
             probe.stage = _ProbeStage.INDIRECT
             probe.deadline = probe.period_end
-            helpers = self._helpers(member)
+            helpers = self._indirect_probers(member)
             return [self._send(h, PING_REQUEST, probe.sequence, member) for h in helpers]
         self._probe = None
-        self._local_health = min(LOCAL_HEALTH_MOST, self._local_health + 1)
+        self._local_health = min(MAX_LOCAL_HEALTH, self._local_health + 1)
         return self._suspect(probe.target, now)
 
-    def _helpers(self, target: Member) -> list[Member]:
+    def _indirect_probers(self, target: Member) -> list[Member]:
         """Choose who probes for us: first from the target's zone, which a cut link leaves whole."""
         peers = self._random_peers(len(self.members), target.node_id)
         peers.sort(key=lambda peer: peer.zone != target.zone)
@@ -352,14 +352,14 @@
 
     def _reconnect(self, now: float) -> list[MembershipAction]:
         """Probe one dead member: it answers if it was only cut off, and refutes what we say."""
-        self._next_reconnect = now + RECONNECT_S * (0.5 + self.random.random())
+        self._next_reconnect_at = now + RECONNECT_INTERVAL_S * (0.5 + self.random.random())
         dead = [m.node_id for m in self.members.values() if m.state == DEAD]
         if not dead:
             return []
         chosen = dead[int(self.random.random() * len(dead))]
         return [self._send(self.members[chosen], PING)]
 
-    def _acknowledged(self, message: Gossip, now: float) -> list[MembershipAction]:
+    def _handle_ack(self, message: Gossip, now: float) -> list[MembershipAction]:
         relay = self._relays.pop(message.sequence, None)
         if relay is not None:
             answer = self._message(ACK, relay.sequence, None)
@@ -369,11 +369,11 @@
             self._local_health = max(0, self._local_health - 1)
         return []
 
-    def _answer(self, message: Gossip, sender: Address) -> SendGossip:
+    def _acknowledge(self, message: Gossip, sender: Address) -> SendGossip:
         answer = self._message(ACK, message.sequence, message.sender)
         return SendGossip(sender, answer)
 
-    def _relay(self, message: Gossip, sender: Address) -> SendGossip:
+    def _relay_probe(self, message: Gossip, sender: Address) -> SendGossip:
         self._sequence += 1
         self._relays[self._sequence] = _Relay(sender, message.sequence)
         if len(self._relays) > 64:
@@ -392,9 +392,9 @@
         # Tell it at once: it is the one that can refute.
         return [*actions, self._send(suspected, PING)]
 
-    def _suspicion_seconds(self) -> float:
-        crowd = min(2.0, len(self._suspected_until) / MANY_SUSPECTS)
-        return SUSPICION_S * (1 + max(crowd, self._local_health / LOCAL_HEALTH_MOST))
+    def _suspicion_timeout_s(self) -> float:
+        crowd = min(2.0, len(self._suspected_until) / MASS_SUSPICION_COUNT)
+        return SUSPICION_TIMEOUT_S * (1 + max(crowd, self._local_health / MAX_LOCAL_HEALTH))
 
     def _declare_dead(self, node_id: str, now: float) -> list[MembershipAction]:
         member = self.members.get(node_id)
@@ -407,15 +407,15 @@
 
     def _forget_dead(self, now: float) -> None:
         for node_id, since in list(self._dead_since.items()):
-            if now - since > FORGET_DEAD_S:
+            if now - since > DEAD_RETENTION_S:
                 del self._dead_since[node_id]
-                self._forget_digest(node_id)
+                self._remove_from_digest(node_id)
                 self.members.pop(node_id, None)
 
     # ---- merging rumours ----
 
-    def _merge(self, update: Member, now: float, pass_on: bool = True) -> list[MembershipAction]:
-        if update.node_id == self.myself.node_id:
+    def _merge(self, update: Member, now: float, propagate: bool = True) -> list[MembershipAction]:
+        if update.node_id == self.local_member.node_id:
             self._refute(update, now)
             return []
         known = self.members.get(update.node_id)
@@ -425,54 +425,54 @@
             return []
         member = _copy(update)
         self._put_member(member)
-        self._changed_at = now
+        self._last_change_at = now
         refuted = known is not None and known.state != ALIVE
-        if pass_on:
+        if propagate:
             self._add_rumour(member)
-        if pass_on and (member.state != ALIVE or refuted):
-            self._push_soon(now)
+        if propagate and (member.state != ALIVE or refuted):
+            self._schedule_push(now)
         self._suspected_until.pop(member.node_id, None)
         self._dead_since.pop(member.node_id, None)
         if member.state == SUSPECT:
-            self._suspected_until[member.node_id] = now + self._suspicion_seconds()
+            self._suspected_until[member.node_id] = now + self._suspicion_timeout_s()
         elif member.state in (DEAD, LEFT):
             self._dead_since[member.node_id] = now
         if known is not None and known.state == member.state:
             return []
         return [MemberChanged(member)]
 
-    def _push_soon(self, now: float) -> None:
-        self._eager_rounds = EAGER_ROUNDS
-        if self._eager_at is None:
-            self._eager_at = now + EAGER_DELAY_S
+    def _schedule_push(self, now: float) -> None:
+        self._push_rounds_left = PUSH_ROUNDS
+        if self._next_push_at is None:
+            self._next_push_at = now + PUSH_DELAY_S
 
     def _push(self, now: float) -> list[MembershipAction]:
         # One round of three leaves one node in twenty out, and those would not hear a refutation.
-        self._eager_rounds -= 1
-        self._eager_at = now + EAGER_AGAIN_S if self._eager_rounds else None
+        self._push_rounds_left -= 1
+        self._next_push_at = now + PUSH_INTERVAL_S if self._push_rounds_left else None
         return [self._send(peer, DIGEST) for peer in self._random_peers(DIGEST_FANOUT, "")]
 
     def _refute(self, update: Member, now: float) -> None:
         # A rumour against us, or an old life of ours: outbid it with a higher incarnation.
-        outdated = update.incarnation > self.myself.incarnation
-        accused = update.state != ALIVE and update.incarnation >= self.myself.incarnation
-        if self.myself.state == ALIVE and (accused or outdated):
-            self.myself.incarnation = update.incarnation + 1
-            self._local_health = min(LOCAL_HEALTH_MOST, self._local_health + 1)
-            self._add_rumour(self.myself)
-            self._push_soon(now)
+        outdated = update.incarnation > self.local_member.incarnation
+        accused = update.state != ALIVE and update.incarnation >= self.local_member.incarnation
+        if self.local_member.state == ALIVE and (accused or outdated):
+            self.local_member.incarnation = update.incarnation + 1
+            self._local_health = min(MAX_LOCAL_HEALTH, self._local_health + 1)
+            self._add_rumour(self.local_member)
+            self._schedule_push(now)
 
     def _add_rumour(self, member: Member) -> None:
         self._rumours[member.node_id] = _Rumour(_copy(member))
 
-    def _take_rumours(self, receiver: str | None) -> list[Member]:
+    def _select_rumours(self, receiver: str | None) -> list[Member]:
         limit = RETRANSMIT_FACTOR * ceil(log10(len(self.members) + 2))
         # Life before death: a refutation must overtake the suspicion that it answers.
         fresh_first = sorted(
             self._rumours.values(),
             key=lambda rumour: (rumour.sent, rumour.member.state not in (ALIVE, SUSPECT)),
         )
-        taken = fresh_first[:MOST_UPDATES_A_MESSAGE]
+        taken = fresh_first[:MAX_UPDATES_PER_MESSAGE]
         for rumour in taken:
             rumour.sent += 1
             if rumour.sent >= limit:
@@ -487,18 +487,18 @@
     # ---- sending ----
 
     def _join(self, now: float) -> list[MembershipAction]:
-        self._next_join = now + JOIN_RETRY_S * (1 + self.random.random())
+        self._next_join_at = now + JOIN_RETRY_INTERVAL_S * (1 + self.random.random())
         message = self._join_message()
-        mine = Address(self.myself.host, self.myself.port)
+        mine = Address(self.local_member.host, self.local_member.port)
         return [SendGossip(seed, message) for seed in self.seeds if seed != mine]
 
-    def _members_messages(self) -> list[Gossip]:
+    def _member_list_messages(self) -> list[Gossip]:
         """Return the whole member list in datagrams of moderate size."""
-        everyone = [self.myself, *self.members.values()]
+        everyone = [self.local_member, *self.members.values()]
         parts: list[Gossip] = []
-        for start in range(0, len(everyone), MEMBERS_A_DATAGRAM):
+        for start in range(0, len(everyone), MEMBERS_PER_DATAGRAM):
             message = self._message(MEMBERS, 0, None)
-            message.updates.extend(everyone[start : start + MEMBERS_A_DATAGRAM])
+            message.updates.extend(everyone[start : start + MEMBERS_PER_DATAGRAM])
             parts.append(message)
         return parts
 
@@ -513,26 +513,26 @@
     def _message(self, kind: int, sequence: int, receiver: str | None) -> Gossip:
         message = Gossip(
             kind=kind,  # type: ignore[arg-type]
-            sender=self.myself.node_id,
+            sender=self.local_member.node_id,
             sequence=sequence,
             configuration_revision=self.configuration_revision,
             placement_version=self.placement_version,
             directory_revision=self.directory_revision,
             members_digest=self.members_digest,
         )
-        message.updates.extend(self._take_rumours(receiver))
+        message.updates.extend(self._select_rumours(receiver))
         if kind in (PING, DIGEST) and receiver and self._sequence % 10 == 0:
-            message.updates.append(self.myself)
+            message.updates.append(self.local_member)
         return message
 
-    def _random_peers(self, most: int, except_id: str) -> list[Member]:
+    def _random_peers(self, max_count: int, excluded_id: str) -> list[Member]:
         names = [
             m.node_id
             for m in self.members.values()
-            if m.state in (ALIVE, SUSPECT) and m.node_id != except_id
+            if m.state in (ALIVE, SUSPECT) and m.node_id != excluded_id
         ]
         self.random.shuffle(names)
-        return [self.members[name] for name in names[:most]]
+        return [self.members[name] for name in names[:max_count]]
 
 
 def _copy(member: Member) -> Member:
--- a/src/wharfcart/experiments/hollow_fleet.py
+++ b/src/wharfcart/experiments/hollow_fleet.py
@@ -15,7 +15,7 @@
     MemberChanged,
     Membership,
     MembershipAction,
-    PeerRevision,
+    PeerRevisions,
     SendGossip,
 )
 from wharfcart.cluster.messages_pb2 import (
@@ -147,7 +147,7 @@
                 member = action.member
                 change = StateChange(self.now, node.name, member.node_id, member.state)
                 self.changes.append(change)
-            elif isinstance(action, PeerRevision):
+            elif isinstance(action, PeerRevisions):
                 self._heard(node, action)
 
     def _send(self, node: HollowNode, address: Address, data: bytes) -> None:
@@ -156,7 +156,7 @@
         target = self._by_address.get(address)
         if target is None or self.random.random() < self.loss or self._cut(node, target):
             return
-        sender = Address(node.membership.myself.host, node.membership.myself.port)
+        sender = Address(node.membership.local_member.host, node.membership.local_member.port)
         self.later(self._delay(node, target), lambda: self._receive(target, data, sender))
 
     def _receive(self, node: HollowNode, data: bytes, sender: Address) -> None:
@@ -174,7 +174,7 @@
 
     # ---- spreading ----
 
-    def _heard(self, node: HollowNode, peer: PeerRevision) -> None:
+    def _heard(self, node: HollowNode, peer: PeerRevisions) -> None:
         if peer.configuration_revision <= node.configuration.revision or node.pulling:
             return
         source = next((n for n in (self._find(peer.node_id),) if n is not None and n.up), None)
--- a/src/wharfcart/node/node.py
+++ b/src/wharfcart/node/node.py
@@ -18,7 +18,7 @@
 from wharfcart.clock import monotonic
 from wharfcart.cluster.address import Address
 from wharfcart.cluster.gossip import GossipDriver
-from wharfcart.cluster.membership import PeerRevision
+from wharfcart.cluster.membership import PeerRevisions
 from wharfcart.cluster.messages_pb2 import (
     ALIVE,
     LEFT,
@@ -280,7 +280,7 @@
             if member.storage_identity
         }
 
-    def _peer_revision(self, peer: PeerRevision) -> None:
+    def _peer_revision(self, peer: PeerRevisions) -> None:
         self._spreading.peer_revision(peer)
 
     def _live_nodes(self) -> list[str]:
--- a/src/wharfcart/node/spreading.py
+++ b/src/wharfcart/node/spreading.py
@@ -16,7 +16,7 @@
 from wharfcart.admin.acceptance import ConfigurationStore
 from wharfcart.cluster.address import Address
 from wharfcart.cluster.gossip import GossipDriver
-from wharfcart.cluster.membership import PeerRevision
+from wharfcart.cluster.membership import PeerRevisions
 from wharfcart.cluster.messages_pb2 import (
     CONFIGURATION,
     DIRECTORY,
@@ -141,7 +141,7 @@
 
     # ---- news from peers ----
 
-    def peer_revision(self, peer: PeerRevision) -> None:
+    def peer_revision(self, peer: PeerRevisions) -> None:
         """Pull from a peer that knows something else."""
         self._newest_seen = max(self._newest_seen, peer.configuration_revision)
         address = self._gossip.address_of(peer.node_id)
@@ -204,7 +204,9 @@
 
     def _reads(self, what: str) -> bool:
         live = [member.node_id for member in self._gossip.membership.live()]
-        return self._gossip.membership.myself.node_id in rendezvous_order(what, live)[:READERS]
+        return (
+            self._gossip.membership.local_member.node_id in rendezvous_order(what, live)[:READERS]
+        )
 
     async def _read_key_value(self) -> None:
         while True:
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_everyone_learns_everyone(seed: int) -> None:
+def test_every_node_learns_every_member(seed: int) -> None:
     fleet = _settled(40, seed)
     assert {len(node.membership.members) for node in fleet.nodes} == {39}
     assert len({node.membership.members_digest for node in fleet.nodes}) == 1
@@ -37,7 +37,7 @@
             assert live == {f"node-{n}" for n in range(40)} - dead
 
 
-def test_region_cut_off_comes_back_whole() -> None:
+def test_partitioned_regions_rejoin() -> None:
     fleet = _settled(42, 1)
     fleet.cut_regions = {frozenset(("region-0", r)) for r in ("region-1", "region-2")}
     fleet.run(60.0)
@@ -47,7 +47,7 @@
     assert {len(node.membership.live()) for node in fleet.nodes} == {42}
 
 
-def test_change_reaches_every_node_once_and_never_falls_back() -> None:
+def test_configuration_change_reaches_every_node() -> None:
     fleet = _settled(40, 2)
     for revision in (1, 2, 3):
         fleet.change_configuration(revision)
@@ -71,8 +71,8 @@
     membership = _membership()
     accusation = Gossip(kind=PING, sender="b", updates=[_member("a", 1, SUSPECT)])
     membership.receive(accusation, Address("h", 1), 1.0)
-    assert membership.myself.incarnation == 2
-    assert membership.myself.state == ALIVE
+    assert membership.local_member.incarnation == 2
+    assert membership.local_member.state == ALIVE
 
 
 def test_old_rumour_does_not_revive_a_dead_member() -> None:
@@ -85,7 +85,7 @@
     assert membership.members["b"].state == ALIVE
 
 
-def test_process_that_was_stopped_blames_nobody() -> None:
+def test_no_suspicion_after_this_process_was_paused() -> None:
     membership = _membership()
     membership.tick(1.5)  # a probe of b goes out
     membership.tick(30.0)
--- a/tests/node/test_spreading_ready.py
+++ b/tests/node/test_spreading_ready.py
@@ -9,7 +9,7 @@
 from typing import Any, cast
 from unittest import mock
 
-from wharfcart.cluster.membership import PeerRevision
+from wharfcart.cluster.membership import PeerRevisions
 from wharfcart.node.spreading import SpreadingDriver, SpreadingHooks
 
 
@@ -20,9 +20,9 @@
     return SpreadingDriver(gossip, mock.Mock(), mock.Mock(), mock.Mock(), hooks)
 
 
-def _peer(revision: int) -> PeerRevision:
+def _peer(revision: int) -> PeerRevisions:
     return cast(
-        PeerRevision,
+        PeerRevisions,
         mock.Mock(
             node_id="peer",
             configuration_revision=revision,
