--- a/src/wharfcart/cluster/news_sources.py
+++ b/src/wharfcart/cluster/news_sources.py
@@ -20,18 +20,18 @@
 from wharfcart.cluster.address import Address
 from wharfcart.cluster.topology import Distance, RegionName, Topology
 
-FEWEST_READERS = 2
+MIN_READERS = 2
 # A reader's watch costs a call a second; a follower costs its reader two small messages a second.
-PEERS_A_READER = 10
+PEERS_PER_READER = 10
 # What was confirmed longer ago than this may lack a change that others act on already.
-STALE_S = 1.5
-AVOID_S = 2.0
+STALE_AFTER_S = 1.5
+AVOID_FAILED_S = 2.0
 # So many readers of the own region that failed within AVOID_S speak against the region, not them.
-FAILED_IN_REGION = 2
+REGION_FAILURE_THRESHOLD = 2
 # A peer is left for a better ranked one after so long without a failure in the own region; the
 # second of two of another region only once the first that was found at home has held for a while.
-QUIET_S = 5.0
-TRIAL_S = 3.0
+SWITCH_DELAY_S = 5.0
+TRIAL_PERIOD_S = 3.0
 
 
 @dataclass(frozen=True)
@@ -44,7 +44,7 @@
 
 
 @dataclass
-class NewsSources:
+class PeerSelector:
     """The peers that one node may follow.
 
     Attributes:
@@ -60,7 +60,7 @@
     confirmed_at: float = -math.inf
     _peers: dict[str, Peer] = field(default_factory=dict)
     _avoid_until: dict[str, float] = field(default_factory=dict)
-    _near_failed_at: float = -math.inf
+    _own_region_failed_at: float = -math.inf
 
     def set_peers(self, peers: Mapping[str, Peer]) -> None:
         """Take the peers that are known now, by node id."""
@@ -76,26 +76,26 @@
             now: the time.
             followed: ids of peers that are followed already.
         """
-        near = self._near()
-        if len(near) < FEWEST_READERS:
-            return self._nearest(self._readers(self._peers, now), followed)
-        if self._failed_among(near, now) >= FAILED_IN_REGION:
-            reader = self._nearest(self._far_readers(near, now), followed)
+        near = self._own_region_peers()
+        if len(near) < MIN_READERS:
+            return self._preferred_reader(self._readers(self._peers, now), followed)
+        if self._count_failed(near, now) >= REGION_FAILURE_THRESHOLD:
+            reader = self._preferred_reader(self._other_region_readers(near, now), followed)
             if reader is not None:
                 return reader
-        return self._nearest(self._readers(near, now), followed)
+        return self._preferred_reader(self._readers(near, now), followed)
 
-    def confirmed(self, now: float, age_s: float) -> None:
+    def record_confirmation(self, now: float, age_s: float) -> None:
         """Note that everything up to ``age_s`` ago is known."""
         self.confirmed_at = max(self.confirmed_at, now - age_s)
 
-    def failed(self, node_id: str, now: float) -> None:
+    def record_failure(self, node_id: str, now: float) -> None:
         """Pass a peer over for a while: it is silent, or behind."""
-        self._avoid_until[node_id] = now + AVOID_S
-        if node_id in self._near():
-            self._near_failed_at = now
+        self._avoid_until[node_id] = now + AVOID_FAILED_S
+        if node_id in self._own_region_peers():
+            self._own_region_failed_at = now
 
-    def should_leave(self, node_id: str, now: float, followed: Collection[str]) -> bool:
+    def should_replace(self, node_id: str, now: float, followed: Collection[str]) -> bool:
         """Whether a peer that is followed well is to be left for a reader that others follow.
 
         Such is one of another region, and one that was chosen while better ranked ones were not
@@ -106,19 +106,19 @@
             now: the time.
             followed: ids of all peers that are followed.
         """
-        near = self._near()
-        if len(near) < FEWEST_READERS or now - self._near_failed_at <= QUIET_S:
+        near = self._own_region_peers()
+        if len(near) < MIN_READERS or now - self._own_region_failed_at <= SWITCH_DELAY_S:
             return False
         if node_id in near:
             return node_id not in {reader.node_id for reader in self._readers(near, now)}
         on_trial = not near.keys().isdisjoint(followed)
-        return not on_trial or now - self._near_failed_at > QUIET_S + TRIAL_S
+        return not on_trial or now - self._own_region_failed_at > SWITCH_DELAY_S + TRIAL_PERIOD_S
 
     def is_stale(self, now: float) -> bool:
         """Whether this node may lack changes."""
-        return now - self.confirmed_at > STALE_S
+        return now - self.confirmed_at > STALE_AFTER_S
 
-    def _near(self) -> dict[str, Peer]:
+    def _own_region_peers(self) -> dict[str, Peer]:
         """Return the peers of the own region."""
         return {
             key: peer
@@ -126,14 +126,14 @@
             if self.topology.distance(self.zone, peer.zone) is not Distance.OTHER_REGION
         }
 
-    def _failed_among(self, peers: Mapping[str, Peer], now: float) -> int:
+    def _count_failed(self, peers: Mapping[str, Peer], now: float) -> int:
         return sum(self._avoid_until.get(key, -math.inf) > now for key in peers)
 
-    def _far_readers(self, near: Collection[str], now: float) -> list[Peer]:
+    def _other_region_readers(self, own_region: Collection[str], now: float) -> list[Peer]:
         """Return the readers of all other regions, the same that are followed there."""
         by_region: dict[RegionName | None, dict[str, Peer]] = {}
         for key, peer in self._peers.items():
-            if key not in near:
+            if key not in own_region:
                 by_region.setdefault(self.topology.region(peer.zone), {})[key] = peer
         return [reader for peers in by_region.values() for reader in self._readers(peers, now)]
 
@@ -144,15 +144,15 @@
             for key, peer in sorted(peers.items(), key=lambda entry: _rank(entry[0]))
             if self._avoid_until.get(key, -math.inf) <= now
         ]
-        return usable[: max(FEWEST_READERS, math.ceil(len(peers) / PEERS_A_READER))]
+        return usable[: max(MIN_READERS, math.ceil(len(peers) / PEERS_PER_READER))]
 
-    def _nearest(self, readers: Iterable[Peer], followed: Collection[str]) -> Peer | None:
+    def _preferred_reader(self, readers: Iterable[Peer], followed: Collection[str]) -> Peer | None:
         left = [peer for peer in readers if peer.node_id not in followed]
         return min(
-            left, key=lambda peer: (peer.zone != self.zone, self._own_rank(peer)), default=None
+            left, key=lambda peer: (peer.zone != self.zone, self._local_rank(peer)), default=None
         )
 
-    def _own_rank(self, peer: Peer) -> int:
+    def _local_rank(self, peer: Peer) -> int:
         return _rank(self.node_id + peer.node_id)
 
 
--- a/src/wharfcart/cluster/peer_news.py
+++ b/src/wharfcart/cluster/peer_news.py
@@ -9,58 +9,58 @@
     CoordinationPull,
     Frame,
 )
-from wharfcart.cluster.mirror_link import PeerNews
+from wharfcart.cluster.mirror_link import PeerUpdates
 from wharfcart.cluster.news_sources import Peer
 from wharfcart.cluster.transport import PeerUnreachableError, TrafficClass, Transport
 from wharfcart.errors import ServingError
 
-MOST_AGE_MS = 10**9
+MAX_AGE_MS = 10**9
 # Smaller values are not worth compressing. Servers' entries are far below, configurations above.
-FEWEST_DEFLATED_BYTES = 2048
+MIN_DEFLATED_BYTES = 2048
 DEFLATE_LEVEL = 1
 
 
-class PeerNewsCalls:
+class TransportPeerClient:
     """Asks peers over the transport."""
 
     def __init__(self, transport: Transport) -> None:
         self._transport = transport
 
-    async def ask(self, peer: Peer, after: int, wait_s: float) -> PeerNews | None:
+    async def pull(self, peer: Peer, after: int, wait_s: float) -> PeerUpdates | None:
         """Return what a peer knows beyond a revision; None if it does not answer."""
-        pull = CoordinationPull(after=after, wait_ms=int(wait_s * 1000))
+        request = CoordinationPull(after=after, wait_ms=int(wait_s * 1000))
         try:
             answer = await self._transport.call(
-                peer.address, Frame(coordination_pull=pull), TrafficClass.ONLINE
+                peer.address, Frame(coordination_pull=request), TrafficClass.ONLINE
             )
         except (PeerUnreachableError, ServingError):
             return None
-        return news_from_message(answer.coordination_changes)
+        return decode_peer_updates(answer.coordination_changes)
 
-    def drop(self, peer: Peer) -> None:
+    def disconnect(self, peer: Peer) -> None:
         """Give up the connection to a peer that did not answer in time."""
         self._transport.drop(peer.address, TrafficClass.ONLINE)
 
 
-class NewsWriter:
+class PeerUpdatesEncoder:
     """Writes news as they travel; large values are compressed, once for all followers."""
 
     def __init__(self) -> None:
         self._deflated_by_key: dict[str, tuple[int, bytes]] = {}
 
-    def message(self, news: PeerNews) -> CoordinationChanges:
+    def encode(self, updates: PeerUpdates) -> CoordinationChanges:
         """Return news as they travel."""
         return CoordinationChanges(
-            at=news.changes.last_revision,
-            complete=news.changes.complete,
-            changes=[self._change(change) for change in news.changes.changes],
-            age_ms=int(min(news.age_s * 1000, MOST_AGE_MS)),
+            at=updates.changes.last_revision,
+            complete=updates.changes.complete,
+            changes=[self._encode_change(change) for change in updates.changes.changes],
+            age_ms=int(min(updates.age_s * 1000, MAX_AGE_MS)),
         )
 
-    def _change(self, change: KeyChange) -> CoordinationChange:
+    def _encode_change(self, change: KeyChange) -> CoordinationChange:
         removed = change.value is None
         value = (change.last_value if removed else change.value) or b""
-        deflated = len(value) >= FEWEST_DEFLATED_BYTES
+        deflated = len(value) >= MIN_DEFLATED_BYTES
         return CoordinationChange(
             key=change.key,
             revision=change.revision,
@@ -77,13 +77,13 @@
         return known[1]
 
 
-def news_from_message(message: CoordinationChanges) -> PeerNews:
+def decode_peer_updates(message: CoordinationChanges) -> PeerUpdates:
     """Return news as they arrived."""
-    changes = tuple(_change_from(change) for change in message.changes)
-    return PeerNews(ChangeBatch(changes, message.at, message.complete), message.age_ms / 1000)
+    changes = tuple(_decode_change(change) for change in message.changes)
+    return PeerUpdates(ChangeBatch(changes, message.at, message.complete), message.age_ms / 1000)
 
 
-def _change_from(message: CoordinationChange) -> KeyChange:
+def _decode_change(message: CoordinationChange) -> KeyChange:
     value = zlib.decompress(message.value) if message.deflated else message.value
     if message.removed:
         return KeyChange(message.key, message.revision, None, value or None)
--- a/src/wharfcart/experiments/simulated_storage.py
+++ b/src/wharfcart/experiments/simulated_storage.py
@@ -254,7 +254,7 @@
     def _identities(self) -> dict[str, Address]:
         return {
             (change.value or b"").decode(): Address("node", int(change.key.partition("/")[2]))
-            for change in self.mirror.under("nodes/")
+            for change in self.mirror.with_prefix("nodes/")
         }
 
     def _zones(self) -> dict[str, str]:
@@ -279,11 +279,12 @@
 
     def _retiring(self) -> set[str]:
         numbers = {
-            change.key.removeprefix(RETIRE_PREFIX) for change in self.mirror.under(RETIRE_PREFIX)
+            change.key.removeprefix(RETIRE_PREFIX)
+            for change in self.mirror.with_prefix(RETIRE_PREFIX)
         }
         return {
             (change.value or b"").decode()
-            for change in self.mirror.under("nodes/")
+            for change in self.mirror.with_prefix("nodes/")
             if change.key.removeprefix("nodes/") in numbers
         }
 
--- a/src/wharfcart/node/serving_node.py
+++ b/src/wharfcart/node/serving_node.py
@@ -21,9 +21,9 @@
 )
 from wharfcart.cluster.messages_pb2 import BackendEnds, Frame
 from wharfcart.cluster.mirror import Mirror
-from wharfcart.cluster.mirror_link import MirrorLink
-from wharfcart.cluster.news_sources import NewsSources, Peer
-from wharfcart.cluster.peer_news import NewsWriter, PeerNewsCalls
+from wharfcart.cluster.mirror_link import MirrorSync
+from wharfcart.cluster.news_sources import Peer, PeerSelector
+from wharfcart.cluster.peer_news import PeerUpdatesEncoder, TransportPeerClient
 from wharfcart.cluster.topology import Distance, RegionName, Topology
 from wharfcart.cluster.transport import Handler, Responder, TrafficClass, Transport
 from wharfcart.configuration.residence import Residence
@@ -91,13 +91,13 @@
         self.coordination = MetadataStore(host, port, self.metrics.coordination_calls)
         self._zones_by_host: dict[str, str] = {}
         self.transport = Transport(self.handle, self._count_sent)
-        self._news_writer = NewsWriter()
-        self._sources = NewsSources(settings.node_id, settings.zone, self.topology)
-        self.link = MirrorLink(
+        self._news_writer = PeerUpdatesEncoder()
+        self._sources = PeerSelector(settings.node_id, settings.zone, self.topology)
+        self.link = MirrorSync(
             self.mirror,
             self.coordination,
             self._sources,
-            PeerNewsCalls(self.transport),
+            TransportPeerClient(self.transport),
             self._on_changes,
             log,
             _seed_peers(settings),
@@ -221,8 +221,8 @@
         """Answer a peer's call."""
         if frame.WhichOneof("body") == "coordination_pull":
             pull = frame.coordination_pull
-            news = await self.link.answer(pull.after, pull.wait_ms / 1000)
-            message = self._news_writer.message(news)
+            news = await self.link.serve_pull(pull.after, pull.wait_ms / 1000)
+            message = self._news_writer.encode(news)
             await respond(Frame(last=True, coordination_changes=message))
             return
         if frame.WhichOneof("body") == "backend_ends":
--- a/src/wharfcart/node/storage_process.py
+++ b/src/wharfcart/node/storage_process.py
@@ -145,7 +145,7 @@
     def _retiring(self) -> set[str]:
         ordered = {
             change.key.removeprefix(names.RETIRE_PREFIX)
-            for change in self._node.mirror.under(names.RETIRE_PREFIX)
+            for change in self._node.mirror.with_prefix(names.RETIRE_PREFIX)
         }
         return {entry.identity for entry in self._node.nodes.values() if entry.node_id in ordered}
 
@@ -230,7 +230,7 @@
             await asyncio.sleep(RETIRE_PERIOD_S)
             if not self._groups or not self._groups[0].leads:
                 continue
-            for order in self._node.mirror.under(names.RETIRE_PREFIX):
+            for order in self._node.mirror.with_prefix(names.RETIRE_PREFIX):
                 await self._report_one(order.key.removeprefix(names.RETIRE_PREFIX))
 
     async def _report_one(self, node_id: str) -> None:
--- a/src/wharfcart/storage/founding.py
+++ b/src/wharfcart/storage/founding.py
@@ -68,7 +68,7 @@
             self._known_since = now
         if self._context.identity not in known or len(known) < self._context.copies:
             return False
-        if self._context.mirror.at == 0 or min(known) != self._context.identity:
+        if self._context.mirror.last_revision == 0 or min(known) != self._context.identity:
             return False
         complete = len(known) >= self._context.full_size and self._all_regions_in(known)
         settled = complete and now - self._known_since >= SETTLED_S
--- a/tests/cluster/test_mirror.py
+++ b/tests/cluster/test_mirror.py
@@ -11,7 +11,7 @@
     return KeyChange(key, revision, value)
 
 
-def test_an_older_state_of_a_key_is_never_taken() -> None:
+def test_older_revision_of_a_key_is_ignored() -> None:
     mirror = Mirror()
     mirror.apply(ChangeBatch((change("a", 5, b"new"),), 5))
     assert mirror.apply(ChangeBatch((change("a", 3, b"old"),), 6)) == []
@@ -19,7 +19,7 @@
     assert entry is not None and entry.value == b"new"
 
 
-def test_a_removed_key_does_not_come_back_from_an_older_answer() -> None:
+def test_older_batch_does_not_restore_a_removed_key() -> None:
     mirror = Mirror()
     mirror.apply(ChangeBatch((change("a", 2),), 2))
     mirror.apply(ChangeBatch((change("a", 4, None),), 4))
@@ -27,40 +27,40 @@
     assert mirror.get("a") is None
 
 
-def test_a_complete_state_removes_what_it_does_not_list() -> None:
+def test_complete_listing_removes_unlisted_keys() -> None:
     mirror = Mirror()
     mirror.apply(ChangeBatch((change("a", 2), change("b", 3)), 3))
     news = mirror.apply(ChangeBatch((change("b", 3),), 7, complete=True))
     assert [(item.key, item.value) for item in news] == [("a", None)]
 
 
-def test_a_complete_state_that_is_older_changes_nothing() -> None:
+def test_older_complete_listing_is_ignored() -> None:
     mirror = Mirror()
     mirror.apply(ChangeBatch((change("a", 9),), 9))
     assert mirror.apply(ChangeBatch((), 4, complete=True)) == []
     assert mirror.get("a") is not None
 
 
-def test_a_key_written_after_a_listing_survives_it() -> None:
+def test_key_written_after_a_listing_is_kept() -> None:
     mirror = Mirror()
     mirror.apply(ChangeBatch((change("a", 9),), 5))
     mirror.apply(ChangeBatch((), 7, complete=True))
     assert mirror.get("a") is not None
 
 
-def test_a_peer_is_told_what_it_lacks_removals_included() -> None:
+def test_changes_since_include_removals() -> None:
     mirror = Mirror()
     mirror.apply(ChangeBatch((change("a", 2), change("b", 3)), 3, complete=True))
     mirror.apply(ChangeBatch((change("a", 4, None), change("c", 5)), 5))
-    told = mirror.since(3)
+    told = mirror.changes_since(3)
     assert {(item.key, item.value) for item in told.changes} == {("a", None), ("c", b"v")}
     assert not told.complete and told.last_revision == 5
 
 
-def test_a_peer_that_knows_nothing_is_told_everything() -> None:
+def test_empty_peer_gets_a_complete_listing() -> None:
     mirror = Mirror()
     mirror.apply(ChangeBatch((change("a", 2),), 3, complete=True))
-    assert mirror.since(0).complete
+    assert mirror.changes_since(0).complete
 
 
 @given(
@@ -79,25 +79,25 @@
     random.shuffle(parts)
     for part in parts:
         other.apply(part)
-    assert sorted(other.under(""), key=str) == sorted(whole.under(""), key=str)
+    assert sorted(other.with_prefix(""), key=str) == sorted(whole.with_prefix(""), key=str)
 
 
-def test_who_lags_behind_a_listing_is_told_everything() -> None:
+def test_peer_older_than_a_listing_gets_a_complete_listing() -> None:
     # A key that was removed before the listing is not known to the peer that began with it.
     peer = Mirror()
     peer.apply(ChangeBatch((change("a", 2),), 9, complete=True))
     lagging = Mirror()
     lagging.apply(ChangeBatch((change("a", 2), change("gone", 3)), 4, complete=True))
-    lagging.apply(peer.since(lagging.at))
-    assert lagging.at == 9
+    lagging.apply(peer.changes_since(lagging.last_revision))
+    assert lagging.last_revision == 9
     assert lagging.get("gone") is None
 
 
-def test_a_peer_that_missed_a_change_before_a_removal_is_told_the_last_value() -> None:
+def test_removal_carries_the_last_value() -> None:
     peer = Mirror()
     peer.apply(ChangeBatch((change("a", 2, b"ready"),), 2, complete=True))
     lagging = Mirror()
-    lagging.apply(peer.since(0))
+    lagging.apply(peer.changes_since(0))
     peer.apply(ChangeBatch((change("a", 5, b"draining"), change("a", 6, None)), 6))
-    (removal,) = lagging.apply(peer.since(2))
+    (removal,) = lagging.apply(peer.changes_since(2))
     assert removal.value is None and removal.last_value == b"draining"
--- a/tests/cluster/test_mirror_link.py
+++ b/tests/cluster/test_mirror_link.py
@@ -9,8 +9,8 @@
 from wharfcart.cluster.address import Address
 from wharfcart.cluster.coordination import ChangeBatch, CoordinationUnavailableError, KeyChange
 from wharfcart.cluster.mirror import Mirror
-from wharfcart.cluster.mirror_link import MirrorLink, PeerNews
-from wharfcart.cluster.news_sources import NewsSources, Peer
+from wharfcart.cluster.mirror_link import MirrorSync, PeerUpdates
+from wharfcart.cluster.news_sources import Peer, PeerSelector
 from wharfcart.cluster.topology import RegionName, Topology
 from wharfcart.experiments.virtual_time import run_virtually, virtual_monotonic
 from wharfcart.observability.decisions import DecisionLog
@@ -29,7 +29,7 @@
         self.revision = 1
         self.stale_reads = 0
         self.calls = 0
-        self.refuses = False
+        self.is_unavailable = False
         self._changed = asyncio.Event()
 
     def put(self, key: str) -> None:
@@ -45,7 +45,7 @@
 
     async def wait_for_changes(self, after: int, wait_s: float) -> ChangeBatch:
         self.calls += 1
-        if self.refuses:
+        if self.is_unavailable:
             raise CoordinationUnavailableError("refused")
         try:
             async with asyncio.timeout(wait_s):
@@ -61,15 +61,15 @@
     """Calls to other links, by node id; those in ``silent`` never answer."""
 
     def __init__(self) -> None:
-        self.links: dict[str, MirrorLink] = {}
-        self.silent: set[str] = set()
+        self.syncs: dict[str, MirrorSync] = {}
+        self.unresponsive: set[str] = set()
 
-    async def ask(self, peer: Peer, after: int, wait_s: float) -> PeerNews | None:
-        if peer.node_id in self.silent:
+    async def pull(self, peer: Peer, after: int, wait_s: float) -> PeerUpdates | None:
+        if peer.node_id in self.unresponsive:
             await asyncio.sleep(3600)
-        return await self.links[peer.node_id].answer(after, wait_s)
+        return await self.syncs[peer.node_id].serve_pull(after, wait_s)
 
-    def drop(self, peer: Peer) -> None:
+    def disconnect(self, peer: Peer) -> None:
         """Nothing to close."""
 
 
@@ -81,17 +81,17 @@
         self.peers = Peers()
         self.services: dict[str, Service] = {}
         known = {f"s{n}": Peer(f"s{n}", "a", Address("", n)) for n in range(5)}
-        self.links: dict[str, MirrorLink] = {}
+        self.syncs: dict[str, MirrorSync] = {}
         for node_id in [*known, *(f"g{n}" for n in range(gateways))]:
-            sources = NewsSources(node_id, "a")
+            sources = PeerSelector(node_id, "a")
             sources.set_peers(known)
-            self.links[node_id] = MirrorLink(
+            self.syncs[node_id] = MirrorSync(
                 Mirror(), self.shared, sources, self.peers, lambda news: None, DecisionLog(node_id)
             )
-        self.peers.links = {key: self.links[key] for key in known}
+        self.peers.syncs = {key: self.syncs[key] for key in known}
 
     async def run(self, scenario: Callable[[], Awaitable[None]]) -> None:
-        tasks = [asyncio.create_task(link.run()) for link in self.links.values()]
+        tasks = [asyncio.create_task(link.run()) for link in self.syncs.values()]
         try:
             await scenario()
         finally:
@@ -99,11 +99,11 @@
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-    def know(self, key: str) -> set[str]:
-        return {name for name, link in self.links.items() if link.mirror.get(key) is not None}
+    def nodes_with_key(self, key: str) -> set[str]:
+        return {name for name, link in self.syncs.items() if link.mirror.get(key) is not None}
 
 
-def play(scenario: Callable[[Fleet], Awaitable[None]]) -> None:
+def run_scenario(scenario: Callable[[Fleet], Awaitable[None]]) -> None:
     async def run() -> None:
         fleet = Fleet()
         await fleet.run(lambda: scenario(fleet))
@@ -111,7 +111,7 @@
     run_virtually(run())
 
 
-def test_a_change_is_known_everywhere_at_once_and_few_read_the_service() -> None:
+def test_change_reaches_all_nodes_and_only_readers_call_the_service() -> None:
     async def scenario(fleet: Fleet) -> None:
         await asyncio.sleep(5)
         before = fleet.shared.calls
@@ -120,67 +120,67 @@
         assert fleet.shared.calls - before < 2 * 12
         fleet.shared.put("news")
         await asyncio.sleep(0.3)
-        assert fleet.know("news") == set(fleet.links)
+        assert fleet.nodes_with_key("news") == set(fleet.syncs)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_start_of_all_asks_the_service_for_old_answers_only() -> None:
+def test_simultaneous_start_uses_stale_reads_only() -> None:
     async def scenario(fleet: Fleet) -> None:
         await asyncio.sleep(1.0)
-        assert fleet.shared.stale_reads == len(fleet.links)
+        assert fleet.shared.stale_reads == len(fleet.syncs)
         assert fleet.shared.calls < 10
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_readers_that_fall_silent_hide_a_change_for_less_than_two_seconds() -> None:
+def test_unresponsive_readers_delay_a_change_by_less_than_two_seconds() -> None:
     async def scenario(fleet: Fleet) -> None:
         await asyncio.sleep(5)
-        fleet.peers.silent = {"s0", "s1", "s2", "s3", "s4"}
+        fleet.peers.unresponsive = {"s0", "s1", "s2", "s3", "s4"}
         fleet.shared.put("news")
         await asyncio.sleep(1.9)
-        assert fleet.know("news") == set(fleet.links)
+        assert fleet.nodes_with_key("news") == set(fleet.syncs)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_node_that_the_service_refuses_follows_its_peers() -> None:
+def test_node_cut_off_from_the_service_follows_peers() -> None:
     async def scenario(fleet: Fleet) -> None:
-        refused = fleet.links["s0"]
+        refused = fleet.syncs["s0"]
         own = Service()
-        own.refuses = True
+        own.is_unavailable = True
         refused._service = own
         await asyncio.sleep(5)
         fleet.shared.put("news")
         await asyncio.sleep(1.9)
-        assert fleet.know("news") == set(fleet.links)
+        assert fleet.nodes_with_key("news") == set(fleet.syncs)
         assert not refused.in_outage
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_outage_is_known_to_every_node() -> None:
+def test_every_node_detects_an_outage() -> None:
     async def scenario(fleet: Fleet) -> None:
         await asyncio.sleep(5)
-        assert not any(link.in_outage for link in fleet.links.values())
-        fleet.shared.refuses = True
+        assert not any(link.in_outage for link in fleet.syncs.values())
+        fleet.shared.is_unavailable = True
         await asyncio.sleep(4)
-        assert all(link.in_outage for link in fleet.links.values())
-        fleet.shared.refuses = False
+        assert all(link.in_outage for link in fleet.syncs.values())
+        fleet.shared.is_unavailable = False
         fleet.shared.put("news")
         await asyncio.sleep(2.5)
-        assert fleet.know("news") == set(fleet.links)
+        assert fleet.nodes_with_key("news") == set(fleet.syncs)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_after_an_outage_the_service_is_left_to_the_readers_again() -> None:
+def test_only_readers_call_the_service_after_an_outage() -> None:
     async def scenario(fleet: Fleet) -> None:
         await asyncio.sleep(5)
-        fleet.shared.refuses = True
+        fleet.shared.is_unavailable = True
         await asyncio.sleep(4)
-        fleet.shared.refuses = False
+        fleet.shared.is_unavailable = False
         # A node that is refused tries again after 1.5 s or less, about half as much longer.
         await asyncio.sleep(2.5)
         before = fleet.shared.calls
@@ -190,10 +190,10 @@
         # Two readers, each with a call for each of ten changes, and few that were followed besides.
         assert fleet.shared.calls - before < 5 * 12
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_answer_that_cannot_be_read_does_not_end_the_following() -> None:
+def test_malformed_response_does_not_stop_synchronization() -> None:
     async def scenario(fleet: Fleet) -> None:
         await asyncio.sleep(5)
         watch = fleet.shared.wait_for_changes
@@ -208,12 +208,12 @@
         await asyncio.sleep(5)
         fleet.shared.put("news")
         await asyncio.sleep(1)
-        assert fleet.know("news") == set(fleet.links)
+        assert fleet.nodes_with_key("news") == set(fleet.syncs)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_node_that_starts_while_the_service_is_silent_learns_from_a_seed() -> None:
+def test_node_starting_during_an_outage_loads_state_from_a_seed() -> None:
     """Read in the code: a start during an outage waited for the service to come back."""
 
     async def scenario(fleet: Fleet) -> None:
@@ -228,14 +228,14 @@
 
         silent.read_all = silent.wait_for_changes = never  # type: ignore[method-assign]
         known = {f"s{n}": Peer(f"s{n}", "a", Address("", n)) for n in range(5)}
-        sources = NewsSources("new", "a")
+        sources = PeerSelector("new", "a")
         seeds = [Peer("gone", "", Address("", 9)), known["s3"]]
-        fleet.peers.silent.add("gone")
+        fleet.peers.unresponsive.add("gone")
 
         def on_changes(_news: list[KeyChange]) -> None:
             sources.set_peers(known)
 
-        started = MirrorLink(
+        started = MirrorSync(
             Mirror(), silent, sources, fleet.peers, on_changes, DecisionLog("new"), seeds
         )
         task = asyncio.create_task(started.run())
@@ -246,37 +246,37 @@
         assert started.mirror.get("news") is not None
         task.cancel()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_fleet_that_started_piecemeal_settles_on_the_readers_of_each_region() -> None:
+def test_fleet_started_gradually_converges_on_the_readers_of_each_region() -> None:
     """Nodes kept whom they had chosen while they knew few: 14 of 84 read the service, not 9."""
     topology = Topology({"a": RegionName("west"), "b": RegionName("east")})
     known: dict[str, Peer] = {}
     service, peers = Service(), Peers()
 
     def followed() -> set[str]:
-        return {name for link in peers.links.values() for name in link._followed}
+        return {name for link in peers.syncs.values() for name in link._followed_ids}
 
     async def scenario() -> None:
         all_sources, tasks = [], []
         for n in range(40):
             node = Peer(f"s{n}", "ab"[n % 2], Address("", n))
             known[node.node_id] = node
-            sources = NewsSources(node.node_id, node.zone, topology)
+            sources = PeerSelector(node.node_id, node.zone, topology)
             all_sources.append(sources)
-            link = MirrorLink(
+            link = MirrorSync(
                 Mirror(), service, sources, peers, lambda news: None, DecisionLog(node.node_id)
             )
-            peers.links[node.node_id] = link
+            peers.syncs[node.node_id] = link
             for one in all_sources:
                 one.set_peers(known)
             tasks.append(asyncio.create_task(link.run()))
             await asyncio.sleep(0.2)
         await asyncio.sleep(15.0)
         assert sorted(known[name].zone for name in followed()) == ["a", "a", "b", "b"]
-        for name, link in peers.links.items():
-            assert {known[other].zone for other in link._followed} <= {known[name].zone}
+        for name, link in peers.syncs.items():
+            assert {known[other].zone for other in link._followed_ids} <= {known[name].zone}
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
