--- a/src/wharfcart/cluster/placement.py
+++ b/src/wharfcart/cluster/placement.py
@@ -59,7 +59,7 @@
             self._shard_count = shard_count
         return changed
 
-    def message(self) -> Placement:
+    def to_message(self) -> Placement:
         """Return all placements, and the number of shards if it is known, as one message."""
         return Placement(shards=self.shards.values(), shard_count=self._shard_count)
 
--- a/src/wharfcart/cluster/round_trips.py
+++ b/src/wharfcart/cluster/round_trips.py
@@ -11,43 +11,43 @@
 from wharfcart.cluster.address import Address
 
 # A path that has become longer is believed after one of these spans, or two at most.
-SPAN_S = 10.0
+WINDOW_S = 10.0
 # A peer that takes longer is slow or overloaded, not far: half way round the earth and back.
-MOST_S = 0.3
+MAX_ROUND_TRIP_S = 0.3
 # Peers that left are forgotten once there are so many.
-MOST_PEERS = 1024
+MAX_PEERS = 1024
 
 
 @dataclass
-class _Least:
-    began_at: float
+class _WindowedMinimum:
+    started_at: float
     current_s: float
-    before_s: float
+    previous_s: float
 
 
 @dataclass
-class RoundTrips:
+class RoundTripTimes:
     """The least round trip to each peer, over the present span and the one before."""
 
-    _by_address: dict[Address, _Least] = field(default_factory=dict)
+    _by_address: dict[Address, _WindowedMinimum] = field(default_factory=dict)
 
-    def observe(self, address: Address, seconds: float, now: float) -> None:
+    def observe(self, address: Address, round_trip_s: float, now: float) -> None:
         """Note that something took so long to a peer and back."""
         least = self._by_address.get(address)
         if least is None:
-            if len(self._by_address) >= MOST_PEERS:
+            if len(self._by_address) >= MAX_PEERS:
                 del self._by_address[next(iter(self._by_address))]
-            self._by_address[address] = _Least(now, seconds, seconds)
-        elif now - least.began_at < SPAN_S:
-            least.current_s = min(least.current_s, seconds)
+            self._by_address[address] = _WindowedMinimum(now, round_trip_s, round_trip_s)
+        elif now - least.started_at < WINDOW_S:
+            least.current_s = min(least.current_s, round_trip_s)
         else:
-            self._by_address[address] = _Least(now, seconds, least.current_s)
+            self._by_address[address] = _WindowedMinimum(now, round_trip_s, least.current_s)
 
-    def least_s(self, address: Address, now: float) -> float:
+    def min_s(self, address: Address, now: float) -> float:
         """Return the round trip to a peer; 0 for one that nothing is known of."""
         least = self._by_address.get(address)
         if least is None:
             return 0.0
-        if now - least.began_at >= 2 * SPAN_S:
-            return min(MOST_S, least.current_s)
-        return min(MOST_S, least.current_s, least.before_s)
+        if now - least.started_at >= 2 * WINDOW_S:
+            return min(MAX_ROUND_TRIP_S, least.current_s)
+        return min(MAX_ROUND_TRIP_S, least.current_s, least.previous_s)
--- a/src/wharfcart/cluster/transport.py
+++ b/src/wharfcart/cluster/transport.py
@@ -17,19 +17,19 @@
 from wharfcart.clock import monotonic
 from wharfcart.cluster.address import Address
 from wharfcart.cluster.messages_pb2 import CallError, Cancel, Frame
-from wharfcart.cluster.round_trips import RoundTrips
+from wharfcart.cluster.round_trips import RoundTripTimes
 from wharfcart.errors import Outcome, ServingError
 from wharfcart.http.silence import notice_silence
 from wharfcart.observability.tasks import BackgroundTasks
 
-LENGTH = struct.Struct(">I")
-MOST_FRAME_BYTES = 32 * 1024 * 1024
-MOST_BUFFERED_BYTES = 16 * 1024 * 1024
+LENGTH_PREFIX = struct.Struct(">I")
+MAX_FRAME_BYTES = 32 * 1024 * 1024
+MAX_BUFFERED_BYTES = 16 * 1024 * 1024
 CONNECT_TIMEOUT_S = 1.0
 # A peer whose machine is gone says nothing: a connection ends once bytes were not acknowledged for
 # so long. A machine that stands still for less is waited for.
-UNACKNOWLEDGED_MS = 2500
-ANSWERED_AT_ONCE = frozenset(("slot_request", "permit_request", "replicate_jobs"))
+UNACKNOWLEDGED_TIMEOUT_MS = 2500
+ROUND_TRIP_SAMPLE_KINDS = frozenset(("slot_request", "permit_request", "replicate_jobs"))
 
 logger = logging.getLogger(__name__)
 
@@ -59,11 +59,11 @@
 OnSent = Callable[[str, str, int], None]
 
 
-def _uncounted(_host: str, _kind: str, _size: int) -> None:
+def _ignore_sent(_host: str, _kind: str, _size: int) -> None:
     return
 
 
-def call_error(error: ServingError, leader_hint: str = "") -> Frame:
+def error_frame(error: ServingError, leader_hint: str = "") -> Frame:
     """Wrap an error as the last frame of a response."""
     return Frame(
         error=CallError(
@@ -97,7 +97,7 @@
         self.transport = cast(asyncio.Transport, transport)
         peer = transport.get_extra_info("peername")
         self._host = str(peer[0]) if peer else ""
-        notice_silence(transport, UNACKNOWLEDGED_MS)
+        notice_silence(transport, UNACKNOWLEDGED_TIMEOUT_MS)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
@@ -113,16 +113,16 @@
     def data_received(self, data: bytes) -> None:
         self._buffer += data
         offset = 0
-        while len(self._buffer) - offset >= LENGTH.size:
-            (length,) = LENGTH.unpack_from(self._buffer, offset)
-            if length > MOST_FRAME_BYTES:
+        while len(self._buffer) - offset >= LENGTH_PREFIX.size:
+            (length,) = LENGTH_PREFIX.unpack_from(self._buffer, offset)
+            if length > MAX_FRAME_BYTES:
                 logger.warning("frame too long", extra={"bytes": length})
                 self.close()
                 return
-            end = offset + LENGTH.size + length
+            end = offset + LENGTH_PREFIX.size + length
             if len(self._buffer) < end:
                 break
-            frame = Frame.FromString(bytes(self._buffer[offset + LENGTH.size : end]))
+            frame = Frame.FromString(bytes(self._buffer[offset + LENGTH_PREFIX.size : end]))
             offset = end
             self._on_frame(frame)
         del self._buffer[:offset]
@@ -132,14 +132,14 @@
         transport = self.transport
         if transport is None or transport.is_closing():
             return False
-        if transport.get_write_buffer_size() > MOST_BUFFERED_BYTES:
+        if transport.get_write_buffer_size() > MAX_BUFFERED_BYTES:
             return False
         data = frame.SerializeToString()
-        transport.write(LENGTH.pack(len(data)) + data)
-        self._on_sent(self._host, frame.WhichOneof("body") or "", LENGTH.size + len(data))
+        transport.write(LENGTH_PREFIX.pack(len(data)) + data)
+        self._on_sent(self._host, frame.WhichOneof("body") or "", LENGTH_PREFIX.size + len(data))
         return True
 
-    async def write_waiting(self, frame: Frame) -> bool:
+    async def write_when_ready(self, frame: Frame) -> bool:
         """Write, waiting for the peer to take what was written before."""
         await self._writable.wait()
         return self.write(frame)
@@ -178,7 +178,7 @@
         frame.call_id = call_id
         finished = False
         try:
-            if not await self.protocol.write_waiting(frame):
+            if not await self.protocol.write_when_ready(frame):
                 raise PeerUnreachableError(self.address, sent=False)
             while True:
                 answer = await queue.get()
@@ -202,14 +202,14 @@
         on_sent: is told of each frame that is sent.
     """
 
-    def __init__(self, handler: Handler, on_sent: OnSent = _uncounted) -> None:
+    def __init__(self, handler: Handler, on_sent: OnSent = _ignore_sent) -> None:
         self._handler = handler
         self._on_sent = on_sent
-        self._round_trips = RoundTrips()
+        self._round_trip_times = RoundTripTimes()
         self._server: asyncio.Server | None = None
         self._connections: dict[tuple[Address, TrafficClass], _Connection] = {}
-        self._connecting: dict[tuple[Address, TrafficClass], asyncio.Lock] = {}
-        self._inbound: set[_FrameProtocol] = set()
+        self._connect_locks: dict[tuple[Address, TrafficClass], asyncio.Lock] = {}
+        self._inbound_connections: set[_FrameProtocol] = set()
         self._tasks = BackgroundTasks()
 
     async def start(self, address: Address) -> None:
@@ -224,7 +224,7 @@
         self._tasks.cancel()
         for connection in self._connections.values():
             connection.protocol.close()
-        for protocol in list(self._inbound):
+        for protocol in list(self._inbound_connections):
             protocol.close()
 
     async def call(
@@ -247,11 +247,11 @@
         """Send one request and yield its responses; an error frame is raised."""
         connection = await self._connect(address, traffic)
         # Only what is answered at once tells how far a peer is.
-        asked_at = monotonic() if frame.WhichOneof("body") in ANSWERED_AT_ONCE else None
+        asked_at = monotonic() if frame.WhichOneof("body") in ROUND_TRIP_SAMPLE_KINDS else None
         async with aclosing(connection.call(frame)) as answers:
             async for answer in answers:
                 if asked_at is not None:
-                    self._round_trips.observe(address, monotonic() - asked_at, monotonic())
+                    self._round_trip_times.observe(address, monotonic() - asked_at, monotonic())
                     asked_at = None
                 if answer.WhichOneof("body") == "error":
                     raise _serving_error(answer.error)
@@ -269,7 +269,7 @@
 
     def round_trip_s(self, address: Address) -> float:
         """Return the least time that a message to a peer and back took lately; 0 if unknown."""
-        return self._round_trips.least_s(address, monotonic())
+        return self._round_trip_times.min_s(address, monotonic())
 
     def drop(self, address: Address, only: TrafficClass | None = None) -> None:
         """Close the connections to a peer that has fallen silent; the next call connects anew.
@@ -292,7 +292,7 @@
 
     async def _connect(self, address: Address, traffic: TrafficClass) -> _Connection:
         key = (address, traffic)
-        lock = self._connecting.setdefault(key, asyncio.Lock())
+        lock = self._connect_locks.setdefault(key, asyncio.Lock())
         async with lock:
             connection = self._connections.get(key)
             if connection is not None and not connection.lost:
@@ -307,7 +307,7 @@
                     )
             except (OSError, TimeoutError) as error:
                 raise PeerUnreachableError(address, sent=False) from error
-            self._round_trips.observe(address, monotonic() - began_at, monotonic())
+            self._round_trip_times.observe(address, monotonic() - began_at, monotonic())
             self._connections[key] = connection
             return connection
 
@@ -326,24 +326,24 @@
                 task.add_done_callback(lambda _: running.pop(frame.call_id, None))
 
         def on_lost() -> None:
-            self._inbound.discard(protocol)
+            self._inbound_connections.discard(protocol)
             for task in list(running.values()):
                 task.cancel()
 
         protocol = _FrameProtocol(on_frame, on_lost, self._on_sent)
-        self._inbound.add(protocol)
+        self._inbound_connections.add(protocol)
         return protocol
 
     async def _serve(self, frame: Frame, protocol: _FrameProtocol) -> None:
         async def respond(answer: Frame) -> None:
             answer.call_id = frame.call_id
             answer.response = True
-            await protocol.write_waiting(answer)
+            await protocol.write_when_ready(answer)
 
         try:
             await self._handler(frame, respond)
         except ServingError as error:
-            answer = call_error(error)
+            answer = error_frame(error)
             answer.last = True
             await respond(answer)
         except asyncio.CancelledError:
@@ -352,7 +352,7 @@
             logger.exception("call failed", extra={"call": frame.WhichOneof("body")})
             # The request may have had its effect before the defect struck.
             defect = ServingError("internal", "internal error", 500, Outcome.UNKNOWN)
-            answer = call_error(defect)
+            answer = error_frame(defect)
             answer.last = True
             await respond(answer)
 
--- a/src/wharfcart/node/calls.py
+++ b/src/wharfcart/node/calls.py
@@ -80,7 +80,7 @@
         if kind == "pull_entries":
             return Frame(entries=self._spreading.serve_pull(frame.pull_entries))
         if kind == "pull_placement":
-            return Frame(placement=self._spreading.placement.message())
+            return Frame(placement=self._spreading.placement.to_message())
         if kind == "take_tokens":
             return Frame(tokens_taken=self._limiter.serve(frame.take_tokens))
         if kind == "read_fleet":
--- a/tests/cluster/test_round_trips.py
+++ b/tests/cluster/test_round_trips.py
@@ -1,48 +1,48 @@
 """How far a peer is, by what was answered lately."""
 
 from wharfcart.cluster.address import Address
-from wharfcart.cluster.round_trips import MOST_PEERS, MOST_S, SPAN_S, RoundTrips
+from wharfcart.cluster.round_trips import MAX_PEERS, MAX_ROUND_TRIP_S, WINDOW_S, RoundTripTimes
 
 NEAR, FAR = Address("near", 1), Address("far", 1)
 
 
-def test_a_peer_that_nothing_is_known_of_counts_as_next_door() -> None:
-    assert RoundTrips().least_s(NEAR, 0.0) == 0.0
+def test_unknown_peer_has_zero_round_trip() -> None:
+    assert RoundTripTimes().min_s(NEAR, 0.0) == 0.0
 
 
-def test_the_least_counts_and_delays_do_not() -> None:
-    trips = RoundTrips()
+def test_minimum_ignores_delayed_samples() -> None:
+    trips = RoundTripTimes()
     for n, seconds in enumerate((0.06, 0.041, 0.2, 0.9)):
         trips.observe(FAR, seconds, n)
     trips.observe(NEAR, 0.001, 4.0)
-    assert trips.least_s(FAR, 4.0) == 0.041
-    assert trips.least_s(NEAR, 4.0) == 0.001
+    assert trips.min_s(FAR, 4.0) == 0.041
+    assert trips.min_s(NEAR, 4.0) == 0.001
 
 
-def test_a_path_that_has_become_longer_is_believed_after_two_spans_at_most() -> None:
-    trips = RoundTrips()
+def test_longer_path_takes_effect_within_two_windows() -> None:
+    trips = RoundTripTimes()
     trips.observe(FAR, 0.002, 0.0)
-    for n in range(1, 3 * int(SPAN_S)):
+    for n in range(1, 3 * int(WINDOW_S)):
         trips.observe(FAR, 0.05, n)
-    assert trips.least_s(FAR, 2 * SPAN_S) == 0.05
+    assert trips.min_s(FAR, 2 * WINDOW_S) == 0.05
 
 
-def test_a_path_that_has_become_shorter_is_believed_at_once() -> None:
-    trips = RoundTrips()
+def test_shorter_path_takes_effect_at_once() -> None:
+    trips = RoundTripTimes()
     trips.observe(FAR, 0.05, 0.0)
     trips.observe(FAR, 0.002, 1.0)
-    assert trips.least_s(FAR, 1.0) == 0.002
+    assert trips.min_s(FAR, 1.0) == 0.002
 
 
-def test_what_takes_long_is_no_distance() -> None:
-    trips = RoundTrips()
+def test_round_trip_is_capped() -> None:
+    trips = RoundTripTimes()
     trips.observe(FAR, 5.0, 0.0)
-    assert trips.least_s(FAR, 0.0) == MOST_S
+    assert trips.min_s(FAR, 0.0) == MAX_ROUND_TRIP_S
 
 
-def test_peers_that_left_take_no_room() -> None:
-    trips = RoundTrips()
-    for n in range(2 * MOST_PEERS):
+def test_number_of_remembered_peers_is_bounded() -> None:
+    trips = RoundTripTimes()
+    for n in range(2 * MAX_PEERS):
         trips.observe(Address("host", n), 0.01, 0.0)
-    assert trips.least_s(Address("host", 0), 0.0) == 0.0
-    assert trips.least_s(Address("host", 2 * MOST_PEERS - 1), 0.0) == 0.01
+    assert trips.min_s(Address("host", 0), 0.0) == 0.0
+    assert trips.min_s(Address("host", 2 * MAX_PEERS - 1), 0.0) == 0.01
--- a/tests/http/test_silence.py
+++ b/tests/http/test_silence.py
@@ -45,7 +45,7 @@
         await nodes[0].start(address)
         await nodes[1].call(address, Frame())
         (calling,) = nodes[1]._connections.values()
-        (answering,) = nodes[0]._inbound
+        (answering,) = nodes[0]._inbound_connections
         found = [
             options(protocol.transport.get_extra_info("socket"))
             for protocol in (calling.protocol, answering)
@@ -55,5 +55,5 @@
         return found
 
     both = asyncio.run(scenario())
-    expected = (transport.UNACKNOWLEDGED_MS, 1, KEEP_ALIVE_IDLE_S, KEEP_ALIVE_PROBES)
+    expected = (transport.UNACKNOWLEDGED_TIMEOUT_MS, 1, KEEP_ALIVE_IDLE_S, KEEP_ALIVE_PROBES)
     assert both == [expected, expected]
