--- a/src/wharfcart/node/backend_news.py
+++ b/src/wharfcart/node/backend_news.py
@@ -16,7 +16,7 @@
 from wharfcart.routing.backend_choice import BackendChoice
 
 # So many back ends get a line each; more are told together.
-MOST_SINGLE_LINES = 2
+MAX_UNGROUPED_LINES = 2
 
 
 @dataclass(frozen=True)
@@ -28,7 +28,7 @@
     drained: bool = False
 
 
-class BackendNews:
+class BackendUpdates:
     """Takes the entries of back ends.
 
     Args:
@@ -52,38 +52,38 @@
         self._in_outage = in_outage
         self._age_s = age_s
         self._log = log
-        self._untold: list[_BackendEvent] = []
+        self._pending_events: list[_BackendEvent] = []
 
-    def take(self, change: KeyChange) -> None:
+    def apply(self, change: KeyChange) -> None:
         """Take a change of one back end's entry."""
         instance_id = change.key.removeprefix(names.SERVER_PREFIX)
         known = self._choice.state(instance_id)
-        instance = self._read(change)
+        instance = self._parse(change)
         if instance is None:
             drained = documents.was_accepting(change) is False
             self._choice.remove(instance_id, monotonic(), self._in_outage(), drained)
             self._pool.drop_instance(instance_id)
             if known is not None:
                 service = known.instance.service
-                self._note(Event.BACKEND_GONE, instance_id, service, change, drained)
+                self._add_event(Event.BACKEND_GONE, instance_id, service, change, drained)
             return
         if known is not None and known.instance.is_later_life_of(instance):
             return  # told late
         if known is not None and instance.is_later_life_of(known.instance):
             self._pool.drop_instance(instance_id)
-            self._note(Event.BACKEND_RESTARTED, instance_id, instance.service, change)
+            self._add_event(Event.BACKEND_RESTARTED, instance_id, instance.service, change)
         was_accepting = known is not None and known.instance.accepting
         was_cold = known is not None and self._choice.is_cold(known, monotonic())
         self._choice.put(instance, monotonic(), change.revision)
         if known is None:
-            self._note(Event.BACKEND_SEEN, instance_id, instance.service, change)
+            self._add_event(Event.BACKEND_SEEN, instance_id, instance.service, change)
         elif was_accepting and not instance.accepting:
-            self._note(Event.BACKEND_DRAINING, instance_id, instance.service, change)
+            self._add_event(Event.BACKEND_DRAINING, instance_id, instance.service, change)
         state = self._choice.state(instance_id)
         if state is not None and self._choice.is_cold(state, monotonic()) and not was_cold:
-            self._note(Event.BACKEND_COLD, instance_id, instance.service, change)
+            self._add_event(Event.BACKEND_COLD, instance_id, instance.service, change)
 
-    def _read(self, change: KeyChange) -> BackendInstance | None:
+    def _parse(self, change: KeyChange) -> BackendInstance | None:
         """Return what an entry names; None if it was removed, or names no back end.
 
         One that turns bad takes out what it named at once: who wrote it is not known, and whether
@@ -100,23 +100,25 @@
             )
             return None
 
-    def tell(self) -> None:
+    def log_pending(self) -> None:
         """Log what was taken since this was called last."""
-        untold, self._untold = self._untold, []
+        untold, self._pending_events = self._pending_events, []
         by_kind: dict[tuple[Event, str, bool], list[_BackendEvent]] = {}
         for one in untold:
             by_kind.setdefault((one.event, one.service, one.drained), []).append(one)
         for alike in by_kind.values():
-            if len(alike) <= MOST_SINGLE_LINES:
+            if len(alike) <= MAX_UNGROUPED_LINES:
                 for one in alike:
                     self._write(one, {"backend": one.instance_id})
             else:
                 self._write(alike[-1], {"backends": [one.instance_id for one in alike]})
 
-    def _note(
+    def _add_event(
         self, event: Event, instance_id: str, service: str, change: KeyChange, drained: bool = False
     ) -> None:
-        self._untold.append(_BackendEvent(event, instance_id, service, change.revision, drained))
+        self._pending_events.append(
+            _BackendEvent(event, instance_id, service, change.revision, drained)
+        )
 
     def _write(self, one: _BackendEvent, named: dict[str, object]) -> None:
         self._log.write(
--- a/src/wharfcart/node/evacuations.py
+++ b/src/wharfcart/node/evacuations.py
@@ -14,10 +14,10 @@
 from wharfcart.platform import names
 from wharfcart.routing.backend_choice import BackendChoice
 
-PERIOD_S = 0.25
+CHECK_INTERVAL_S = 0.25
 
 
-class Evacuations:
+class ZoneEvacuations:
     """Orders to empty zones, on one node.
 
     Args:
@@ -38,54 +38,54 @@
         self._log = log
         self._metrics = metrics
         self._age_s = age_s
-        self._begun_at: dict[str, float] = {}  # by zone
-        self._quiet: set[str] = set()
+        self._started_at_by_zone: dict[str, float] = {}  # by zone
+        self._idle_zones: set[str] = set()
 
-    def take(self, change: KeyChange) -> None:
+    def apply(self, change: KeyChange) -> None:
         """Take an order to empty a zone, or that it was taken back."""
         zone = change.key.removeprefix(names.EVACUATE_PREFIX)
         if change.value is None:
-            self._end(zone, change.revision)
-        elif zone not in self._begun_at:
-            self._begin(zone, change.revision)
+            self._finish(zone, change.revision)
+        elif zone not in self._started_at_by_zone:
+            self._start(zone, change.revision)
 
-    def look(self, now: float) -> None:
+    def check_in_flight(self, now: float) -> None:
         """Show what still runs in emptied zones, and tell which have become quiet."""
-        for zone, begun_at in self._begun_at.items():
+        for zone, begun_at in self._started_at_by_zone.items():
             in_flight = self._choice.in_flight_in(zone)
             self._metrics.evacuated_in_flight.set(zone, in_flight)
             if in_flight:
-                self._quiet.discard(zone)
-            elif zone not in self._quiet:
-                self._quiet.add(zone)
+                self._idle_zones.discard(zone)
+            elif zone not in self._idle_zones:
+                self._idle_zones.add(zone)
                 after_s = round(now - begun_at, 2)
                 self._log.write(Event.EVACUATION_QUIET, zone=zone, after_s=after_s)
 
     async def run(self) -> None:
         """Look from time to time until cancelled."""
         while True:
-            await asyncio.sleep(PERIOD_S)
-            self.look(monotonic())
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            self.check_in_flight(monotonic())
 
-    def _begin(self, zone: str, revision: int) -> None:
-        self._begun_at[zone] = monotonic()
-        self._set_evacuated()
+    def _start(self, zone: str, revision: int) -> None:
+        self._started_at_by_zone[zone] = monotonic()
+        self._update_eligibility()
         self._metrics.evacuated.set(zone, 1)
         self._write(Event.EVACUATION_BEGUN, zone, revision)
 
-    def _end(self, zone: str, revision: int) -> None:
-        if self._begun_at.pop(zone, None) is None:
+    def _finish(self, zone: str, revision: int) -> None:
+        if self._started_at_by_zone.pop(zone, None) is None:
             return
-        self._quiet.discard(zone)
-        self._set_evacuated()
+        self._idle_zones.discard(zone)
+        self._update_eligibility()
         # Its back ends may have turned cold just before, which their entries tell only later.
         self._choice.cold.given_back(zone, monotonic(), revision)
         self._metrics.evacuated.set(zone, 0)
         self._metrics.evacuated_in_flight.set(zone, 0)
         self._write(Event.EVACUATION_ENDED, zone, revision)
 
-    def _set_evacuated(self) -> None:
-        self._choice.eligibility.evacuated_zones = frozenset(self._begun_at)
+    def _update_eligibility(self) -> None:
+        self._choice.eligibility.evacuated_zones = frozenset(self._started_at_by_zone)
 
     def _write(self, event: Event, zone: str, revision: int) -> None:
         self._log.write(
--- a/src/wharfcart/node/serving_node.py
+++ b/src/wharfcart/node/serving_node.py
@@ -29,8 +29,8 @@
 from wharfcart.configuration.residence import Residence
 from wharfcart.configuration.residence_check import residence_findings
 from wharfcart.configuration.serving import RequestLimit, ServingConfiguration
-from wharfcart.node.backend_news import BackendNews
-from wharfcart.node.evacuations import Evacuations
+from wharfcart.node.backend_news import BackendUpdates
+from wharfcart.node.evacuations import ZoneEvacuations
 from wharfcart.node.fleet_keys import (
     GROUP_PREFIX,
     LAYOUT_KEY,
@@ -102,10 +102,10 @@
             log,
             _seed_peers(settings),
         )
-        self._backend_news = BackendNews(
+        self._backend_news = BackendUpdates(
             self.choice, self.pool, lambda: self.link.in_outage, lambda: self.link.age_s, log
         )
-        self._evacuations = Evacuations(self.choice, log, self.metrics, lambda: self.link.age_s)
+        self._evacuations = ZoneEvacuations(self.choice, log, self.metrics, lambda: self.link.age_s)
         self.suspensions = SuspensionDetector()
         self.suspension_watch = SuspensionWatch(self.suspensions, log)
         suspects = Suspects(holds_longer_s=self.random.uniform(0.0, SPREAD_S))
@@ -255,9 +255,9 @@
             if change.key == names.CONFIGURATION_KEY:
                 self._take_configuration(change)
             elif change.key.startswith(names.SERVER_PREFIX):
-                self._backend_news.take(change)
+                self._backend_news.apply(change)
             elif change.key.startswith(names.EVACUATE_PREFIX):
-                self._evacuations.take(change)
+                self._evacuations.apply(change)
             elif change.key.startswith(SUSPECT_PREFIX):
                 self._suspect_news.take(change)
             elif change.key.startswith(NODE_PREFIX):
@@ -266,7 +266,7 @@
                 self._take_record(change)
             elif change.key == LAYOUT_KEY and change.value is not None:
                 self.layout = layout_from(change.value)
-        self._backend_news.tell()
+        self._backend_news.log_pending()
 
     def _take_configuration(self, change: KeyChange) -> None:
         if change.value is None:
--- a/tests/node/test_backend_news.py
+++ b/tests/node/test_backend_news.py
@@ -5,7 +5,7 @@
 from unittest import mock
 
 from wharfcart.cluster.coordination import KeyChange
-from wharfcart.node.backend_news import BackendNews
+from wharfcart.node.backend_news import BackendUpdates
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.routing.backend_choice import BackendChoice
 
@@ -17,68 +17,68 @@
         self.choice = BackendChoice("z", Random(1))
         self.pool = mock.Mock()
         self.log = mock.Mock(spec=DecisionLog)
-        self.news = BackendNews(self.choice, self.pool, lambda: False, lambda: 0.0, self.log)
+        self.updates = BackendUpdates(self.choice, self.pool, lambda: False, lambda: 0.0, self.log)
         self.revision = 0
 
-    def take(self, name: str = "a", **entry: object) -> None:
+    def apply(self, name: str = "a", **entry: object) -> None:
         self.revision += 1
         fields = {"backend": "s", "address": "10.0.0.9:80", "zone": "z", "slots": 4}
         value = json.dumps({**fields, "state": "ready", **entry}).encode()
-        self.news.take(KeyChange(f"servers/{name}", self.revision, value))
+        self.updates.apply(KeyChange(f"servers/{name}", self.revision, value))
 
-    def logged(self) -> list[Event]:
-        self.news.tell()
+    def logged_events(self) -> list[Event]:
+        self.updates.log_pending()
         return [call.args[0] for call in self.log.write.call_args_list]
 
-    def chosen(self) -> str | None:
+    def chosen_instance(self) -> str | None:
         state = self.choice.choose("s", 0.0)
         return None if state is None else state.instance.instance_id
 
 
-def test_a_back_end_that_starts_again_under_its_id_begins_anew() -> None:
+def test_restarted_back_end_starts_with_fresh_state() -> None:
     node = Node()
-    node.take(born=1_000)
+    node.apply(born=1_000)
     before = node.choice.state("a")
     assert before is not None
     node.choice.sent(before, 0.0)
     node.choice.failed(before, 0.0)
-    node.take(born=5_000)
+    node.apply(born=5_000)
     state = node.choice.state("a")
     assert state is not None and state is not before
     assert (state.in_flight, state.failures, state.waiting_since) == (0, 0, {})
     node.pool.drop_instance.assert_called_once_with("a")
-    assert Event.BACKEND_RESTARTED in node.logged()
-    assert node.chosen() == "a"
+    assert Event.BACKEND_RESTARTED in node.logged_events()
+    assert node.chosen_instance() == "a"
 
 
-def test_an_entry_that_changes_goes_on_with_the_same_life() -> None:
+def test_changed_entry_keeps_the_same_instance() -> None:
     node = Node()
-    node.take(born=1_000)
+    node.apply(born=1_000)
     before = node.choice.state("a")
-    node.take(born=1_000, slots=5)
-    node.take(slots=6)
+    node.apply(born=1_000, slots=5)
+    node.apply(slots=6)
     assert node.choice.state("a") is before
     assert before is not None and (before.instance.slots, before.instance.born_ms) == (6, 1_000)
     node.pool.drop_instance.assert_not_called()
 
 
-def test_news_of_an_earlier_life_changes_nothing() -> None:
+def test_late_entry_of_an_earlier_instance_is_ignored() -> None:
     node = Node()
-    node.take(born=5_000)
-    node.take(born=1_000, state="draining")
+    node.apply(born=5_000)
+    node.apply(born=1_000, state="draining")
     state = node.choice.state("a")
     assert state is not None and state.instance.accepting
     assert state.instance.born_ms == 5_000
-    assert Event.BACKEND_DRAINING not in node.logged()
+    assert Event.BACKEND_DRAINING not in node.logged_events()
 
 
-def test_an_entry_that_turns_bad_takes_out_what_it_named_and_no_other() -> None:
+def test_invalid_entry_removes_only_its_own_back_end() -> None:
     node = Node()
-    node.take("a")
-    node.take("b")
-    node.take("a", slots=-1)
+    node.apply("a")
+    node.apply("b")
+    node.apply("a", slots=-1)
     assert node.choice.state("a") is None
-    assert node.chosen() == "b"
-    assert Event.BACKEND_ENTRY_REFUSED in node.logged()
-    node.take("a")
+    assert node.chosen_instance() == "b"
+    assert Event.BACKEND_ENTRY_REFUSED in node.logged_events()
+    node.apply("a")
     assert node.choice.state("a") is not None
--- a/tests/node/test_serving_node.py
+++ b/tests/node/test_serving_node.py
@@ -34,7 +34,7 @@
     return ServingNode(settings, log), log
 
 
-def test_a_back_end_that_is_seen_drains_and_leaves_is_logged_at_each_step() -> None:
+def test_each_lifecycle_step_of_a_back_end_is_logged() -> None:
     """Incident inc-1cac: no line told that a back end drained."""
     node, log = node_and_log()
     node._on_changes([entry(1, "ready")])
@@ -48,7 +48,7 @@
     assert [fields["revision"] for _, fields in log.lines] == [1, 2, 3]
 
 
-def test_many_back_ends_that_change_at_once_are_told_in_one_line() -> None:
+def test_simultaneous_changes_share_one_log_line() -> None:
     node, log = node_and_log()
     node._on_changes([entry(n, "ready", f"i-{n}") for n in range(1, 85)])
     assert len(log.lines) == 1
@@ -57,7 +57,7 @@
     assert fields["backends"] == [f"i-{n}" for n in range(1, 85)]
 
 
-def test_a_back_end_that_left_unseen_after_a_drain_is_told_from_one_that_lapsed() -> None:
+def test_removal_after_a_missed_drain_is_logged_as_drained() -> None:
     for last, drained in ((b'{"state": "draining"}', False), (entry(2, "draining").value, True)):
         node, log = node_and_log()
         node._on_changes([entry(1, "ready")])
@@ -65,7 +65,7 @@
         assert log.lines[-1][1]["drained"] is drained
 
 
-def test_a_region_that_no_zone_is_in_is_told_with_its_place() -> None:
+def test_unknown_region_is_logged_as_a_finding() -> None:
     log = RecordingLog()
     settings = ServingSettings(
         node_id="n",
@@ -97,11 +97,11 @@
     assert "'wset'" in findings[0]["reason"]
 
 
-def order(zone: str, revision: int, given_back: bool = False) -> KeyChange:
-    return KeyChange(names.EVACUATE_PREFIX + zone, revision, None if given_back else b"{}")
+def evacuation_order(zone: str, revision: int, withdrawn: bool = False) -> KeyChange:
+    return KeyChange(names.EVACUATE_PREFIX + zone, revision, None if withdrawn else b"{}")
 
 
-def in_zone(revision: int, zone: str, instance_id: str, cold_ms: int = 0) -> KeyChange:
+def entry_in_zone(revision: int, zone: str, instance_id: str, cold_ms: int = 0) -> KeyChange:
     value = {
         "backend": "lm",
         "address": "127.0.0.1:1",
@@ -113,66 +113,68 @@
     return KeyChange(names.SERVER_PREFIX + instance_id, revision, json.dumps(value).encode())
 
 
-def accepting(node: ServingNode) -> list[str]:
+def accepting_ids(node: ServingNode) -> list[str]:
     return [state.instance.instance_id for state in node.choice.accepting("lm", monotonic())]
 
 
-def test_a_zone_is_emptied_in_the_step_in_which_the_order_comes_until_it_is_taken_back() -> None:
+def test_evacuation_takes_effect_at_once_and_ends_when_withdrawn() -> None:
     node, log = node_and_log()
-    node._on_changes([in_zone(1, "a", "i-a"), in_zone(2, "b", "i-b")])
-    node._on_changes([order("a", 3)])
-    assert accepting(node) == ["i-b"]
-    node._on_changes([order("b", 4), order("a", 5, given_back=True)])
-    assert accepting(node) == ["i-a"]
+    node._on_changes([entry_in_zone(1, "a", "i-a"), entry_in_zone(2, "b", "i-b")])
+    node._on_changes([evacuation_order("a", 3)])
+    assert accepting_ids(node) == ["i-b"]
+    node._on_changes([evacuation_order("b", 4), evacuation_order("a", 5, withdrawn=True)])
+    assert accepting_ids(node) == ["i-a"]
     events = [event for event, _ in log.lines if event.name.startswith("EVACUATION")]
     assert events == [Event.EVACUATION_BEGUN, Event.EVACUATION_BEGUN, Event.EVACUATION_ENDED]
 
 
-def test_a_node_that_starts_while_a_zone_is_emptied_knows_it_with_its_first_back_ends() -> None:
+def test_first_listing_applies_a_running_evacuation() -> None:
     node, _ = node_and_log()
-    listing = ChangeBatch((in_zone(1, "a", "i-a"), order("a", 2)), last_revision=3, complete=True)
+    listing = ChangeBatch(
+        (entry_in_zone(1, "a", "i-a"), evacuation_order("a", 2)), last_revision=3, complete=True
+    )
     node._on_changes(node.mirror.apply(listing))
-    assert accepting(node) == []
+    assert accepting_ids(node) == []
 
 
-def test_an_order_that_was_taken_back_while_the_node_was_cut_off_ends_with_the_next_listing() -> (
-    None
-):
+def test_listing_without_the_order_ends_an_evacuation() -> None:
     node, _ = node_and_log()
     node.choice.cold.limits = {"lm": ColdLimit(4.0, 3.0)}
     node._on_changes(
-        node.mirror.apply(ChangeBatch((in_zone(1, "a", "i-a"), order("a", 2)), last_revision=3))
+        node.mirror.apply(
+            ChangeBatch((entry_in_zone(1, "a", "i-a"), evacuation_order("a", 2)), last_revision=3)
+        )
     )
-    listing = ChangeBatch((in_zone(1, "a", "i-a"),), last_revision=9, complete=True)
+    listing = ChangeBatch((entry_in_zone(1, "a", "i-a"),), last_revision=9, complete=True)
     node._on_changes(node.mirror.apply(listing))
-    assert accepting(node) == ["i-a"]
+    assert accepting_ids(node) == ["i-a"]
     # It may have turned cold before: its entry is older than the order's end.
     assert len(node.choice.cold_states(monotonic())) == 1
-    node._on_changes([in_zone(10, "a", "i-a")])
+    node._on_changes([entry_in_zone(10, "a", "i-a")])
     assert not node.choice.cold_states(monotonic())
 
 
-def test_an_emptied_zone_is_told_to_be_quiet_once_nothing_of_this_node_runs_there() -> None:
+def test_evacuated_zone_is_logged_as_quiet_once_nothing_is_in_flight() -> None:
     node, log = node_and_log()
-    node._on_changes([in_zone(1, "a", "i-a")])
+    node._on_changes([entry_in_zone(1, "a", "i-a")])
     state = node.choice.state("i-a")
     assert state is not None
     use = node.choice.sent(state, monotonic())
-    node._on_changes([order("a", 2)])
-    node._evacuations.look(monotonic())
+    node._on_changes([evacuation_order("a", 2)])
+    node._evacuations.check_in_flight(monotonic())
     assert b'in_flight{zone="a"} 1.0' in node.metrics.render()
     node.choice.ended(state, use)
     for _ in range(2):
-        node._evacuations.look(monotonic())
+        node._evacuations.check_in_flight(monotonic())
     assert [event for event, _ in log.lines].count(Event.EVACUATION_QUIET) == 1
     assert b'in_flight{zone="a"} 0.0' in node.metrics.render()
 
 
-def test_a_back_end_that_tells_it_is_cold_is_logged_and_warm_again_when_it_says_so() -> None:
+def test_cold_back_end_is_logged_and_becomes_warm() -> None:
     node, log = node_and_log()
     node.choice.cold.limits = {"lm": ColdLimit(4.0, 3.0)}
-    node._on_changes([in_zone(1, "a", "i-a", cold_ms=60_000)])
+    node._on_changes([entry_in_zone(1, "a", "i-a", cold_ms=60_000)])
     assert log.lines[-1][0] is Event.BACKEND_COLD
     assert len(node.choice.cold_states(monotonic())) == 1
-    node._on_changes([in_zone(2, "a", "i-a")])
+    node._on_changes([entry_in_zone(2, "a", "i-a")])
     assert not node.choice.cold_states(monotonic())
