--- a/src/wharfcart/node/fleet_keys.py
+++ b/src/wharfcart/node/fleet_keys.py
@@ -8,7 +8,7 @@
 
 NODE_PREFIX = "wharfcart/nodes/"
 GROUP_PREFIX = "wharfcart/groups/"
-SUSPECT_PREFIX = "wharfcart/suspects/"
+POISON_REQUEST_PREFIX = "wharfcart/suspects/"
 LAYOUT_KEY = "wharfcart/layout"
 
 
--- a/src/wharfcart/node/serving_node.py
+++ b/src/wharfcart/node/serving_node.py
@@ -35,12 +35,12 @@
     GROUP_PREFIX,
     LAYOUT_KEY,
     NODE_PREFIX,
-    SUSPECT_PREFIX,
+    POISON_REQUEST_PREFIX,
     NodeEntry,
     NodeKind,
     node_entry_from,
 )
-from wharfcart.node.suspect_news import SuspectNews
+from wharfcart.node.suspect_news import PoisonEvidenceSync
 from wharfcart.node.suspension_watch import SuspensionWatch
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.observability.serving_metrics import ServingMetrics
@@ -110,7 +110,7 @@
         self.suspension_watch = SuspensionWatch(self.suspensions, log)
         suspects = Suspects(holds_longer_s=self.random.uniform(0.0, SPREAD_S))
         self.broken_runs = BrokenRuns(suspects, log)
-        self._suspect_news = SuspectNews(
+        self._suspect_news = PoisonEvidenceSync(
             suspects, self.coordination, self.mirror, self.random, self._relay_ends
         )
         self.metrics.contents_held.set_function(lambda: suspects.held(time()))
@@ -226,7 +226,7 @@
             await respond(Frame(last=True, coordination_changes=message))
             return
         if frame.WhichOneof("body") == "backend_ends":
-            self._suspect_news.take_relayed(frame.backend_ends)
+            self._suspect_news.apply_relayed(frame.backend_ends)
             return
         await self.handle_other(frame, respond)
 
@@ -258,8 +258,8 @@
                 self._backend_news.apply(change)
             elif change.key.startswith(names.EVACUATE_PREFIX):
                 self._evacuations.apply(change)
-            elif change.key.startswith(SUSPECT_PREFIX):
-                self._suspect_news.take(change)
+            elif change.key.startswith(POISON_REQUEST_PREFIX):
+                self._suspect_news.apply_change(change)
             elif change.key.startswith(NODE_PREFIX):
                 self._take_node(change)
             elif change.key.startswith(GROUP_PREFIX):
--- a/src/wharfcart/node/suspect_news.py
+++ b/src/wharfcart/node/suspect_news.py
@@ -24,23 +24,23 @@
 from wharfcart.cluster.messages_pb2 import BackendEnds, ContentEnds, InstanceEnd
 from wharfcart.cluster.mirror import Mirror
 from wharfcart.cluster.randomness import RandomSource
-from wharfcart.node.fleet_keys import SUSPECT_PREFIX
+from wharfcart.node.fleet_keys import POISON_REQUEST_PREFIX
 
 # All runs of a back end that ended break off within this time; they are told together.
-GATHER_S = 0.01
+BATCH_DELAY_S = 0.01
 # A condition fails when another node was faster; its change arrives within this time.
-RETRY_CHANGED_S = 0.1
-RETRY_UNAVAILABLE_S = 0.5
+CONFLICT_RETRY_S = 0.1
+UNAVAILABLE_RETRY_S = 0.5
 # Each further try waits twice as long, up to this.
-MOST_RETRY_S = 4.0
+MAX_RETRY_S = 4.0
 # So often a node looks for evidence that is old, so that none is kept for ever.
-CLEAN_PERIOD_S = 60.0
+CLEANUP_INTERVAL_S = 60.0
 # A transaction has so many entries at most: conditions, keys that are written and that go.
-MOST_WRITTEN = 10
-MOST_REMOVED = 6
+MAX_KEYS_WRITTEN = 10
+MAX_KEYS_REMOVED = 6
 
 
-class SuspectNews:
+class PoisonEvidenceSync:
     """Tells the others what this node has seen, and takes what they tell.
 
     Args:
@@ -53,56 +53,56 @@
 
     def __init__(
         self,
-        suspects: Suspects,
+        poison_requests: Suspects,
         service: CoordinationService,
         mirror: Mirror,
         random: RandomSource,
         relay: Callable[[BackendEnds], None],
     ) -> None:
-        self._suspects = suspects
+        self._poison_requests = poison_requests
         self._relay = relay
         self._service = service
         self._mirror = mirror
         self._random = random
         self._failures = 0
-        self._news = asyncio.Event()
-        suspects.on_news = self._news.set
+        self._pending = asyncio.Event()
+        poison_requests.on_news = self._pending.set
 
-    def take(self, change: KeyChange) -> None:
+    def apply_change(self, change: KeyChange) -> None:
         """Take what was shared of a content."""
-        content = ContentId(change.key.removeprefix(SUSPECT_PREFIX))
+        content = ContentId(change.key.removeprefix(POISON_REQUEST_PREFIX))
         record = record_from(change.value)
-        self._suspects.take(content, None if record is None else record.not_after(time()))
+        self._poison_requests.take(content, None if record is None else record.not_after(time()))
 
-    def take_relayed(self, message: BackendEnds) -> None:
+    def apply_relayed(self, message: BackendEnds) -> None:
         """Take what another node could not tell the service."""
         for told in message.contents:
             ends = {end.instance_id: BackendEnd(end.at, end.weight) for end in told.ends}
             record = SuspectRecord(ends).not_after(time())
-            self._suspects.note_heard(ContentId(told.content), record)
+            self._poison_requests.note_heard(ContentId(told.content), record)
 
     async def run(self) -> None:
         """Tell what there is to tell, until cancelled."""
         while True:
             with suppress(TimeoutError):
-                async with asyncio.timeout(CLEAN_PERIOD_S * self._spread()):
-                    await self._news.wait()
-            self._news.clear()
-            await asyncio.sleep(GATHER_S)
-            while not await self._tell():
+                async with asyncio.timeout(CLEANUP_INTERVAL_S * self._jitter()):
+                    await self._pending.wait()
+            self._pending.clear()
+            await asyncio.sleep(BATCH_DELAY_S)
+            while not await self._write_pending():
                 pass
 
-    async def _tell(self) -> bool:
+    async def _write_pending(self) -> bool:
         """Tell what is untold; False if there is more, or it has to be tried again."""
-        untold = self._suspects.untold(MOST_WRITTEN)
+        untold = self._poison_requests.untold(MAX_KEYS_WRITTEN)
         over = [
             content
-            for content in self._suspects.no_longer_suspect(time(), MOST_REMOVED)
+            for content in self._poison_requests.no_longer_suspect(time(), MAX_KEYS_REMOVED)
             if content not in untold
         ]
         there = [content for content in over if self._mirror.get(_key(content)) is not None]
         if not untold and not there:
-            self._suspects.forgotten(over)
+            self._poison_requests.forgotten(over)
             return True
         transaction = Transaction(
             {_key(content): self._revision(content) for content in (*untold, *there)},
@@ -112,33 +112,33 @@
         try:
             await self._service.commit(transaction)
         except ConditionFailedError:
-            await self._pause(RETRY_CHANGED_S)
+            await self._back_off(CONFLICT_RETRY_S)
             return False
         except CoordinationUnavailableError:
             # Whether it was done or not: the mirror tells, and the same may be written twice.
             if untold:
-                self._relay(ends_to_message(untold))
-            await self._pause(RETRY_UNAVAILABLE_S)
+                self._relay(crashes_to_message(untold))
+            await self._back_off(UNAVAILABLE_RETRY_S)
             return False
         self._failures = 0
-        self._suspects.told(untold)
-        self._suspects.forgotten(over)
+        self._poison_requests.told(untold)
+        self._poison_requests.forgotten(over)
         return False
 
-    def _revision(self, content: ContentId) -> int:
-        known = self._mirror.get(_key(content))
+    def _revision(self, fingerprint: ContentId) -> int:
+        known = self._mirror.get(_key(fingerprint))
         return 0 if known is None else known.revision
 
-    async def _pause(self, seconds: float) -> None:
+    async def _back_off(self, seconds: float) -> None:
         self._failures += 1
-        seconds = min(MOST_RETRY_S, seconds * 2.0 ** (self._failures - 1))
-        await asyncio.sleep(seconds * self._spread())
+        seconds = min(MAX_RETRY_S, seconds * 2.0 ** (self._failures - 1))
+        await asyncio.sleep(seconds * self._jitter())
 
-    def _spread(self) -> float:
+    def _jitter(self) -> float:
         return 0.5 + self._random.random()
 
 
-def ends_to_message(record_by_content: dict[ContentId, SuspectRecord]) -> BackendEnds:
+def crashes_to_message(record_by_fingerprint: dict[ContentId, SuspectRecord]) -> BackendEnds:
     """Write what is known of some contents, for another node."""
     return BackendEnds(
         contents=[
@@ -149,7 +149,7 @@
                     for instance_id, end in record.ends_by_instance.items()
                 ],
             )
-            for content, record in record_by_content.items()
+            for content, record in record_by_fingerprint.items()
         ]
     )
 
@@ -174,5 +174,5 @@
     return SuspectRecord(ends)
 
 
-def _key(content: ContentId) -> str:
-    return SUSPECT_PREFIX + content
+def _key(fingerprint: ContentId) -> str:
+    return POISON_REQUEST_PREFIX + fingerprint
--- a/tests/integration/test_fatal_requests.py
+++ b/tests/integration/test_fatal_requests.py
@@ -26,7 +26,7 @@
 
 from wharfcart.emulator.model_server import ModelServer
 from wharfcart.experiments.serving_fleet import PLAIN_SERVICE, STREAM_SERVICE, ServingFleet
-from wharfcart.node.fleet_keys import SUSPECT_PREFIX
+from wharfcart.node.fleet_keys import POISON_REQUEST_PREFIX
 from wharfcart.platform import names
 
 FATAL = b"what ends whoever runs it"
@@ -215,7 +215,7 @@
 
         def both_ends_are_shared() -> bool:
             items = fleet.store.state.items
-            records = [items[key].value for key in items if key.startswith(SUSPECT_PREFIX)]
+            records = [items[key].value for key in items if key.startswith(POISON_REQUEST_PREFIX)]
             return any(len(json.loads(record)) == 2 for record in records)
 
         for number in (0, 2):
--- a/tests/node/test_suspect_news.py
+++ b/tests/node/test_suspect_news.py
@@ -17,11 +17,11 @@
 from wharfcart.cluster.messages_pb2 import BackendEnds
 from wharfcart.cluster.mirror import Mirror
 from wharfcart.experiments.virtual_time import run_virtually
-from wharfcart.node.fleet_keys import SUSPECT_PREFIX
-from wharfcart.node.suspect_news import SuspectNews, record_from, record_to_bytes
+from wharfcart.node.fleet_keys import POISON_REQUEST_PREFIX
+from wharfcart.node.suspect_news import PoisonEvidenceSync, record_from, record_to_bytes
 
-CONTENT = ContentId("c")
-NEWS_S = 0.05
+FINGERPRINT = ContentId("c")
+PROPAGATION_S = 0.05
 
 
 class Service:
@@ -32,13 +32,13 @@
         self.keys: dict[str, KeyChange] = {}
         self.nodes: list[Node] = []
         self.calls = 0
-        self.down = False
-        self.refused: set[int] = set()
+        self.is_down = False
+        self.refused_nodes: set[int] = set()
         self.loses_answers = False
 
     async def commit(self, transaction: Transaction) -> int:
         self.calls += 1
-        if self.down:
+        if self.is_down:
             raise CoordinationUnavailableError("down")
         for key, revision in transaction.expected.items():
             known = self.keys.get(key)
@@ -52,7 +52,9 @@
             if change.value is None:
                 del self.keys[change.key]
         for node in self.nodes:
-            asyncio.get_running_loop().call_later(NEWS_S, node.hear, changes, self.revision)
+            asyncio.get_running_loop().call_later(
+                PROPAGATION_S, node.apply_changes, changes, self.revision
+            )
         if self.loses_answers:
             raise CoordinationUnavailableError("no answer", may_have_taken_effect=True)
         return self.revision
@@ -60,145 +62,152 @@
 
 class Node:
     def __init__(self, service: Service, seed: int) -> None:
-        self.suspects = Suspects()
+        self.poison_requests = Suspects()
         self.mirror = Mirror()
         self._service = service
         self.number = seed
         self.relays: list[Node] = []
-        self.news = SuspectNews(self.suspects, self, self.mirror, Random(seed), self._relay)
+        self.sync = PoisonEvidenceSync(
+            self.poison_requests, self, self.mirror, Random(seed), self._relay
+        )
         service.nodes.append(self)
-        self.task = asyncio.get_running_loop().create_task(self.news.run())
+        self.task = asyncio.get_running_loop().create_task(self.sync.run())
 
     async def commit(self, transaction: Transaction) -> int:
         """Write to the service, as this node."""
-        if self.number in self._service.refused:
+        if self.number in self._service.refused_nodes:
             raise CoordinationUnavailableError("refused")
         return await self._service.commit(transaction)
 
     def _relay(self, message: BackendEnds) -> None:
         for node in self.relays:
-            node.news.take_relayed(message)
+            node.sync.apply_relayed(message)
 
-    def hear(self, changes: list[KeyChange], at: int) -> None:
+    def apply_changes(self, changes: list[KeyChange], at: int) -> None:
         for change in self.mirror.apply(ChangeBatch(tuple(changes), at)):
-            self.news.take(change)
+            self.sync.apply_change(change)
 
-    def start_anew(self, service: Service) -> None:
+    def load_all(self, service: Service) -> None:
         """List everything, as a node does that starts."""
-        self.hear(list(service.keys.values()), service.revision)
+        self.apply_changes(list(service.keys.values()), service.revision)
 
-    def ends(self) -> set[str]:
-        return set(self.suspects.record(CONTENT).ends_by_instance)
+    def crashed_instances(self) -> set[str]:
+        return set(self.poison_requests.record(FINGERPRINT).ends_by_instance)
 
 
-def play(scenario: Callable[[Service], Awaitable[None]]) -> None:
+def run_scenario(scenario: Callable[[Service], Awaitable[None]]) -> None:
     async def run() -> None:
         await scenario(Service())
 
     run_virtually(run())
 
 
-def test_every_node_knows_soon_and_one_that_starts_later_too() -> None:
+def test_evidence_reaches_running_and_later_nodes() -> None:
     async def scenario(service: Service) -> None:
         first, second = Node(service, 1), Node(service, 2)
-        first.suspects.note_end(CONTENT, "a", 1.0, time())
+        first.poison_requests.note_end(FINGERPRINT, "a", 1.0, time())
         await asyncio.sleep(0.5)
-        second.suspects.note_end(CONTENT, "b", 1.0, time())
+        second.poison_requests.note_end(FINGERPRINT, "b", 1.0, time())
         await asyncio.sleep(0.5)
         third = Node(service, 3)
-        third.start_anew(service)
-        assert first.ends() == second.ends() == third.ends() == {"a", "b"}
+        third.load_all(service)
+        assert (
+            first.crashed_instances()
+            == second.crashed_instances()
+            == third.crashed_instances()
+            == {"a", "b"}
+        )
         assert service.calls == 2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_two_that_tell_at_once_both_count() -> None:
+def test_concurrent_writers_lose_no_evidence() -> None:
     async def scenario(service: Service) -> None:
         nodes = [Node(service, seed) for seed in range(5)]
         for number, node in enumerate(nodes):
-            node.suspects.note_end(CONTENT, f"b{number}", 1.0, time())
+            node.poison_requests.note_end(FINGERPRINT, f"b{number}", 1.0, time())
         await asyncio.sleep(30.0)
-        assert all(len(node.ends()) == 5 for node in nodes)
+        assert all(len(node.crashed_instances()) == 5 for node in nodes)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_what_is_seen_while_the_service_is_down_is_told_later() -> None:
+def test_evidence_from_an_outage_is_written_afterwards() -> None:
     async def scenario(service: Service) -> None:
         first, second = Node(service, 1), Node(service, 2)
-        service.down = True
-        first.suspects.note_end(CONTENT, "a", 1.0, time())
+        service.is_down = True
+        first.poison_requests.note_end(FINGERPRINT, "a", 1.0, time())
         await asyncio.sleep(20.0)
         assert service.calls < 15
-        assert first.ends() == {"a"} and not second.ends()
-        service.down = False
+        assert first.crashed_instances() == {"a"} and not second.crashed_instances()
+        service.is_down = False
         await asyncio.sleep(8.0)
-        assert second.ends() == {"a"}
+        assert second.crashed_instances() == {"a"}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_node_that_the_service_refuses_tells_others_who_tell_it() -> None:
+def test_refused_node_relays_evidence_through_others() -> None:
     """Also if the first that is told is refused, too."""
 
     async def scenario(service: Service) -> None:
         refused, refused_too, third, fourth = (Node(service, seed) for seed in range(4))
         refused.relays, refused_too.relays = [refused_too], [third]
-        service.refused = {refused.number, refused_too.number}
-        refused.suspects.note_end(CONTENT, "a", 1.0, time())
+        service.refused_nodes = {refused.number, refused_too.number}
+        refused.poison_requests.note_end(FINGERPRINT, "a", 1.0, time())
         await asyncio.sleep(1.0)
-        assert fourth.ends() == {"a"}
+        assert fourth.crashed_instances() == {"a"}
         await asyncio.sleep(5.0)
         assert service.calls == 1, "it is told once"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_answer_that_was_lost_changes_nothing() -> None:
+def test_lost_commit_response_is_harmless() -> None:
     async def scenario(service: Service) -> None:
         first, second = Node(service, 1), Node(service, 2)
         service.loses_answers = True
-        first.suspects.note_end(CONTENT, "a", 1.0, time())
+        first.poison_requests.note_end(FINGERPRINT, "a", 1.0, time())
         await asyncio.sleep(5.0)
         service.loses_answers = False
         await asyncio.sleep(5.0)
-        assert first.ends() == second.ends() == {"a"}
-        assert not first.suspects.untold(9)
+        assert first.crashed_instances() == second.crashed_instances() == {"a"}
+        assert not first.poison_requests.untold(9)
         assert service.calls == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_answer_to_the_request_is_told_as_well() -> None:
+def test_answered_request_removes_shared_evidence() -> None:
     async def scenario(service: Service) -> None:
         first, second = Node(service, 1), Node(service, 2)
-        first.suspects.note_end(CONTENT, "a", 1.0, time())
+        first.poison_requests.note_end(FINGERPRINT, "a", 1.0, time())
         await asyncio.sleep(0.5)
-        second.suspects.note_answer(lambda: CONTENT)
+        second.poison_requests.note_answer(lambda: FINGERPRINT)
         await asyncio.sleep(0.5)
-        assert not first.ends() and not second.ends()
+        assert not first.crashed_instances() and not second.crashed_instances()
         assert not service.keys
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_old_evidence_is_taken_away_though_nothing_happens() -> None:
+def test_old_evidence_is_removed_without_new_events() -> None:
     async def scenario(service: Service) -> None:
         node = Node(service, 1)
-        node.suspects.note_end(CONTENT, "a", 1.0, time() - KEPT_S - 1.0)
-        await asyncio.sleep(NEWS_S / 2)
+        node.poison_requests.note_end(FINGERPRINT, "a", 1.0, time() - KEPT_S - 1.0)
+        await asyncio.sleep(PROPAGATION_S / 2)
         assert service.keys
         await asyncio.sleep(200.0)
-        assert not service.keys and not len(node.suspects)
+        assert not service.keys and not len(node.poison_requests)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_records_are_read_as_they_were_written_and_others_count_as_none() -> None:
+def test_records_survive_a_round_trip_and_malformed_ones_are_ignored() -> None:
     suspects = Suspects()
-    record = suspects.note_end(CONTENT, "a", 0.5, 100.25)
+    record = suspects.note_end(FINGERPRINT, "a", 0.5, 100.25)
     assert record_from(record_to_bytes(record)) == record
     for value in (None, b"no", b"[]", b'{"a": 1}', b'{"a": ["x", 1]}'):
         assert record_from(value) is None
-    assert SUSPECT_PREFIX.endswith("/")
+    assert POISON_REQUEST_PREFIX.endswith("/")
