--- a/src/wharfcart/node/gateway_process.py
+++ b/src/wharfcart/node/gateway_process.py
@@ -54,19 +54,19 @@
             HolderId(settings.node_id),
             self._node.choice,
             self._node.transport,
-            lambda: self._node.groups,
+            lambda: self._node.group_count,
             self._node.leader_address,
             self._node.group_of_instance,
             FleetLoad(self._node.choice),
             log,
-            self._node.stand_in_addresses,
+            self._node.backup_coordinator_addresses,
             settings.cluster_address,
             self._node.grants_in,
         )
-        self._node.fleet_size = self._sessions.holders
+        self._node.count_nodes = self._sessions.holders
         self._node.choice.own_cold_shares = OwnColdShares(settings.node_id, self._sessions.holders)
         self._relays = PermitRelays(self._node.transport, self._sessions.relays)
-        self._node.handle_other = self._handle
+        self._node.role_handler = self._handle
         placement = GrantedPlacement(
             self._node.choice,
             self._sessions,
@@ -82,13 +82,13 @@
             self._node.connection_limit,
             log,
             self._node.metrics,
-            self._node.broken_runs,
+            self._node.crash_detector,
         )
         self._node.suspension_watch.on_resumed = forwarder.deadlines.resumed
         jobs = JobCalls(
             JobClient(
                 self._node.transport,
-                lambda: self._node.groups,
+                lambda: self._node.group_count,
                 self._node.records_by_group.get,
                 self._node.storage_address,
                 self._node.storage_region,
@@ -99,7 +99,7 @@
         )
         self._ingress = Ingress(
             lambda: self._node.configuration,
-            lambda: self._node.link.age_s,
+            lambda: self._node.mirror_sync.age_s,
             forwarder,
             jobs.submit,
             jobs.handle,
--- a/src/wharfcart/node/led_group.py
+++ b/src/wharfcart/node/led_group.py
@@ -73,7 +73,7 @@
             parts.keep_jobs_s,
             node.log,
             node.metrics,
-            node.broken_runs.suspects,
+            node.crash_detector.suspects,
         )
         self.service = JobService(
             self.replica,
@@ -100,7 +100,7 @@
             HolderId(f"{node.settings.node_id}/{self.replica.group}"),
             node.choice,
             node.transport,
-            lambda: node.groups,
+            lambda: node.group_count,
             node.leader_address,
             node.group_of_instance,
             self._item_slots,
@@ -143,4 +143,4 @@
 
 
 def _other_groups(number: int, node: ServingNode) -> Callable[[], list[int]]:
-    return lambda: [group for group in range(node.groups) if group != number]
+    return lambda: [group for group in range(node.group_count) if group != number]
--- a/src/wharfcart/node/serving_node.py
+++ b/src/wharfcart/node/serving_node.py
@@ -57,14 +57,14 @@
 
 ANNOUNCE_RETRY_S = 0.5
 # One wrong name in many routes need not fill the log.
-MOST_FINDINGS = 20
-FEWEST_CONNECTIONS = 2
-MOST_AGE_S = 1e6  # told while nothing was ever confirmed
+MAX_LOGGED_FINDINGS = 20
+MIN_CONNECTIONS = 2
+MAX_AGE_S = 1e6  # told while nothing was ever confirmed
 # Storage nodes that are told in place of the coordination service: if it refuses a third of all
 # nodes, one of two drawn by lot reaches it nine times in ten, and who does not tells two others.
-MOST_RELAYS = 2
+MAX_RELAYS = 2
 # Until it is known how many nodes there are.
-FEWEST_NODES = 8
+MIN_ASSUMED_NODES = 8
 
 
 class ServingNode:
@@ -91,33 +91,39 @@
         self.coordination = MetadataStore(host, port, self.metrics.coordination_calls)
         self._zones_by_host: dict[str, str] = {}
         self.transport = Transport(self.handle, self._count_sent)
-        self._news_writer = PeerUpdatesEncoder()
-        self._sources = PeerSelector(settings.node_id, settings.zone, self.topology)
-        self.link = MirrorSync(
+        self._updates_encoder = PeerUpdatesEncoder()
+        self._peer_selector = PeerSelector(settings.node_id, settings.zone, self.topology)
+        self.mirror_sync = MirrorSync(
             self.mirror,
             self.coordination,
-            self._sources,
+            self._peer_selector,
             TransportPeerClient(self.transport),
-            self._on_changes,
+            self._apply_changes,
             log,
             _seed_peers(settings),
         )
-        self._backend_news = BackendUpdates(
-            self.choice, self.pool, lambda: self.link.in_outage, lambda: self.link.age_s, log
+        self._backend_updates = BackendUpdates(
+            self.choice,
+            self.pool,
+            lambda: self.mirror_sync.in_outage,
+            lambda: self.mirror_sync.age_s,
+            log,
+        )
+        self._evacuations = ZoneEvacuations(
+            self.choice, log, self.metrics, lambda: self.mirror_sync.age_s
         )
-        self._evacuations = ZoneEvacuations(self.choice, log, self.metrics, lambda: self.link.age_s)
-        self.suspensions = SuspensionDetector()
-        self.suspension_watch = SuspensionWatch(self.suspensions, log)
+        self.suspension_detector = SuspensionDetector()
+        self.suspension_watch = SuspensionWatch(self.suspension_detector, log)
         suspects = Suspects(holds_longer_s=self.random.uniform(0.0, SPREAD_S))
-        self.broken_runs = BrokenRuns(suspects, log)
-        self._suspect_news = PoisonEvidenceSync(
-            suspects, self.coordination, self.mirror, self.random, self._relay_ends
+        self.crash_detector = BrokenRuns(suspects, log)
+        self._poison_evidence_sync = PoisonEvidenceSync(
+            suspects, self.coordination, self.mirror, self.random, self._relay_crashes
         )
         self.metrics.contents_held.set_function(lambda: suspects.held(time()))
         self.metrics.cold_backends.set_function(lambda: len(self.choice.cold_states(monotonic())))
-        self.metrics.mirror_age.set_function(lambda: min(self.link.age_s, MOST_AGE_S))
-        self.handle_other: Handler = _ignore
-        self.fleet_size: Callable[[], int] = lambda: len(self.nodes)
+        self.metrics.mirror_age.set_function(lambda: min(self.mirror_sync.age_s, MAX_AGE_S))
+        self.role_handler: Handler = _ignore
+        self.count_nodes: Callable[[], int] = lambda: len(self.nodes)
 
     async def start(self) -> None:
         """Listen for peers and begin to follow the coordination service."""
@@ -126,9 +132,9 @@
         if self.settings.metrics_listen is not None:
             self.metrics.serve(*split_endpoint(self.settings.metrics_listen))
         self.tasks.spawn(self.log.run())
-        self.tasks.spawn(self.link.run())
+        self.tasks.spawn(self.mirror_sync.run())
         self.tasks.spawn(self._evacuations.run())
-        self.tasks.spawn(self._suspect_news.run())
+        self.tasks.spawn(self._poison_evidence_sync.run())
         self.tasks.spawn(self.suspension_watch.run())
 
     async def stop(self) -> None:
@@ -161,9 +167,9 @@
     def connection_limit(self, service: str) -> int:
         """Return this node's share of the connections that one back end takes."""
         if self.configuration is None or service not in self.configuration.services:
-            return FEWEST_CONNECTIONS
+            return MIN_CONNECTIONS
         whole = self.configuration.services[service].connection_limit
-        return max(FEWEST_CONNECTIONS, whole // max(FEWEST_NODES, self.fleet_size()))
+        return max(MIN_CONNECTIONS, whole // max(MIN_ASSUMED_NODES, self.count_nodes()))
 
     def limit_of(self, tenant: str) -> RequestLimit | None:
         """Return the limit of a tenant's requests; None for no limit."""
@@ -172,7 +178,7 @@
     # ---- the job groups ----
 
     @property
-    def groups(self) -> int:
+    def group_count(self) -> int:
         """Number of job groups; 0 while it is not known."""
         return 0 if self.layout is None else self.layout.groups
 
@@ -181,7 +187,7 @@
         record = self.records_by_group.get(group)
         return None if record is None else self.storage_address(record.leader)
 
-    def stand_in_addresses(self, group: int) -> list[Address]:
+    def backup_coordinator_addresses(self, group: int) -> list[Address]:
         """Return where a group's replicas but its leader are reached, the same order everywhere."""
         record = self.records_by_group.get(group)
         if record is None:
@@ -221,23 +227,23 @@
         """Answer a peer's call."""
         if frame.WhichOneof("body") == "coordination_pull":
             pull = frame.coordination_pull
-            news = await self.link.serve_pull(pull.after, pull.wait_ms / 1000)
-            message = self._news_writer.encode(news)
+            news = await self.mirror_sync.serve_pull(pull.after, pull.wait_ms / 1000)
+            message = self._updates_encoder.encode(news)
             await respond(Frame(last=True, coordination_changes=message))
             return
         if frame.WhichOneof("body") == "backend_ends":
-            self._suspect_news.apply_relayed(frame.backend_ends)
+            self._poison_evidence_sync.apply_relayed(frame.backend_ends)
             return
-        await self.handle_other(frame, respond)
+        await self.role_handler(frame, respond)
 
-    def _relay_ends(self, message: BackendEnds) -> None:
+    def _relay_crashes(self, message: BackendEnds) -> None:
         """Tell some storage nodes what the coordination service would not take from this node."""
         others = [
             entry
             for entry in self.storage_by_identity.values()
             if entry.node_id != self.settings.node_id
         ]
-        for entry in self.random.sample(others, min(MOST_RELAYS, len(others))):
+        for entry in self.random.sample(others, min(MAX_RELAYS, len(others))):
             frame = Frame(backend_ends=message)
             self.transport.send(entry.address, frame, TrafficClass.ONLINE)
 
@@ -250,25 +256,25 @@
 
     # ---- mirror ----
 
-    def _on_changes(self, news: list[KeyChange]) -> None:
+    def _apply_changes(self, news: list[KeyChange]) -> None:
         for change in news:
             if change.key == names.CONFIGURATION_KEY:
-                self._take_configuration(change)
+                self._apply_configuration(change)
             elif change.key.startswith(names.SERVER_PREFIX):
-                self._backend_news.apply(change)
+                self._backend_updates.apply(change)
             elif change.key.startswith(names.EVACUATE_PREFIX):
                 self._evacuations.apply(change)
             elif change.key.startswith(POISON_REQUEST_PREFIX):
-                self._suspect_news.apply_change(change)
+                self._poison_evidence_sync.apply_change(change)
             elif change.key.startswith(NODE_PREFIX):
-                self._take_node(change)
+                self._apply_node_entry(change)
             elif change.key.startswith(GROUP_PREFIX):
-                self._take_record(change)
+                self._apply_group_record(change)
             elif change.key == LAYOUT_KEY and change.value is not None:
                 self.layout = layout_from(change.value)
-        self._backend_news.log_pending()
+        self._backend_updates.log_pending()
 
-    def _take_configuration(self, change: KeyChange) -> None:
+    def _apply_configuration(self, change: KeyChange) -> None:
         if change.value is None:
             return
         configuration = documents.configuration_from(change.value)
@@ -283,7 +289,7 @@
             revision=change.revision,
             routes=len(configuration.routes),
         )
-        for finding in residence_findings(configuration, self.topology)[:MOST_FINDINGS]:
+        for finding in residence_findings(configuration, self.topology)[:MAX_LOGGED_FINDINGS]:
             self.log.write(
                 Event.CONFIGURATION_FINDING,
                 version=configuration.version,
@@ -291,7 +297,7 @@
                 reason=finding.reason,
             )
 
-    def _take_record(self, change: KeyChange) -> None:
+    def _apply_group_record(self, change: KeyChange) -> None:
         group = int(change.key.removeprefix(GROUP_PREFIX))
         record = group_record_from(change.value, change.revision)
         if record is None:
@@ -299,7 +305,7 @@
         else:
             self.records_by_group[group] = record
 
-    def _take_node(self, change: KeyChange) -> None:
+    def _apply_node_entry(self, change: KeyChange) -> None:
         entry = node_entry_from(change.value)
         if entry is None:
             left = self.nodes.pop(change.key.removeprefix(NODE_PREFIX), None)
@@ -313,7 +319,7 @@
             for node in self.nodes.values()
             if node.kind == NodeKind.STORAGE and node.identity
         }
-        self._sources.set_peers(
+        self._peer_selector.set_peers(
             {key: Peer(key, node.zone, node.address) for key, node in self.nodes.items()}
         )
 
--- a/src/wharfcart/node/settings_reloader.py
+++ b/src/wharfcart/node/settings_reloader.py
@@ -9,7 +9,7 @@
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.settings.serving import ServingSettings, load_serving_settings
 
-LOOK_PERIOD_S = 2.0
+POLL_INTERVAL_S = 2.0
 
 
 class SettingsReloader:
@@ -26,18 +26,18 @@
         self._path = path
         self._apply = apply
         self._log = log
-        self._seen = self._state()
+        self._last_stat = self._read_stat()
 
     async def run(self) -> None:
         """Look at the file now and then until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_PERIOD_S)
-            if self._state() != self._seen:
+            await asyncio.sleep(POLL_INTERVAL_S)
+            if self._read_stat() != self._last_stat:
                 self.reload()
 
     def reload(self) -> None:
         """Read the file and hand the settings on."""
-        self._seen = self._state()
+        self._last_stat = self._read_stat()
         try:
             settings = load_serving_settings(self._model, self._path, os.environ)
         except FindingsError as error:
@@ -47,7 +47,7 @@
         self._apply(settings)
         self._log.write(Event.RELOADED, outcome="taken")
 
-    def _state(self) -> tuple[int, int]:
+    def _read_stat(self) -> tuple[int, int]:
         try:
             found = self._path.stat()
         except OSError:
--- a/src/wharfcart/node/storage_process.py
+++ b/src/wharfcart/node/storage_process.py
@@ -42,7 +42,7 @@
         self._settings = settings
         self._log = log
         self._node = ServingNode(settings, log)
-        self._node.handle_other = self._handle
+        self._node.role_handler = self._handle
         self._disk = Disk(settings.data_folder)
         self._groups: list[LedGroup] = []
 
@@ -74,7 +74,7 @@
             GroupSpread(self._node, self._settings.tolerance),
             self._node.storage_region,
             self._wanted_residences,
-            self._node.suspensions.resumed_at,
+            self._node.suspension_detector.resumed_at,
         )
         founder = Founder(
             context, LAYOUT_KEY, group_key, self._zones_by_identity, self._node.topology
@@ -105,17 +105,17 @@
         parts = GroupParts(
             node,
             context,
-            ItemRunner(node.choice, node.pool, node.connection_limit, node.broken_runs),
+            ItemRunner(node.choice, node.pool, node.connection_limit, node.crash_detector),
             JobClient(
                 node.transport,
-                lambda: node.groups,
+                lambda: node.group_count,
                 node.records_by_group.get,
                 node.storage_address,
                 node.storage_region,
             ),
             self._settings.keep_jobs_s,
         )
-        groups = [LedGroup(number, parts) for number in range(node.groups)]
+        groups = [LedGroup(number, parts) for number in range(node.group_count)]
         for group in groups:
             await group.replica.start()
         self._groups = groups
--- a/src/wharfcart/node/suspension_watch.py
+++ b/src/wharfcart/node/suspension_watch.py
@@ -7,7 +7,7 @@
 from wharfcart.observability.decisions import DecisionLog, Event
 
 # A suspension is noticed so late at most: timers go on from where they stood.
-PERIOD_S = 0.2
+CHECK_INTERVAL_S = 0.2
 
 
 class SuspensionWatch:
@@ -21,25 +21,25 @@
         on_resumed: called after each suspension.
     """
 
-    def __init__(self, suspensions: SuspensionDetector, log: DecisionLog) -> None:
-        self._suspensions = suspensions
+    def __init__(self, detector: SuspensionDetector, log: DecisionLog) -> None:
+        self._detector = detector
         self._log = log
-        self._resumed_at = suspensions.resumed_at()
-        self._known_s = suspended_s()
+        self._resumed_at = detector.resumed_at()
+        self._last_total_s = suspended_s()
         self.on_resumed: Callable[[], None] = lambda: None
 
     async def run(self) -> None:
         """Look until cancelled."""
         while True:
-            await asyncio.sleep(PERIOD_S)
-            self.look()
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            self.check()
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Tell if the machine was suspended since this was called last."""
-        resumed_at = self._suspensions.resumed_at()
+        resumed_at = self._detector.resumed_at()
         if resumed_at == self._resumed_at:
             return
         self._resumed_at = resumed_at
-        known_s, self._known_s = self._known_s, suspended_s()
-        self._log.write(Event.MACHINE_RESUMED, suspended_s=round(self._known_s - known_s, 2))
+        known_s, self._last_total_s = self._last_total_s, suspended_s()
+        self._log.write(Event.MACHINE_RESUMED, suspended_s=round(self._last_total_s - known_s, 2))
         self.on_resumed()
--- a/tests/node/test_serving_node.py
+++ b/tests/node/test_serving_node.py
@@ -37,9 +37,9 @@
 def test_each_lifecycle_step_of_a_back_end_is_logged() -> None:
     """Incident inc-1cac: no line told that a back end drained."""
     node, log = node_and_log()
-    node._on_changes([entry(1, "ready")])
-    node._on_changes([entry(2, "draining")])
-    node._on_changes([KeyChange(names.SERVER_PREFIX + "i-1", 3, None)])
+    node._apply_changes([entry(1, "ready")])
+    node._apply_changes([entry(2, "draining")])
+    node._apply_changes([KeyChange(names.SERVER_PREFIX + "i-1", 3, None)])
     assert [event for event, _ in log.lines] == [
         Event.BACKEND_SEEN,
         Event.BACKEND_DRAINING,
@@ -50,7 +50,7 @@
 
 def test_simultaneous_changes_share_one_log_line() -> None:
     node, log = node_and_log()
-    node._on_changes([entry(n, "ready", f"i-{n}") for n in range(1, 85)])
+    node._apply_changes([entry(n, "ready", f"i-{n}") for n in range(1, 85)])
     assert len(log.lines) == 1
     event, fields = log.lines[0]
     assert event is Event.BACKEND_SEEN
@@ -60,8 +60,8 @@
 def test_removal_after_a_missed_drain_is_logged_as_drained() -> None:
     for last, drained in ((b'{"state": "draining"}', False), (entry(2, "draining").value, True)):
         node, log = node_and_log()
-        node._on_changes([entry(1, "ready")])
-        node._on_changes([KeyChange(names.SERVER_PREFIX + "i-1", 3, None, last)])
+        node._apply_changes([entry(1, "ready")])
+        node._apply_changes([KeyChange(names.SERVER_PREFIX + "i-1", 3, None, last)])
         assert log.lines[-1][1]["drained"] is drained
 
 
@@ -88,7 +88,7 @@
     ]
     tenants = [{"name": "t", "apiKeys": [], "allowedRegions": ["north"]}]
     body = {"version": 3, "routes": routes, "services": [], "tenants": tenants}
-    node._on_changes([KeyChange(names.CONFIGURATION_KEY, 9, json.dumps(body).encode())])
+    node._apply_changes([KeyChange(names.CONFIGURATION_KEY, 9, json.dumps(body).encode())])
     findings = [fields for event, fields in log.lines if event is Event.CONFIGURATION_FINDING]
     assert [(line["version"], line["place"]) for line in findings] == [
         (3, "routes.bad.residence"),
@@ -119,10 +119,10 @@
 
 def test_evacuation_takes_effect_at_once_and_ends_when_withdrawn() -> None:
     node, log = node_and_log()
-    node._on_changes([entry_in_zone(1, "a", "i-a"), entry_in_zone(2, "b", "i-b")])
-    node._on_changes([evacuation_order("a", 3)])
+    node._apply_changes([entry_in_zone(1, "a", "i-a"), entry_in_zone(2, "b", "i-b")])
+    node._apply_changes([evacuation_order("a", 3)])
     assert accepting_ids(node) == ["i-b"]
-    node._on_changes([evacuation_order("b", 4), evacuation_order("a", 5, withdrawn=True)])
+    node._apply_changes([evacuation_order("b", 4), evacuation_order("a", 5, withdrawn=True)])
     assert accepting_ids(node) == ["i-a"]
     events = [event for event, _ in log.lines if event.name.startswith("EVACUATION")]
     assert events == [Event.EVACUATION_BEGUN, Event.EVACUATION_BEGUN, Event.EVACUATION_ENDED]
@@ -133,34 +133,34 @@
     listing = ChangeBatch(
         (entry_in_zone(1, "a", "i-a"), evacuation_order("a", 2)), last_revision=3, complete=True
     )
-    node._on_changes(node.mirror.apply(listing))
+    node._apply_changes(node.mirror.apply(listing))
     assert accepting_ids(node) == []
 
 
 def test_listing_without_the_order_ends_an_evacuation() -> None:
     node, _ = node_and_log()
     node.choice.cold.limits = {"lm": ColdLimit(4.0, 3.0)}
-    node._on_changes(
+    node._apply_changes(
         node.mirror.apply(
             ChangeBatch((entry_in_zone(1, "a", "i-a"), evacuation_order("a", 2)), last_revision=3)
         )
     )
     listing = ChangeBatch((entry_in_zone(1, "a", "i-a"),), last_revision=9, complete=True)
-    node._on_changes(node.mirror.apply(listing))
+    node._apply_changes(node.mirror.apply(listing))
     assert accepting_ids(node) == ["i-a"]
     # It may have turned cold before: its entry is older than the order's end.
     assert len(node.choice.cold_states(monotonic())) == 1
-    node._on_changes([entry_in_zone(10, "a", "i-a")])
+    node._apply_changes([entry_in_zone(10, "a", "i-a")])
     assert not node.choice.cold_states(monotonic())
 
 
 def test_evacuated_zone_is_logged_as_quiet_once_nothing_is_in_flight() -> None:
     node, log = node_and_log()
-    node._on_changes([entry_in_zone(1, "a", "i-a")])
+    node._apply_changes([entry_in_zone(1, "a", "i-a")])
     state = node.choice.state("i-a")
     assert state is not None
     use = node.choice.sent(state, monotonic())
-    node._on_changes([evacuation_order("a", 2)])
+    node._apply_changes([evacuation_order("a", 2)])
     node._evacuations.check_in_flight(monotonic())
     assert b'in_flight{zone="a"} 1.0' in node.metrics.render()
     node.choice.ended(state, use)
@@ -173,8 +173,8 @@
 def test_cold_back_end_is_logged_and_becomes_warm() -> None:
     node, log = node_and_log()
     node.choice.cold.limits = {"lm": ColdLimit(4.0, 3.0)}
-    node._on_changes([entry_in_zone(1, "a", "i-a", cold_ms=60_000)])
+    node._apply_changes([entry_in_zone(1, "a", "i-a", cold_ms=60_000)])
     assert log.lines[-1][0] is Event.BACKEND_COLD
     assert len(node.choice.cold_states(monotonic())) == 1
-    node._on_changes([entry_in_zone(2, "a", "i-a")])
+    node._apply_changes([entry_in_zone(2, "a", "i-a")])
     assert not node.choice.cold_states(monotonic())
--- a/tests/node/test_settings_reloader.py
+++ b/tests/node/test_settings_reloader.py
@@ -15,7 +15,7 @@
 """
 
 
-def test_changed_settings_are_taken_and_bad_ones_are_not(tmp_path: Path, capfd) -> None:
+def test_changed_settings_are_applied_and_invalid_ones_rejected(tmp_path: Path, capfd) -> None:
     path = tmp_path / "s.toml"
     path.write_text(TEXT)
     taken: list[ServingSettings] = []
--- a/tests/node/test_suspension_watch.py
+++ b/tests/node/test_suspension_watch.py
@@ -18,7 +18,7 @@
         self.lines.append((event, fields))
 
 
-def test_a_suspension_is_told_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_suspension_is_reported_once(monkeypatch: pytest.MonkeyPatch) -> None:
     now = {time.CLOCK_MONOTONIC: 10.0, time.CLOCK_BOOTTIME: 10.0}
     monkeypatch.setattr(time, "clock_gettime", lambda clock: now[clock])
     log = RecordingLog()
@@ -26,12 +26,12 @@
     watch = SuspensionWatch(suspensions, log)
     heard: list[float] = []
     watch.on_resumed = lambda: heard.append(suspensions.resumed_at())
-    watch.look()
+    watch.check()
     assert not heard
     now[time.CLOCK_BOOTTIME] += 4.0
     # Whoever asks first notices it; it is told all the same.
     suspensions.resumed_at()
-    watch.look()
-    watch.look()
+    watch.check()
+    watch.check()
     assert heard == [14.0]
     assert log.lines == [(Event.MACHINE_RESUMED, {"suspended_s": 4.0})]
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -16,8 +16,8 @@
 SOURCE = Path(wharfcart.__file__).parent
 # What runs beside a fleet, not in it; the one module that reads the clocks; and the one that sets
 # the event loop's timers anew after a suspension, for which it needs the loop's own time.
-EXEMPT = ("experiments/", "emulator/", "soak/", "cli/", "clock.py", "routing/deadlines.py")
-STANDS_STILL = ("monotonic", "perf_counter", "monotonic_ns")
+EXEMPT_PATHS = ("experiments/", "emulator/", "soak/", "cli/", "clock.py", "routing/deadlines.py")
+SUSPENDABLE_CLOCKS = ("monotonic", "perf_counter", "monotonic_ns")
 
 
 class Machine:
@@ -44,7 +44,7 @@
     assert suspended_s() == 36.0
 
 
-def test_a_suspension_is_noticed_when_it_is_asked_for(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_detector_reports_a_suspension_on_the_next_query(monkeypatch: pytest.MonkeyPatch) -> None:
     machine = Machine(monkeypatch)
     suspensions = SuspensionDetector()
     machine.run(50.0)
@@ -56,23 +56,25 @@
     assert suspensions.resumed_at() == resumed_at
 
 
-def test_no_decision_rests_on_a_clock_that_stands_still() -> None:
+def test_decisions_use_the_suspension_aware_clock() -> None:
     found = []
     for path in sorted(SOURCE.rglob("*.py")):
         place = str(path.relative_to(SOURCE))
-        if place.startswith(EXEMPT):
+        if place.startswith(EXEMPT_PATHS):
             continue
-        found += [f"{place}:{line}" for line in _reads(ast.parse(path.read_text()))]
+        found += [
+            f"{place}:{line}" for line in _suspendable_clock_lines(ast.parse(path.read_text()))
+        ]
     assert found == []
 
 
-def _reads(module: ast.Module) -> list[int]:
+def _suspendable_clock_lines(module: ast.Module) -> list[int]:
     """Return the lines that read a clock which stands still in a suspension."""
     lines = []
     for node in ast.walk(module):
         if isinstance(node, ast.ImportFrom) and node.module == "time":
-            lines += [node.lineno for name in node.names if name.name in STANDS_STILL]
-        if isinstance(node, ast.Attribute) and node.attr in STANDS_STILL:
+            lines += [node.lineno for name in node.names if name.name in SUSPENDABLE_CLOCKS]
+        if isinstance(node, ast.Attribute) and node.attr in SUSPENDABLE_CLOCKS:
             lines.append(node.lineno)
         if isinstance(node, ast.Attribute) and node.attr in ("timeout_at", "call_at"):
             lines.append(node.lineno)
