--- a/src/wharfcart/node/early_listening.py
+++ b/src/wharfcart/node/early_listening.py
@@ -19,7 +19,7 @@
 from wharfcart.clock import monotonic
 
 # A peer of the same region answers a connection in a few milliseconds.
-PEER_ANSWER_S = 0.06
+PEER_CONNECT_TIMEOUT_S = 0.06
 # Connections that come while the program loads; the system may allow fewer.
 BACKLOG = 1024
 LISTEN_KEYS = ("listen", "readiness_listen")
@@ -36,10 +36,10 @@
     """
 
     by_endpoint: dict[str, socket.socket]
-    since: float
+    opened_at: float
 
 
-def open_if_alone(path: Path, environment: Mapping[str, str]) -> EarlySockets:
+def open_unless_peer_responds(path: Path, environment: Mapping[str, str]) -> EarlySockets:
     """Return listening sockets if no seed answers; none otherwise.
 
     Settings that can't be read are left to the check that follows, which tells every finding.
@@ -56,7 +56,7 @@
         environment.get(VARIABLE_PREFIX + key.upper(), values.get(key)) for key in LISTEN_KEYS
     ]
     seeds = values.get("seeds")
-    if not isinstance(seeds, list) or not seeds or _any_answers(map(str, seeds)):
+    if not isinstance(seeds, list) or not seeds or _any_accepts(map(str, seeds)):
         return EarlySockets({}, monotonic())
     opened = {}
     for endpoint in endpoints:
@@ -66,7 +66,7 @@
     return EarlySockets(opened, monotonic())
 
 
-def _any_answers(endpoints: Iterable[str]) -> bool:
+def _any_accepts(endpoints: Iterable[str]) -> bool:
     """Whether a connection to one of several nodes comes up within a moment."""
     selector = selectors.DefaultSelector()
     connecting = []
@@ -75,9 +75,9 @@
             peer = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             peer.setblocking(False)
             connecting.append(peer)
-            if _begin_connect(peer, endpoint):
+            if _start_connect(peer, endpoint):
                 selector.register(peer, selectors.EVENT_WRITE)
-        until = monotonic() + PEER_ANSWER_S
+        until = monotonic() + PEER_CONNECT_TIMEOUT_S
         while selector.get_map() and (left_s := until - monotonic()) > 0:
             for key, _ in selector.select(left_s):
                 connected = cast(socket.socket, key.fileobj)
@@ -91,7 +91,7 @@
         selector.close()
 
 
-def _begin_connect(peer: socket.socket, endpoint: str) -> bool:
+def _start_connect(peer: socket.socket, endpoint: str) -> bool:
     """Begin to connect; False if that fails at once."""
     host, _, port = endpoint.rpartition(":")
     try:
--- a/src/wharfcart/node/gateway_process.py
+++ b/src/wharfcart/node/gateway_process.py
@@ -25,16 +25,16 @@
 from wharfcart.storage.job_client import JobClient
 
 # The entry looks at readiness each second and needs two misses; until then connections still come.
-UNREADY_LEAD_S = 2.6
+UNREADY_DELAY_S = 2.6
 STOP_MARGIN_S = 0.7
-IDLE_CLOSE_PERIOD_S = 0.1
-POLL_S = 0.02
+IDLE_CLOSE_INTERVAL_S = 0.1
+POLL_INTERVAL_S = 0.02
 # A start that has no configuration yet leaves callers to other gateways for so long; then it tells
 # them that it can't serve.
-MOST_UNCONFIGURED_S = 1.0
+MAX_CONFIGURATION_WAIT_S = 1.0
 # What waited for a start comes in at once: it is worth a moment that the granting nodes put it in
 # order, rather than have it fill the back ends' queues.
-MOST_WITHOUT_SLOTS_S = 0.3
+MAX_SESSIONS_WAIT_S = 0.3
 
 
 class GatewayProcess:
@@ -66,7 +66,7 @@
         self._node.count_nodes = self._sessions.holders
         self._node.choice.own_cold_shares = OwnColdShares(settings.node_id, self._sessions.holders)
         self._relays = PermitRelays(self._node.transport, self._sessions.relays)
-        self._node.role_handler = self._handle
+        self._node.role_handler = self._handle_call
         placement = GrantedPlacement(
             self._node.choice,
             self._sessions,
@@ -110,12 +110,12 @@
         """Begin to serve; ready once a configuration is known."""
         await self._node.start()
         self._node.tasks.spawn(self._sessions.run())
-        await self._wait_for_configuration(MOST_UNCONFIGURED_S)
-        await _until(lambda: self._sessions.all_open, MOST_WITHOUT_SLOTS_S)
+        await self._wait_for_configuration(MAX_CONFIGURATION_WAIT_S)
+        await _wait_until(lambda: self._sessions.all_open, MAX_SESSIONS_WAIT_S)
         await self._ingress.start(
             self._endpoint(self._settings.listen),
             self._endpoint(self._settings.readiness_listen),
-            self._sockets.since if self._sockets.by_endpoint else None,
+            self._sockets.opened_at if self._sockets.by_endpoint else None,
         )
         self._node.tasks.spawn(self._become_ready())
 
@@ -128,23 +128,23 @@
         stop_at = monotonic() + self._node.settings.stop_within_s - STOP_MARGIN_S
         self._log.write(Event.STOPPING, in_progress=self._ingress.in_progress)
         self._ingress.drain()
-        await asyncio.sleep(UNREADY_LEAD_S)
+        await asyncio.sleep(UNREADY_DELAY_S)
         self._ingress.stop_listening()
         while monotonic() < stop_at:
             self._ingress.close_idle()
             if not self._ingress.in_progress:
                 break
-            await asyncio.sleep(IDLE_CLOSE_PERIOD_S)
+            await asyncio.sleep(IDLE_CLOSE_INTERVAL_S)
         await self._node.stop()
         self._log.write(Event.STOPPED, in_progress=self._ingress.in_progress)
 
-    async def _handle(self, frame: Frame, respond: Responder) -> None:
+    async def _handle_call(self, frame: Frame, respond: Responder) -> None:
         """Answer a call of another gateway."""
         if frame.WhichOneof("body") == "relay_permit":
-            answer = await self._permit_for_other(frame.relay_permit.tenant)
+            answer = await self._answer_permit_relay(frame.relay_permit.tenant)
             await respond(Frame(permit_answer=answer, last=True))
 
-    async def _permit_for_other(self, tenant: str) -> PermitAnswer:
+    async def _answer_permit_relay(self, tenant: str) -> PermitAnswer:
         if self._node.configuration is None:
             return PermitAnswer(unsure=True)
         permit = Permit(self._sessions, self._relays, tenant, self._node.limit_of(tenant))
@@ -157,12 +157,12 @@
         await self._wait_for_configuration(math.inf)
         self._ingress.ready = not self._ingress.draining
 
-    async def _wait_for_configuration(self, seconds: float) -> None:
-        await _until(lambda: self._node.configuration is not None, seconds)
+    async def _wait_for_configuration(self, timeout_s: float) -> None:
+        await _wait_until(lambda: self._node.configuration is not None, timeout_s)
 
 
-async def _until(condition: Callable[[], bool], seconds: float) -> None:
+async def _wait_until(condition: Callable[[], bool], timeout_s: float) -> None:
     """Wait for a condition, or until the time is over."""
-    until = monotonic() + seconds
+    until = monotonic() + timeout_s
     while not condition() and monotonic() < until:
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
--- a/src/wharfcart/node/group_spread.py
+++ b/src/wharfcart/node/group_spread.py
@@ -8,7 +8,7 @@
 from wharfcart.storage.replica_spread import ReplicaSpread
 
 
-class GroupSpread:
+class GroupPlacement:
     """Builds the core's input for one group, anew for each decision.
 
     Args:
@@ -37,10 +37,10 @@
             topology,
             () if layout is None else layout.home_zones(group, topology),
             self._tolerance.zones,
-            self._may_hold(group, layout),
+            self._residence_filter(group, layout),
         )
 
-    def _may_hold(self, group: int, layout: Layout | None) -> Callable[[str], bool]:
+    def _residence_filter(self, group: int, layout: Layout | None) -> Callable[[str], bool]:
         """Return whether a disk may hold a group.
 
         Where data is bound to regions, a group that belongs to one stays there with all of its
--- a/src/wharfcart/node/led_group.py
+++ b/src/wharfcart/node/led_group.py
@@ -37,7 +37,7 @@
     keep_jobs_s: float
 
 
-class LedGroup:
+class HostedGroup:
     """A job group; while this node leads it, its items run and its back ends' slots are granted.
 
     Args:
@@ -84,15 +84,15 @@
             node.storage_region,
         )
         self._tasks = BackgroundTasks()
-        self.replica.on_leading = self._begin
-        self.replica.on_deposed = self._end
+        self.replica.on_leading = self._start_leading
+        self.replica.on_deposed = self._stop_leading
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this node leads the group."""
         return self.replica.leadership is not None
 
-    def _begin(self) -> None:
+    def _start_leading(self) -> None:
         leadership = self.replica.leadership
         assert leadership is not None
         node = self._node
@@ -110,11 +110,11 @@
         self._item_slots.begin(sessions)
         self.slots.begin(leadership.epoch)
         self._tasks.spawn(self.slots.run())
-        self._tasks.spawn(self._watch_leftover_runs())
+        self._tasks.spawn(self._watch_orphaned_runs())
         self._tasks.spawn(sessions.run())
         self._execution.begin()
 
-    async def _watch_leftover_runs(self) -> None:
+    async def _watch_orphaned_runs(self) -> None:
         """Find what earlier leaders left at the model servers."""
         granter = self.slots.granter
         configuration = self._node.configuration
@@ -136,7 +136,7 @@
         )
         await runs.watch(granter, instances)
 
-    def _end(self) -> None:
+    def _stop_leading(self) -> None:
         self._execution.end()
         self.slots.end()
         self._tasks.cancel()
--- a/src/wharfcart/node/process.py
+++ b/src/wharfcart/node/process.py
@@ -10,7 +10,7 @@
 import sys
 from pathlib import Path
 
-from wharfcart.node.early_listening import open_if_alone
+from wharfcart.node.early_listening import open_unless_peer_responds
 
 SETTINGS_VARIABLE = "WHARFCART_SETTINGS"  # names the settings file
 DEFAULT_SETTINGS = "wharfcart.toml"
@@ -35,7 +35,7 @@
 
 def run_gateway(path: Path) -> None:
     """Run a gateway with the settings of a file."""
-    sockets = open_if_alone(path, os.environ)
+    sockets = open_unless_peer_responds(path, os.environ)
     from wharfcart.node import roles
 
     roles.run_gateway(path, sockets)
--- a/src/wharfcart/node/roles.py
+++ b/src/wharfcart/node/roles.py
@@ -53,12 +53,12 @@
         path: of the settings file.
         sockets: that listen already.
     """
-    uvloop.run(_run_gateway(_load(GatewaySettings, path), path, sockets))
+    uvloop.run(_run_gateway(_load_settings(GatewaySettings, path), path, sockets))
 
 
 def run_storage(path: Path) -> None:
     """Run a storage node with the settings of a file."""
-    uvloop.run(_run_storage(_load(StorageSettings, path), path))
+    uvloop.run(_run_storage(_load_settings(StorageSettings, path), path))
 
 
 async def _run_gateway(settings: GatewaySettings, path: Path, sockets: EarlySockets) -> None:
@@ -85,7 +85,7 @@
     reloader = SettingsReloader(model, path, process.reload, log)
     loop.add_signal_handler(signal.SIGHUP, reloader.reload)
     await process.start()
-    _collect_garbage_from_now_on()
+    _enable_garbage_collection()
     log.write(Event.STARTED)
     watching = asyncio.create_task(reloader.run())
     await stopping.wait()
@@ -94,13 +94,13 @@
     log.flush()
 
 
-def _collect_garbage_from_now_on() -> None:
+def _enable_garbage_collection() -> None:
     """End what ``process`` began; what the start made is never looked through again."""
     gc.freeze()
     gc.enable()
 
 
-def _load(model: type[Settings], path: Path) -> Settings:
+def _load_settings(model: type[Settings], path: Path) -> Settings:
     try:
         settings = load_serving_settings(model, path, os.environ)
     except FindingsError as error:
--- a/src/wharfcart/node/storage_process.py
+++ b/src/wharfcart/node/storage_process.py
@@ -16,8 +16,8 @@
 from wharfcart.configuration.residence import Residence
 from wharfcart.errors import ServingError
 from wharfcart.node.fleet_keys import LAYOUT_KEY, NodeEntry, NodeKind, group_key
-from wharfcart.node.group_spread import GroupSpread
-from wharfcart.node.led_group import GroupParts, LedGroup
+from wharfcart.node.group_spread import GroupPlacement
+from wharfcart.node.led_group import GroupParts, HostedGroup
 from wharfcart.node.serving_node import ServingNode
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.platform import documents, names
@@ -29,9 +29,9 @@
 from wharfcart.storage.job_client import JobClient
 from wharfcart.storage.job_residence import group_of
 
-LAYOUT_POLL_S = 0.02
-OPEN_RETRY_S = 0.5
-RETIRE_PERIOD_S = 0.3
+LAYOUT_POLL_INTERVAL_S = 0.02
+DISK_OPEN_RETRY_S = 0.5
+RETIREMENT_REPORT_INTERVAL_S = 0.3
 STOP_LINGER_S = 0.3
 
 
@@ -42,9 +42,9 @@
         self._settings = settings
         self._log = log
         self._node = ServingNode(settings, log)
-        self._node.role_handler = self._handle
+        self._node.role_handler = self._handle_call
         self._disk = Disk(settings.data_folder)
-        self._groups: list[LedGroup] = []
+        self._groups: list[HostedGroup] = []
 
     async def start(self) -> None:
         """Open the disk, join the fleet, follow the groups."""
@@ -66,14 +66,14 @@
             self._node.transport,
             self._node.coordination,
             self._node.mirror,
-            self._identities,
-            self._retiring,
+            self._addresses_by_identity,
+            self._retiring_identities,
             self._settings.tolerance.storage_nodes + 1,
             self._log,
             self._node.random,
-            GroupSpread(self._node, self._settings.tolerance),
+            GroupPlacement(self._node, self._settings.tolerance),
             self._node.storage_region,
-            self._wanted_residences,
+            self._batch_residences,
             self._node.suspension_detector.resumed_at,
         )
         founder = Founder(
@@ -89,7 +89,7 @@
 
     async def stop(self) -> None:
         """Hand leaderships over and leave."""
-        self._log.write(Event.STOPPING, leading=sum(group.leads for group in self._groups))
+        self._log.write(Event.STOPPING, leading=sum(group.is_leader for group in self._groups))
         began_at = monotonic()
         await asyncio.gather(*(group.replica.stop() for group in self._groups))
         await asyncio.sleep(max(0.0, STOP_LINGER_S - (monotonic() - began_at)))
@@ -100,7 +100,7 @@
     async def _open_groups(self, context: GroupContext) -> None:
         """Follow the groups, once it is known how many there are."""
         while self._node.layout is None:
-            await asyncio.sleep(LAYOUT_POLL_S)
+            await asyncio.sleep(LAYOUT_POLL_INTERVAL_S)
         node = self._node
         parts = GroupParts(
             node,
@@ -115,7 +115,7 @@
             ),
             self._settings.keep_jobs_s,
         )
-        groups = [LedGroup(number, parts) for number in range(node.group_count)]
+        groups = [HostedGroup(number, parts) for number in range(node.group_count)]
         for group in groups:
             await group.replica.start()
         self._groups = groups
@@ -126,11 +126,11 @@
                 return await self._disk.open()
             except DiskFailedError as error:
                 self._log.write(Event.DEPENDENCY_LOST, dependency="disk", reason=str(error))
-                await asyncio.sleep(OPEN_RETRY_S)
+                await asyncio.sleep(DISK_OPEN_RETRY_S)
 
     # ---- views of the fleet ----
 
-    def _identities(self) -> dict[str, Address]:
+    def _addresses_by_identity(self) -> dict[str, Address]:
         nodes = self._node.storage_by_identity
         return {identity: entry.address for identity, entry in nodes.items()}
 
@@ -138,11 +138,11 @@
         nodes = self._node.storage_by_identity
         return {identity: entry.zone for identity, entry in nodes.items()}
 
-    def _wanted_residences(self) -> frozenset[Residence]:
+    def _batch_residences(self) -> frozenset[Residence]:
         configuration = self._node.configuration
         return frozenset() if configuration is None else configuration.batch_residences
 
-    def _retiring(self) -> set[str]:
+    def _retiring_identities(self) -> set[str]:
         ordered = {
             change.key.removeprefix(names.RETIRE_PREFIX)
             for change in self._node.mirror.with_prefix(names.RETIRE_PREFIX)
@@ -151,7 +151,7 @@
 
     # ---- calls of other nodes ----
 
-    async def _handle(self, frame: Frame, respond: Responder) -> None:
+    async def _handle_call(self, frame: Frame, respond: Responder) -> None:
         match frame.WhichOneof("body"):
             case "slot_events":
                 self._group(frame.slot_events.group).slots.take_events(frame.slot_events)
@@ -185,23 +185,23 @@
                 updates = await self._group(fetch.group).replica.answer_fetch(fetch)
                 return Frame(job_updates=updates)
             case "submit_job":
-                service = self._service(frame.submit_job, frame.submit_job.job.job_id)
+                service = self._service_of(frame.submit_job, frame.submit_job.job.job_id)
                 return Frame(job_answer=await service.submit(frame.submit_job))
             case "read_results":
-                service = self._service(frame.read_results, frame.read_results.job_id)
+                service = self._service_of(frame.read_results, frame.read_results.job_id)
                 return Frame(result_page=await service.read(frame.read_results))
             case "read_item_body":
-                service = self._service(frame.read_item_body, frame.read_item_body.job_id)
+                service = self._service_of(frame.read_item_body, frame.read_item_body.job_id)
                 return Frame(item_body=await service.read_body(frame.read_item_body))
             case "end_job":
-                service = self._service(frame.end_job, frame.end_job.job_id)
+                service = self._service_of(frame.end_job, frame.end_job.job_id)
                 return Frame(job_answer=await service.end(frame.end_job))
             case "count_waiting_tokens":
                 count = frame.count_waiting_tokens
                 return Frame(waiting_tokens=self._group(count.group).service.count(count))
         return None
 
-    def _group(self, number: int) -> LedGroup:
+    def _group(self, number: int) -> HostedGroup:
         """Return a group of this node.
 
         Raises:
@@ -211,7 +211,7 @@
             raise ServingError("starting", "the groups are not known yet", 503)
         return self._groups[number]
 
-    def _service(
+    def _service_of(
         self, call: SubmitJob | ReadResults | ReadItemBody | EndJob, job_id: str
     ) -> JobService:
         """Return the service of the group that a call on a job names.
@@ -227,13 +227,13 @@
     async def _report_retirements(self) -> None:
         """As leader of the first group, tell the operator how far each emptying has come."""
         while True:
-            await asyncio.sleep(RETIRE_PERIOD_S)
-            if not self._groups or not self._groups[0].leads:
+            await asyncio.sleep(RETIREMENT_REPORT_INTERVAL_S)
+            if not self._groups or not self._groups[0].is_leader:
                 continue
             for order in self._node.mirror.with_prefix(names.RETIRE_PREFIX):
-                await self._report_one(order.key.removeprefix(names.RETIRE_PREFIX))
+                await self._report_retirement(order.key.removeprefix(names.RETIRE_PREFIX))
 
-    async def _report_one(self, node_id: str) -> None:
+    async def _report_retirement(self, node_id: str) -> None:
         entry = self._node.nodes.get(node_id)
         records = [group.replica.record for group in self._groups]
         holds = entry is not None and any(
--- a/tests/node/test_garbage_at_start.py
+++ b/tests/node/test_garbage_at_start.py
@@ -20,7 +20,7 @@
     gc.unfreeze()
 
 
-class EndsAtOnce:
+class StopsAfterStart:
     """A process that is told to stop as soon as it has started."""
 
     def __init__(self) -> None:
@@ -38,10 +38,10 @@
         self.collected_after = gc.isenabled()
 
 
-def test_garbage_is_collected_from_the_end_of_the_start_on(
+def test_garbage_collection_is_enabled_after_the_start(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    ran = EndsAtOnce()
+    ran = StopsAfterStart()
 
     def run_gateway(path: Path) -> None:
         roles.uvloop.run(roles._run(ran, DecisionLog("n"), ServingSettings, path))
