--- a/src/wharfcart/node/calls.py
+++ b/src/wharfcart/node/calls.py
@@ -20,13 +20,13 @@
 from wharfcart.cluster.transport import Responder
 from wharfcart.errors import Outcome, ServingError
 from wharfcart.node.fleet import FleetDriver
-from wharfcart.node.spreading import SpreadingDriver
+from wharfcart.node.spreading import PropagationDriver
 from wharfcart.routing.dispatcher import part_message, request_of
 from wharfcart.routing.owner import Owner
 from wharfcart.routing.router import Router
 from wharfcart.storage.journal import Journal, not_leader
 
-MOST_ROWS = 1024
+MAX_ROWS = 1024
 
 
 class CallHandler:
@@ -34,7 +34,7 @@
 
     def __init__(
         self,
-        spreading: SpreadingDriver,
+        propagation: PropagationDriver,
         owner: Owner,
         router: Router,
         limiter: Limiter,
@@ -43,7 +43,7 @@
         journal: Journal | None,
         batch_leader: BatchLeader | None,
     ) -> None:
-        self._spreading = spreading
+        self._propagation = propagation
         self._owner = owner
         self._router = router
         self._limiter = limiter
@@ -51,7 +51,7 @@
         self._view = view
         self._journal = journal
         self._batch_leader = batch_leader
-        self.dispatches = 0
+        self.active_dispatches = 0
 
     async def handle(self, frame: Frame, respond: Responder) -> None:
         """Answer one call.
@@ -78,9 +78,9 @@
 
     async def _answer(self, kind: str | None, frame: Frame) -> Frame:
         if kind == "pull_entries":
-            return Frame(entries=self._spreading.serve_pull(frame.pull_entries))
+            return Frame(entries=self._propagation.serve_pull(frame.pull_entries))
         if kind == "pull_placement":
-            return Frame(placement=self._spreading.placement.to_message())
+            return Frame(placement=self._propagation.placement.to_message())
         if kind == "take_tokens":
             return Frame(tokens_taken=self._limiter.serve(frame.take_tokens))
         if kind == "read_fleet":
@@ -114,7 +114,7 @@
     async def _read_rows(self, read: ReadRows) -> Frame:
         assert self._journal is not None
         rows = await self._journal.read_rows(
-            read.shard, read.kind, read.id, read.first, min(read.most, MOST_ROWS), read.most_bytes
+            read.shard, read.kind, read.id, read.first, min(read.most, MAX_ROWS), read.most_bytes
         )
         return Frame(rows=rows)
 
@@ -139,7 +139,7 @@
             raise ServingError("no_backend", f"no back end {dispatch.backend_id!r}", 503)
         owned = self._owner.backends.get(dispatch.backend_id) or self._owner.stand_in(backend)
         request = request_of(dispatch)
-        self.dispatches += 1
+        self.active_dispatches += 1
         try:
             async with asyncio.timeout(dispatch.deadline_ms / 1000):
                 sequence = 0
@@ -153,4 +153,4 @@
                 "deadline_exceeded", "the deadline passed", 504, Outcome.UNKNOWN
             ) from None
         finally:
-            self.dispatches -= 1
+            self.active_dispatches -= 1
--- a/src/wharfcart/node/fleet.py
+++ b/src/wharfcart/node/fleet.py
@@ -25,12 +25,12 @@
 from wharfcart.routing.owner import OwnedBackend, Owner
 from wharfcart.routing.router import Backend, BackendKind, Router
 
-OWNERSHIP_CHECK_S = 0.5
-PROBE_S = 1.0
-RECONCILE_S = 2.0
-DRAIN_S = 5.0  # from saying that a server drains to changing its base model
-DRAIN_LIFE_S = 8.0  # after this the owner ends a drain that its leader forgot
-FAILURES_TO_BE_DOWN = 2
+OWNERSHIP_CHECK_INTERVAL_S = 0.5
+PROBE_INTERVAL_S = 1.0
+RECONCILE_INTERVAL_S = 2.0
+DRAIN_PERIOD_S = 5.0  # from saying that a server drains to changing its base model
+DRAIN_TTL_S = 8.0  # after this the owner ends a drain that its leader forgot
+DOWN_AFTER_FAILURES = 2
 
 logger = logging.getLogger(__name__)
 
@@ -53,18 +53,18 @@
 
 
 @dataclass
-class _Known:
+class _KnownBackend:
     machine: ListedMachine | None = None
     status: BackendStatus | None = None
     drain_until: float | None = None  # wall clock, seconds
 
 
 @dataclass
-class _Running:
+class _RunningBackend:
     runner: BatchRunner
     task: asyncio.Task[None]
     failures: int = 0
-    probed_at: float = 0.0
+    last_probe_at: float = 0.0
     stopping: asyncio.Task[None] | None = field(default=None)
 
 
@@ -89,12 +89,12 @@
 
     def __init__(self, context: FleetContext) -> None:
         self._context = context
-        self._known: dict[str, _Known] = {}
-        self._running: dict[str, _Running] = {}
+        self._known: dict[str, _KnownBackend] = {}
+        self._running: dict[str, _RunningBackend] = {}
         self._reconciler: FleetReconciler | None = None
         self._wake = asyncio.Event()
         self._tasks = BackgroundTasks()
-        self._leaving = False
+        self._stopping = False
 
     # ---- directory ----
 
@@ -102,7 +102,7 @@
         """Take changed entries of the directory."""
         for entry in entries:
             kind, backend_id = entry.key.split("/", 1)
-            known = self._known.setdefault(backend_id, _Known())
+            known = self._known.setdefault(backend_id, _KnownBackend())
             value = None if entry.deleted else json.loads(entry.value)
             if kind == "machine":
                 known.machine = ListedMachine(**value) if value is not None else None
@@ -110,12 +110,12 @@
                 known.drain_until = float(value["until"]) if value is not None else None
             else:
                 known.status = _parse_status(value)
-            self._route(backend_id, known)
+            self._update_router(backend_id, known)
         self._wake.set()
 
-    def _route(self, backend_id: str, known: _Known) -> None:
+    def _update_router(self, backend_id: str, known: _KnownBackend) -> None:
         now = monotonic()
-        backend = _backend(known)
+        backend = _to_backend(known)
         if backend is None:
             self._context.router.remove_backend(backend_id)
         else:
@@ -133,12 +133,12 @@
         while True:
             self._wake.clear()
             self._check_ownership()
-            self._probe_due(monotonic())
-            if monotonic() - reconciled_at > RECONCILE_S:
+            self._start_due_probes(monotonic())
+            if monotonic() - reconciled_at > RECONCILE_INTERVAL_S:
                 reconciled_at = monotonic()
                 self._tasks.spawn(self._reconcile())
             try:
-                async with asyncio.timeout(OWNERSHIP_CHECK_S):
+                async with asyncio.timeout(OWNERSHIP_CHECK_INTERVAL_S):
                     await self._wake.wait()
             except TimeoutError:
                 continue
@@ -147,19 +147,19 @@
         wanted: set[str] = set()
         for backend_id, backend in self._context.router.backends.items():
             nodes = self._context.live_in_zone(backend.zone)
-            if choose_owner(backend_id, nodes) == self._context.node_id and not self._leaving:
+            if choose_owner(backend_id, nodes) == self._context.node_id and not self._stopping:
                 wanted.add(backend_id)
-                self._own(backend)
+                self._acquire(backend)
         for backend_id in list(self._running):
             if backend_id not in wanted:
-                self._disown(backend_id)
+                self._release(backend_id)
 
-    def _own(self, backend: Backend) -> None:
-        self._end_old_drain(backend.backend_id)
+    def _acquire(self, backend: Backend) -> None:
+        self._remove_expired_drain(backend.backend_id)
         owned = self._context.owner.adopt(backend, self._policy(backend))
         running = self._running.get(backend.backend_id)
         if running is not None and running.runner.owned is not owned:
-            self._disown(backend.backend_id)
+            self._release(backend.backend_id)
             running = None
         if running is not None and running.task.done():
             logger.error("batch runner ended", exc_info=running.task.exception())
@@ -168,13 +168,13 @@
         if running is None:
             runner = self._context.make_runner(owned)
             task = asyncio.get_running_loop().create_task(runner.run())
-            self._running[backend.backend_id] = _Running(runner, task)
+            self._running[backend.backend_id] = _RunningBackend(runner, task)
         elif backend.leaving and running.stopping is None:
             running.stopping = asyncio.get_running_loop().create_task(running.runner.stop())
         elif not backend.leaving and running.stopping is not None and running.stopping.done():
-            self._disown(backend.backend_id)
+            self._release(backend.backend_id)
 
-    def _end_old_drain(self, backend_id: str) -> None:
+    def _remove_expired_drain(self, backend_id: str) -> None:
         # By the owner, not by the leader that began it: leaders die.
         known = self._known.get(backend_id)
         if known is not None and known.drain_until is not None and time.time() > known.drain_until:
@@ -190,22 +190,22 @@
         only_throughput = policies == {YieldingPolicy.THROUGHPUT}
         return YieldingPolicy.THROUGHPUT if only_throughput else YieldingPolicy.TAIL
 
-    def _disown(self, backend_id: str) -> None:
+    def _release(self, backend_id: str) -> None:
         running = self._running.pop(backend_id)
         self._context.owner.release(backend_id)
-        self._tasks.spawn(self._wind_down(running))
+        self._tasks.spawn(self._stop_runner(running))
 
-    async def _wind_down(self, running: _Running) -> None:
+    async def _stop_runner(self, running: _RunningBackend) -> None:
         if running.stopping is None:
             await running.runner.stop()
         else:
             await running.stopping
         running.task.cancel()
 
-    async def leave(self) -> None:
+    async def release_all(self) -> None:
         """Give every back end up; what runs there is let finish."""
-        self._leaving = True
-        await asyncio.gather(*(self._wind_down(running) for running in self._running.values()))
+        self._stopping = True
+        await asyncio.gather(*(self._stop_runner(running) for running in self._running.values()))
         self._running.clear()
 
     def revoke(self, lease_ids: list[str]) -> None:
@@ -213,7 +213,7 @@
         for running in self._running.values():
             running.runner.revoke(lease_ids)
 
-    def views(self) -> list[BackendView]:
+    def backend_views(self) -> list[BackendView]:
         """Return what operators see of the owned back ends."""
         return [
             BackendView(
@@ -229,20 +229,20 @@
 
     # ---- probes ----
 
-    def _probe_due(self, now: float) -> None:
+    def _start_due_probes(self, now: float) -> None:
         for backend_id, running in self._running.items():
-            if now - running.probed_at >= PROBE_S:
-                running.probed_at = now
+            if now - running.last_probe_at >= PROBE_INTERVAL_S:
+                running.last_probe_at = now
                 self._tasks.spawn(self._probe(backend_id, running))
 
-    async def _probe(self, backend_id: str, running: _Running) -> None:
+    async def _probe(self, backend_id: str, running: _RunningBackend) -> None:
         known = self._known.get(backend_id)
         if known is None or known.machine is None:
             return
-        status = await self._ask(known.machine)
+        status = await self._query_status(known.machine)
         if status is None:
             running.failures += 1
-            if running.failures < FAILURES_TO_BE_DOWN:
+            if running.failures < DOWN_AFTER_FAILURES:
                 return
             status = BackendStatus(down=True)
         else:
@@ -251,7 +251,7 @@
             value = json.dumps(status.__dict__).encode()
             self._context.publish(f"status/{backend_id}", value)
 
-    async def _ask(self, machine: ListedMachine) -> BackendStatus | None:
+    async def _query_status(self, machine: ListedMachine) -> BackendStatus | None:
         session = self._context.session
         if machine.kind == BackendKind.APPLICATION:
             alive = await ApplicationClient(machine.address, session).alive()
@@ -277,22 +277,22 @@
             for model in self._context.services.models.values()
         ]
         now = monotonic()
-        for order in self._reconciler.reconcile(models, self._engines(), now):
+        for order in self._reconciler.reconcile(models, self._engine_statuses(), now):
             status = self._known[order.backend_id].status
             if order.kind is OrderKind.LOAD_MODEL and status is not None and status.model:
-                self._tasks.spawn(self._drain_then_give(order))
+                self._tasks.spawn(self._drain_then_send(order))
             else:
-                await self._give(order)
+                await self._send_order(order)
 
-    async def _drain_then_give(self, order: Order) -> None:
+    async def _drain_then_send(self, order: Order) -> None:
         """Have a server finish what it runs before its model is taken away."""
-        value = json.dumps({"until": time.time() + DRAIN_LIFE_S}).encode()
+        value = json.dumps({"until": time.time() + DRAIN_TTL_S}).encode()
         self._context.publish(f"drain/{order.backend_id}", value)
-        await asyncio.sleep(DRAIN_S)
+        await asyncio.sleep(DRAIN_PERIOD_S)
         if self._context.leader_epoch() == order.epoch:
-            await self._give(order)
+            await self._send_order(order)
 
-    async def _give(self, order: Order) -> None:
+    async def _send_order(self, order: Order) -> None:
         machine = self._known[order.backend_id].machine
         if machine is None:
             return
@@ -302,7 +302,7 @@
         except BackendError as error:
             logger.info("order not answered", extra={"cause": str(error)})
 
-    def _engines(self) -> list[EngineStatus]:
+    def _engine_statuses(self) -> list[EngineStatus]:
         return [
             EngineStatus(
                 backend_id,
@@ -327,7 +327,7 @@
     return BackendStatus(**(value | {"adapters": tuple(value["adapters"])}))
 
 
-def _backend(known: _Known) -> Backend | None:
+def _to_backend(known: _KnownBackend) -> Backend | None:
     machine = known.machine
     if machine is None:
         return None
--- a/src/wharfcart/node/node.py
+++ b/src/wharfcart/node/node.py
@@ -41,7 +41,7 @@
 from wharfcart.gateway.interface import GatewayContext
 from wharfcart.node.calls import CallHandler
 from wharfcart.node.fleet import FleetContext, FleetDriver
-from wharfcart.node.spreading import SpreadingDriver, SpreadingHooks
+from wharfcart.node.spreading import PropagationDriver, PropagationHooks
 from wharfcart.observability.metrics import Metrics
 from wharfcart.observability.tasks import BackgroundTasks
 from wharfcart.platform.etcd_json import EtcdJsonStore
@@ -57,12 +57,12 @@
 from wharfcart.storage.journal import Journal
 
 PLACEMENT_KEY = ROOT + "placement"
-PLACEMENT_CHECK_S = 0.5
+PLACEMENT_CHECK_INTERVAL_S = 0.5
 STATUS_TIMEOUT_S = 2.0
-STATUS_AT_ONCE = 32
-DRAIN_POLL_S = 0.02
-LEAVE_SPREAD_S = 0.3
-METRICS_S = 1.0
+MAX_CONCURRENT_STATUS_CALLS = 32
+DRAIN_POLL_INTERVAL_S = 0.02
+LEAVE_PROPAGATION_S = 0.3
+METRICS_INTERVAL_S = 1.0
 
 logger = logging.getLogger(__name__)
 
@@ -88,8 +88,8 @@
         connector = aiohttp.TCPConnector(limit=0, limit_per_host=0, keepalive_timeout=30)
         self._session = aiohttp.ClientSession(connector=connector, auto_decompress=False)
         self._transport = Transport(self._handle_call)
-        listen = _address(settings.cluster_listen)
-        advertised = _address(settings.cluster_advertise or settings.cluster_listen)
+        listen = _parse_address(settings.cluster_listen)
+        advertised = _parse_address(settings.cluster_advertise or settings.cluster_listen)
         database = None
         if settings.data_folder is not None:
             database = await asyncio.to_thread(open_database, settings.data_folder)
@@ -103,9 +103,9 @@
                 zone=settings.zone,
                 storage_identity=database.identity if database is not None else "",
             ),
-            [_address(seed) for seed in settings.seeds],
+            [_parse_address(seed) for seed in settings.seeds],
             self._member_changed,
-            self._peer_revision,
+            self._peer_revisions_received,
             lambda count: self.metrics.control_bytes.inc(count),
         )
         self._build_platform()
@@ -114,22 +114,22 @@
             self._journal = Journal(
                 database,
                 self._send_replica_messages,
-                lambda placement: self._spreading.take_placement([placement]),
+                lambda placement: self._propagation.apply_placement([placement]),
                 self._leadership_changed,
             )
             self._batch_leader = BatchLeader(
                 self._journal,
                 self.services.find_service,
-                self._share_of,
+                self._tenant_share,
                 settings.journal.retention_hours,
                 self._send_revocation,
             )
-        self._build_edges()
+        self._build_gateway()
         await self._transport.start(listen)
         if self._journal is not None:
             await self._journal.start()
         await self._gossip.start(listen)
-        self._spreading.start()
+        self._propagation.start()
         self._start_loops()
         host, port = split_endpoint(settings.listen)
         await self.gateway.start(host, port)
@@ -139,12 +139,12 @@
         settings = self.settings
         self._key_value = EtcdJsonStore(settings.key_value, self._session, self.metrics)
         self._store = ConfigurationStore(self._key_value)
-        self._spreading = SpreadingDriver(
+        self._propagation = PropagationDriver(
             self._gossip,
             self._transport,
             self._store,
             PrometheusDiscovery(settings.machine_list, self._session),
-            SpreadingHooks(
+            PropagationHooks(
                 self._configuration_changed, self._directory_changed, self._placement_changed
             ),
         )
@@ -156,7 +156,7 @@
         view = NodeView(settings.node_id, self._live_in_zone, self._gossip.address_of)
         self._dispatcher = Dispatcher(view, self.router, self.owner, self._transport, self.metrics)
         self._journal_client = JournalClient(
-            self._spreading.placement, self._transport, self._gossip.address_of_storage
+            self._propagation.placement, self._transport, self._gossip.address_of_storage
         )
         self._limiter = Limiter(
             settings.node_id, self._live_nodes, self._gossip.address_of, self._transport
@@ -171,15 +171,15 @@
                 self.owner,
                 self._session,
                 self._make_runner,
-                self._spreading.publish,
+                self._propagation.publish,
                 self._leader_epoch,
             )
         )
 
-    def _build_edges(self) -> None:
+    def _build_gateway(self) -> None:
         settings = self.settings
         self._calls = CallHandler(
-            self._spreading,
+            self._propagation,
             self.owner,
             self.router,
             self._limiter,
@@ -206,8 +206,8 @@
         )
         self.gateway = GatewayServer(context, settings.admin_key_sha256)
         admin = AdminContext(
-            self._spreading.configuration,
-            self._spreading.take_configuration,
+            self._propagation.configuration,
+            self._propagation.apply_configuration,
             self._node_statuses,
             self._recover_shard,
             self._shard_replicas,
@@ -224,7 +224,7 @@
     @property
     def ready(self) -> bool:
         """Whether this node may take callers' requests."""
-        return self._spreading.ready and not self._stopping
+        return self._propagation.ready and not self._stopping
 
     # ---- stopping ----
 
@@ -236,11 +236,11 @@
             self._journal.step_down()
         await self._gossip.leave()
         await self.gateway.drain()
-        await self._fleet.leave()
+        await self._fleet.release_all()
         # Peers that have not heard yet may still send; let the word spread before the end.
-        await asyncio.sleep(LEAVE_SPREAD_S)
-        while self._calls.dispatches:
-            await asyncio.sleep(DRAIN_POLL_S)
+        await asyncio.sleep(LEAVE_PROPAGATION_S)
+        while self._calls.active_dispatches:
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
         await self.gateway.stop()
         await self.close()
         logger.info("node stopped")
@@ -248,7 +248,7 @@
     async def close(self) -> None:
         """Close files and sockets at once."""
         await self._tasks.stop()
-        await self._spreading.stop()
+        await self._propagation.stop()
         if self._journal is not None:
             await self._journal.stop()
         await self._gossip.stop()
@@ -260,10 +260,10 @@
     def _member_changed(self, member: Member) -> None:
         logger.info("member", extra={"member": member.node_id, "state": member.state})
         if self._journal is not None:
-            self._tell_storage_members()
+            self._update_storage_members()
         self._fleet.membership_changed()
 
-    def _tell_storage_members(self) -> None:
+    def _update_storage_members(self) -> None:
         assert self._journal is not None
         live = self._live_storage()
         leaving = {
@@ -280,8 +280,8 @@
             if member.storage_identity
         }
 
-    def _peer_revision(self, peer: PeerRevisions) -> None:
-        self._spreading.peer_revision(peer)
+    def _peer_revisions_received(self, peer: PeerRevisions) -> None:
+        self._propagation.peer_revisions_received(peer)
 
     def _live_nodes(self) -> list[str]:
         return [member.node_id for member in self._gossip.membership.live()]
@@ -312,18 +312,18 @@
     async def _placement_loop(self) -> None:
         """Learn of all shards, then keep the journal informed of the storage nodes."""
         assert self._journal is not None
-        while self._spreading.placement.shard_count == 0:
-            await asyncio.sleep(PLACEMENT_CHECK_S * (0.5 + random.random()))
-            self._tell_storage_members()
+        while self._propagation.placement.shard_count == 0:
+            await asyncio.sleep(PLACEMENT_CHECK_INTERVAL_S * (0.5 + random.random()))
+            self._update_storage_members()
             try:
-                await self._agree_placement()
+                await self._load_or_create_placement()
             except KeyValueUnavailableError as error:
                 logger.info("no placement yet", extra={"cause": str(error)})
         while True:
-            self._tell_storage_members()
+            self._update_storage_members()
             await asyncio.sleep(1.0)
 
-    async def _agree_placement(self) -> None:
+    async def _load_or_create_placement(self) -> None:
         """Read the first placement, or write it once enough storage nodes are there."""
         found = await self._key_value.get(PLACEMENT_KEY)
         storage = self._live_storage()
@@ -336,7 +336,7 @@
         if found is None:
             return
         placed = json.loads(found.value)
-        self._spreading.take_placement(
+        self._propagation.apply_placement(
             (
                 ShardPlacement(shard=int(shard), replicas=replicas, version=1)
                 for shard, replicas in placed.items()
@@ -368,7 +368,7 @@
             return None
         return shard.replica.epoch
 
-    def _share_of(self, tenant: str) -> float:
+    def _tenant_share(self, tenant: str) -> float:
         found = self.services.tenants.get(tenant)
         return found.share if found is not None else 1.0
 
@@ -393,13 +393,13 @@
         return FleetView(
             node_id=self.settings.node_id,
             zone=self.settings.zone,
-            configuration_revision=self._spreading.configuration.revision,
-            owned=self._fleet.views(),
+            configuration_revision=self._propagation.configuration.revision,
+            owned=self._fleet.backend_views(),
             led_shards=sum(shard.leads for shard in shards),
         )
 
     async def _node_statuses(self) -> list[NodeStatus]:
-        limit = asyncio.Semaphore(STATUS_AT_ONCE)
+        limit = asyncio.Semaphore(MAX_CONCURRENT_STATUS_CALLS)
 
         async def ask(member: Member) -> NodeStatus:
             view: FleetView | None = None
@@ -407,13 +407,13 @@
                 view = self.view()
             else:
                 async with limit:
-                    view = await self._ask_view(Address(member.host, member.port))
+                    view = await self._fetch_view(Address(member.host, member.port))
             return NodeStatus(member.node_id, member.zone, member.storage_identity, view)
 
         members = sorted(self._gossip.membership.live(), key=lambda member: member.node_id)
         return list(await asyncio.gather(*(ask(member) for member in members)))
 
-    async def _ask_view(self, address: Address) -> FleetView | None:
+    async def _fetch_view(self, address: Address) -> FleetView | None:
         try:
             async with asyncio.timeout(STATUS_TIMEOUT_S):
                 answer = await self._transport.call(address, Frame(read_fleet=ReadFleet()))
@@ -424,19 +424,19 @@
     def _recover_shard(self, shard: int) -> None:
         if self._journal is None:
             raise ServingError("recovery_refused", "this node has no data folder", 409)
-        known = self._spreading.placement.shards.get(shard)
+        known = self._propagation.placement.shards.get(shard)
         version = known.version if known is not None else 0
         self._journal.recover_alone(shard, self._live_storage(), version)
 
     def _shard_replicas(self) -> dict[int, list[str]]:
-        shards = self._spreading.placement.shards
+        shards = self._propagation.placement.shards
         return {shard: list(placement.replicas) for shard, placement in shards.items()}
 
     async def _metrics_loop(self) -> None:
         while True:
-            await asyncio.sleep(METRICS_S)
+            await asyncio.sleep(METRICS_INTERVAL_S)
             metrics = self.metrics
-            metrics.configuration_revision.set(self._spreading.configuration.revision)
+            metrics.configuration_revision.set(self._propagation.configuration.revision)
             metrics.live_members.set(len(self._gossip.membership.live()))
             if self._journal is not None:
                 metrics.journal_commits.set(self._journal.commits)
@@ -445,7 +445,7 @@
                 metrics.dropped_completions.set(dropped)
 
 
-def _address(endpoint: str) -> Address:
+def _parse_address(endpoint: str) -> Address:
     host, port = split_endpoint(endpoint)
     return Address(host, port)
 
--- a/src/wharfcart/node/spreading.py
+++ b/src/wharfcart/node/spreading.py
@@ -41,9 +41,9 @@
     MachineListUnavailableError,
 )
 
-READERS = 2
-HEAD_POLL_S = 2.5
-MACHINE_POLL_S = 1.0
+READER_COUNT = 2
+HEAD_POLL_INTERVAL_S = 2.5
+MACHINE_POLL_INTERVAL_S = 1.0
 PULL_TIMEOUT_S = 3.0
 JITTER = 0.2
 
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True)
-class SpreadingHooks:
+class PropagationHooks:
     """What the node does with news."""
 
     configuration_changed: Callable[[list[Entry]], None]
@@ -59,7 +59,7 @@
     placement_changed: Callable[[list[ShardPlacement]], None]
 
 
-class SpreadingDriver:
+class PropagationDriver:
     """What one node knows of the shared state, and how it learns more."""
 
     def __init__(
@@ -68,7 +68,7 @@
         transport: Transport,
         store: ConfigurationStore,
         machine_list: MachineList,
-        hooks: SpreadingHooks,
+        hooks: PropagationHooks,
     ) -> None:
         self.configuration = RevisionedMap()
         self.directory = RevisionedMap(overlap=DIRECTORY_OVERLAP_MS)
@@ -80,9 +80,9 @@
         self._hooks = hooks
         self._pulling: set[str] = set()
         self._tasks = BackgroundTasks()
-        self._last_list: dict[str, ListedMachine] | None = None
-        self._newest_seen = 0
-        self.read_key_value = False
+        self._last_machines: dict[str, ListedMachine] | None = None
+        self._newest_known_revision = 0
+        self.has_read_key_value = False
 
     @property
     def ready(self) -> bool:
@@ -91,8 +91,8 @@
         A peer that has no configuration either tells nothing: all callers' keys would be refused
         while the key-value service is down and all nodes start.
         """
-        informed = self.configuration.revision > 0 or self.read_key_value
-        return informed and self.configuration.revision >= self._newest_seen
+        informed = self.configuration.revision > 0 or self.has_read_key_value
+        return informed and self.configuration.revision >= self._newest_known_revision
 
     def start(self) -> None:
         """Start reading."""
@@ -105,10 +105,10 @@
 
     # ---- news from here ----
 
-    def take_configuration(self, entries: Iterable[Entry], revision: int) -> None:
+    def apply_configuration(self, entries: Iterable[Entry], revision: int) -> None:
         """Take entries of the configuration, and tell peers if they are news."""
         changed = self.configuration.merge(entries, revision)
-        self._newest_seen = max(self._newest_seen, revision)
+        self._newest_known_revision = max(self._newest_known_revision, revision)
         if changed:
             self._hooks.configuration_changed(changed)
         self._announce()
@@ -119,16 +119,16 @@
         after_known = known.revision + 1 if known is not None else 0
         revision = max(int(time.time() * 1000), after_known)
         entry = Entry(key=key, value=value or b"", deleted=value is None, revision=revision)
-        self._take_directory([entry], revision)
+        self._apply_directory([entry], revision)
 
-    def take_placement(self, placements: Iterable[ShardPlacement], shard_count: int = 0) -> None:
+    def apply_placement(self, placements: Iterable[ShardPlacement], shard_count: int = 0) -> None:
         """Take placements of shards, and their number if who tells knows it."""
         changed = self.placement.merge(placements, shard_count)
         if changed:
             self._hooks.placement_changed(changed)
         self._announce()
 
-    def _take_directory(self, entries: Iterable[Entry], revision: int) -> None:
+    def _apply_directory(self, entries: Iterable[Entry], revision: int) -> None:
         changed = self.directory.merge(entries, revision)
         if changed:
             self._hooks.directory_changed(changed)
@@ -141,44 +141,44 @@
 
     # ---- news from peers ----
 
-    def peer_revision(self, peer: PeerRevisions) -> None:
+    def peer_revisions_received(self, peer: PeerRevisions) -> None:
         """Pull from a peer that knows something else."""
-        self._newest_seen = max(self._newest_seen, peer.configuration_revision)
+        self._newest_known_revision = max(self._newest_known_revision, peer.configuration_revision)
         address = self._gossip.address_of(peer.node_id)
         if address is None:
             return
         if peer.configuration_revision > self.configuration.revision:
-            self._pull("configuration", self._pull_entries(address, CONFIGURATION))
+            self._start_pull("configuration", self._pull_entries(address, CONFIGURATION))
         if peer.directory_revision > self.directory.revision:
-            self._pull("directory", self._pull_entries(address, DIRECTORY))
+            self._start_pull("directory", self._pull_entries(address, DIRECTORY))
         if peer.placement_version not in (0, self.placement.digest):
-            self._pull("placement", self._pull_placement(address))
+            self._start_pull("placement", self._pull_placement(address))
 
-    def _pull(self, what: str, work: Coroutine[Any, Any, None]) -> None:
-        if what in self._pulling:
+    def _start_pull(self, kind: str, work: Coroutine[Any, Any, None]) -> None:
+        if kind in self._pulling:
             work.close()
             return
-        self._pulling.add(what)
+        self._pulling.add(kind)
         task = self._tasks.spawn(work)
-        task.add_done_callback(lambda _: self._pulling.discard(what))
+        task.add_done_callback(lambda _: self._pulling.discard(kind))
 
     async def _pull_entries(self, address: Address, namespace: Namespace) -> None:
-        since = self._map(namespace).pull_since()
+        since = self._map_of(namespace).pull_since()
         call = Frame(pull_entries=PullEntries(namespace=namespace, since_revision=since))
         answer = await self._call(address, call)
         if answer is None:
             return
         entries = answer.entries
         if namespace == CONFIGURATION:
-            self.take_configuration(entries.entries, entries.revision)
+            self.apply_configuration(entries.entries, entries.revision)
         else:
-            self._take_directory(entries.entries, entries.revision)
+            self._apply_directory(entries.entries, entries.revision)
 
     async def _pull_placement(self, address: Address) -> None:
         answer = await self._call(address, Frame(pull_placement=PullPlacement()))
         if answer is not None:
             placement = answer.placement
-            self.take_placement(placement.shards, placement.shard_count)
+            self.apply_placement(placement.shards, placement.shard_count)
 
     async def _call(self, address: Address, frame: Frame) -> Frame | None:
         try:
@@ -190,33 +190,34 @@
 
     def serve_pull(self, pull: PullEntries) -> Entries:
         """Answer a peer's pull."""
-        known = self._map(pull.namespace)
+        known = self._map_of(pull.namespace)
         return Entries(
             namespace=pull.namespace,
             revision=known.revision,
             entries=known.changes_since(pull.since_revision),
         )
 
-    def _map(self, namespace: Namespace) -> RevisionedMap:
+    def _map_of(self, namespace: Namespace) -> RevisionedMap:
         return self.configuration if namespace == CONFIGURATION else self.directory
 
     # ---- news from the platform ----
 
-    def _reads(self, what: str) -> bool:
+    def _is_reader(self, role: str) -> bool:
         live = [member.node_id for member in self._gossip.membership.live()]
         return (
-            self._gossip.membership.local_member.node_id in rendezvous_order(what, live)[:READERS]
+            self._gossip.membership.local_member.node_id
+            in rendezvous_order(role, live)[:READER_COUNT]
         )
 
     async def _read_key_value(self) -> None:
         while True:
             # A node that nobody has told reads for itself, or it would never become ready.
-            if self._reads("key-value-reader") or not self.ready:
+            if self._is_reader("key-value-reader") or not self.ready:
                 try:
                     await self._read_configuration()
                 except KeyValueUnavailableError as error:
                     logger.info("key-value service unavailable", extra={"cause": str(error)})
-            await asyncio.sleep(HEAD_POLL_S * _jitter())
+            await asyncio.sleep(HEAD_POLL_INTERVAL_S * _jitter())
 
     async def _read_configuration(self) -> None:
         head = await self._store.read_head()
@@ -224,33 +225,37 @@
         # A service restored from an old copy may show a lower revision: never go back.
         if head.revision > known:
             entries = await self._store.read_entries(known)
-            self.take_configuration(entries, head.revision)
-        self.read_key_value = True
+            self.apply_configuration(entries, head.revision)
+        self.has_read_key_value = True
 
     async def _read_machines(self) -> None:
         while True:
-            if self._reads("machine-list-reader"):
+            if self._is_reader("machine-list-reader"):
                 try:
-                    self._take_list(await self._machine_list.fetch())
+                    self._apply_machine_list(await self._machine_list.fetch())
                 except MachineListUnavailableError as error:
                     logger.info("machine list unavailable", extra={"cause": str(error)})
             else:
-                self._last_list = None
-            await asyncio.sleep(MACHINE_POLL_S * _jitter())
+                self._last_machines = None
+            await asyncio.sleep(MACHINE_POLL_INTERVAL_S * _jitter())
 
-    def _take_list(self, machines: list[ListedMachine]) -> None:
+    def _apply_machine_list(self, machines: list[ListedMachine]) -> None:
         # Only what changed between two readings of this reader is news: two readers whose lists lag
         # differently would else overwrite each other for ever.
         newest = {machine.machine_id: machine for machine in machines}
-        before = self._last_list if self._last_list is not None else self._listed_in_directory()
+        before = (
+            self._last_machines
+            if self._last_machines is not None
+            else self._machines_in_directory()
+        )
         for machine_id, machine in newest.items():
             if before.get(machine_id) != machine:
                 self.publish(f"machine/{machine_id}", json.dumps(asdict(machine)).encode())
         for machine_id in before.keys() - newest.keys():
             self.publish(f"machine/{machine_id}", None)
-        self._last_list = newest
+        self._last_machines = newest
 
-    def _listed_in_directory(self) -> dict[str, ListedMachine]:
+    def _machines_in_directory(self) -> dict[str, ListedMachine]:
         return {
             key.removeprefix("machine/"): ListedMachine(**json.loads(value))
             for key, value in self.directory.live().items()
--- a/tests/node/test_spreading_ready.py
+++ b/tests/node/test_spreading_ready.py
@@ -10,14 +10,14 @@
 from unittest import mock
 
 from wharfcart.cluster.membership import PeerRevisions
-from wharfcart.node.spreading import SpreadingDriver, SpreadingHooks
+from wharfcart.node.spreading import PropagationDriver, PropagationHooks
 
 
-def _driver() -> SpreadingDriver:
+def _driver() -> PropagationDriver:
     gossip: Any = mock.Mock()
     gossip.address_of.return_value = None
-    hooks = SpreadingHooks(lambda _: None, lambda _: None, lambda _: None)
-    return SpreadingDriver(gossip, mock.Mock(), mock.Mock(), mock.Mock(), hooks)
+    hooks = PropagationHooks(lambda _: None, lambda _: None, lambda _: None)
+    return PropagationDriver(gossip, mock.Mock(), mock.Mock(), mock.Mock(), hooks)
 
 
 def _peer(revision: int) -> PeerRevisions:
@@ -32,22 +32,22 @@
     )
 
 
-def test_a_peer_without_a_configuration_makes_no_node_ready() -> None:
+def test_peer_without_configuration_does_not_make_a_node_ready() -> None:
     driver = _driver()
-    driver.peer_revision(_peer(0))
+    driver.peer_revisions_received(_peer(0))
     assert not driver.ready
 
 
 def test_a_node_is_ready_with_the_newest_configuration_of_its_peers() -> None:
     driver = _driver()
-    driver.peer_revision(_peer(3))
-    driver.take_configuration([], 2)
+    driver.peer_revisions_received(_peer(3))
+    driver.apply_configuration([], 2)
     assert not driver.ready
-    driver.take_configuration([], 3)
+    driver.apply_configuration([], 3)
     assert driver.ready
 
 
-def test_a_node_is_ready_once_the_service_says_that_there_is_no_configuration() -> None:
+def test_node_is_ready_once_the_service_reports_no_configuration() -> None:
     driver = _driver()
-    driver.read_key_value = True
+    driver.has_read_key_value = True
     assert driver.ready
