--- a/src/wharfcart/node/backend_news.py
+++ b/src/wharfcart/node/backend_news.py
@@ -41,13 +41,13 @@
 
     def __init__(
         self,
-        choice: BackendChoice,
+        selector: BackendChoice,
         pool: ConnectionPool,
         in_outage: Callable[[], bool],
         age_s: Callable[[], float],
         log: DecisionLog,
     ) -> None:
-        self._choice = choice
+        self._selector = selector
         self._pool = pool
         self._in_outage = in_outage
         self._age_s = age_s
@@ -57,11 +57,11 @@
     def apply(self, change: KeyChange) -> None:
         """Take a change of one back end's entry."""
         instance_id = change.key.removeprefix(names.SERVER_PREFIX)
-        known = self._choice.state(instance_id)
+        known = self._selector.state(instance_id)
         instance = self._parse(change)
         if instance is None:
             drained = documents.was_accepting(change) is False
-            self._choice.remove(instance_id, monotonic(), self._in_outage(), drained)
+            self._selector.remove(instance_id, monotonic(), self._in_outage(), drained)
             self._pool.drop_instance(instance_id)
             if known is not None:
                 service = known.instance.service
@@ -73,14 +73,14 @@
             self._pool.drop_instance(instance_id)
             self._add_event(Event.BACKEND_RESTARTED, instance_id, instance.service, change)
         was_accepting = known is not None and known.instance.accepting
-        was_cold = known is not None and self._choice.is_cold(known, monotonic())
-        self._choice.put(instance, monotonic(), change.revision)
+        was_cold = known is not None and self._selector.is_cold(known, monotonic())
+        self._selector.put(instance, monotonic(), change.revision)
         if known is None:
             self._add_event(Event.BACKEND_SEEN, instance_id, instance.service, change)
         elif was_accepting and not instance.accepting:
             self._add_event(Event.BACKEND_DRAINING, instance_id, instance.service, change)
-        state = self._choice.state(instance_id)
-        if state is not None and self._choice.is_cold(state, monotonic()) and not was_cold:
+        state = self._selector.state(instance_id)
+        if state is not None and self._selector.is_cold(state, monotonic()) and not was_cold:
             self._add_event(Event.BACKEND_COLD, instance_id, instance.service, change)
 
     def _parse(self, change: KeyChange) -> BackendInstance | None:
--- a/src/wharfcart/node/evacuations.py
+++ b/src/wharfcart/node/evacuations.py
@@ -29,12 +29,12 @@
 
     def __init__(
         self,
-        choice: BackendChoice,
+        selector: BackendChoice,
         log: DecisionLog,
         metrics: ServingMetrics,
         age_s: Callable[[], float],
     ) -> None:
-        self._choice = choice
+        self._selector = selector
         self._log = log
         self._metrics = metrics
         self._age_s = age_s
@@ -52,7 +52,7 @@
     def check_in_flight(self, now: float) -> None:
         """Show what still runs in emptied zones, and tell which have become quiet."""
         for zone, begun_at in self._started_at_by_zone.items():
-            in_flight = self._choice.in_flight_in(zone)
+            in_flight = self._selector.in_flight_in(zone)
             self._metrics.evacuated_in_flight.set(zone, in_flight)
             if in_flight:
                 self._idle_zones.discard(zone)
@@ -79,19 +79,19 @@
         self._idle_zones.discard(zone)
         self._update_eligibility()
         # Its back ends may have turned cold just before, which their entries tell only later.
-        self._choice.cold.given_back(zone, monotonic(), revision)
+        self._selector.cold.given_back(zone, monotonic(), revision)
         self._metrics.evacuated.set(zone, 0)
         self._metrics.evacuated_in_flight.set(zone, 0)
         self._write(Event.EVACUATION_ENDED, zone, revision)
 
     def _update_eligibility(self) -> None:
-        self._choice.eligibility.evacuated_zones = frozenset(self._started_at_by_zone)
+        self._selector.eligibility.evacuated_zones = frozenset(self._started_at_by_zone)
 
     def _write(self, event: Event, zone: str, revision: int) -> None:
         self._log.write(
             event,
             zone=zone,
             revision=revision,
-            in_flight=self._choice.in_flight_in(zone),
+            in_flight=self._selector.in_flight_in(zone),
             age_s=round(self._age_s(), 2),
         )
--- a/src/wharfcart/node/gateway_process.py
+++ b/src/wharfcart/node/gateway_process.py
@@ -52,23 +52,25 @@
         self._node = ServingNode(settings, log)
         self._sessions = SlotSessions(
             HolderId(settings.node_id),
-            self._node.choice,
+            self._node.selector,
             self._node.transport,
             lambda: self._node.group_count,
             self._node.leader_address,
             self._node.group_of_instance,
-            FleetLoad(self._node.choice),
+            FleetLoad(self._node.selector),
             log,
             self._node.backup_coordinator_addresses,
             settings.cluster_address,
             self._node.grants_in,
         )
         self._node.count_nodes = self._sessions.holders
-        self._node.choice.own_cold_shares = OwnColdShares(settings.node_id, self._sessions.holders)
+        self._node.selector.own_cold_shares = OwnColdShares(
+            settings.node_id, self._sessions.holders
+        )
         self._relays = PermitRelays(self._node.transport, self._sessions.relays)
         self._node.role_handler = self._handle_call
         placement = GrantedPlacement(
-            self._node.choice,
+            self._node.selector,
             self._sessions,
             self._node.distance_to_group,
             self._node.pool.kept,
@@ -76,7 +78,7 @@
             self._relays,
         )
         forwarder = Forwarder(
-            self._node.choice,
+            self._node.selector,
             placement,
             self._node.pool,
             self._node.connection_limit,
--- a/src/wharfcart/node/led_group.py
+++ b/src/wharfcart/node/led_group.py
@@ -51,7 +51,7 @@
         self.replica = JobGroup(number, group_key(number), parts.context)
         self.slots = SlotService(
             number,
-            node.choice,
+            node.selector,
             lambda instance: (
                 node.layout is not None and node.layout.group_of(instance, node.topology) == number
             ),
@@ -67,7 +67,7 @@
         self._execution = JobExecution(
             self.replica,
             parts.runner,
-            node.choice,
+            node.selector,
             lambda: node.configuration,
             self._item_slots,
             parts.keep_jobs_s,
@@ -98,7 +98,7 @@
         node = self._node
         sessions = SlotSessions(
             HolderId(f"{node.settings.node_id}/{self.replica.group}"),
-            node.choice,
+            node.selector,
             node.transport,
             lambda: node.group_count,
             node.leader_address,
@@ -123,7 +123,7 @@
         models = {name for name, service in configuration.services.items() if service.slots}
         instances = [
             state.instance
-            for state in self._node.choice.states()
+            for state in self._node.selector.states()
             if granter.owns(state.instance) and state.instance.service in models
         ]
         node = self._node
@@ -132,7 +132,7 @@
             node.pool,
             node.connection_limit,
             node.log,
-            lambda instance: instance.zone not in node.choice.eligibility.evacuated_zones,
+            lambda instance: instance.zone not in node.selector.eligibility.evacuated_zones,
         )
         await runs.watch(granter, instances)
 
--- a/src/wharfcart/node/serving_node.py
+++ b/src/wharfcart/node/serving_node.py
@@ -80,7 +80,7 @@
         self.topology = Topology(
             {zone: RegionName(region) for zone, region in settings.regions_by_zone.items()}
         )
-        self.choice = BackendChoice(settings.zone, self.random, Eligibility(self.topology))
+        self.selector = BackendChoice(settings.zone, self.random, Eligibility(self.topology))
         self.configuration: ServingConfiguration | None = None
         self.nodes: dict[str, NodeEntry] = {}
         self.storage_by_identity: dict[str, NodeEntry] = {}
@@ -103,14 +103,14 @@
             _seed_peers(settings),
         )
         self._backend_updates = BackendUpdates(
-            self.choice,
+            self.selector,
             self.pool,
             lambda: self.mirror_sync.in_outage,
             lambda: self.mirror_sync.age_s,
             log,
         )
         self._evacuations = ZoneEvacuations(
-            self.choice, log, self.metrics, lambda: self.mirror_sync.age_s
+            self.selector, log, self.metrics, lambda: self.mirror_sync.age_s
         )
         self.suspension_detector = SuspensionDetector()
         self.suspension_watch = SuspensionWatch(self.suspension_detector, log)
@@ -120,7 +120,7 @@
             suspects, self.coordination, self.mirror, self.random, self._relay_crashes
         )
         self.metrics.contents_held.set_function(lambda: suspects.held(time()))
-        self.metrics.cold_backends.set_function(lambda: len(self.choice.cold_states(monotonic())))
+        self.metrics.cold_backends.set_function(lambda: len(self.selector.cold_states(monotonic())))
         self.metrics.mirror_age.set_function(lambda: min(self.mirror_sync.age_s, MAX_AGE_S))
         self.role_handler: Handler = _ignore
         self.count_nodes: Callable[[], int] = lambda: len(self.nodes)
@@ -208,7 +208,7 @@
 
     def group_of_instance(self, instance_id: str) -> int | None:
         """Return the group that grants a back end's slots; None while that is not known."""
-        state = self.choice.state(instance_id)
+        state = self.selector.state(instance_id)
         if self.layout is None or state is None:
             return None
         return self.layout.group_of(state.instance, self.topology)
@@ -281,7 +281,7 @@
         if self.configuration is not None and configuration.version <= self.configuration.version:
             return
         self.configuration = configuration
-        self.choice.cold.limits = configuration.cold_limits
+        self.selector.cold.limits = configuration.cold_limits
         self.metrics.configuration_version.set(configuration.version)
         self.log.write(
             Event.CONFIGURATION_TAKEN,
--- a/src/wharfcart/node/storage_process.py
+++ b/src/wharfcart/node/storage_process.py
@@ -105,7 +105,7 @@
         parts = GroupParts(
             node,
             context,
-            ItemRunner(node.choice, node.pool, node.connection_limit, node.crash_detector),
+            ItemRunner(node.selector, node.pool, node.connection_limit, node.crash_detector),
             JobClient(
                 node.transport,
                 lambda: node.group_count,
--- a/tests/node/test_serving_node.py
+++ b/tests/node/test_serving_node.py
@@ -114,7 +114,7 @@
 
 
 def accepting_ids(node: ServingNode) -> list[str]:
-    return [state.instance.instance_id for state in node.choice.accepting("lm", monotonic())]
+    return [state.instance.instance_id for state in node.selector.accepting("lm", monotonic())]
 
 
 def test_evacuation_takes_effect_at_once_and_ends_when_withdrawn() -> None:
@@ -139,7 +139,7 @@
 
 def test_listing_without_the_order_ends_an_evacuation() -> None:
     node, _ = node_and_log()
-    node.choice.cold.limits = {"lm": ColdLimit(4.0, 3.0)}
+    node.selector.cold.limits = {"lm": ColdLimit(4.0, 3.0)}
     node._apply_changes(
         node.mirror.apply(
             ChangeBatch((entry_in_zone(1, "a", "i-a"), evacuation_order("a", 2)), last_revision=3)
@@ -149,21 +149,21 @@
     node._apply_changes(node.mirror.apply(listing))
     assert accepting_ids(node) == ["i-a"]
     # It may have turned cold before: its entry is older than the order's end.
-    assert len(node.choice.cold_states(monotonic())) == 1
+    assert len(node.selector.cold_states(monotonic())) == 1
     node._apply_changes([entry_in_zone(10, "a", "i-a")])
-    assert not node.choice.cold_states(monotonic())
+    assert not node.selector.cold_states(monotonic())
 
 
 def test_evacuated_zone_is_logged_as_quiet_once_nothing_is_in_flight() -> None:
     node, log = node_and_log()
     node._apply_changes([entry_in_zone(1, "a", "i-a")])
-    state = node.choice.state("i-a")
+    state = node.selector.state("i-a")
     assert state is not None
-    use = node.choice.sent(state, monotonic())
+    use = node.selector.sent(state, monotonic())
     node._apply_changes([evacuation_order("a", 2)])
     node._evacuations.check_in_flight(monotonic())
     assert b'in_flight{zone="a"} 1.0' in node.metrics.render()
-    node.choice.ended(state, use)
+    node.selector.ended(state, use)
     for _ in range(2):
         node._evacuations.check_in_flight(monotonic())
     assert [event for event, _ in log.lines].count(Event.EVACUATION_QUIET) == 1
@@ -172,9 +172,9 @@
 
 def test_cold_back_end_is_logged_and_becomes_warm() -> None:
     node, log = node_and_log()
-    node.choice.cold.limits = {"lm": ColdLimit(4.0, 3.0)}
+    node.selector.cold.limits = {"lm": ColdLimit(4.0, 3.0)}
     node._apply_changes([entry_in_zone(1, "a", "i-a", cold_ms=60_000)])
     assert log.lines[-1][0] is Event.BACKEND_COLD
-    assert len(node.choice.cold_states(monotonic())) == 1
+    assert len(node.selector.cold_states(monotonic())) == 1
     node._apply_changes([entry_in_zone(2, "a", "i-a")])
-    assert not node.choice.cold_states(monotonic())
+    assert not node.selector.cold_states(monotonic())
