--- a/src/wharfcart/admission/limiter.py
+++ b/src/wharfcart/admission/limiter.py
@@ -7,7 +7,7 @@
 from wharfcart.clock import monotonic
 from wharfcart.cluster.address import Address
 from wharfcart.cluster.messages_pb2 import Frame, TakeTokens, TokensTaken
-from wharfcart.cluster.ownership import choose_owner
+from wharfcart.cluster.rendezvous import choose_owner
 from wharfcart.cluster.transport import PeerUnreachableError, TrafficClass, Transport
 from wharfcart.configuration.schema import Limits
 from wharfcart.errors import ServingError
--- a/src/wharfcart/batch/jobs.py
+++ b/src/wharfcart/batch/jobs.py
@@ -24,7 +24,7 @@
     ProposeResult,
     ReadFile,
 )
-from wharfcart.cluster.ownership import shard_of
+from wharfcart.cluster.rendezvous import shard_of
 from wharfcart.configuration.schema import Tenant
 from wharfcart.errors import Outcome, ServingError
 from wharfcart.storage.client import CALL_TIMEOUT_S, JournalClient
--- a/src/wharfcart/cluster/mirror_link.py
+++ b/src/wharfcart/cluster/mirror_sync.py
@@ -22,7 +22,7 @@
     KeyChange,
 )
 from wharfcart.cluster.mirror import Mirror
-from wharfcart.cluster.news_sources import STALE_AFTER_S, Peer, PeerSelector
+from wharfcart.cluster.peer_selection import STALE_AFTER_S, Peer, PeerSelector
 from wharfcart.observability.decisions import DecisionLog, Event
 
 FOLLOWED_PEERS = 2
--- a/src/wharfcart/cluster/peer_news.py
+++ b/src/wharfcart/cluster/peer_updates.py
@@ -9,8 +9,8 @@
     CoordinationPull,
     Frame,
 )
-from wharfcart.cluster.mirror_link import PeerUpdates
-from wharfcart.cluster.news_sources import Peer
+from wharfcart.cluster.mirror_sync import PeerUpdates
+from wharfcart.cluster.peer_selection import Peer
 from wharfcart.cluster.transport import PeerUnreachableError, TrafficClass, Transport
 from wharfcart.errors import ServingError
 
--- a/src/wharfcart/fleet/reconciler.py
+++ b/src/wharfcart/fleet/reconciler.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from wharfcart.backends.interface import Order, OrderKind
-from wharfcart.cluster.ownership import rendezvous_order
+from wharfcart.cluster.rendezvous import rendezvous_order
 
 REPORT_LAG_S = 10.0  # an order shows in the reports after this at the latest, drain included
 ORDER_TIMEOUT_S = 120.0
--- a/src/wharfcart/gateway/idempotency.py
+++ b/src/wharfcart/gateway/idempotency.py
@@ -16,7 +16,7 @@
 from wharfcart.batch.lines import now_ms
 from wharfcart.clock import monotonic
 from wharfcart.cluster.messages_pb2 import Command, KeyFinish, KeyRecord, KeyStart
-from wharfcart.cluster.ownership import shard_of
+from wharfcart.cluster.rendezvous import shard_of
 from wharfcart.configuration.services import Service
 from wharfcart.errors import Outcome, ServingError
 from wharfcart.routing.dispatcher import Dispatcher
--- a/src/wharfcart/node/calls.py
+++ b/src/wharfcart/node/call_handler.py
@@ -20,7 +20,7 @@
 from wharfcart.cluster.transport import Responder
 from wharfcart.errors import Outcome, ServingError
 from wharfcart.node.fleet import FleetDriver
-from wharfcart.node.spreading import PropagationDriver
+from wharfcart.node.propagation import PropagationDriver
 from wharfcart.routing.dispatcher import part_message, request_of
 from wharfcart.routing.owner import Owner
 from wharfcart.routing.router import Router
--- a/src/wharfcart/node/fleet.py
+++ b/src/wharfcart/node/fleet.py
@@ -16,7 +16,7 @@
 from wharfcart.batch.runner import BatchRunner
 from wharfcart.clock import monotonic
 from wharfcart.cluster.messages_pb2 import BackendView, Entry
-from wharfcart.cluster.ownership import choose_owner
+from wharfcart.cluster.rendezvous import choose_owner
 from wharfcart.configuration.schema import YieldingPolicy
 from wharfcart.configuration.services import ServiceIndex
 from wharfcart.fleet.reconciler import EngineStatus, FleetReconciler, TargetModel
--- a/src/wharfcart/node/node.py
+++ b/src/wharfcart/node/node.py
@@ -32,16 +32,16 @@
     RevokeLeases,
     ShardPlacement,
 )
-from wharfcart.cluster.ownership import place_shards
+from wharfcart.cluster.rendezvous import place_shards
 from wharfcart.cluster.transport import PeerUnreachableError, Responder, Transport
 from wharfcart.configuration.services import ServiceIndex
 from wharfcart.errors import ServingError
 from wharfcart.gateway.app import GatewayServer
 from wharfcart.gateway.idempotency import KeyedRequests
 from wharfcart.gateway.interface import GatewayContext
-from wharfcart.node.calls import CallHandler
+from wharfcart.node.call_handler import CallHandler
 from wharfcart.node.fleet import FleetContext, FleetDriver
-from wharfcart.node.spreading import PropagationDriver, PropagationHooks
+from wharfcart.node.propagation import PropagationDriver, PropagationHooks
 from wharfcart.observability.metrics import Metrics
 from wharfcart.observability.tasks import BackgroundTasks
 from wharfcart.platform.etcd_json import EtcdJsonStore
--- a/src/wharfcart/node/spreading.py
+++ b/src/wharfcart/node/propagation.py
@@ -28,8 +28,8 @@
     PullPlacement,
     ShardPlacement,
 )
-from wharfcart.cluster.ownership import rendezvous_order
-from wharfcart.cluster.placement import PlacementMap
+from wharfcart.cluster.placement_map import PlacementMap
+from wharfcart.cluster.rendezvous import rendezvous_order
 from wharfcart.cluster.transport import PeerUnreachableError, Transport
 from wharfcart.configuration.spreading import DIRECTORY_OVERLAP_MS, RevisionedMap
 from wharfcart.errors import ServingError
--- a/src/wharfcart/node/serving_node.py
+++ b/src/wharfcart/node/serving_node.py
@@ -21,15 +21,15 @@
 )
 from wharfcart.cluster.messages_pb2 import BackendEnds, Frame
 from wharfcart.cluster.mirror import Mirror
-from wharfcart.cluster.mirror_link import MirrorSync
-from wharfcart.cluster.news_sources import Peer, PeerSelector
-from wharfcart.cluster.peer_news import PeerUpdatesEncoder, TransportPeerClient
+from wharfcart.cluster.mirror_sync import MirrorSync
+from wharfcart.cluster.peer_selection import Peer, PeerSelector
+from wharfcart.cluster.peer_updates import PeerUpdatesEncoder, TransportPeerClient
 from wharfcart.cluster.topology import Distance, RegionName, Topology
 from wharfcart.cluster.transport import Handler, Responder, TrafficClass, Transport
 from wharfcart.configuration.residence import Residence
 from wharfcart.configuration.residence_check import residence_findings
 from wharfcart.configuration.serving import RequestLimit, ServingConfiguration
-from wharfcart.node.backend_news import BackendUpdates
+from wharfcart.node.backend_updates import BackendUpdates
 from wharfcart.node.evacuations import ZoneEvacuations
 from wharfcart.node.fleet_keys import (
     GROUP_PREFIX,
@@ -40,7 +40,7 @@
     NodeKind,
     node_entry_from,
 )
-from wharfcart.node.suspect_news import PoisonEvidenceSync
+from wharfcart.node.poison_evidence_sync import PoisonEvidenceSync
 from wharfcart.node.suspension_watch import SuspensionWatch
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.observability.serving_metrics import ServingMetrics
--- a/src/wharfcart/node/storage_process.py
+++ b/src/wharfcart/node/storage_process.py
@@ -16,8 +16,8 @@
 from wharfcart.configuration.residence import Residence
 from wharfcart.errors import ServingError
 from wharfcart.node.fleet_keys import LAYOUT_KEY, NodeEntry, NodeKind, group_key
-from wharfcart.node.group_spread import GroupPlacement
-from wharfcart.node.led_group import GroupParts, HostedGroup
+from wharfcart.node.group_placement import GroupPlacement
+from wharfcart.node.hosted_group import GroupParts, HostedGroup
 from wharfcart.node.serving_node import ServingNode
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.platform import documents, names
--- a/src/wharfcart/routing/dispatcher.py
+++ b/src/wharfcart/routing/dispatcher.py
@@ -16,7 +16,7 @@
 from wharfcart.clock import monotonic
 from wharfcart.cluster.address import Address
 from wharfcart.cluster.messages_pb2 import Dispatch, DispatchPart, Frame, Header
-from wharfcart.cluster.ownership import rendezvous_order
+from wharfcart.cluster.rendezvous import rendezvous_order
 from wharfcart.cluster.transport import PeerUnreachableError, TrafficClass, Transport
 from wharfcart.configuration.services import Service
 from wharfcart.errors import Outcome, ServingError
--- a/src/wharfcart/routing/router.py
+++ b/src/wharfcart/routing/router.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from wharfcart.cluster.ownership import rendezvous_order, shuffle_shard
 from wharfcart.cluster.randomness import RandomSource
+from wharfcart.cluster.rendezvous import rendezvous_order, shuffle_shard
 
 SHARD_SIZE = 4
 BOUNDED_LOAD = 1.25
--- a/src/wharfcart/storage/client.py
+++ b/src/wharfcart/storage/client.py
@@ -21,7 +21,7 @@
     ReadRows,
     Row,
 )
-from wharfcart.cluster.placement import PlacementMap
+from wharfcart.cluster.placement_map import PlacementMap
 from wharfcart.cluster.transport import PeerUnreachableError, Transport
 from wharfcart.errors import Outcome, ServingError
 
--- a/tests/batch/test_jobs_at_a_start.py
+++ b/tests/batch/test_jobs_at_a_start.py
@@ -20,8 +20,8 @@
 from wharfcart.batch.jobs import JobService, NewJob
 from wharfcart.cluster.address import Address
 from wharfcart.cluster.messages_pb2 import Frame, ShardPlacement
-from wharfcart.cluster.ownership import shard_of
-from wharfcart.cluster.placement import PlacementMap
+from wharfcart.cluster.placement_map import PlacementMap
+from wharfcart.cluster.rendezvous import shard_of
 from wharfcart.cluster.transport import Transport
 from wharfcart.configuration.schema import Tenant
 from wharfcart.errors import Outcome, ServingError
--- a/tests/batch/test_runner.py
+++ b/tests/batch/test_runner.py
@@ -17,7 +17,7 @@
     LeaseGrant,
     ProposeResult,
 )
-from wharfcart.cluster.placement import PlacementMap
+from wharfcart.cluster.placement_map import PlacementMap
 from wharfcart.configuration.schema import YieldingPolicy
 from wharfcart.configuration.services import Service
 from wharfcart.experiments.virtual_time import run_virtually
--- a/tests/cluster/test_mirror_link.py
+++ b/tests/cluster/test_mirror_sync.py
@@ -5,12 +5,12 @@
 
 import pytest
 
-from wharfcart.cluster import mirror_link
+from wharfcart.cluster import mirror_sync
 from wharfcart.cluster.address import Address
 from wharfcart.cluster.coordination import ChangeBatch, CoordinationUnavailableError, KeyChange
 from wharfcart.cluster.mirror import Mirror
-from wharfcart.cluster.mirror_link import MirrorSync, PeerUpdates
-from wharfcart.cluster.news_sources import Peer, PeerSelector
+from wharfcart.cluster.mirror_sync import MirrorSync, PeerUpdates
+from wharfcart.cluster.peer_selection import Peer, PeerSelector
 from wharfcart.cluster.topology import RegionName, Topology
 from wharfcart.experiments.virtual_time import run_virtually, virtual_monotonic
 from wharfcart.observability.decisions import DecisionLog
@@ -18,7 +18,7 @@
 
 @pytest.fixture(autouse=True)
 def virtual_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(mirror_link, "monotonic", virtual_monotonic)
+    monkeypatch.setattr(mirror_sync, "monotonic", virtual_monotonic)
 
 
 class Service:
--- a/tests/cluster/test_news_sources.py
+++ b/tests/cluster/test_peer_selection.py
@@ -1,7 +1,7 @@
 """Which peers a node follows."""
 
 from wharfcart.cluster.address import Address
-from wharfcart.cluster.news_sources import (
+from wharfcart.cluster.peer_selection import (
     AVOID_FAILED_S,
     STALE_AFTER_S,
     SWITCH_DELAY_S,
--- a/tests/cluster/test_peer_news.py
+++ b/tests/cluster/test_peer_updates.py
@@ -1,8 +1,8 @@
 """News between nodes."""
 
 from wharfcart.cluster.coordination import ChangeBatch, KeyChange
-from wharfcart.cluster.mirror_link import PeerUpdates
-from wharfcart.cluster.peer_news import PeerUpdatesEncoder, decode_peer_updates
+from wharfcart.cluster.mirror_sync import PeerUpdates
+from wharfcart.cluster.peer_updates import PeerUpdatesEncoder, decode_peer_updates
 
 LARGE = b'{"routes": [' + b'{"name": "a"},' * 5000 + b"]}"
 
--- a/tests/node/test_backend_news.py
+++ b/tests/node/test_backend_updates.py
@@ -5,7 +5,7 @@
 from unittest import mock
 
 from wharfcart.cluster.coordination import KeyChange
-from wharfcart.node.backend_news import BackendUpdates
+from wharfcart.node.backend_updates import BackendUpdates
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.routing.backend_choice import BackendChoice
 
--- a/tests/node/test_suspect_news.py
+++ b/tests/node/test_poison_evidence_sync.py
@@ -18,7 +18,7 @@
 from wharfcart.cluster.mirror import Mirror
 from wharfcart.experiments.virtual_time import run_virtually
 from wharfcart.node.fleet_keys import POISON_REQUEST_PREFIX
-from wharfcart.node.suspect_news import PoisonEvidenceSync, record_from, record_to_bytes
+from wharfcart.node.poison_evidence_sync import PoisonEvidenceSync, record_from, record_to_bytes
 
 FINGERPRINT = ContentId("c")
 PROPAGATION_S = 0.05
--- a/tests/node/test_spreading_ready.py
+++ b/tests/node/test_propagation_ready.py
@@ -10,7 +10,7 @@
 from unittest import mock
 
 from wharfcart.cluster.membership import PeerRevisions
-from wharfcart.node.spreading import PropagationDriver, PropagationHooks
+from wharfcart.node.propagation import PropagationDriver, PropagationHooks
 
 
 def _driver() -> PropagationDriver:
