--- a/src/wharfcart/experiments/simulated_storage.py
+++ b/src/wharfcart/experiments/simulated_storage.py
@@ -14,10 +14,10 @@
 from wharfcart.batch.job_service import JobService, OtherGroups
 from wharfcart.cluster.address import Address
 from wharfcart.cluster.coordination import (
-    Change,
     ConditionFailedError,
     CoordinationService,
     CoordinationUnavailableError,
+    KeyChange,
     Transaction,
 )
 from wharfcart.cluster.messages_pb2 import (
@@ -108,7 +108,7 @@
     """The coordination service: linearizable, at times away, at times without an answer."""
 
     random: random.Random
-    entries: dict[str, Change] = field(default_factory=dict)
+    entries: dict[str, KeyChange] = field(default_factory=dict)
     revision: int = 0
     down: bool = False
     lost_part: float = 0.0
@@ -116,9 +116,9 @@
     def put(self, key: str, value: bytes) -> None:
         """Write a key as the operator or a node's announcement does."""
         self.revision += 1
-        self.entries[key] = Change(key, self.revision, value)
+        self.entries[key] = KeyChange(key, self.revision, value)
 
-    async def read(self, key: str) -> Change | None:
+    async def read(self, key: str) -> KeyChange | None:
         """Return a key."""
         await self._call()
         return self.entries.get(key)
@@ -254,7 +254,7 @@
     def _identities(self) -> dict[str, Address]:
         return {
             (change.value or b"").decode(): Address("node", int(change.key.partition("/")[2]))
-            for change in self.mirror.under("nodes/")
+            for change in self.mirror.with_prefix("nodes/")
         }
 
     def _zones(self) -> dict[str, str]:
@@ -279,11 +279,12 @@
 
     def _retiring(self) -> set[str]:
         numbers = {
-            change.key.removeprefix(RETIRE_PREFIX) for change in self.mirror.under(RETIRE_PREFIX)
+            change.key.removeprefix(RETIRE_PREFIX)
+            for change in self.mirror.with_prefix(RETIRE_PREFIX)
         }
         return {
             (change.value or b"").decode()
-            for change in self.mirror.under("nodes/")
+            for change in self.mirror.with_prefix("nodes/")
             if change.key.removeprefix("nodes/") in numbers
         }
 
@@ -296,7 +297,7 @@
         self._whole = whole
         self._node = node
 
-    async def read(self, key: str) -> Change | None:
+    async def read(self, key: str) -> KeyChange | None:
         """Return a key unless refused."""
         self._check()
         return await self._whole.read(key)
