--- a/src/wharfcart/batch/files.py
+++ b/src/wharfcart/batch/files.py
@@ -13,10 +13,10 @@
 from wharfcart.configuration.services import Service
 from wharfcart.storage.client import JournalClient
 
-LINES_AN_APPEND = 256
-BYTES_AN_APPEND = 1024 * 1024
-MOST_SERVICES_A_FILE = 255
-MOST_FINDINGS = 20
+MAX_LINES_PER_APPEND = 256
+MAX_BYTES_PER_APPEND = 1024 * 1024
+MAX_SERVICES_PER_FILE = 255
+MAX_FINDINGS = 20
 ENGINE_PATHS = (CHAT_PATH, COMPLETIONS_PATH)
 
 FindService = Callable[[str, str], Service | None]
@@ -45,7 +45,7 @@
         """Check one line; return the index of its service, 0 if it is bad."""
         self.rows += 1
         reason, class_ = self._judge(line)
-        if reason is not None and len(self.findings) < MOST_FINDINGS:
+        if reason is not None and len(self.findings) < MAX_FINDINGS:
             self.findings.append((self.rows, reason))
         return class_
 
@@ -94,8 +94,8 @@
 
     def _class_of(self, name: str) -> tuple[str | None, int]:
         if name not in self.service_names:
-            if len(self.service_names) >= MOST_SERVICES_A_FILE:
-                return f"more than {MOST_SERVICES_A_FILE} services in one file", 0
+            if len(self.service_names) >= MAX_SERVICES_PER_FILE:
+                return f"more than {MAX_SERVICES_PER_FILE} services in one file", 0
             self.service_names.append(name)
         return None, self.service_names.index(name)
 
@@ -147,10 +147,13 @@
         if len(self._buffer) > self._most_line:
             self._checker.too_long(self._most_line)
         if self._checker.findings and (
-            len(self._buffer) > self._most_line or len(self._checker.findings) >= MOST_FINDINGS
+            len(self._buffer) > self._most_line or len(self._checker.findings) >= MAX_FINDINGS
         ):
             raise BadLinesError(self._checker.findings)
-        if len(self._lines) >= LINES_AN_APPEND or self._pending_bytes() >= BYTES_AN_APPEND:
+        if (
+            len(self._lines) >= MAX_LINES_PER_APPEND
+            or self._pending_bytes() >= MAX_BYTES_PER_APPEND
+        ):
             await self._append()
 
     async def finish(self, filename: str) -> FileRecord:
@@ -190,14 +193,14 @@
         return sum(len(line) for line in self._lines)
 
     async def _append(self) -> None:
-        for start in range(0, len(self._lines), LINES_AN_APPEND):
-            lines = self._lines[start : start + LINES_AN_APPEND]
+        for start in range(0, len(self._lines), MAX_LINES_PER_APPEND):
+            lines = self._lines[start : start + MAX_LINES_PER_APPEND]
             append = FileAppend(
                 file_id=self.file_id,
                 tenant=self._tenant,
                 first_row=self._first_row,
                 lines=lines,
-                classes=bytes(self._classes[start : start + LINES_AN_APPEND]),
+                classes=bytes(self._classes[start : start + MAX_LINES_PER_APPEND]),
                 service_names=self._checker.service_names,
             )
             command = Command(at_ms=now_ms(), file_append=append)
--- a/src/wharfcart/batch/held_leases.py
+++ b/src/wharfcart/batch/held_leases.py
@@ -19,10 +19,10 @@
 from wharfcart.storage.client import JournalClient
 
 POLL_TIMEOUT_S = 4.0
-FLUSH_S = 0.05
-FLUSH_ITEMS = 64
+FLUSH_INTERVAL_S = 0.05
+MAX_UNFLUSHED_RESULTS = 64
 # A revocation goes to all runners of a node and may overtake the grant; so many are remembered.
-MOST_EARLY_REVOCATIONS = 256
+MAX_EARLY_REVOCATIONS = 256
 
 logger = logging.getLogger(__name__)
 
@@ -62,7 +62,7 @@
         lease = self._leases.get(lease_id)
         if lease is None:
             self._revoked_early[lease_id] = None
-            if len(self._revoked_early) > MOST_EARLY_REVOCATIONS:
+            if len(self._revoked_early) > MAX_EARLY_REVOCATIONS:
                 del self._revoked_early[next(iter(self._revoked_early))]
             return None
         if lease.revoked:
@@ -115,14 +115,14 @@
             return
         lease.results.append(result)
         lease.open_rows.discard(result.row)
-        if sum(len(held.results) for held in self._leases.values()) >= FLUSH_ITEMS:
+        if sum(len(held.results) for held in self._leases.values()) >= MAX_UNFLUSHED_RESULTS:
             self._flush.set()
 
     async def flush_loop(self) -> None:
         """Commit results in groups, for ever."""
         while True:
             try:
-                async with asyncio.timeout(FLUSH_S):
+                async with asyncio.timeout(FLUSH_INTERVAL_S):
                     await self._flush.wait()
             except TimeoutError:
                 pass
--- a/src/wharfcart/batch/item_run.py
+++ b/src/wharfcart/batch/item_run.py
@@ -22,10 +22,10 @@
 from wharfcart.routing.event_stream import EventSplitter
 from wharfcart.storage.partial_texts import RunningText
 
-STATUS_IMPOSSIBLE = 422
-STATUS_FAILED = 500
+STATUS_UNPROCESSABLE = 422
+STATUS_SERVER_ERROR = 500
 STATUS_UNAVAILABLE = 503
-SILENCE_LIMIT_S = 3.0
+READ_TIMEOUT_S = 3.0
 ITEM_METHOD = "POST"
 
 
@@ -183,7 +183,7 @@
 
     async def _exchange(self, connection: HttpConnection, send: ItemSend) -> RunOutcome:
         self._write(connection, send)
-        async with asyncio.timeout(SILENCE_LIMIT_S):
+        async with asyncio.timeout(READ_TIMEOUT_S):
             head = await connection.read_head()
         self._choice.answered(send.state, send.use)
         load = exchanges.reported_load(head)
@@ -223,14 +223,14 @@
             if head.status == STATUS_UNAVAILABLE:
                 self._choice.full(state, monotonic())
             return RunOutcome.REFUSED
-        if head.status == STATUS_IMPOSSIBLE:
+        if head.status == STATUS_UNPROCESSABLE:
             return RunOutcome.IMPOSSIBLE
-        return RunOutcome.FAILED if head.status == STATUS_FAILED else RunOutcome.BROKEN
+        return RunOutcome.FAILED if head.status == STATUS_SERVER_ERROR else RunOutcome.BROKEN
 
     async def _read_events(self, connection: HttpConnection, progress: ItemProgress) -> RunOutcome:
         splitter = EventSplitter()
         while True:
-            async with asyncio.timeout(SILENCE_LIMIT_S):
+            async with asyncio.timeout(READ_TIMEOUT_S):
                 part = await connection.read_part()
             if part is None:
                 break
--- a/src/wharfcart/batch/job_execution.py
+++ b/src/wharfcart/batch/job_execution.py
@@ -34,16 +34,16 @@
 from wharfcart.storage.job_records import JobRecord
 
 # Waiting items are told anew so often, and at most so often when much happens.
-PERIOD_S = 0.1
-FEWEST_PERIOD_S = 0.005
+DEMAND_INTERVAL_S = 0.1
+MIN_DEMAND_INTERVAL_S = 0.005
 # Waiting items are counted up to this number; more slots never come free at once.
-MOST_COUNTED = 256
+MAX_COUNTED_ITEMS = 256
 # With no more items than this it is looked for back ends that none of them takes.
-FEW_ITEMS = 8
-RETRY_REFUSED_S = 0.15
-RETRY_BROKEN_S = 0.05
-RETRY_FAILED_S = 0.3
-RETRY_YIELDED_S = 0.05
+MAX_ITEMS_FOR_EXCLUSION = 8
+REFUSED_RETRY_DELAY_S = 0.15
+INTERRUPTED_RETRY_DELAY_S = 0.05
+FAILED_RETRY_DELAY_S = 0.3
+PREEMPTED_RETRY_DELAY_S = 0.05
 # Clocks of the gateway that took the job and of a later leader may differ.
 GIVE_UP_MARGIN_S = 6.0
 FORGET_PERIOD_S = 5.0
@@ -220,12 +220,12 @@
             if self._residence_of(scheduled.job) == residence
             for item in self._startable(scheduled, now)
         )
-        found = list(islice(startable, MOST_COUNTED))
+        found = list(islice(startable, MAX_COUNTED_ITEMS))
         if not found:
             return ItemDemand(0, 0, Urgency(0.0, 0.0))
         urgencies = [self._urgency(scheduled, item, service) for scheduled, item in found]
         excluded: set[str] = set()
-        if len(found) <= FEW_ITEMS:
+        if len(found) <= MAX_ITEMS_FOR_EXCLUSION:
             excluded = set.intersection(
                 *(self._excluded(scheduled, item, service, now) for scheduled, item in found)
             )
@@ -286,12 +286,12 @@
             self._metrics.replicas_behind.set(self._group.replicas_behind)
             self._forget_old()
             try:
-                async with asyncio.timeout(PERIOD_S if self._scheduler.jobs else 1.0):
+                async with asyncio.timeout(DEMAND_INTERVAL_S if self._scheduler.jobs else 1.0):
                     await self._work.wait()
             except TimeoutError:
                 continue
             # Much happens at a time on a large fleet.
-            await asyncio.sleep(FEWEST_PERIOD_S)
+            await asyncio.sleep(MIN_DEMAND_INTERVAL_S)
 
     def _give_up_old(self) -> None:
         now = monotonic()
@@ -353,7 +353,7 @@
         except asyncio.CancelledError:
             if scheduled.job.job_id not in self._scheduler.jobs:
                 raise
-            progress.not_before = monotonic() + RETRY_YIELDED_S
+            progress.not_before = monotonic() + PREEMPTED_RETRY_DELAY_S
             self._scheduler.put_back(scheduled, item)
             return
         finally:
@@ -422,8 +422,11 @@
         if outcome is RunOutcome.FAILED and self._has_failed_for_good(scheduled, progress):
             self._finish(scheduled, item, False, "", f"failed {progress.failures} times")
             return
-        delays = {RunOutcome.REFUSED: RETRY_REFUSED_S, RunOutcome.FAILED: RETRY_FAILED_S}
-        progress.not_before = monotonic() + delays.get(outcome, RETRY_BROKEN_S)
+        delays = {
+            RunOutcome.REFUSED: REFUSED_RETRY_DELAY_S,
+            RunOutcome.FAILED: FAILED_RETRY_DELAY_S,
+        }
+        progress.not_before = monotonic() + delays.get(outcome, INTERRUPTED_RETRY_DELAY_S)
         self._scheduler.put_back(scheduled, item)
         self._log.write(
             Event.ITEM_RETRIED,
--- a/src/wharfcart/batch/job_service.py
+++ b/src/wharfcart/batch/job_service.py
@@ -42,12 +42,12 @@
 from wharfcart.storage.job_residence import RegionOf, all_in
 
 WRITE_TIMEOUT_S = 3.0
-SURE_TIMEOUT_S = 0.8
-MOST_PAGE_BYTES = 700_000
+CONFIRMATION_TIMEOUT_S = 0.8
+MAX_PAGE_BYTES = 700_000
 # A submission has to be answered within a part of a second; a leader answers in milliseconds.
 COUNT_TIMEOUT_S = 0.15
 # A position from which on no job has results: an answer tells only that the job is there.
-BEYOND_ALL_RESULTS = 2**32 - 1
+PAST_LAST_POSITION = 2**32 - 1
 
 
 class OtherGroups:
@@ -81,7 +81,7 @@
 
     async def _has(self, group: int, job: RequestJob) -> JobStatus:
         message = ReadResults(
-            job_id=job.job_id, after=BEYOND_ALL_RESULTS, tenant=job.tenant, group=group
+            job_id=job.job_id, after=PAST_LAST_POSITION, tenant=job.tenant, group=group
         )
         answer = await self._client.call_group(
             group, Frame(read_results=message), "result_page", COUNT_TIMEOUT_S, COUNT_TIMEOUT_S
@@ -359,7 +359,7 @@
         """Whether this node surely leads; waits for a confirmation that is about to come."""
         if self._group.leadership is None:
             return False
-        until = monotonic() + SURE_TIMEOUT_S
+        until = monotonic() + CONFIRMATION_TIMEOUT_S
         while not self._group.leads_freshly:
             if monotonic() > until or self._group.leadership is None:
                 return False
@@ -410,7 +410,7 @@
     size = 0
     for outcome in results:
         size += outcome.ByteSize()
-        if page.results and size > MOST_PAGE_BYTES:
+        if page.results and size > MAX_PAGE_BYTES:
             break
         page.results.append(outcome)
     return page
--- a/src/wharfcart/batch/leader.py
+++ b/src/wharfcart/batch/leader.py
@@ -26,11 +26,11 @@
 from wharfcart.storage.shard import Shard
 from wharfcart.storage.shard_state import Job, RowKind
 
-HOUSEKEEPING_S = 0.5
-EXPIRE_EVERY_S = 60.0
-EXPIRE_AT_ONCE = 100
-MOST_LINE_BYTES_A_GRANT = 8 * 1024 * 1024
-MOST_JOBS_A_QUERY = 100
+HOUSEKEEPING_INTERVAL_S = 0.5
+EXPIRE_INTERVAL_S = 60.0
+MAX_EXPIRED_PER_COMMAND = 100
+MAX_LINE_BYTES_PER_GRANT = 8 * 1024 * 1024
+MAX_JOBS_PER_QUERY = 100
 
 logger = logging.getLogger(__name__)
 
@@ -126,7 +126,12 @@
             if row not in lines:
                 wanted = lease.rows[-1] - row + 1
                 found = await self._journal.read_rows(
-                    shard.number, RowKind.LINE, create.file_id, row, wanted, MOST_LINE_BYTES_A_GRANT
+                    shard.number,
+                    RowKind.LINE,
+                    create.file_id,
+                    row,
+                    wanted,
+                    MAX_LINE_BYTES_PER_GRANT,
                 )
                 lines.update({line.number: line.value for line in found.rows})
         previous = shard.state.previous_backends
@@ -148,16 +153,16 @@
             return [job.view()] if job is not None and mine else []
         jobs = [j for j in shard.state.jobs.values() if j.record.create.tenant == query.tenant]
         jobs.sort(key=lambda job: -job.record.created_ms)
-        return [job.view() for job in jobs[: query.most or MOST_JOBS_A_QUERY]]
+        return [job.view() for job in jobs[: query.most or MAX_JOBS_PER_QUERY]]
 
     # ---- housekeeping ----
 
     async def run(self) -> None:
         """End lapsed leases and expired work, for ever."""
         while True:
-            await asyncio.sleep(HOUSEKEEPING_S)
+            await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
             now = monotonic()
-            expire = now - self._expired_at > EXPIRE_EVERY_S
+            expire = now - self._expired_at > EXPIRE_INTERVAL_S
             if expire:
                 self._expired_at = now
             for number in list(self._journal.shards):
@@ -178,7 +183,7 @@
         if expire:
             before = now_ms() - self._retention_ms
             await self._journal.propose(
-                number, command(expire=Expire(before_ms=before, most=EXPIRE_AT_ONCE))
+                number, command(expire=Expire(before_ms=before, most=MAX_EXPIRED_PER_COMMAND))
             )
 
     def _repeatable(self, job: Job, lease: Lease) -> bool:
--- a/src/wharfcart/batch/retry_policy.py
+++ b/src/wharfcart/batch/retry_policy.py
@@ -1,7 +1,7 @@
 """When a batch item that keeps failing is given up. Pure."""
 
 # An item that failed where much fails is tried more often, by this factor.
-ATTEMPTS_IN_DOUBT = 2
+UNTRUSTED_ATTEMPTS_FACTOR = 2
 
 
 def has_failed_for_good(failures: int, failed_at: int, trusted: int, allowed: int) -> bool:
@@ -15,4 +15,4 @@
     """
     if trusted >= allowed or failed_at < failures:
         return failures >= allowed
-    return failures >= allowed * ATTEMPTS_IN_DOUBT
+    return failures >= allowed * UNTRUSTED_ATTEMPTS_FACTOR
--- a/src/wharfcart/batch/run_estimate.py
+++ b/src/wharfcart/batch/run_estimate.py
@@ -8,11 +8,11 @@
 # Each finished item moves the means by this part.
 LEARNING_RATE = 0.1
 # Items differ: one that has given as many events as the mean may give some more.
-LEAST_SHARE_LEFT = 0.2
+MIN_REMAINING_SHARE = 0.2
 # Longer items than the mean are planned for.
-SIZE_MARGIN = 1.3
+SIZE_MARGIN_FACTOR = 1.3
 # Before any item has finished, a run is taken to need this part of its job's objective.
-UNKNOWN_SHARE_OF_OBJECTIVE = 0.4
+DEFAULT_SHARE_OF_OBJECTIVE = 0.4
 
 
 @dataclass
@@ -60,10 +60,10 @@
             ran_s: how long it has run so far, for that time.
         """
         if not self.seconds_an_event:
-            planned_s = objective_s * UNKNOWN_SHARE_OF_OBJECTIVE
+            planned_s = objective_s * DEFAULT_SHARE_OF_OBJECTIVE
             if self.events:
-                share_left = 1 - events_done / (self.events * SIZE_MARGIN)
-                return planned_s * max(LEAST_SHARE_LEFT, share_left)
-            return max(planned_s - ran_s, planned_s * LEAST_SHARE_LEFT)
-        planned = self.events * SIZE_MARGIN - events_done
-        return max(planned, self.events * LEAST_SHARE_LEFT) * self.seconds_an_event
+                share_left = 1 - events_done / (self.events * SIZE_MARGIN_FACTOR)
+                return planned_s * max(MIN_REMAINING_SHARE, share_left)
+            return max(planned_s - ran_s, planned_s * MIN_REMAINING_SHARE)
+        planned = self.events * SIZE_MARGIN_FACTOR - events_done
+        return max(planned, self.events * MIN_REMAINING_SHARE) * self.seconds_an_event
--- a/src/wharfcart/batch/runner.py
+++ b/src/wharfcart/batch/runner.py
@@ -17,7 +17,7 @@
 from wharfcart.backends.requests import batch_request
 from wharfcart.batch.held_leases import HeldLease, HeldLeases
 from wharfcart.batch.lines import error_line, output_line, service_name_of
-from wharfcart.batch.scheduler import MOST_ITEMS_A_LEASE
+from wharfcart.batch.scheduler import MAX_ITEMS_PER_LEASE
 from wharfcart.clock import monotonic
 from wharfcart.cluster.messages_pb2 import (
     COMPLETED,
@@ -34,15 +34,15 @@
 from wharfcart.routing.router import BackendKind
 from wharfcart.storage.client import JournalClient
 
-POLL_IDLE_S = 1.0
-RENEW_S = 1.0
-MOST_ATTEMPTS = 5
+IDLE_POLL_INTERVAL_S = 1.0
+RENEW_INTERVAL_S = 1.0
+MAX_ATTEMPTS = 5
 RETRY_DELAY_S = 0.2
-SHARDS_A_POLL = 2
-SLOT_WAIT_S = 0.05
+SHARDS_PER_POLL = 2
+SLOT_WAIT_TIMEOUT_S = 0.05
 # An engine answers an order to stop within milliseconds; one that is starved took 1.2 to 2.1 s. Its
 # answer changes nothing for a job that was cancelled, so its caller does not wait longer for it.
-STOP_WAIT_S = 0.5
+STOP_TIMEOUT_S = 0.5
 
 logger = logging.getLogger(__name__)
 
@@ -124,7 +124,7 @@
             if self._polling is None and self._wants_items(slots, monotonic()):
                 self._polling = loop.create_task(self._poll())
             try:
-                async with asyncio.timeout(SLOT_WAIT_S):
+                async with asyncio.timeout(SLOT_WAIT_TIMEOUT_S):
                     await self.owned.changed.wait()
             except TimeoutError:
                 continue
@@ -132,7 +132,7 @@
     def _wants_items(self, slots: int, now: float) -> bool:
         if self._stopping or self.owned.gate.state is not BackendState.LIVE:
             return False
-        few = len(self._waiting) < MOST_ITEMS_A_LEASE // 2
+        few = len(self._waiting) < MAX_ITEMS_PER_LEASE // 2
         return few and now >= self._next_poll and (slots > 0 or bool(self._running))
 
     def _start(self, item: _Item) -> None:
@@ -152,9 +152,9 @@
             taken = 0
             for shard in self._shards_to_ask():
                 taken += await self._poll_shard(shard)
-                if taken >= MOST_ITEMS_A_LEASE:
+                if taken >= MAX_ITEMS_PER_LEASE:
                     break
-            pause = 0.0 if taken else POLL_IDLE_S * (0.5 + random.random())
+            pause = 0.0 if taken else IDLE_POLL_INTERVAL_S * (0.5 + random.random())
             self._next_poll = monotonic() + pause
         finally:
             self._polling = None
@@ -163,13 +163,13 @@
     def _shards_to_ask(self) -> list[int]:
         """Shards that gave work last, and a few others at random: no node asks all of them."""
         count = self._placement.shard_count
-        others = random.sample(range(count), min(SHARDS_A_POLL, count))
+        others = random.sample(range(count), min(SHARDS_PER_POLL, count))
         return list(dict.fromkeys([*self._promising, *others]))
 
     async def _poll_shard(self, shard: int) -> int:
         targets = sorted(self.owned.backend.targets)
         try:
-            grant = await self._leases.poll(shard, targets, MOST_ITEMS_A_LEASE)
+            grant = await self._leases.poll(shard, targets, MAX_ITEMS_PER_LEASE)
         except ServingError as error:
             logger.debug("poll failed", extra={"shard": shard, "cause": str(error)})
             return 0
@@ -177,7 +177,7 @@
         taken = sum(self._take(shard, granted) for granted in grant.leases)
         self._promising = [other for other in self._promising if other != shard]
         if taken:
-            self._promising = [shard, *self._promising][:SHARDS_A_POLL]
+            self._promising = [shard, *self._promising][:SHARDS_PER_POLL]
         return taken
 
     def _take(self, shard: int, granted: GrantedLease) -> int:
@@ -230,7 +230,7 @@
         if error.outcome is not Outcome.NOT_RUN and not item.service.repeatable:
             await self._settle(item, request)
             return
-        if item.attempts < MOST_ATTEMPTS and self.owned.gate.state is BackendState.LIVE:
+        if item.attempts < MAX_ATTEMPTS and self.owned.gate.state is BackendState.LIVE:
             await asyncio.sleep(RETRY_DELAY_S * item.attempts)
             self._waiting.append(item)
             return
@@ -239,7 +239,7 @@
 
     async def _settle(self, item: _Item, request: BackendRequest) -> None:
         """Find out what became of an item that must not be repeated."""
-        for attempt in range(1, MOST_ATTEMPTS + 1):
+        for attempt in range(1, MAX_ATTEMPTS + 1):
             try:
                 part = await self.owned.client.settle(request)
             except BackendError:
@@ -264,7 +264,7 @@
 
     async def _renew_loop(self) -> None:
         while True:
-            await asyncio.sleep(RENEW_S)
+            await asyncio.sleep(RENEW_INTERVAL_S)
             self.revoke(await self._leases.renew_all())
 
     def revoke(self, lease_ids: list[str]) -> None:
@@ -315,7 +315,7 @@
         """
         for task in running:
             task.cancel()
-        return await _wait_for(running, STOP_WAIT_S)
+        return await _wait_for(running, STOP_TIMEOUT_S)
 
 
 async def _wait_for(tasks: list[asyncio.Task[None]], timeout_s: float | None) -> int:
--- a/src/wharfcart/batch/scheduler.py
+++ b/src/wharfcart/batch/scheduler.py
@@ -12,8 +12,8 @@
 from wharfcart.storage.shard_state import ItemState, Job, ShardState
 
 LEASE_TERM_S = 10.0
-MOST_ITEMS_A_LEASE = 64
-SMALLEST_JOB_EVERY = 4
+MAX_ITEMS_PER_LEASE = 64
+SMALLEST_JOB_INTERVAL = 4
 
 
 @dataclass(frozen=True)
@@ -51,7 +51,7 @@
             job = self._next_job(wanted, exhausted)
             if job is None:
                 break
-            found = self._take_rows(job, wanted, min(most, MOST_ITEMS_A_LEASE))
+            found = self._take_rows(job, wanted, min(most, MAX_ITEMS_PER_LEASE))
             if found is None:
                 exhausted.add(job.record.create.job_id)
                 continue
@@ -106,7 +106,7 @@
         accounts = {tenant: self._account(tenant) for tenant in by_tenant}
         tenant = min(accounts, key=lambda name: (accounts[name].virtual_time, name))
         jobs = by_tenant[tenant]
-        if accounts[tenant].chunks % SMALLEST_JOB_EVERY == SMALLEST_JOB_EVERY - 1:
+        if accounts[tenant].chunks % SMALLEST_JOB_INTERVAL == SMALLEST_JOB_INTERVAL - 1:
             return min(jobs, key=lambda job: job.count(ItemState.PENDING))
         return min(jobs, key=lambda job: (job.record.create.deadline_ms, job.record.created_ms))
 
--- a/tests/batch/test_job_execution.py
+++ b/tests/batch/test_job_execution.py
@@ -238,7 +238,7 @@
 
     async def settle(self) -> None:
         for _ in range(20):
-            await asyncio.sleep(job_execution.FEWEST_PERIOD_S / 5)
+            await asyncio.sleep(job_execution.MIN_DEMAND_INTERVAL_S / 5)
 
 
 def play(scenario: Callable[[Bench], Awaitable[None]], **more: int | str) -> None:
@@ -344,10 +344,10 @@
         await bench.settle()
         assert bench.choice.state("i0").in_flight == 0
         assert not bench.runner.running
-        await asyncio.sleep(job_execution.RETRY_YIELDED_S * 2)
+        await asyncio.sleep(job_execution.PREEMPTED_RETRY_DELAY_S * 2)
         for number in numbers:
             bench.slots.free(number)
-        await asyncio.sleep(job_execution.PERIOD_S * 2)
+        await asyncio.sleep(job_execution.DEMAND_INTERVAL_S * 2)
         assert sorted(bench.runner.running) == ["j-0", "j-1"]
 
     play(scenario)
@@ -371,7 +371,7 @@
         assert not bench.runner.running
         bench.group.is_confirmed = True
         await bench.settle()
-        await asyncio.sleep(2 * job_execution.PERIOD_S)
+        await asyncio.sleep(2 * job_execution.DEMAND_INTERVAL_S)
         assert len(bench.runner.running) == 4
 
     play(scenario)
@@ -405,7 +405,9 @@
         await bench.settle()
         (first,) = bench.runner.running.values()
         bench.runner.fail("j-0")
-        await asyncio.sleep(job_execution.RETRY_FAILED_S + 2 * job_execution.PERIOD_S)
+        await asyncio.sleep(
+            job_execution.FAILED_RETRY_DELAY_S + 2 * job_execution.DEMAND_INTERVAL_S
+        )
         (second,) = bench.runner.running.values()
         assert first != second
 
@@ -504,7 +506,7 @@
         await bench.settle()
         assert bench.at("i1") == []
         offers = bench.slots.offers
-        await asyncio.sleep(3 * job_execution.PERIOD_S)
+        await asyncio.sleep(3 * job_execution.DEMAND_INTERVAL_S)
         assert bench.slots.offers == offers
 
     play(scenario, servers=2, slots=2, zones="we")
--- a/tests/batch/test_run_estimate.py
+++ b/tests/batch/test_run_estimate.py
@@ -1,6 +1,6 @@
 """How long an item still runs."""
 
-from wharfcart.batch.run_estimate import LEAST_SHARE_LEFT, RunEstimate
+from wharfcart.batch.run_estimate import MIN_REMAINING_SHARE, RunEstimate
 from wharfcart.slots.urgency import Urgency
 
 
@@ -13,7 +13,7 @@
     estimate.finished(100, 2.0)
     assert estimate.remaining_s(0, 20.0) > 2.0
     assert estimate.remaining_s(60, 20.0) < estimate.remaining_s(0, 20.0) / 1.5
-    assert estimate.remaining_s(500, 20.0) == 2.0 * LEAST_SHARE_LEFT
+    assert estimate.remaining_s(500, 20.0) == 2.0 * MIN_REMAINING_SHARE
 
 
 def test_slower_back_ends_are_learnt() -> None:
@@ -36,7 +36,7 @@
     """After a power loss no item finishes for a while; those far on must not look hopeless."""
     estimate = RunEstimate()
     assert estimate.remaining_s(80, 20.0, ran_s=5.0) == 3.0
-    assert estimate.remaining_s(200, 20.0, ran_s=30.0) == 8.0 * LEAST_SHARE_LEFT
+    assert estimate.remaining_s(200, 20.0, ran_s=30.0) == 8.0 * MIN_REMAINING_SHARE
 
 
 def test_a_new_leader_knows_from_results_how_far_an_item_is() -> None:
@@ -46,7 +46,7 @@
         estimate.finished_before(100)
     assert estimate.remaining_s(0, 20.0) == 8.0
     assert abs(estimate.remaining_s(65, 20.0) - 4.0) < 1e-9
-    assert estimate.remaining_s(140, 20.0) == 8.0 * LEAST_SHARE_LEFT
+    assert estimate.remaining_s(140, 20.0) == 8.0 * MIN_REMAINING_SHARE
     estimate.finished(100, 2.0)
     assert estimate.remaining_s(0, 20.0) == 2.6
     estimate.finished_before(900)
--- a/tests/batch/test_runner.py
+++ b/tests/batch/test_runner.py
@@ -8,7 +8,7 @@
 
 from wharfcart.admission.backend_gate import BackendGate
 from wharfcart.backends.interface import BackendClient, BackendPart, BackendRequest
-from wharfcart.batch.runner import STOP_WAIT_S, BatchRunner
+from wharfcart.batch.runner import STOP_TIMEOUT_S, BatchRunner
 from wharfcart.cluster.messages_pb2 import (
     Command,
     Frame,
@@ -179,10 +179,10 @@
         assert len(owner.run) == len(ROWS)
         began_at = asyncio.get_running_loop().time()
         runner.revoke(["lease"])
-        async with asyncio.timeout(2 * STOP_WAIT_S):
+        async with asyncio.timeout(2 * STOP_TIMEOUT_S):
             while not journal.proposed:
                 await asyncio.sleep(0.01)
-        assert asyncio.get_running_loop().time() - began_at < STOP_WAIT_S + 0.1
+        assert asyncio.get_running_loop().time() - began_at < STOP_TIMEOUT_S + 0.1
         (command,) = journal.proposed
         assert command.lease_end.lease_id == "lease"
         assert not command.lease_end.not_run  # they began
