--- a/src/wharfcart/batch/files.py
+++ b/src/wharfcart/batch/files.py
@@ -22,7 +22,7 @@
 FindService = Callable[[str, str], Service | None]
 
 
-class BadLinesError(Exception):
+class InvalidLinesError(Exception):
     """Some lines of a file cannot be items; carries row numbers (from 1) and reasons."""
 
     def __init__(self, findings: list[tuple[int, str]]) -> None:
@@ -44,16 +44,16 @@
     def check(self, line: bytes) -> int:
         """Check one line; return the index of its service, 0 if it is bad."""
         self.rows += 1
-        reason, class_ = self._judge(line)
+        reason, class_ = self._validate(line)
         if reason is not None and len(self.findings) < MAX_FINDINGS:
             self.findings.append((self.rows, reason))
         return class_
 
-    def too_long(self, most_bytes: int) -> None:
+    def record_too_long(self, max_bytes: int) -> None:
         """Note a line longer than allowed."""
-        self.findings.append((self.rows + 1, f"longer than {most_bytes} bytes"))
+        self.findings.append((self.rows + 1, f"longer than {max_bytes} bytes"))
 
-    def _judge(self, line: bytes) -> tuple[str | None, int]:
+    def _validate(self, line: bytes) -> tuple[str | None, int]:
         try:
             item = json.loads(line)
         except UnicodeDecodeError:
@@ -71,9 +71,9 @@
         if hash(custom_id) in self._custom_ids:
             return f"custom_id {custom_id!r} stands twice", 0
         self._custom_ids.add(hash(custom_id))
-        return self._judge_target(item)
+        return self._validate_target(item)
 
-    def _judge_target(self, item: dict[str, object]) -> tuple[str | None, int]:
+    def _validate_target(self, item: dict[str, object]) -> tuple[str | None, int]:
         url = item.get("url")
         if not isinstance(url, str):
             return "url is missing or no string", 0
@@ -90,9 +90,9 @@
         body = item.get("body")
         if url == CHAT_PATH and not _has_messages(body):
             return "body.messages is missing or not a list of objects", 0
-        return self._class_of(name)
+        return self._service_index(name)
 
-    def _class_of(self, name: str) -> tuple[str | None, int]:
+    def _service_index(self, name: str) -> tuple[str | None, int]:
         if name not in self.service_names:
             if len(self.service_names) >= MAX_SERVICES_PER_FILE:
                 return f"more than {MAX_SERVICES_PER_FILE} services in one file", 0
@@ -113,14 +113,19 @@
     """Writes one uploaded file to the journal, line by line, holding a chunk at a time."""
 
     def __init__(
-        self, journal: JournalClient, tenant: str, shard: int, checker: LineChecker, most_line: int
+        self,
+        journal: JournalClient,
+        tenant: str,
+        shard: int,
+        checker: LineChecker,
+        max_line_bytes: int,
     ) -> None:
         self.file_id = new_id(FILE_PREFIX, shard)
         self._journal = journal
         self._tenant = tenant
         self._shard = shard
         self._checker = checker
-        self._most_line = most_line
+        self._max_line_bytes = max_line_bytes
         self._buffer = bytearray()
         self._lines: list[bytes] = []
         self._classes = bytearray()
@@ -133,7 +138,7 @@
 
         Raises
         ------
-        BadLinesError
+        InvalidLinesError
             Once a line is longer than allowed or enough findings have gathered.
         ServingError
         """
@@ -143,13 +148,13 @@
         *lines, rest = self._buffer.split(b"\n")
         self._buffer = bytearray(rest)
         for line in lines:
-            self._take(bytes(line))
-        if len(self._buffer) > self._most_line:
-            self._checker.too_long(self._most_line)
+            self._add_line(bytes(line))
+        if len(self._buffer) > self._max_line_bytes:
+            self._checker.record_too_long(self._max_line_bytes)
         if self._checker.findings and (
-            len(self._buffer) > self._most_line or len(self._checker.findings) >= MAX_FINDINGS
+            len(self._buffer) > self._max_line_bytes or len(self._checker.findings) >= MAX_FINDINGS
         ):
-            raise BadLinesError(self._checker.findings)
+            raise InvalidLinesError(self._checker.findings)
         if (
             len(self._lines) >= MAX_LINES_PER_APPEND
             or self._pending_bytes() >= MAX_BYTES_PER_APPEND
@@ -161,12 +166,12 @@
 
         Raises
         ------
-        BadLinesError, ServingError
+        InvalidLinesError, ServingError
         """
         if self._buffer.strip():
-            self._take(bytes(self._buffer))
+            self._add_line(bytes(self._buffer))
         if self._checker.findings:
-            raise BadLinesError(self._checker.findings)
+            raise InvalidLinesError(self._checker.findings)
         await self._append()
         seal = FileSeal(
             file_id=self.file_id,
@@ -179,12 +184,12 @@
         command = Command(at_ms=now_ms(), file_seal=seal)
         return (await self._journal.propose(self._shard, command)).file
 
-    def _take(self, line: bytes) -> None:
+    def _add_line(self, line: bytes) -> None:
         line = line.rstrip(b"\r")
         if not line.strip():
             return
-        if len(line) > self._most_line:
-            self._checker.too_long(self._most_line)
+        if len(line) > self._max_line_bytes:
+            self._checker.record_too_long(self._max_line_bytes)
             return
         self._classes.append(self._checker.check(line))
         self._lines.append(line)
--- a/src/wharfcart/batch/jobs.py
+++ b/src/wharfcart/batch/jobs.py
@@ -44,15 +44,15 @@
     idempotency_key: str | None
 
 
-class JobService:
+class BatchApiService:
     """Files and jobs of all tenants."""
 
     def __init__(
-        self, journal: JournalClient, find_service: FindService, most_line_bytes: int
+        self, journal: JournalClient, find_service: FindService, max_line_bytes: int
     ) -> None:
         self._journal = journal
         self._find_service = find_service
-        self._most_line_bytes = most_line_bytes
+        self._max_line_bytes = max_line_bytes
 
     # ---- files ----
 
@@ -65,7 +65,7 @@
         """
         shard = random.randrange(self._journal.shard_count)
         checker = LineChecker(tenant, self._find_service)
-        return FileWriter(self._journal, tenant, shard, checker, self._most_line_bytes)
+        return FileWriter(self._journal, tenant, shard, checker, self._max_line_bytes)
 
     async def find_file(self, tenant: str, file_id: str) -> FileRecord:
         """Return a sealed file of the tenant.
@@ -92,7 +92,7 @@
 
     # ---- jobs ----
 
-    async def create(self, tenant: Tenant, new: NewJob) -> JobView:
+    async def create(self, tenant: Tenant, new_job: NewJob) -> JobView:
         """Create a job, or return the one that the same key made before.
 
         Raises
@@ -100,21 +100,21 @@
         ServingError
             ``key_conflict`` (422) if the key stands for another job.
         """
-        source = await self.find_file(tenant.name, new.file_id)
-        job_id = new_id(JOB_PREFIX, self._checked_shard(new.file_id, "file"))
-        file_id = new.file_id
-        if new.idempotency_key is not None:
-            claimed = await self._claim(tenant.name, new, source, job_id)
+        source = await self.find_file(tenant.name, new_job.file_id)
+        job_id = new_id(JOB_PREFIX, self._checked_shard(new_job.file_id, "file"))
+        file_id = new_job.file_id
+        if new_job.idempotency_key is not None:
+            claimed = await self._claim_idempotency_key(tenant.name, new_job, source, job_id)
             job_id, file_id = claimed.request_id, claimed.target
-        if file_id == new.file_id:  # else the job exists already, made of an earlier upload
+        if file_id == new_job.file_id:  # else the job exists already, made of an earlier upload
             await self._check_job_limit(tenant, job_id)
         create = JobCreate(
             job_id=job_id,
             tenant=tenant.name,
             file_id=file_id,
-            endpoint=new.endpoint,
-            deadline_ms=now_ms() + int(self._window_seconds(tenant.name, source, new) * 1000),
-            metadata=new.metadata,
+            endpoint=new_job.endpoint,
+            deadline_ms=now_ms() + int(self._window_seconds(tenant.name, source, new_job) * 1000),
+            metadata=new_job.metadata,
             input_digest=source.digest,
         )
         command = Command(at_ms=now_ms(), job_create=create)
@@ -123,17 +123,19 @@
             raise self._not_found("file", file_id)
         return result.job
 
-    def _window_seconds(self, tenant: str, source: FileRecord, new: NewJob) -> float:
+    def _window_seconds(self, tenant: str, source: FileRecord, new_job: NewJob) -> float:
         services = [self._find_service(tenant, name) for name in source.service_names]
         windows = [s.batch_deadline_seconds for s in services if s is not None]
-        return min([new.window_seconds, *windows])
+        return min([new_job.window_seconds, *windows])
 
-    async def _claim(self, tenant: str, new: NewJob, source: FileRecord, job_id: str) -> KeyStart:
+    async def _claim_idempotency_key(
+        self, tenant: str, new_job: NewJob, source: FileRecord, job_id: str
+    ) -> KeyStart:
         """Let the key's shard decide which job the key stands for."""
-        key = f"job/{tenant}/{new.idempotency_key}"
-        content = f"{source.digest}\0{new.endpoint}\0".encode() + new.metadata
+        key = f"job/{tenant}/{new_job.idempotency_key}"
+        content = f"{source.digest}\0{new_job.endpoint}\0".encode() + new_job.metadata
         digest = hashlib.sha256(content).hexdigest()
-        start = KeyStart(key=key, digest=digest, request_id=job_id, target=new.file_id)
+        start = KeyStart(key=key, digest=digest, request_id=job_id, target=new_job.file_id)
         command = Command(at_ms=now_ms(), key_start=start)
         shard = shard_of(key, self._journal.shard_count)
         result: ProposeResult = await self._journal.propose(shard, command)
@@ -168,15 +170,15 @@
             raise self._not_found("batch", job_id)
         return found[0]
 
-    async def list(self, tenant: str, most: int = 100) -> list[JobView]:
+    async def list(self, tenant: str, max_jobs: int = 100) -> list[JobView]:
         """Return the tenant's jobs, newest first."""
         queries = [
-            JobQuery(shard=shard, tenant=tenant, most=most)
+            JobQuery(shard=shard, tenant=tenant, most=max_jobs)
             for shard in range(self._journal.shard_count)
         ]
         found = await asyncio.gather(*(self._journal.query_jobs(query) for query in queries))
         jobs = [job for part in found for job in part]
-        return sorted(jobs, key=lambda job: -job.created_ms)[:most]
+        return sorted(jobs, key=lambda job: -job.created_ms)[:max_jobs]
 
     async def cancel(self, tenant: str, job_id: str) -> JobView:
         """Cancel a job.
@@ -207,23 +209,23 @@
         async for row in self._journal.iterate_rows(shard, RowKind.RESULT, job.job_id, first, end):
             result = ItemResult.FromString(row.value)
             if completed is None or (result.end == COMPLETED) == completed:
-                yield result.body or await self._unknown_line(shard, job, row.number)
+                yield result.body or await self._unknown_outcome_line(shard, job, row.number)
 
-    async def _unknown_line(self, shard: int, job: JobView, row: int) -> bytes:
+    async def _unknown_outcome_line(self, shard: int, job: JobView, row: int) -> bytes:
         """Return the output line of an item whose lease ended without a word."""
         lines = await self._journal.read_rows(shard, RowKind.LINE, job.file_id, row, most=1)
         line = lines[0].value if lines else b"{}"
         return error_line(line, f"{job.job_id}-{row}", "unknown", Outcome.UNKNOWN)
 
-    def _checked_shard(self, id_: str, what: str) -> int:
+    def _checked_shard(self, id_: str, kind: str) -> int:
         shard = shard_of_id(id_)
         if shard is None or shard >= self._journal.shard_count:
-            raise self._not_found(what, id_)
+            raise self._not_found(kind, id_)
         return shard
 
-    def _not_found(self, what: str, id_: str) -> ServingError:
+    def _not_found(self, kind: str, id_: str) -> ServingError:
         """Return the error that there is no such record, and log what it rests on."""
         known_shards = sorted(self._journal.placement.shards)
-        details = {"what": what, "id": id_, "shard": shard_of_id(id_), "known_shards": known_shards}
+        details = {"what": kind, "id": id_, "shard": shard_of_id(id_), "known_shards": known_shards}
         logger.info("record not found", extra=details)
-        return ServingError(f"{what}_not_found", f"no {what} {id_!r}", 404)
+        return ServingError(f"{kind}_not_found", f"no {kind} {id_!r}", 404)
--- a/src/wharfcart/gateway/batches.py
+++ b/src/wharfcart/gateway/batches.py
@@ -10,7 +10,7 @@
 from sanic.http import Http
 from sanic.response import HTTPResponse, json
 
-from wharfcart.batch.files import BadLinesError, FileWriter
+from wharfcart.batch.files import FileWriter, InvalidLinesError
 from wharfcart.batch.jobs import NewJob
 from wharfcart.cluster.messages_pb2 import JobView
 from wharfcart.configuration.schema import Tenant
@@ -64,7 +64,7 @@
         try:
             filename = await self._read_upload(request, writer)
             record = await writer.finish(filename)
-        except BadLinesError as error:
+        except InvalidLinesError as error:
             findings = [Finding("upload", f"line {row}", reason) for row, reason in error.findings]
             refusal = ServingError("bad_lines", f"{len(findings)} bad lines: {error}", 400)
             return error_response(refusal, request_id_of(request), findings)
--- a/src/wharfcart/gateway/interface.py
+++ b/src/wharfcart/gateway/interface.py
@@ -6,7 +6,7 @@
 from sanic.response import HTTPResponse
 
 from wharfcart.admission.limiter import Limiter
-from wharfcart.batch.jobs import JobService
+from wharfcart.batch.jobs import BatchApiService
 from wharfcart.configuration.services import ServiceIndex
 from wharfcart.gateway.idempotency import KeyedRequests
 from wharfcart.observability.metrics import Metrics
@@ -20,7 +20,7 @@
     services: ServiceIndex
     limiter: Limiter
     requests: KeyedRequests
-    jobs: JobService
+    jobs: BatchApiService
     metrics: Metrics
     ready: Callable[[], bool]
     most_file_bytes: int
--- a/src/wharfcart/node/node.py
+++ b/src/wharfcart/node/node.py
@@ -12,7 +12,7 @@
 from wharfcart.admin.handlers import AdminHandlers
 from wharfcart.admin.interface import AdminContext, NodeStatus
 from wharfcart.admission.limiter import Limiter
-from wharfcart.batch.jobs import JobService
+from wharfcart.batch.jobs import BatchApiService
 from wharfcart.batch.leader import BatchLeader
 from wharfcart.batch.runner import BatchRunner
 from wharfcart.clock import monotonic
@@ -191,7 +191,7 @@
         requests = KeyedRequests(
             self._journal_client, self._dispatcher, self.router, self.owner, self._tasks.keep
         )
-        jobs = JobService(
+        jobs = BatchApiService(
             self._journal_client, self.services.find_service, settings.most_line_bytes
         )
         context = GatewayContext(
--- a/tests/batch/test_jobs_at_a_start.py
+++ b/tests/batch/test_jobs_at_a_start.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from wharfcart.batch.jobs import JobService, NewJob
+from wharfcart.batch.jobs import BatchApiService, NewJob
 from wharfcart.cluster.address import Address
 from wharfcart.cluster.messages_pb2 import Frame, ShardPlacement
 from wharfcart.cluster.ownership import shard_of
@@ -53,8 +53,8 @@
     return JournalClient(placement, cast(Transport, _NoPeers()), _address)
 
 
-def _jobs(shards_on_disk: list[int]) -> JobService:
-    return JobService(_client(shards_on_disk), lambda _tenant, _name: None, 1024)
+def _jobs(shards_on_disk: list[int]) -> BatchApiService:
+    return BatchApiService(_client(shards_on_disk), lambda _tenant, _name: None, 1024)
 
 
 def _refusal(work: Coroutine[object, object, object]) -> ServingError:
