--- a/benchmarks/capacity_slopes.py
+++ b/benchmarks/capacity_slopes.py
@@ -11,7 +11,7 @@
 import tracemalloc
 from collections.abc import Callable
 
-from wharfcart.batch.scheduler import BatchScheduler
+from wharfcart.batch.scheduler import LeaseScheduler
 from wharfcart.cluster.messages_pb2 import (
     AppendRequest,
     AppendResponse,
@@ -117,7 +117,7 @@
 
     state, memory = measured_memory(make)
     assert isinstance(state, ShardState)
-    scheduler = BatchScheduler(state, lambda tenant: 1.0, lambda tenant, service: "model")
+    scheduler = LeaseScheduler(state, lambda tenant: 1.0, lambda tenant, service: "model")
     choose = seconds_each(lambda: scheduler.choose({"model"}, 64), 500)
     return {
         "scheduler_jobs": JOBS_A_SHARD,
--- a/src/wharfcart/batch/held_leases.py
+++ b/src/wharfcart/batch/held_leases.py
@@ -48,12 +48,14 @@
         self._backend_id = backend_id
         self._journal = journal
         self._leases: dict[str, HeldLease] = {}
-        self._revoked_early: dict[str, None] = {}  # ids of leases that were not held, oldest first
-        self._flush = asyncio.Event()
+        self._early_revocations: dict[
+            str, None
+        ] = {}  # ids of leases that were not held, oldest first
+        self._flush_requested = asyncio.Event()
 
     def add(self, lease: HeldLease) -> bool:
         """Hold a lease that was granted; False if it was revoked before its grant arrived."""
-        lease.revoked = lease.lease_id in self._revoked_early
+        lease.revoked = lease.lease_id in self._early_revocations
         self._leases[lease.lease_id] = lease
         return not lease.revoked
 
@@ -61,9 +63,9 @@
         """Mark a lease as revoked; return it if it is held and was not revoked before."""
         lease = self._leases.get(lease_id)
         if lease is None:
-            self._revoked_early[lease_id] = None
-            if len(self._revoked_early) > MAX_EARLY_REVOCATIONS:
-                del self._revoked_early[next(iter(self._revoked_early))]
+            self._early_revocations[lease_id] = None
+            if len(self._early_revocations) > MAX_EARLY_REVOCATIONS:
+                del self._early_revocations[next(iter(self._early_revocations))]
             return None
         if lease.revoked:
             return None
@@ -76,7 +78,7 @@
 
     # ---- asking leaders ----
 
-    async def poll(self, shard: int, targets: Iterable[str], most: int) -> LeaseGrant:
+    async def poll(self, shard: int, targets: Iterable[str], max_items: int) -> LeaseGrant:
         """Renew the leases of a shard and ask for up to ``most`` new items.
 
         Raises
@@ -87,7 +89,7 @@
             shard=shard,
             holder=self._holder,
             targets=targets,
-            most=most,
+            most=max_items,
             held=[lease.lease_id for lease in self._leases.values() if lease.shard == shard],
             backend_id=self._backend_id,
         )
@@ -116,17 +118,17 @@
         lease.results.append(result)
         lease.open_rows.discard(result.row)
         if sum(len(held.results) for held in self._leases.values()) >= MAX_UNFLUSHED_RESULTS:
-            self._flush.set()
+            self._flush_requested.set()
 
     async def flush_loop(self) -> None:
         """Commit results in groups, for ever."""
         while True:
             try:
                 async with asyncio.timeout(FLUSH_INTERVAL_S):
-                    await self._flush.wait()
+                    await self._flush_requested.wait()
             except TimeoutError:
                 pass
-            self._flush.clear()
+            self._flush_requested.clear()
             await self.flush()
 
     async def flush(self) -> None:
@@ -149,12 +151,12 @@
 
     # ---- ending ----
 
-    async def give_back(self, lease: HeldLease, not_run: list[int]) -> None:
+    async def return_rows(self, lease: HeldLease, not_run: list[int]) -> None:
         """Give rows back that surely did not run; the others of the lease stay held."""
         lease.open_rows.difference_update(not_run)
-        await self._propose_end(lease, LeaseEnd(rows=not_run, not_run=not_run))
+        await self._propose_lease_end(lease, LeaseEnd(rows=not_run, not_run=not_run))
 
-    async def end(self, lease: HeldLease, not_run: list[int]) -> None:
+    async def release(self, lease: HeldLease, not_run: list[int]) -> None:
         """End a lease: commit its results, give back the rest."""
         if lease.results:
             await self._commit(lease)
@@ -162,9 +164,9 @@
             return  # left to lapse, with the results proposed again until then
         self._leases.pop(lease.lease_id, None)
         if lease.open_rows:
-            await self._propose_end(lease, LeaseEnd(not_run=not_run))
+            await self._propose_lease_end(lease, LeaseEnd(not_run=not_run))
 
-    async def _propose_end(self, lease: HeldLease, end: LeaseEnd) -> None:
+    async def _propose_lease_end(self, lease: HeldLease, end: LeaseEnd) -> None:
         end.lease_id = lease.lease_id
         end.repeatable = lease.repeatable
         command = Command(at_ms=now_ms(), lease_end=end)
--- a/src/wharfcart/batch/leader.py
+++ b/src/wharfcart/batch/leader.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from wharfcart.batch.lines import now_ms
-from wharfcart.batch.scheduler import LEASE_TERM_S, BatchScheduler, Choice
+from wharfcart.batch.scheduler import LEASE_TERM_S, LeaseChoice, LeaseScheduler
 from wharfcart.clock import monotonic
 from wharfcart.cluster.messages_pb2 import (
     Command,
@@ -44,33 +44,33 @@
         self,
         journal: Journal,
         find_service: FindService,
-        share_of: Callable[[str], float],
+        weight_of: Callable[[str], float],
         retention_hours: float,
         send_revocation: Callable[[str, list[str]], None],
     ) -> None:
         self._journal = journal
         self._find_service = find_service
-        self._share_of = share_of
+        self._weight_of = weight_of
         self._send_revocation = send_revocation
         self._retention_ms = int(retention_hours * 3_600_000)
-        self._schedulers: dict[int, BatchScheduler] = {}
-        self._expired_at = 0.0
+        self._schedulers: dict[int, LeaseScheduler] = {}
+        self._last_expire_at = 0.0
 
     def leadership_changed(self, shard: int, leads: bool) -> None:
         """Start or drop the scheduling of a shard; nothing of it is carried over."""
         self._schedulers.pop(shard, None)
         if leads:
             state = self._journal.shards[shard].state
-            self._schedulers[shard] = BatchScheduler(state, self._share_of, self._target_of)
+            self._schedulers[shard] = LeaseScheduler(state, self._weight_of, self._target_of)
 
     def _target_of(self, tenant: str, name: str) -> str | None:
         service = self._find_service(tenant, name)
         return None if service is None else service.target
 
-    def _scheduler(self, shard: Shard) -> BatchScheduler:
+    def _scheduler_of(self, shard: Shard) -> LeaseScheduler:
         scheduler = self._schedulers.get(shard.number)
         if scheduler is None or scheduler.state is not shard.state:
-            scheduler = BatchScheduler(shard.state, self._share_of, self._target_of)
+            scheduler = LeaseScheduler(shard.state, self._weight_of, self._target_of)
             self._schedulers[shard.number] = scheduler
         return scheduler
 
@@ -85,7 +85,7 @@
             ``not_leader``.
         """
         shard = self._journal.leading_shard(poll.shard)
-        scheduler = self._scheduler(shard)
+        scheduler = self._scheduler_of(shard)
         now = monotonic()
         grant = LeaseGrant(lease_ms=int(LEASE_TERM_S * 1000))
         grant.revoked.extend(scheduler.renew(poll.held, now))
@@ -97,7 +97,7 @@
         return grant
 
     async def _lease(
-        self, shard: Shard, scheduler: BatchScheduler, choice: Choice, poll: LeasePoll
+        self, shard: Shard, scheduler: LeaseScheduler, choice: LeaseChoice, poll: LeasePoll
     ) -> GrantedLease | None:
         lease_id = uuid.uuid4().hex
         items = ItemsLease(
@@ -109,16 +109,16 @@
         )
         try:
             # The lease is on disk before the first item goes out: it is the items' `started`.
-            result = await self._journal.propose(shard.number, command(items_lease=items))
+            result = await self._journal.propose(shard.number, stamped_command(items_lease=items))
         finally:
-            scheduler.settled(choice)
+            scheduler.release_reservation(choice)
         lease = shard.state.leases.get(lease_id)
         if result.code != "ok" or lease is None:
             return None
         scheduler.renew([lease_id], monotonic())
-        return await self._granted(shard, lease)
+        return await self._granted_lease(shard, lease)
 
-    async def _granted(self, shard: Shard, lease: Lease) -> GrantedLease:
+    async def _granted_lease(self, shard: Shard, lease: Lease) -> GrantedLease:
         job = shard.state.jobs[lease.job_id]
         create = job.record.create
         lines: dict[int, bytes] = {}
@@ -162,31 +162,32 @@
         while True:
             await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
             now = monotonic()
-            expire = now - self._expired_at > EXPIRE_INTERVAL_S
+            expire = now - self._last_expire_at > EXPIRE_INTERVAL_S
             if expire:
-                self._expired_at = now
+                self._last_expire_at = now
             for number in list(self._journal.shards):
                 try:
-                    await self._keep_house(number, now, expire)
+                    await self._housekeep_shard(number, now, expire)
                 except ServingError as error:
                     if error.code != "not_leader":
                         logger.warning("housekeeping failed", extra={"cause": str(error)})
 
-    async def _keep_house(self, number: int, now: float, expire: bool) -> None:
+    async def _housekeep_shard(self, number: int, now: float, expire: bool) -> None:
         shard = self._journal.leading_shard(number)
-        for lease_id in self._scheduler(shard).lapsed(now):
+        for lease_id in self._scheduler_of(shard).expired_leases(now):
             lease = shard.state.leases[lease_id]
             job = shard.state.jobs[lease.job_id]
-            end = LeaseEnd(lease_id=lease_id, repeatable=self._repeatable(job, lease))
+            end = LeaseEnd(lease_id=lease_id, repeatable=self._is_repeatable(job, lease))
             logger.info("lease lapsed", extra={"lease": lease_id, "holder": lease.holder})
-            await self._journal.propose(number, command(lease_end=end))
+            await self._journal.propose(number, stamped_command(lease_end=end))
         if expire:
             before = now_ms() - self._retention_ms
             await self._journal.propose(
-                number, command(expire=Expire(before_ms=before, most=MAX_EXPIRED_PER_COMMAND))
+                number,
+                stamped_command(expire=Expire(before_ms=before, most=MAX_EXPIRED_PER_COMMAND)),
             )
 
-    def _repeatable(self, job: Job, lease: Lease) -> bool:
+    def _is_repeatable(self, job: Job, lease: Lease) -> bool:
         # A lease is of one service. One that was deleted meanwhile may have had any effect.
         name = job.record.service_names[job.classes[lease.rows[0]]]
         service = self._find_service(job.record.create.tenant, name)
@@ -206,7 +207,7 @@
             self._send_revocation(holder, lease_ids)
 
 
-def command(
+def stamped_command(
     items_lease: ItemsLease | None = None,
     lease_end: LeaseEnd | None = None,
     expire: Expire | None = None,
--- a/src/wharfcart/batch/runner.py
+++ b/src/wharfcart/batch/runner.py
@@ -110,7 +110,7 @@
         not_run = self._take_waiting(lambda item: True)
         for lease in self._leases.held():
             rows = [item.row for item in not_run if item.lease is lease and not item.known_there]
-            await self._leases.end(lease, rows)
+            await self._leases.release(lease, rows)
 
     # ---- filling ----
 
@@ -235,7 +235,7 @@
             self._waiting.append(item)
             return
         # Not this back end's day: another may have the item.
-        await self._leases.give_back(item.lease, [item.row])
+        await self._leases.return_rows(item.lease, [item.row])
 
     async def _settle(self, item: _Item, request: BackendRequest) -> None:
         """Find out what became of an item that must not be repeated."""
@@ -248,7 +248,7 @@
             if part is not None:
                 self._answered(item, part)
             else:
-                await self._leases.give_back(item.lease, [item.row])
+                await self._leases.return_rows(item.lease, [item.row])
             return
         body = error_line(item.line, item.request_id, "unknown", Outcome.UNKNOWN)
         self._record(item.lease, item.row, UNKNOWN, body)
@@ -294,7 +294,7 @@
             # An application call that began is let finish: stopping it would make it unknown.
             unconfirmed = await _wait_for(running, None)
         stopped_at = monotonic()
-        await self._leases.end(lease, [item.row for item in dropped if not item.known_there])
+        await self._leases.release(lease, [item.row for item in dropped if not item.known_there])
         logger.info(
             "lease wound down",
             extra={
--- a/src/wharfcart/batch/scheduler.py
+++ b/src/wharfcart/batch/scheduler.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True)
-class Choice:
+class LeaseChoice:
     """Items to lease together: one job, one service."""
 
     job_id: str
@@ -32,35 +32,35 @@
 
 
 @dataclass
-class BatchScheduler:
+class LeaseScheduler:
     """Scheduling state of one shard's leader; nothing of it need survive."""
 
     state: ShardState
-    share_of: Callable[[str], float]
+    weight_of: Callable[[str], float]
     target_of: Callable[[str, str], str | None]  # tenant, service name -> model or application
     _accounts: dict[str, _TenantAccount] = field(default_factory=dict)
-    _held_until: dict[str, float] = field(default_factory=dict)
+    _lease_expiry: dict[str, float] = field(default_factory=dict)
     _reserved: dict[str, set[int]] = field(default_factory=dict)
 
-    def choose(self, targets: Collection[str], most: int) -> list[Choice]:
+    def choose(self, targets: Collection[str], max_items: int) -> list[LeaseChoice]:
         """Return up to ``most`` items whose target is one of ``targets``."""
-        choices: list[Choice] = []
+        choices: list[LeaseChoice] = []
         wanted = frozenset(targets)
         exhausted: set[str] = set()
-        while most > 0:
+        while max_items > 0:
             job = self._next_job(wanted, exhausted)
             if job is None:
                 break
-            found = self._take_rows(job, wanted, min(most, MAX_ITEMS_PER_LEASE))
+            found = self._reserve_rows(job, wanted, min(max_items, MAX_ITEMS_PER_LEASE))
             if found is None:
                 exhausted.add(job.record.create.job_id)
                 continue
             choices.append(found)
-            most -= len(found.rows)
+            max_items -= len(found.rows)
             self._charge(job.record.create.tenant, len(found.rows))
         return choices
 
-    def settled(self, choice: Choice) -> None:
+    def release_reservation(self, choice: LeaseChoice) -> None:
         """Note that the lease entry of a choice was applied or refused."""
         reserved = self._reserved.get(choice.job_id)
         if reserved is not None:
@@ -78,28 +78,28 @@
             if lease is None or self.state.jobs[lease.job_id].cancelled:
                 revoked.append(lease_id)
             if lease is not None:
-                self._held_until[lease_id] = now + LEASE_TERM_S
+                self._lease_expiry[lease_id] = now + LEASE_TERM_S
         return revoked
 
-    def lapsed(self, now: float) -> list[str]:
+    def expired_leases(self, now: float) -> list[str]:
         """Return leases whose holder has been silent for a term."""
         lapsed: list[str] = []
         for lease_id in self.state.leases:
-            until = self._held_until.setdefault(lease_id, now + LEASE_TERM_S)
+            until = self._lease_expiry.setdefault(lease_id, now + LEASE_TERM_S)
             if now >= until:
                 lapsed.append(lease_id)
-        for lease_id in self._held_until.keys() - self.state.leases.keys():
-            del self._held_until[lease_id]
+        for lease_id in self._lease_expiry.keys() - self.state.leases.keys():
+            del self._lease_expiry[lease_id]
         return lapsed
 
     # ---- choice ----
 
-    def _next_job(self, wanted: frozenset[str], exhausted: set[str]) -> Job | None:
+    def _next_job(self, targets: frozenset[str], exhausted: set[str]) -> Job | None:
         by_tenant: dict[str, list[Job]] = {}
         for job_id, job in self.state.jobs.items():
             if job.finished or job.cancelled or job_id in exhausted:
                 continue
-            if self._servable(job, wanted):
+            if self._has_servable_items(job, targets):
                 by_tenant.setdefault(job.record.create.tenant, []).append(job)
         if not by_tenant:
             return None
@@ -110,23 +110,25 @@
             return min(jobs, key=lambda job: job.count(ItemState.PENDING))
         return min(jobs, key=lambda job: (job.record.create.deadline_ms, job.record.created_ms))
 
-    def _servable(self, job: Job, wanted: frozenset[str]) -> bool:
+    def _has_servable_items(self, job: Job, targets: frozenset[str]) -> bool:
         if ItemState.PENDING not in job.states:
             return False
         tenant = job.record.create.tenant
-        return any(self.target_of(tenant, name) in wanted for name in job.record.service_names)
+        return any(self.target_of(tenant, name) in targets for name in job.record.service_names)
 
-    def _take_rows(self, job: Job, wanted: frozenset[str], most: int) -> Choice | None:
+    def _reserve_rows(
+        self, job: Job, targets: frozenset[str], max_items: int
+    ) -> LeaseChoice | None:
         create = job.record.create
         reserved = self._reserved.get(create.job_id, set())
         for class_, service in enumerate(job.record.service_names):
-            if self.target_of(create.tenant, service) not in wanted:
+            if self.target_of(create.tenant, service) not in targets:
                 continue
-            found = job.next_pending(class_, most + len(reserved))
-            rows = [row for row in found if row not in reserved][:most]
+            found = job.next_pending(class_, max_items + len(reserved))
+            rows = [row for row in found if row not in reserved][:max_items]
             if rows:
                 self._reserved.setdefault(create.job_id, set()).update(rows)
-                return Choice(create.job_id, service, rows)
+                return LeaseChoice(create.job_id, service, rows)
         return None
 
     def _account(self, tenant: str) -> _TenantAccount:
@@ -140,5 +142,5 @@
 
     def _charge(self, tenant: str, items: int) -> None:
         account = self._account(tenant)
-        account.virtual_time += items / max(1e-6, self.share_of(tenant))
+        account.virtual_time += items / max(1e-6, self.weight_of(tenant))
         account.chunks += 1
--- a/tests/batch/test_scheduler.py
+++ b/tests/batch/test_scheduler.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from wharfcart.batch.scheduler import LEASE_TERM_S, BatchScheduler, Choice
+from wharfcart.batch.scheduler import LEASE_TERM_S, LeaseChoice, LeaseScheduler
 from wharfcart.cluster.messages_pb2 import (
     UNKNOWN,
     Command,
@@ -29,14 +29,14 @@
     return state
 
 
-def _scheduler(state: ShardState) -> BatchScheduler:
-    return BatchScheduler(state, lambda tenant: SHARES.get(tenant, 1.0), lambda t, s: "model")
+def _scheduler(state: ShardState) -> LeaseScheduler:
+    return LeaseScheduler(state, lambda tenant: SHARES.get(tenant, 1.0), lambda t, s: "model")
 
 
-def _lease(state: ShardState, scheduler: BatchScheduler, choice: Choice, name: str) -> None:
+def _lease(state: ShardState, scheduler: LeaseScheduler, choice: LeaseChoice, name: str) -> None:
     lease = ItemsLease(lease_id=name, job_id=choice.job_id, holder="h", rows=choice.rows)
     state.apply(state.applied_index + 1, Command(at_ms=1, items_lease=lease))
-    scheduler.settled(choice)
+    scheduler.release_reservation(choice)
 
 
 def _drain(state: ShardState, chunks: int) -> Counter[str]:
@@ -83,10 +83,10 @@
     state = _state([("a", "t", 10, 1)])
     scheduler = _scheduler(state)
     _lease(state, scheduler, scheduler.choose({"model"}, 10)[0], "l")
-    assert scheduler.lapsed(0.0) == []
+    assert scheduler.expired_leases(0.0) == []
     scheduler.renew(["l"], 5.0)
-    assert scheduler.lapsed(LEASE_TERM_S + 1) == []
-    assert scheduler.lapsed(LEASE_TERM_S + 6) == ["l"]
+    assert scheduler.expired_leases(LEASE_TERM_S + 1) == []
+    assert scheduler.expired_leases(LEASE_TERM_S + 6) == ["l"]
 
 
 def test_ended_lease_gives_back_what_may_run_again() -> None:
