--- a/src/wharfcart/batch/runner.py
+++ b/src/wharfcart/batch/runner.py
@@ -50,13 +50,13 @@
 
 
 @dataclass
-class _Item:
+class _LeasedItem:
     lease: HeldLease
     row: int
     service: Service
     line: bytes
     attempts: int = 0
-    known_there: bool = False  # the back end may know the request
+    was_sent: bool = False  # the back end may know the request
 
     @property
     def request_id(self) -> str:
@@ -82,12 +82,12 @@
         self._find_service = find_service
         self._metrics = metrics
         self._leases = HeldLeases(node_id, owned.backend.backend_id, journal)
-        self._waiting: deque[_Item] = deque()
+        self._waiting: deque[_LeasedItem] = deque()
         self._running: dict[str, asyncio.Task[None]] = {}
-        self._promising: list[int] = []
-        self._next_poll = 0.0
-        self._polling: asyncio.Task[None] | None = None
-        self._winding_down: set[asyncio.Task[None]] = set()
+        self._productive_shards: list[int] = []
+        self._next_poll_at = 0.0
+        self._poll_task: asyncio.Task[None] | None = None
+        self._wind_down_tasks: set[asyncio.Task[None]] = set()
         self._stopping = False
 
     # ---- life ----
@@ -102,14 +102,14 @@
     async def stop(self) -> None:
         """Let running items end, then hand everything back. :meth:`run` must still be running."""
         self._stopping = True
-        if self._polling is not None:
-            await asyncio.wait([self._polling])
+        if self._poll_task is not None:
+            await asyncio.wait([self._poll_task])
         while self._running:
             await asyncio.wait(list(self._running.values()))
         await self._leases.flush()
-        not_run = self._take_waiting(lambda item: True)
+        not_run = self._remove_waiting(lambda item: True)
         for lease in self._leases.held():
-            rows = [item.row for item in not_run if item.lease is lease and not item.known_there]
+            rows = [item.row for item in not_run if item.lease is lease and not item.was_sent]
             await self._leases.release(lease, rows)
 
     # ---- filling ----
@@ -121,8 +121,8 @@
             slots = 0 if self._stopping else self.owned.gate.batch_slots(monotonic())
             for _ in range(min(slots, len(self._waiting))):
                 self._start(self._waiting.popleft())
-            if self._polling is None and self._wants_items(slots, monotonic()):
-                self._polling = loop.create_task(self._poll())
+            if self._poll_task is None and self._wants_items(slots, monotonic()):
+                self._poll_task = loop.create_task(self._poll())
             try:
                 async with asyncio.timeout(SLOT_WAIT_TIMEOUT_S):
                     await self.owned.changed.wait()
@@ -133,16 +133,16 @@
         if self._stopping or self.owned.gate.state is not BackendState.LIVE:
             return False
         few = len(self._waiting) < MAX_ITEMS_PER_LEASE // 2
-        return few and now >= self._next_poll and (slots > 0 or bool(self._running))
+        return few and now >= self._next_poll_at and (slots > 0 or bool(self._running))
 
-    def _start(self, item: _Item) -> None:
+    def _start(self, item: _LeasedItem) -> None:
         task = asyncio.get_running_loop().create_task(self._run_item(item))
         self._running[item.request_id] = task
         task.add_done_callback(lambda _: self._running.pop(item.request_id, None))
 
-    def _take_waiting(self, wanted: Callable[[_Item], bool]) -> list[_Item]:
-        taken = [item for item in self._waiting if wanted(item)]
-        self._waiting = deque(item for item in self._waiting if not wanted(item))
+    def _remove_waiting(self, predicate: Callable[[_LeasedItem], bool]) -> list[_LeasedItem]:
+        taken = [item for item in self._waiting if predicate(item)]
+        self._waiting = deque(item for item in self._waiting if not predicate(item))
         return taken
 
     # ---- polling ----
@@ -150,21 +150,21 @@
     async def _poll(self) -> None:
         try:
             taken = 0
-            for shard in self._shards_to_ask():
+            for shard in self._shards_to_poll():
                 taken += await self._poll_shard(shard)
                 if taken >= MAX_ITEMS_PER_LEASE:
                     break
             pause = 0.0 if taken else IDLE_POLL_INTERVAL_S * (0.5 + random.random())
-            self._next_poll = monotonic() + pause
+            self._next_poll_at = monotonic() + pause
         finally:
-            self._polling = None
+            self._poll_task = None
             self.owned.changed.set()
 
-    def _shards_to_ask(self) -> list[int]:
+    def _shards_to_poll(self) -> list[int]:
         """Shards that gave work last, and a few others at random: no node asks all of them."""
         count = self._placement.shard_count
         others = random.sample(range(count), min(SHARDS_PER_POLL, count))
-        return list(dict.fromkeys([*self._promising, *others]))
+        return list(dict.fromkeys([*self._productive_shards, *others]))
 
     async def _poll_shard(self, shard: int) -> int:
         targets = sorted(self.owned.backend.targets)
@@ -174,13 +174,13 @@
             logger.debug("poll failed", extra={"shard": shard, "cause": str(error)})
             return 0
         self.revoke(list(grant.revoked))
-        taken = sum(self._take(shard, granted) for granted in grant.leases)
-        self._promising = [other for other in self._promising if other != shard]
+        taken = sum(self._accept_lease(shard, granted) for granted in grant.leases)
+        self._productive_shards = [other for other in self._productive_shards if other != shard]
         if taken:
-            self._promising = [shard, *self._promising][:SHARDS_PER_POLL]
+            self._productive_shards = [shard, *self._productive_shards][:SHARDS_PER_POLL]
         return taken
 
-    def _take(self, shard: int, granted: GrantedLease) -> int:
+    def _accept_lease(self, shard: int, granted: GrantedLease) -> int:
         lease = granted.lease
         name = service_name_of(json.loads(granted.lines[0]))
         service = self._find_service(granted.tenant, name)
@@ -191,44 +191,46 @@
         for row, line, previous in rows:
             if service is None:
                 body = error_line(line, "", "service_not_found", Outcome.NOT_RUN)
-                self._record(held, row, FAILED, body)
+                self._record_result(held, row, FAILED, body)
                 continue
             known_there = previous == self.owned.backend.backend_id
-            self._waiting.append(_Item(held, row, service, line, known_there=known_there))
+            self._waiting.append(_LeasedItem(held, row, service, line, was_sent=known_there))
         if not still_wanted:
             self._begin_wind_down(held)
         return len(lease.rows)
 
     # ---- items ----
 
-    async def _run_item(self, item: _Item) -> None:
+    async def _run_item(self, item: _LeasedItem) -> None:
         if item.lease.revoked:
             return
         request = batch_request(item.service, item.line, item.request_id)
-        request = replace(request, resume=item.known_there)
-        item.known_there = True
+        request = replace(request, resume=item.was_sent)
+        item.was_sent = True
         try:
             part = await self._owner.run_batch(self.owned, request)
         except BatchStoppedError:
             self._waiting.appendleft(item)
         except ServingError as error:
-            await self._item_failed(item, request, error)
+            await self._handle_failure(item, request, error)
         except Exception as error:
             # A defect of ours must not lose the item.
             logger.exception("item failed", extra={"request": item.request_id})
-            await self._item_failed(item, request, BackendError(repr(error), Outcome.UNKNOWN))
+            await self._handle_failure(item, request, BackendError(repr(error), Outcome.UNKNOWN))
         else:
-            self._answered(item, part)
+            self._record_answer(item, part)
 
-    def _answered(self, item: _Item, part: BackendPart) -> None:
+    def _record_answer(self, item: _LeasedItem, part: BackendPart) -> None:
         end = COMPLETED if part.status < 400 else FAILED
         body = output_line(item.line, item.request_id, part.status, part.data)
-        self._record(item.lease, item.row, end, body, part.status)
+        self._record_result(item.lease, item.row, end, body, part.status)
 
-    async def _item_failed(self, item: _Item, request: BackendRequest, error: ServingError) -> None:
+    async def _handle_failure(
+        self, item: _LeasedItem, request: BackendRequest, error: ServingError
+    ) -> None:
         item.attempts += 1
         if error.outcome is not Outcome.NOT_RUN and not item.service.repeatable:
-            await self._settle(item, request)
+            await self._resolve_outcome(item, request)
             return
         if item.attempts < MAX_ATTEMPTS and self.owned.gate.state is BackendState.LIVE:
             await asyncio.sleep(RETRY_DELAY_S * item.attempts)
@@ -237,7 +239,7 @@
         # Not this back end's day: another may have the item.
         await self._leases.return_rows(item.lease, [item.row])
 
-    async def _settle(self, item: _Item, request: BackendRequest) -> None:
+    async def _resolve_outcome(self, item: _LeasedItem, request: BackendRequest) -> None:
         """Find out what became of an item that must not be repeated."""
         for attempt in range(1, MAX_ATTEMPTS + 1):
             try:
@@ -246,14 +248,14 @@
                 await asyncio.sleep(RETRY_DELAY_S * attempt)
                 continue
             if part is not None:
-                self._answered(item, part)
+                self._record_answer(item, part)
             else:
                 await self._leases.return_rows(item.lease, [item.row])
             return
         body = error_line(item.line, item.request_id, "unknown", Outcome.UNKNOWN)
-        self._record(item.lease, item.row, UNKNOWN, body)
+        self._record_result(item.lease, item.row, UNKNOWN, body)
 
-    def _record(
+    def _record_result(
         self, lease: HeldLease, row: int, end: ItemEnd, body: bytes, status: int = 0
     ) -> None:
         result = ItemResult(row=row, status=status, body=body, end=end)
@@ -276,12 +278,12 @@
 
     def _begin_wind_down(self, lease: HeldLease) -> None:
         # Taken off the queue in this step: a slot that comes free now must not begin any of them.
-        dropped = self._take_waiting(lambda item: item.lease is lease)
+        dropped = self._remove_waiting(lambda item: item.lease is lease)
         task = asyncio.get_running_loop().create_task(self._wind_down(lease, dropped))
-        self._winding_down.add(task)
-        task.add_done_callback(self._winding_down.discard)
+        self._wind_down_tasks.add(task)
+        task.add_done_callback(self._wind_down_tasks.discard)
 
-    async def _wind_down(self, lease: HeldLease, dropped: list[_Item]) -> None:
+    async def _wind_down(self, lease: HeldLease, dropped: list[_LeasedItem]) -> None:
         began_at = monotonic()
         running = [
             task
@@ -294,7 +296,7 @@
             # An application call that began is let finish: stopping it would make it unknown.
             unconfirmed = await _wait_for(running, None)
         stopped_at = monotonic()
-        await self._leases.release(lease, [item.row for item in dropped if not item.known_there])
+        await self._leases.release(lease, [item.row for item in dropped if not item.was_sent])
         logger.info(
             "lease wound down",
             extra={
