--- a/src/wharfcart/batch/item_run.py
+++ b/src/wharfcart/batch/item_run.py
@@ -34,13 +34,13 @@
 
     SUCCEEDED = "succeeded"
     FAILED = "failed"
-    IMPOSSIBLE = "impossible"
+    UNPROCESSABLE = "impossible"
     REFUSED = "refused"
-    BROKEN = "broken"
+    INTERRUPTED = "broken"
 
 
 # The back end has run the item to an end, and lives.
-_RAN = frozenset({RunOutcome.SUCCEEDED, RunOutcome.FAILED, RunOutcome.IMPOSSIBLE})
+_FINISHED_RUNS = frozenset({RunOutcome.SUCCEEDED, RunOutcome.FAILED, RunOutcome.UNPROCESSABLE})
 
 
 @dataclass
@@ -49,19 +49,19 @@
 
     Parameters
     ----------
-    text: the events that it has given so far and where it failed, perhaps under an earlier leader.
+    partial_text: events of the item so far and where it failed, perhaps under an earlier leader.
     not_before: monotonic time of the next send.
-    ran_s: sum of the times of its sends.
+    run_time_s: sum of the times of its sends.
     """
 
-    text: RunningText
+    partial_text: RunningText
     not_before: float = 0.0
-    last_backend: str = ""
-    sends: int = 0
-    ran_s: float = 0.0
-    _content: ContentId | None = None
+    last_instance_id: str = ""
+    attempts: int = 0
+    run_time_s: float = 0.0
+    _fingerprint: ContentId | None = None
 
-    def content_of(self, item: RequestItem, host: str, tenant: str) -> ContentId:
+    def fingerprint_of(self, item: RequestItem, host: str, tenant: str) -> ContentId:
         """Return what the item is known by: the same as a request of its tenant.
 
         Args:
@@ -69,30 +69,30 @@
             host: of its job's submission.
             tenant: whose job it is, or ''.
         """
-        if self._content is None:
-            self._content = content_of(host, ITEM_METHOD, item.path, tenant, item.body)
-        return self._content
+        if self._fingerprint is None:
+            self._fingerprint = content_of(host, ITEM_METHOD, item.path, tenant, item.body)
+        return self._fingerprint
 
     @property
-    def failures(self) -> int:
+    def failure_count(self) -> int:
         """Number of answers that said that it failed."""
-        return len(self.text.failed_at)
+        return len(self.partial_text.failed_at)
 
     @property
-    def failed_at(self) -> set[str]:
+    def failed_instance_ids(self) -> set[str]:
         """Incarnations that gave these."""
-        return set(self.text.failed_at)
+        return set(self.partial_text.failed_at)
 
 
 @dataclass(frozen=True)
-class ItemSend:
+class ItemAttempt:
     """One send of an item.
 
     Parameters
     ----------
     host: of the job's submission.
     tenant: whose job it is; '' where callers need no key.
-    use: number under which the item is already counted in flight at the back end.
+    send_id: number under which the item is already counted in flight at the back end.
     give_up_at: monotonic time after which nobody waits for the result.
     """
 
@@ -100,13 +100,13 @@
     host: str
     tenant: str
     state: InstanceState
-    use: int
+    send_id: int
     progress: ItemProgress
     give_up_at: float
 
-    def content(self) -> ContentId:
+    def fingerprint(self) -> ContentId:
         """Return what the item is known by beyond this send."""
-        return self.progress.content_of(self.item, self.host, self.tenant)
+        return self.progress.fingerprint_of(self.item, self.host, self.tenant)
 
 
 class ItemRunner:
@@ -117,115 +117,117 @@
         choice: BackendChoice,
         pool: ConnectionPool,
         connection_limit: Callable[[str], int],
-        broken_runs: BrokenRuns,
+        crash_detector: BrokenRuns,
     ) -> None:
         self._choice = choice
         self._pool = pool
         self._connection_limit = connection_limit
-        self._broken_runs = broken_runs
+        self._crash_detector = crash_detector
 
-    def _is_held_back(self, send: ItemSend) -> bool:
+    def _is_quarantined(self, attempt: ItemAttempt) -> bool:
         """Whether back ends have ended while they ran the item."""
-        return self._broken_runs.suspects.held_for_s(send.content, time()) > 0
+        return self._crash_detector.suspects.held_for_s(attempt.fingerprint, time()) > 0
 
-    async def run(self, send: ItemSend) -> RunOutcome:
+    async def run(self, attempt: ItemAttempt) -> RunOutcome:
         """Send an item once and read its events into its progress.
 
         Cancelled, it ends the back end's work by closing the connection.
         """
-        send.progress.last_backend = send.state.instance.instance_id
+        attempt.progress.last_instance_id = attempt.state.instance.instance_id
         try:
-            return await self._connect_and_send(send)
+            return await self._connect_and_send(attempt)
         except ConnectFailedError:
-            self._choice.failed(send.state, monotonic())
+            self._choice.failed(attempt.state, monotonic())
             return RunOutcome.REFUSED
         except ConnectionLimitError:
             return RunOutcome.REFUSED
         finally:
-            self._choice.ended(send.state, send.use)
+            self._choice.ended(attempt.state, attempt.send_id)
 
-    async def _connect_and_send(self, send: ItemSend) -> RunOutcome:
-        instance = send.state.instance
+    async def _connect_and_send(self, attempt: ItemAttempt) -> RunOutcome:
+        instance = attempt.state.instance
         placed_at = monotonic()
         connection = await self._pool.take(instance, self._connection_limit(instance.service))
-        ruled_out = self._choice.held_back(send.state, placed_at, monotonic()) is not None
-        if ruled_out or self._is_held_back(send):
+        ruled_out = self._choice.held_back(attempt.state, placed_at, monotonic()) is not None
+        if ruled_out or self._is_quarantined(attempt):
             self._pool.give_back(instance, connection)
             return RunOutcome.REFUSED
         began_at = monotonic()
-        events_before = len(send.progress.text.texts)
+        events_before = len(attempt.progress.partial_text.texts)
         try:
-            outcome = await self._exchange(connection, send)
+            outcome = await self._send_and_receive(connection, attempt)
         except TimeoutError:
             self._pool.discard(instance, connection)
-            return RunOutcome.BROKEN
+            return RunOutcome.INTERRUPTED
         except ConnectionBrokenError as error:
             self._pool.discard(instance, connection)
-            answer_begun = len(send.progress.text.texts) > events_before
-            await self._broken_runs.look_into(
+            answer_begun = len(attempt.progress.partial_text.texts) > events_before
+            await self._crash_detector.look_into(
                 BrokenRun(
-                    send.item.item_id,
-                    send.content(),
+                    attempt.item.item_id,
+                    attempt.fingerprint(),
                     instance,
                     error.cause,
                     answer_begun,
                     monotonic() - began_at,
                 )
             )
-            return RunOutcome.BROKEN
+            return RunOutcome.INTERRUPTED
         except BaseException:
             self._pool.discard(instance, connection)
             raise
         self._pool.give_back(instance, connection)
-        if outcome in _RAN:
-            self._broken_runs.suspects.note_answer(send.content)
+        if outcome in _FINISHED_RUNS:
+            self._crash_detector.suspects.note_answer(attempt.fingerprint)
         return outcome
 
-    async def _exchange(self, connection: HttpConnection, send: ItemSend) -> RunOutcome:
-        self._write(connection, send)
+    async def _send_and_receive(
+        self, connection: HttpConnection, attempt: ItemAttempt
+    ) -> RunOutcome:
+        self._send_request(connection, attempt)
         async with asyncio.timeout(READ_TIMEOUT_S):
             head = await connection.read_head()
-        self._choice.answered(send.state, send.use)
+        self._choice.answered(attempt.state, attempt.send_id)
         load = exchanges.reported_load(head)
         if load is not None:
-            self._choice.reported(send.state, load.running, load.waiting, monotonic())
+            self._choice.reported(attempt.state, load.running, load.waiting, monotonic())
         if head.status >= 300:
             await connection.read_body()
-            return self._failure(head, send.state)
+            return self._outcome_of_error(head, attempt.state)
         if not exchanges.is_signed(head):
-            return RunOutcome.BROKEN
-        return await self._read_events(connection, send.progress)
+            return RunOutcome.INTERRUPTED
+        return await self._read_events(connection, attempt.progress)
 
-    def _write(self, connection: HttpConnection, send: ItemSend) -> None:
-        item = send.item
-        headers = [("host", send.host), (exchanges.REQUEST_ID_HEADER, item.item_id)]
+    def _send_request(self, connection: HttpConnection, attempt: ItemAttempt) -> None:
+        item = attempt.item
+        headers = [("host", attempt.host), (exchanges.REQUEST_ID_HEADER, item.item_id)]
         headers += [(header.name, header.value) for header in item.headers]
-        if send.tenant:
+        if attempt.tenant:
             headers = exchanges.without_key(headers)
-        send.progress.sends += 1
+        attempt.progress.attempts += 1
         connection.send(
             ITEM_METHOD,
             item.path,
             exchanges.headers_for_server(
                 headers,
-                send.state.instance.instance_id,
-                send.give_up_at - monotonic(),
-                send.progress.text.last_event,
-                send.tenant,
+                attempt.state.instance.instance_id,
+                attempt.give_up_at - monotonic(),
+                attempt.progress.partial_text.last_event,
+                attempt.tenant,
             ),
             item.body,
             exchanges.REQUEST_ID_HEADER,
             item.item_id,
         )
 
-    def _failure(self, head: AnswerHead, state: InstanceState) -> RunOutcome:
+    def _outcome_of_error(self, head: AnswerHead, state: InstanceState) -> RunOutcome:
         if exchanges.was_not_run(head):
             if head.status == STATUS_UNAVAILABLE:
                 self._choice.full(state, monotonic())
             return RunOutcome.REFUSED
         if head.status == STATUS_UNPROCESSABLE:
-            return RunOutcome.IMPOSSIBLE
-        return RunOutcome.FAILED if head.status == STATUS_SERVER_ERROR else RunOutcome.BROKEN
+            return RunOutcome.UNPROCESSABLE
+        return RunOutcome.FAILED if head.status == STATUS_SERVER_ERROR else RunOutcome.INTERRUPTED
 
     async def _read_events(self, connection: HttpConnection, progress: ItemProgress) -> RunOutcome:
         splitter = EventSplitter()
@@ -237,10 +239,10 @@
             for event in splitter.feed(part):
                 if event.number is None:
                     continue
-                last_event = progress.text.last_event
+                last_event = progress.partial_text.last_event
                 if last_event is not None and event.number <= last_event:
                     continue
                 if last_event is not None and event.number > last_event + 1:
-                    return RunOutcome.BROKEN
-                progress.text.add(event.number, event.data)
-        return RunOutcome.BROKEN if splitter.rest else RunOutcome.SUCCEEDED
+                    return RunOutcome.INTERRUPTED
+                progress.partial_text.add(event.number, event.data)
+        return RunOutcome.INTERRUPTED if splitter.rest else RunOutcome.SUCCEEDED
--- a/src/wharfcart/batch/job_execution.py
+++ b/src/wharfcart/batch/job_execution.py
@@ -12,10 +12,10 @@
 from time import time
 
 from wharfcart.admission.suspects import Suspects
-from wharfcart.batch.item_run import ItemProgress, ItemRunner, ItemSend, RunOutcome
+from wharfcart.batch.item_run import ItemAttempt, ItemProgress, ItemRunner, RunOutcome
 from wharfcart.batch.job_scheduler import JobScheduler, ScheduledJob
 from wharfcart.batch.placed_items import PlacedItem, PlacedItems
-from wharfcart.batch.retry_policy import has_failed_for_good
+from wharfcart.batch.retry_policy import has_failed_permanently
 from wharfcart.batch.run_estimate import RunEstimate
 from wharfcart.clock import monotonic
 from wharfcart.cluster.messages_pb2 import ItemOutcome, RequestItem, RequestJob
@@ -74,7 +74,7 @@
         keep_jobs_s: float,
         log: DecisionLog,
         metrics: ServingMetrics,
-        suspects: Suspects,
+        poison_requests: Suspects,
     ) -> None:
         self._group = group
         self._runner = runner
@@ -84,26 +84,26 @@
         self._keep_jobs_s = keep_jobs_s
         self._log = log
         self._metrics = metrics
-        self._suspects = suspects
+        self._poison_requests = poison_requests
         self._scheduler = JobScheduler(group.partial_texts)
         self._placed = PlacedItems()
         self._estimates_by_service: dict[str, RunEstimate] = {}
-        self._with_demand: set[tuple[str, Residence]] = set()
+        self._reported_demand: set[tuple[str, Residence]] = set()
         self._tasks = BackgroundTasks()
-        self._work = asyncio.Event()
-        self._forget_at = 0.0
-        slots.on_offer = self._take_offer
-        slots.on_leave = self._have_leave
+        self._wake_up = asyncio.Event()
+        self._next_forget_at = 0.0
+        slots.on_offer = self._handle_offer
+        slots.on_leave = self._preempt
 
     # ---- calls of the job service ----
 
     def job_accepted(self, job: RequestJob) -> None:
         """Begin a job that counts."""
         if job.job_id not in self._scheduler.jobs:
-            self._add(job, set())
-            self._work.set()
+            self._add_job(job, set())
+            self._wake_up.set()
 
-    def job_ended(self, job_id: str) -> None:
+    def job_cancelled(self, job_id: str) -> None:
         """Stop every item of a job at once."""
         scheduled = self._scheduler.remove(job_id)
         self._group.partial_texts.drop_job(job_id)
@@ -116,7 +116,7 @@
 
     # ---- slots ----
 
-    def _take_offer(self, slot: ItemSlot) -> None:
+    def _handle_offer(self, slot: ItemSlot) -> None:
         """Run the item that goes first in a slot that is offered, or give the slot back."""
         state = self._choice.state(slot.instance_id)
         found = None if state is None else self._next_item(slot.service, state)
@@ -124,13 +124,13 @@
             self._slots.release(slot)
             return
         scheduled, item = found
-        self._start(scheduled, item, state, slot)
-        self._work.set()
+        self._start_item(scheduled, item, state, slot)
+        self._wake_up.set()
 
-    def _have_leave(self, slot: HeldSlot, cause: LeaveCause) -> None:
+    def _preempt(self, slot: HeldSlot, cause: LeaveCause) -> None:
         """Have an item leave; it goes on later where it stopped."""
-        placed = self._placed.in_slot(slot)
-        if placed is None or placed.stopped:
+        placed = self._placed.get_by_slot(slot)
+        if placed is None or placed.is_stopping:
             return
         urgency = self._urgency(placed.scheduled, placed.item, placed.slot.service)
         self._metrics.items_yielded.add(cause.value)
@@ -151,16 +151,16 @@
         """Return the item that goes first at a back end, of the jobs that may go there."""
         now = monotonic()
         instance_id = state.instance.instance_id
-        for scheduled in self._jobs_in_order(service):
+        for scheduled in self._jobs_by_due_time(service):
             residence = self._residence_of(scheduled.job)
             if self._choice.eligibility.ruled_out(state.instance, residence) is not None:
                 continue
-            for item in self._startable(scheduled, now):
-                if instance_id not in self._excluded(scheduled, item, service, now):
+            for item in self._startable_items(scheduled, now):
+                if instance_id not in self._excluded_instances(scheduled, item, service, now):
                     return scheduled, item
         return None
 
-    def _startable(self, scheduled: ScheduledJob, now: float) -> Iterator[RequestItem]:
+    def _startable_items(self, scheduled: ScheduledJob, now: float) -> Iterator[RequestItem]:
         """Yield the items of a job that may be sent now, the first one first.
 
         One that ends its back ends is held back here until it may go or is too old. None is sent
@@ -169,13 +169,13 @@
         if not self._group.is_confirmed:
             return
         job = scheduled.job
-        for item in self._scheduler.startable(scheduled, now):
+        for item in self._scheduler.startable_items(scheduled, now):
             progress = scheduled.progress_of(item.item_id)
-            content = partial(progress.content_of, item, job.host, job.tenant)
-            if not self._suspects.held_for_s(content, time()):
+            content = partial(progress.fingerprint_of, item, job.host, job.tenant)
+            if not self._poison_requests.held_for_s(content, time()):
                 yield item
 
-    def _jobs_in_order(self, service: str) -> list[ScheduledJob]:
+    def _jobs_by_due_time(self, service: str) -> list[ScheduledJob]:
         """Return the jobs of a service with items that wait, the one that goes first in front."""
 
         def makes_it(scheduled: ScheduledJob) -> bool:
@@ -184,41 +184,41 @@
 
         jobs = [
             scheduled
-            for scheduled in self._scheduler.waiting()
+            for scheduled in self._scheduler.jobs_with_waiting_items()
             if self._service_of(scheduled.job) == service
         ]
-        return self._scheduler.in_order(jobs, makes_it)
+        return self._scheduler.by_due_time(jobs, makes_it)
 
-    def _excluded(
+    def _excluded_instances(
         self, scheduled: ScheduledJob, item: RequestItem, service: str, now: float
     ) -> set[str]:
         """Return the back ends that an item does not go to, unless there is no other."""
         progress = scheduled.progress_of(item.item_id)
-        excluded = progress.failed_at | ({progress.last_backend} - {""})
+        excluded = progress.failed_instance_ids | ({progress.last_instance_id} - {""})
         if not excluded:
             return excluded
         residence = self._residence_of(scheduled.job)
         usable = self._choice.usable(service, now, excluded, residence=residence)
         return excluded if usable else set()
 
-    def _tell_demand(self) -> None:
+    def _report_demand(self) -> None:
         """Tell the granting nodes which items wait, by where they may run."""
         with_demand = {
             (service, self._residence_of(scheduled.job))
-            for scheduled in self._scheduler.waiting()
+            for scheduled in self._scheduler.jobs_with_waiting_items()
             if (service := self._service_of(scheduled.job))
         }
-        for service, residence in with_demand | self._with_demand:
+        for service, residence in with_demand | self._reported_demand:
             self._slots.items_wait(service, self._demand(service, residence), residence)
-        self._with_demand = with_demand
+        self._reported_demand = with_demand
 
     def _demand(self, service: str, residence: Residence) -> ItemDemand:
         now = monotonic()
         startable = (
             (scheduled, item)
-            for scheduled in self._jobs_in_order(service)
+            for scheduled in self._jobs_by_due_time(service)
             if self._residence_of(scheduled.job) == residence
-            for item in self._startable(scheduled, now)
+            for item in self._startable_items(scheduled, now)
         )
         found = list(islice(startable, MAX_COUNTED_ITEMS))
         if not found:
@@ -227,7 +227,10 @@
         excluded: set[str] = set()
         if len(found) <= MAX_ITEMS_FOR_EXCLUSION:
             excluded = set.intersection(
-                *(self._excluded(scheduled, item, service, now) for scheduled, item in found)
+                *(
+                    self._excluded_instances(scheduled, item, service, now)
+                    for scheduled, item in found
+                )
             )
         urgent = sum(urgency.urgent for urgency in urgencies)
         return ItemDemand(len(found), urgent, urgencies[0], frozenset(excluded))
@@ -236,7 +239,7 @@
         """Return how an item stands against its due time."""
         progress = scheduled.progress_of(item.item_id)
         remaining_s = self._estimate(service).remaining_s(
-            len(progress.text.texts), scheduled.job.objective_s, progress.ran_s
+            len(progress.partial_text.texts), scheduled.job.objective_s, progress.run_time_s
         )
         return Urgency(scheduled.due_at - monotonic(), remaining_s)
 
@@ -245,59 +248,59 @@
 
     # ---- leadership ----
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Begin to run the items of the jobs that this leader took over."""
         leadership = self._group.leadership
         assert leadership is not None
         for record in leadership.jobs.values():
-            self._learn_sizes(record)
+            self._learn_item_sizes(record)
             if not record.ended and not record.complete:
-                self._add(record.job, {result.item_id for result in record.results})
+                self._add_job(record.job, {result.item_id for result in record.results})
         self._tasks.spawn(self._run())
 
-    def _learn_sizes(self, record: JobRecord) -> None:
+    def _learn_item_sizes(self, record: JobRecord) -> None:
         """Learn how large a job's items are from the results that earlier leaders took."""
         service = self._service_of(record.job)
         if service is None:
             return
         for result in record.results:
             if result.succeeded:
-                self._estimate(service).finished_before(result.text.count(b"\n") + 1)
+                self._estimate(service).record_earlier_result(result.text.count(b"\n") + 1)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Stop every item: another node leads, or none."""
         self._tasks.cancel()
         self._scheduler = JobScheduler(self._group.partial_texts)
-        self._with_demand = set()
+        self._reported_demand = set()
         for placed in self._placed.clear():
-            if not placed.begun:
-                self._choice.ended(placed.state, placed.use)
+            if not placed.started:
+                self._choice.ended(placed.state, placed.send_id)
 
-    def _add(self, job: RequestJob, done: set[str]) -> None:
+    def _add_job(self, job: RequestJob, finished_item_ids: set[str]) -> None:
         age_s = max(0.0, time() - job.accepted_ms / 1000)
-        self._scheduler.add(job, done, monotonic() - age_s)
+        self._scheduler.add(job, finished_item_ids, monotonic() - age_s)
 
     async def _run(self) -> None:
         while True:
-            self._work.clear()
-            self._give_up_old()
-            self._tell_demand()
+            self._wake_up.clear()
+            self._give_up_expired_jobs()
+            self._report_demand()
             self._metrics.open_items.set(self._scheduler.open_items)
             self._metrics.replicas_behind.set(self._group.replicas_behind)
-            self._forget_old()
+            self._forget_old_jobs()
             try:
                 async with asyncio.timeout(DEMAND_INTERVAL_S if self._scheduler.jobs else 1.0):
-                    await self._work.wait()
+                    await self._wake_up.wait()
             except TimeoutError:
                 continue
             # Much happens at a time on a large fleet.
             await asyncio.sleep(MIN_DEMAND_INTERVAL_S)
 
-    def _give_up_old(self) -> None:
+    def _give_up_expired_jobs(self) -> None:
         now = monotonic()
-        for scheduled in self._scheduler.waiting():
+        for scheduled in self._scheduler.jobs_with_waiting_items():
             if now > scheduled.give_up_at + GIVE_UP_MARGIN_S:
-                self._give_up_all(scheduled)
+                self._give_up_waiting_items(scheduled)
 
     def _route_of(self, job: RequestJob) -> Route | None:
         configuration = self._configuration()
@@ -322,11 +325,11 @@
             return settled
         return settled.within(configuration.residence_of(route, job.tenant))
 
-    def _start(
+    def _start_item(
         self, scheduled: ScheduledJob, item: RequestItem, state: InstanceState, slot: ItemSlot
     ) -> None:
         urgency = self._urgency(scheduled, item, slot.service)
-        self._scheduler.take(scheduled, item)
+        self._scheduler.start_item(scheduled, item)
         placed = PlacedItem(scheduled, item, state, self._choice.sent(state, monotonic()), slot)
         self._placed.add(placed)
         self._slots.begun(slot, urgency)
@@ -337,7 +340,7 @@
             job=scheduled.job.job_id,
             backend=state.instance.instance_id,
             group=slot.group,
-            after_event=scheduled.progress_of(item.item_id).text.last_event,
+            after_event=scheduled.progress_of(item.item_id).partial_text.last_event,
             due_in_s=round(urgency.left_s, 2),
             slack_s=round(urgency.slack_s, 2),
         )
@@ -348,40 +351,46 @@
         began_at = monotonic()
         verdict = Verdict.UNKNOWN
         try:
-            outcome = await self._run_once(placed, progress)
-            verdict = self._judge_backends(progress, placed.slot.instance_id, outcome)
+            outcome = await self._attempt_item(placed, progress)
+            verdict = self._assess_backends(progress, placed.slot.instance_id, outcome)
         except asyncio.CancelledError:
             if scheduled.job.job_id not in self._scheduler.jobs:
                 raise
             progress.not_before = monotonic() + PREEMPTED_RETRY_DELAY_S
-            self._scheduler.put_back(scheduled, item)
+            self._scheduler.requeue(scheduled, item)
             return
         finally:
-            progress.ran_s += monotonic() - began_at
+            progress.run_time_s += monotonic() - began_at
             scheduled.running.discard(item.item_id)
             self._placed.remove(placed)
             self._slots.release(placed.slot, verdict)
-            self._work.set()
+            self._wake_up.set()
         self._metrics.items.add(outcome.value)
         if outcome is RunOutcome.SUCCEEDED:
-            events = len(progress.text.texts)
-            self._estimate(placed.slot.service).finished(events, progress.ran_s)
-        self._take_outcome(scheduled, item, progress, outcome)
+            events = len(progress.partial_text.texts)
+            self._estimate(placed.slot.service).record_finished(events, progress.run_time_s)
+        self._handle_outcome(scheduled, item, progress, outcome)
 
-    async def _run_once(self, placed: PlacedItem, progress: ItemProgress) -> RunOutcome:
-        if placed.stopped:
-            self._choice.ended(placed.state, placed.use)
+    async def _attempt_item(self, placed: PlacedItem, progress: ItemProgress) -> RunOutcome:
+        if placed.is_stopping:
+            self._choice.ended(placed.state, placed.send_id)
             raise asyncio.CancelledError
-        placed.begun = True
+        placed.started = True
         job = placed.scheduled.job
         give_up_at = placed.scheduled.give_up_at
         return await self._runner.run(
-            ItemSend(
-                placed.item, job.host, job.tenant, placed.state, placed.use, progress, give_up_at
+            ItemAttempt(
+                placed.item,
+                job.host,
+                job.tenant,
+                placed.state,
+                placed.send_id,
+                progress,
+                give_up_at,
             )
         )
 
-    def _judge_backends(
+    def _assess_backends(
         self, progress: ItemProgress, instance_id: str, outcome: RunOutcome
     ) -> Verdict:
         """Return what an outcome says of its back end; blame others that failed the item before.
@@ -390,23 +399,26 @@
         once it has succeeded elsewhere.
         """
         if outcome is RunOutcome.FAILED:
-            progress.text.failed_at.append(instance_id)
-        elif outcome is RunOutcome.BROKEN:
+            progress.partial_text.failed_at.append(instance_id)
+        elif outcome is RunOutcome.INTERRUPTED:
             return Verdict.BAD
         elif outcome is RunOutcome.SUCCEEDED:
-            for failed in progress.failed_at:
+            for failed in progress.failed_instance_ids:
                 self._slots.blame(failed)
             return Verdict.GOOD
         return Verdict.UNKNOWN
 
-    def _has_failed_for_good(self, scheduled: ScheduledJob, progress: ItemProgress) -> bool:
+    def _has_failed_permanently(self, scheduled: ScheduledJob, progress: ItemProgress) -> bool:
         """Whether an item failed often enough, at back ends that do well otherwise."""
-        trusted = sum(not self._slots.is_avoided(failed) for failed in progress.failed_at)
-        return has_failed_for_good(
-            progress.failures, len(progress.failed_at), trusted, scheduled.job.most_attempts
+        trusted = sum(not self._slots.is_avoided(failed) for failed in progress.failed_instance_ids)
+        return has_failed_permanently(
+            progress.failure_count,
+            len(progress.failed_instance_ids),
+            trusted,
+            scheduled.job.most_attempts,
         )
 
-    def _take_outcome(
+    def _handle_outcome(
         self,
         scheduled: ScheduledJob,
         item: RequestItem,
@@ -414,31 +426,33 @@
         outcome: RunOutcome,
     ) -> None:
         if outcome is RunOutcome.SUCCEEDED:
-            self._finish(scheduled, item, True, "\n".join(progress.text.texts), "succeeded")
+            self._finish_item(
+                scheduled, item, True, "\n".join(progress.partial_text.texts), "succeeded"
+            )
             return
-        if outcome is RunOutcome.IMPOSSIBLE:
-            self._finish(scheduled, item, False, "", "impossible")
+        if outcome is RunOutcome.UNPROCESSABLE:
+            self._finish_item(scheduled, item, False, "", "impossible")
             return
-        if outcome is RunOutcome.FAILED and self._has_failed_for_good(scheduled, progress):
-            self._finish(scheduled, item, False, "", f"failed {progress.failures} times")
+        if outcome is RunOutcome.FAILED and self._has_failed_permanently(scheduled, progress):
+            self._finish_item(scheduled, item, False, "", f"failed {progress.failure_count} times")
             return
         delays = {
             RunOutcome.REFUSED: REFUSED_RETRY_DELAY_S,
             RunOutcome.FAILED: FAILED_RETRY_DELAY_S,
         }
         progress.not_before = monotonic() + delays.get(outcome, INTERRUPTED_RETRY_DELAY_S)
-        self._scheduler.put_back(scheduled, item)
+        self._scheduler.requeue(scheduled, item)
         self._log.write(
             Event.ITEM_RETRIED,
             item=item.item_id,
             job=scheduled.job.job_id,
-            backend=progress.last_backend,
+            backend=progress.last_instance_id,
             cause=outcome.value,
-            failures=progress.failures,
-            last_event=progress.text.last_event,
+            failures=progress.failure_count,
+            last_event=progress.partial_text.last_event,
         )
 
-    def _finish(
+    def _finish_item(
         self,
         scheduled: ScheduledJob,
         item: RequestItem,
@@ -470,23 +484,23 @@
             self._scheduler.remove(job_id)
             self._log.write(Event.JOB_CLOSED, job=job_id, items=len(record.results))
 
-    def _give_up_all(self, scheduled: ScheduledJob) -> None:
+    def _give_up_waiting_items(self, scheduled: ScheduledJob) -> None:
         while scheduled.waiting:
             _, item = scheduled.waiting.popitem(last=False)
-            self._finish(scheduled, item, False, "", "too old")
+            self._finish_item(scheduled, item, False, "", "too old")
 
-    def _forget_old(self) -> None:
+    def _forget_old_jobs(self) -> None:
         leadership = self._group.leadership
         now = monotonic()
-        if leadership is None or now < self._forget_at:
+        if leadership is None or now < self._next_forget_at:
             return
-        self._forget_at = now + FORGET_PERIOD_S
-        for job_id in _forgettable(leadership, time(), self._keep_jobs_s):
+        self._next_forget_at = now + FORGET_PERIOD_S
+        for job_id in _expired_job_ids(leadership, time(), self._keep_jobs_s):
             leadership.forget(job_id)
         self._group.wake_sessions()
 
 
-def _forgettable(leadership: JobLeadership, wall_clock: float, keep_s: float) -> list[str]:
+def _expired_job_ids(leadership: JobLeadership, wall_clock: float, keep_s: float) -> list[str]:
     return [
         job_id
         for job_id, record in leadership.jobs.items()
--- a/src/wharfcart/batch/job_scheduler.py
+++ b/src/wharfcart/batch/job_scheduler.py
@@ -46,12 +46,12 @@
     partial_texts: PartialTexts
     jobs: dict[str, ScheduledJob] = field(default_factory=dict)
 
-    def add(self, job: RequestJob, done: set[str], accepted_at: float) -> ScheduledJob:
+    def add(self, job: RequestJob, finished_item_ids: set[str], accepted_at: float) -> ScheduledJob:
         """Take a job; ``done`` names the items that have their result.
 
         Items that ran under an earlier leader come first, those with the most events in front.
         """
-        waiting = [item for item in job.items if item.item_id not in done]
+        waiting = [item for item in job.items if item.item_id not in finished_item_ids]
         waiting.sort(key=lambda item: self.partial_texts.events(item.item_id), reverse=True)
         scheduled = ScheduledJob(
             job,
@@ -67,12 +67,12 @@
         """Drop a job that has ended."""
         return self.jobs.pop(job_id, None)
 
-    def waiting(self) -> list[ScheduledJob]:
+    def jobs_with_waiting_items(self) -> list[ScheduledJob]:
         """Return the jobs with items that wait."""
         return [job for job in self.jobs.values() if job.waiting]
 
-    def in_order(
-        self, jobs: list[ScheduledJob], makes_it: Callable[[ScheduledJob], bool]
+    def by_due_time(
+        self, jobs: list[ScheduledJob], can_meet_objective: Callable[[ScheduledJob], bool]
     ) -> list[ScheduledJob]:
         """Return jobs with items that wait, the one due first at the front.
 
@@ -82,20 +82,20 @@
             jobs: that are put in order.
             makes_it: whether the next item of a job may still be done in time.
         """
-        return sorted(jobs, key=lambda job: (not makes_it(job), job.due_at))
+        return sorted(jobs, key=lambda job: (not can_meet_objective(job), job.due_at))
 
-    def startable(self, scheduled: ScheduledJob, now: float) -> Iterator[RequestItem]:
+    def startable_items(self, scheduled: ScheduledJob, now: float) -> Iterator[RequestItem]:
         """Yield the items of a job that may be sent now, the first one first."""
         for item in scheduled.waiting.values():
             if scheduled.progress_of(item.item_id).not_before <= now:
                 yield item
 
-    def take(self, scheduled: ScheduledJob, item: RequestItem) -> None:
+    def start_item(self, scheduled: ScheduledJob, item: RequestItem) -> None:
         """Take an item off the queue, to run it."""
         del scheduled.waiting[item.item_id]
         scheduled.running.add(item.item_id)
 
-    def put_back(self, scheduled: ScheduledJob, item: RequestItem) -> None:
+    def requeue(self, scheduled: ScheduledJob, item: RequestItem) -> None:
         """Queue an item again, before those that were not begun."""
         scheduled.running.discard(item.item_id)
         scheduled.waiting[item.item_id] = item
--- a/src/wharfcart/batch/job_service.py
+++ b/src/wharfcart/batch/job_service.py
@@ -279,7 +279,7 @@
             return JobAnswer(status=status, leader=self._leader())
         record = leadership.end(message.job_id)
         assert record is not None
-        self._execution.job_ended(message.job_id)
+        self._execution.job_cancelled(message.job_id)
         self._group.wake_sessions()
         if not await self._counted(leadership, message.job_id, record.version):
             return JobAnswer(status=UNSURE)
--- a/src/wharfcart/batch/placed_items.py
+++ b/src/wharfcart/batch/placed_items.py
@@ -16,25 +16,25 @@
     """An item that was given to a back end.
 
     Attributes:
-        use: number under which it counts as in flight there.
+        send_id: number under which it counts as in flight there.
         slot: that was offered for it.
-        begun: its task runs; one that has not begun can't be cancelled without losing the item.
-        stopped: it is to leave, or has.
+        started: its task runs; one that has not begun can't be cancelled without losing the item.
+        is_stopping: it is to leave, or has.
     """
 
     scheduled: ScheduledJob
     item: RequestItem
     state: InstanceState
-    use: int
+    send_id: int
     slot: ItemSlot
     task: asyncio.Task[None] | None = None
-    begun: bool = False
-    stopped: bool = False
+    started: bool = False
+    is_stopping: bool = False
 
     def stop(self) -> None:
         """Have the item leave; its task puts it back into the queue."""
-        self.stopped = True
-        if self.begun and self.task is not None:
+        self.is_stopping = True
+        if self.started and self.task is not None:
             self.task.cancel()
 
 
@@ -67,6 +67,6 @@
         """Return an item that is at a back end."""
         return self._by_item.get(item_id)
 
-    def in_slot(self, slot: HeldSlot) -> PlacedItem | None:
+    def get_by_slot(self, slot: HeldSlot) -> PlacedItem | None:
         """Return the item that runs in a slot."""
         return self._by_slot.get((slot.group, slot.number))
--- a/src/wharfcart/batch/retry_policy.py
+++ b/src/wharfcart/batch/retry_policy.py
@@ -4,15 +4,17 @@
 UNTRUSTED_ATTEMPTS_FACTOR = 2
 
 
-def has_failed_for_good(failures: int, failed_at: int, trusted: int, allowed: int) -> bool:
+def has_failed_permanently(
+    failures: int, failed_backends: int, trusted_backends: int, max_attempts: int
+) -> bool:
     """Whether an item is to be given up.
 
     Args:
         failures: answers that said that it failed.
-        failed_at: different back ends that gave these.
-        trusted: those of them that do well otherwise.
-        allowed: attempts that the job's route allows.
+        failed_backends: different back ends that gave these.
+        trusted_backends: those of them that do well otherwise.
+        max_attempts: attempts that the job's route allows.
     """
-    if trusted >= allowed or failed_at < failures:
-        return failures >= allowed
-    return failures >= allowed * UNTRUSTED_ATTEMPTS_FACTOR
+    if trusted_backends >= max_attempts or failed_backends < failures:
+        return failures >= max_attempts
+    return failures >= max_attempts * UNTRUSTED_ATTEMPTS_FACTOR
--- a/src/wharfcart/batch/run_estimate.py
+++ b/src/wharfcart/batch/run_estimate.py
@@ -20,50 +20,52 @@
     """Means over the items of one service.
 
     Attributes:
-        events: events of a whole item; 0 while none has finished.
-        seconds_an_event: running time, waits for a slot left out.
+        mean_events: events of a whole item; 0 while none has finished.
+        seconds_per_event: running time, waits for a slot left out.
     """
 
-    events: float = 0.0
-    seconds_an_event: float = 0.0
+    mean_events: float = 0.0
+    seconds_per_event: float = 0.0
 
-    def finished(self, events: int, ran_s: float) -> None:
+    def record_finished(self, events: int, run_time_s: float) -> None:
         """Learn from an item that has succeeded.
 
         Args:
             events: that it gave in all its runs.
-            ran_s: sum of the times of its runs.
+            run_time_s: sum of the times of its runs.
         """
         if events <= 0:
             return
-        if not self.seconds_an_event:
-            self.events, self.seconds_an_event = events, ran_s / events
+        if not self.seconds_per_event:
+            self.mean_events, self.seconds_per_event = events, run_time_s / events
             return
-        self.events += LEARNING_RATE * (events - self.events)
-        self.seconds_an_event += LEARNING_RATE * (ran_s / events - self.seconds_an_event)
+        self.mean_events += LEARNING_RATE * (events - self.mean_events)
+        self.seconds_per_event += LEARNING_RATE * (run_time_s / events - self.seconds_per_event)
 
-    def finished_before(self, events: int) -> None:
+    def record_earlier_result(self, events: int) -> None:
         """Learn how large items are from one that an earlier leader had finished.
 
         Args:
             events: that it gave.
         """
-        if not self.seconds_an_event and events > 0:
-            self.events += (LEARNING_RATE if self.events else 1.0) * (events - self.events)
+        if not self.seconds_per_event and events > 0:
+            self.mean_events += (LEARNING_RATE if self.mean_events else 1.0) * (
+                events - self.mean_events
+            )
 
-    def remaining_s(self, events_done: int, objective_s: float, ran_s: float = 0.0) -> float:
+    def remaining_s(self, events_done: int, objective_s: float, run_time_s: float = 0.0) -> float:
         """Return how long an item probably still runs if nothing cuts it.
 
         Args:
             events_done: events that it has given so far.
             objective_s: of its job, for the time before any item has finished.
-            ran_s: how long it has run so far, for that time.
+            run_time_s: how long it has run so far, for that time.
         """
-        if not self.seconds_an_event:
+        if not self.seconds_per_event:
             planned_s = objective_s * DEFAULT_SHARE_OF_OBJECTIVE
-            if self.events:
-                share_left = 1 - events_done / (self.events * SIZE_MARGIN_FACTOR)
+            if self.mean_events:
+                share_left = 1 - events_done / (self.mean_events * SIZE_MARGIN_FACTOR)
                 return planned_s * max(MIN_REMAINING_SHARE, share_left)
-            return max(planned_s - ran_s, planned_s * MIN_REMAINING_SHARE)
-        planned = self.events * SIZE_MARGIN_FACTOR - events_done
-        return max(planned, self.events * MIN_REMAINING_SHARE) * self.seconds_an_event
+            return max(planned_s - run_time_s, planned_s * MIN_REMAINING_SHARE)
+        planned = self.mean_events * SIZE_MARGIN_FACTOR - events_done
+        return max(planned, self.mean_events * MIN_REMAINING_SHARE) * self.seconds_per_event
--- a/src/wharfcart/experiments/simulated_slots.py
+++ b/src/wharfcart/experiments/simulated_slots.py
@@ -13,7 +13,7 @@
 from typing import Any, cast
 
 from wharfcart.admission.suspects import Suspects
-from wharfcart.batch.item_run import ItemRunner, ItemSend, RunOutcome
+from wharfcart.batch.item_run import ItemAttempt, ItemRunner, RunOutcome
 from wharfcart.batch.job_execution import JobExecution
 from wharfcart.cluster.address import Address
 from wharfcart.cluster.messages_pb2 import (
@@ -98,21 +98,21 @@
         self._servers = servers
         self.events_by_item: dict[str, int] = {}
 
-    async def run(self, send: ItemSend) -> RunOutcome:
+    async def run(self, send: ItemAttempt) -> RunOutcome:
         """Run an item to its end; cancelled, it keeps the events that it has."""
-        text = send.progress.text
+        text = send.progress.partial_text
         left = self.events_by_item[send.item.item_id] - len(text.texts)
         server = self._servers[send.state.instance.instance_id]
         prompt_tokens = send.item.tokens + 5 * len(text.texts)
 
         def on_event() -> None:
-            self._choice.answered(send.state, send.use)
+            self._choice.answered(send.state, send.send_id)
             text.add(len(text.texts), "")
 
         try:
             await server.run(prompt_tokens, left, on_event)
         finally:
-            self._choice.ended(send.state, send.use)
+            self._choice.ended(send.state, send.send_id)
         return RunOutcome.SUCCEEDED
 
 
@@ -246,7 +246,7 @@
         sessions = self._sessions("leader", self._leader_choice, self._item_slots)
         self._item_slots.begin(sessions)
         self._service.begin(1)
-        self._execution.begin()
+        self._execution.start()
         running = [sessions, *(held for _, _, held in self._gateways)]
         tasks = [asyncio.create_task(held.run()) for held in running]
         return [*tasks, asyncio.create_task(self._service.run())]
--- a/src/wharfcart/experiments/simulated_storage.py
+++ b/src/wharfcart/experiments/simulated_storage.py
@@ -163,7 +163,7 @@
     def job_accepted(self, job: RequestJob) -> None:
         """Do nothing."""
 
-    def job_ended(self, job_id: str) -> None:
+    def job_cancelled(self, job_id: str) -> None:
         """Do nothing."""
 
 
--- a/src/wharfcart/node/led_group.py
+++ b/src/wharfcart/node/led_group.py
@@ -112,7 +112,7 @@
         self._tasks.spawn(self.slots.run())
         self._tasks.spawn(self._watch_leftover_runs())
         self._tasks.spawn(sessions.run())
-        self._execution.begin()
+        self._execution.start()
 
     async def _watch_leftover_runs(self) -> None:
         """Find what earlier leaders left at the model servers."""
@@ -137,7 +137,7 @@
         await runs.watch(granter, instances)
 
     def _end(self) -> None:
-        self._execution.end()
+        self._execution.stop()
         self.slots.end()
         self._tasks.cancel()
 
--- a/tests/batch/test_job_execution.py
+++ b/tests/batch/test_job_execution.py
@@ -10,7 +10,7 @@
 
 from wharfcart.admission.suspects import Suspects
 from wharfcart.batch import job_execution
-from wharfcart.batch.item_run import ItemSend, RunOutcome
+from wharfcart.batch.item_run import ItemAttempt, RunOutcome
 from wharfcart.batch.job_execution import JobExecution
 from wharfcart.cluster.messages_pb2 import ItemOutcome, RequestItem, RequestJob
 from wharfcart.cluster.topology import RegionName, Topology
@@ -67,14 +67,14 @@
         self.running: dict[str, str] = {}  # item to back end
         self._failed: dict[str, asyncio.Event] = {}
 
-    async def run(self, send: ItemSend) -> RunOutcome:
+    async def run(self, send: ItemAttempt) -> RunOutcome:
         self.running[send.item.item_id] = send.state.instance.instance_id
         try:
             await self._failed.setdefault(send.item.item_id, asyncio.Event()).wait()
         finally:
             del self.running[send.item.item_id]
             del self._failed[send.item.item_id]
-            self._choice.ended(send.state, send.use)
+            self._choice.ended(send.state, send.send_id)
         return RunOutcome.FAILED
 
     def fail(self, item_id: str) -> None:
@@ -207,7 +207,7 @@
             ServingMetrics(),
             Suspects(),
         )
-        self.execution.begin()
+        self.execution.start()
 
     def bind_route(self, residence: Residence) -> None:
         """Have a configuration come into force that binds the route."""
@@ -246,7 +246,7 @@
         bench = Bench(**more)
         await bench.settle()
         await scenario(bench)
-        bench.execution.end()
+        bench.execution.stop()
         await asyncio.sleep(0)
 
     asyncio.run(run())
@@ -419,7 +419,7 @@
         bench.submit("j", 2)
         while not bench.choice.state("i0").in_flight:
             await asyncio.sleep(0)
-        bench.execution.job_ended("j")
+        bench.execution.job_cancelled("j")
         await bench.settle()
         assert bench.choice.state("i0").in_flight == 0
         assert not bench.runner.running
@@ -432,7 +432,7 @@
         bench.submit("j", 2)
         while not bench.choice.state("i0").in_flight:
             await asyncio.sleep(0)
-        bench.execution.end()
+        bench.execution.stop()
         await bench.settle()
         assert bench.choice.state("i0").in_flight == 0
 
@@ -516,7 +516,7 @@
     """After a loss of power items far on were thought to need the whole time, and left first."""
 
     async def scenario(bench: Bench) -> None:
-        bench.execution.end()
+        bench.execution.stop()
         lines = "\n".join(["x"] * 100).encode()
         results = [ItemOutcome(item_id=f"d-{n}", succeeded=True, text=lines) for n in range(2)]
         job = RequestJob(job_id="d", host="h", path="/jobs/d", objective_s=OBJECTIVE_S)
@@ -527,7 +527,7 @@
             bench.group.partial_texts.of("j", "j-7").add(number, "x")
         told: list[Urgency] = []
         bench.slots.begun = lambda slot, urgency: told.append(urgency)
-        bench.execution.begin()
+        bench.execution.start()
         bench.submit("j", 8)
         await bench.settle()
         assert "j-7" in bench.runner.running
--- a/tests/batch/test_job_service.py
+++ b/tests/batch/test_job_service.py
@@ -72,7 +72,7 @@
     def __init__(self, limit: int, elsewhere: "list[Jobs | None] | None" = None) -> None:
         self.group = Group()
         self.elsewhere = elsewhere or []  # None where the leader does not answer
-        execution = SimpleNamespace(job_accepted=lambda _job: None, job_ended=lambda _job: None)
+        execution = SimpleNamespace(job_accepted=lambda _job: None, job_cancelled=lambda _job: None)
         others = OtherGroups(lambda: list(range(len(self.elsewhere))), self)
         self.service = JobService(
             self.group, execution, lambda: configuration(limit), others, DecisionLog("test")
--- a/tests/batch/test_job_service_residence.py
+++ b/tests/batch/test_job_service_residence.py
@@ -73,7 +73,7 @@
         self.group = Group(*more_disks)
         self.elsewhere = elsewhere  # None where the leader does not answer
         self.set_residence(route, tenant)
-        execution = SimpleNamespace(job_accepted=lambda _job: None, job_ended=lambda _job: None)
+        execution = SimpleNamespace(job_accepted=lambda _job: None, job_cancelled=lambda _job: None)
         others = OtherGroups(lambda: list(range(len(self.elsewhere))), self)
         self.service = JobService(
             self.group,
--- a/tests/batch/test_run_estimate.py
+++ b/tests/batch/test_run_estimate.py
@@ -10,7 +10,7 @@
 
 def test_an_item_needs_less_the_more_events_it_has_given() -> None:
     estimate = RunEstimate()
-    estimate.finished(100, 2.0)
+    estimate.record_finished(100, 2.0)
     assert estimate.remaining_s(0, 20.0) > 2.0
     assert estimate.remaining_s(60, 20.0) < estimate.remaining_s(0, 20.0) / 1.5
     assert estimate.remaining_s(500, 20.0) == 2.0 * MIN_REMAINING_SHARE
@@ -18,9 +18,9 @@
 
 def test_slower_back_ends_are_learnt() -> None:
     estimate = RunEstimate()
-    estimate.finished(100, 2.0)
+    estimate.record_finished(100, 2.0)
     for _ in range(60):
-        estimate.finished(100, 6.0)
+        estimate.record_finished(100, 6.0)
     assert 7.0 < estimate.remaining_s(0, 20.0) < 8.0
 
 
@@ -35,19 +35,19 @@
 def test_before_anything_is_known_what_an_item_has_run_counts() -> None:
     """After a power loss no item finishes for a while; those far on must not look hopeless."""
     estimate = RunEstimate()
-    assert estimate.remaining_s(80, 20.0, ran_s=5.0) == 3.0
-    assert estimate.remaining_s(200, 20.0, ran_s=30.0) == 8.0 * MIN_REMAINING_SHARE
+    assert estimate.remaining_s(80, 20.0, run_time_s=5.0) == 3.0
+    assert estimate.remaining_s(200, 20.0, run_time_s=30.0) == 8.0 * MIN_REMAINING_SHARE
 
 
 def test_a_new_leader_knows_from_results_how_far_an_item_is() -> None:
     """Items that had given 63 of 144 events were taken to need the whole time, and cut."""
     estimate = RunEstimate()
     for _ in range(5):
-        estimate.finished_before(100)
+        estimate.record_earlier_result(100)
     assert estimate.remaining_s(0, 20.0) == 8.0
     assert abs(estimate.remaining_s(65, 20.0) - 4.0) < 1e-9
     assert estimate.remaining_s(140, 20.0) == 8.0 * MIN_REMAINING_SHARE
-    estimate.finished(100, 2.0)
+    estimate.record_finished(100, 2.0)
     assert estimate.remaining_s(0, 20.0) == 2.6
-    estimate.finished_before(900)
-    assert estimate.events == 100
+    estimate.record_earlier_result(900)
+    assert estimate.mean_events == 100
--- a/tests/routing/test_leaving_for_back_end.py
+++ b/tests/routing/test_leaving_for_back_end.py
@@ -10,7 +10,7 @@
 from wharfcart.admission.request_content import content_of
 from wharfcart.admission.suspects import FIRST_HOLD_S, Suspects
 from wharfcart.backends.connection_pool import ConnectionPool
-from wharfcart.batch.item_run import ItemProgress, ItemRunner, ItemSend, RunOutcome
+from wharfcart.batch.item_run import ItemAttempt, ItemProgress, ItemRunner, RunOutcome
 from wharfcart.cluster.messages_pb2 import RequestItem
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.serving import ColdLimit, Route, RouteKind, TrafficShare
@@ -154,7 +154,7 @@
         use = self.choice.sent(state, monotonic())
         progress = ItemProgress(RunningText("j"))
         item = RequestItem(item_id="q", path="/x")
-        return await runner.run(ItemSend(item, "h", "", state, use, progress, monotonic() + 9.0))
+        return await runner.run(ItemAttempt(item, "h", "", state, use, progress, monotonic() + 9.0))
 
 
 def play(scenario: Callable[[Bench], Awaitable[None]]) -> None:
@@ -299,7 +299,7 @@
         assert not len(bench.broken_runs.suspects)
         bench.broken_runs.suspects.note_end(CONTENT, "gone-1", 1.0, time())
         bench.servers["a"].fails_with = 422
-        assert await bench.run_item("a") is RunOutcome.IMPOSSIBLE
+        assert await bench.run_item("a") is RunOutcome.UNPROCESSABLE
         assert not len(bench.broken_runs.suspects)
 
     play(scenario)
