--- a/src/wharfcart/batch/job_service.py
+++ b/src/wharfcart/batch/job_service.py
@@ -58,8 +58,8 @@
         client: calls their leaders.
     """
 
-    def __init__(self, numbers: Callable[[], list[int]], client: JobClient) -> None:
-        self._numbers = numbers
+    def __init__(self, group_numbers: Callable[[], list[int]], client: JobClient) -> None:
+        self._group_numbers = group_numbers
         self._client = client
 
     async def waiting_tokens(self, job: RequestJob, limit: int) -> int:
@@ -67,19 +67,21 @@
 
         A group whose leader does not answer counts as having its equal share of the limit.
         """
-        numbers = self._numbers()
-        counts = await asyncio.gather(*(self._count(group, job) for group in numbers))
+        numbers = self._group_numbers()
+        counts = await asyncio.gather(*(self._waiting_tokens_at(group, job) for group in numbers))
         share = limit // (1 + len(numbers))
         return sum(share if count is None else count for count in counts)
 
-    async def status_of(self, job: RequestJob) -> JobStatus:
+    async def job_status(self, job: RequestJob) -> JobStatus:
         """Return whether another group has a job: DONE, NOT_FOUND, or UNSURE if one can't say."""
-        statuses = await asyncio.gather(*(self._has(group, job) for group in self._numbers()))
+        statuses = await asyncio.gather(
+            *(self._job_status_at(group, job) for group in self._group_numbers())
+        )
         if DONE in statuses:
             return DONE
         return UNSURE if UNSURE in statuses else NOT_FOUND
 
-    async def _has(self, group: int, job: RequestJob) -> JobStatus:
+    async def _job_status_at(self, group: int, job: RequestJob) -> JobStatus:
         message = ReadResults(
             job_id=job.job_id, after=PAST_LAST_POSITION, tenant=job.tenant, group=group
         )
@@ -88,7 +90,7 @@
         )
         return UNSURE if isinstance(answer, JobCallFailure) else answer.result_page.status
 
-    async def _count(self, group: int, job: RequestJob) -> int | None:
+    async def _waiting_tokens_at(self, group: int, job: RequestJob) -> int | None:
         message = CountWaitingTokens(group=group, host=job.host, path=job.path, tenant=job.tenant)
         answer = await self._client.call_group(
             group,
@@ -102,7 +104,7 @@
         return answer.waiting_tokens.tokens
 
 
-class JobService:
+class JobGroupService:
     """Calls on one job group.
 
     Args:
@@ -119,18 +121,18 @@
         group: JobGroup,
         execution: JobExecution,
         configuration: Callable[[], ServingConfiguration | None],
-        others: OtherGroups,
+        other_groups: OtherGroups,
         log: DecisionLog,
         region_of: RegionOf = lambda _identity: None,
     ) -> None:
         self._group = group
         self._execution = execution
         self._configuration = configuration
-        self._others = others
+        self._other_groups = other_groups
         self._log = log
         self._region_of = region_of
-        self._being_taken: Counter[str] = Counter()
-        self._residence_was_bound = False
+        self._pending_submissions: Counter[str] = Counter()
+        self._had_restricted_residence = False
 
     async def submit(self, message: SubmitJob) -> JobAnswer:
         """Take a job; answered once enough disks have it."""
@@ -140,20 +142,20 @@
         job = message.job
         record = leadership.jobs.get(job.job_id)
         known = record is not None
-        if record is not None and not _is_of(record.job, job.tenant):
+        if record is not None and not _belongs_to(record.job, job.tenant):
             return JobAnswer(status=TAKEN)
         if not known:
-            self._being_taken[job.job_id] += 1
+            self._pending_submissions[job.job_id] += 1
             try:
-                refusal = await self._refusal(leadership, message)
+                refusal = await self._refusal_reason(leadership, message)
             finally:
-                self._being_taken[job.job_id] -= 1
-                self._being_taken += Counter()
+                self._pending_submissions[job.job_id] -= 1
+                self._pending_submissions += Counter()
             if refusal is not None:
                 return JobAnswer(status=refusal, leader=self._leader())
         record = leadership.accept(job)
         self._group.wake_sessions()
-        if not await self._counted(leadership, job.job_id, 1):
+        if not await self._wait_until_committed(leadership, job.job_id, 1):
             return JobAnswer(status=UNSURE)
         if not record.ended and not record.complete:
             self._execution.job_accepted(record.job)
@@ -167,30 +169,32 @@
             )
         return JobAnswer(status=DONE)
 
-    async def _refusal(self, leadership: JobLeadership, message: SubmitJob) -> JobStatus | None:
+    async def _refusal_reason(
+        self, leadership: JobLeadership, message: SubmitJob
+    ) -> JobStatus | None:
         """Return why a new job is not taken, or None if it is.
 
         Whether all disks are where its data may be is looked at last: the set may change while
         others are asked.
         """
         job = message.job
-        self._bind(job)
-        if not self._may_hold(job):
-            return self._refuse_outside(job)
-        elsewhere = await self._status_elsewhere(message)
+        self._restrict_residence(job)
+        if not self._disks_allow(job):
+            return self._refuse_outside_residence(job)
+        elsewhere = await self._status_in_other_groups(message)
         if elsewhere is not None:
             return elsewhere
-        if not await self._fits(leadership, job):
+        if not await self._is_within_token_limit(leadership, job):
             # One that no longer leads would refuse a job by what once waited.
-            return REFUSED if await self._sure() else self._unsure_status()
-        return None if self._may_hold(job) else self._refuse_outside(job)
+            return REFUSED if await self._confirm_leadership() else self._unconfirmed_status()
+        return None if self._disks_allow(job) else self._refuse_outside_residence(job)
 
-    def _bind(self, job: RequestJob) -> None:
+    def _restrict_residence(self, job: RequestJob) -> None:
         """Settle where a job's data may be: what its gateway says and this node knows both bind."""
         configuration = self._configuration()
         if configuration is None:
             return
-        self._residence_was_bound |= configuration.binds_residence
+        self._had_restricted_residence |= configuration.binds_residence
         route = configuration.route_for(job.host, job.path)
         if route is None:
             return
@@ -199,11 +203,11 @@
         if message is not None:
             job.residence.CopyFrom(message)
 
-    def _may_hold(self, job: RequestJob) -> bool:
+    def _disks_allow(self, job: RequestJob) -> bool:
         residence = residence_from_message(job)
         return all_in(self._group.disks, residence, self._region_of)
 
-    def _refuse_outside(self, job: RequestJob) -> JobStatus:
+    def _refuse_outside_residence(self, job: RequestJob) -> JobStatus:
         residence = residence_from_message(job)
         self._log.write(
             Event.JOB_REFUSED,
@@ -215,7 +219,7 @@
         )
         return OUTSIDE_RESIDENCE
 
-    async def _status_elsewhere(self, message: SubmitJob) -> JobStatus | None:
+    async def _status_in_other_groups(self, message: SubmitJob) -> JobStatus | None:
         """Return what to answer for a job that another group has taken before, or may have.
 
         A submission that is sent again after the residence of its route or tenant has changed, or
@@ -227,36 +231,36 @@
         all others. Not covered: a change that neither the gateway nor this leader has seen, both
         having started since, while the group that has the job does not answer.
         """
-        if not (self._residence_was_bound or message.moved):
+        if not (self._had_restricted_residence or message.moved):
             return None
-        status = await self._others.status_of(message.job)
+        status = await self._other_groups.job_status(message.job)
         if status is DONE:
             return DONE
         return MAYBE_ELSEWHERE if status is UNSURE and message.moved else None
 
-    async def read(self, message: ReadResults) -> ResultPage:
+    async def read_results(self, message: ReadResults) -> ResultPage:
         """Return the results from a position on; waits for one if asked to."""
         until = monotonic() + message.wait_ms / 1000
         while True:
-            if not await self._sure():
-                return ResultPage(status=self._unsure_status(), leader=self._leader())
+            if not await self._confirm_leadership():
+                return ResultPage(status=self._unconfirmed_status(), leader=self._leader())
             leadership = self._group.leadership
-            record = self._visible(leadership, message.job_id, message.tenant)
+            record = self._visible_job(leadership, message.job_id, message.tenant)
             if leadership is None or record is None:
                 status = self._missing_status(leadership, message.job_id, message.tenant)
                 return ResultPage(status=status, leader=self._leader())
             results = leadership.counted_results(message.job_id, message.after)
             left_s = until - monotonic()
             if results or left_s <= 0 or record.ended or message.after >= len(record.job.items):
-                return _page(len(record.job.items), results)
+                return _result_page(len(record.job.items), results)
             await self._group.wait_progress(left_s)
 
-    async def read_body(self, message: ReadItemBody) -> ItemBody:
+    async def read_item_body(self, message: ReadItemBody) -> ItemBody:
         """Return the body of an item that has no result yet."""
-        if not await self._sure():
-            return ItemBody(status=self._unsure_status(), leader=self._leader())
+        if not await self._confirm_leadership():
+            return ItemBody(status=self._unconfirmed_status(), leader=self._leader())
         leadership = self._group.leadership
-        record = self._visible(leadership, message.job_id, message.tenant)
+        record = self._visible_job(leadership, message.job_id, message.tenant)
         if record is None:
             status = self._missing_status(leadership, message.job_id, message.tenant)
             return ItemBody(status=status)
@@ -265,15 +269,15 @@
                 return ItemBody(status=DONE, body=item.body)
         return ItemBody(status=NOT_FOUND)
 
-    async def end(self, message: EndJob) -> JobAnswer:
+    async def cancel(self, message: EndJob) -> JobAnswer:
         """End a job; nothing of it is sent to a back end afterwards."""
-        if not await self._sure():
-            return JobAnswer(status=self._unsure_status(), leader=self._leader())
+        if not await self._confirm_leadership():
+            return JobAnswer(status=self._unconfirmed_status(), leader=self._leader())
         leadership = self._group.leadership
         if leadership is None:
             return JobAnswer(status=NOT_LEADING, leader=self._leader())
         known = leadership.jobs.get(message.job_id)
-        if known is None or not _is_of(known.job, message.tenant):
+        if known is None or not _belongs_to(known.job, message.tenant):
             # One that is being taken is not denied: it would run although its end was asked for.
             status = self._missing_status(leadership, message.job_id, message.tenant)
             return JobAnswer(status=status, leader=self._leader())
@@ -281,14 +285,14 @@
         assert record is not None
         self._execution.job_cancelled(message.job_id)
         self._group.wake_sessions()
-        if not await self._counted(leadership, message.job_id, record.version):
+        if not await self._wait_until_committed(leadership, message.job_id, record.version):
             return JobAnswer(status=UNSURE)
         self._log.write(Event.JOB_ENDED, job=message.job_id, results=len(record.results))
         return JobAnswer(status=DONE)
 
     # ---- inner ----
 
-    def count(self, message: CountWaitingTokens) -> WaitingTokens:
+    def count_waiting_tokens(self, message: CountWaitingTokens) -> WaitingTokens:
         """Tell another leader how many tokens of a tenant wait here on a route."""
         leadership = self._group.leadership
         configuration = self._configuration()
@@ -300,7 +304,7 @@
             tokens = self._waiting_tokens(leadership, configuration, route, message.tenant)
         return WaitingTokens(status=DONE, tokens=tokens)
 
-    async def _fits(self, leadership: JobLeadership, job: RequestJob) -> bool:
+    async def _is_within_token_limit(self, leadership: JobLeadership, job: RequestJob) -> bool:
         """Whether a new job keeps the limit of its tenant's tokens that wait on its route.
 
         It holds over all groups. Jobs that come to several groups within the time of one call may
@@ -313,7 +317,7 @@
         if route is None or not route.most_waiting_tokens:
             return True
         limit = route.most_waiting_tokens
-        elsewhere = await self._others.waiting_tokens(job, limit)
+        elsewhere = await self._other_groups.waiting_tokens(job, limit)
         here = self._waiting_tokens(leadership, configuration, route, job.tenant)
         waiting = elsewhere + here
         tokens = sum(item.tokens for item in job.items)
@@ -346,7 +350,9 @@
             and configuration.route_for(record.job.host, record.job.path) is route
         )
 
-    async def _counted(self, leadership: JobLeadership, job_id: str, version: int) -> bool:
+    async def _wait_until_committed(
+        self, leadership: JobLeadership, job_id: str, version: int
+    ) -> bool:
         until = monotonic() + WRITE_TIMEOUT_S
         while leadership.counted_version(job_id) < version:
             left_s = until - monotonic()
@@ -355,7 +361,7 @@
             await self._group.wait_progress(left_s)
         return True
 
-    async def _sure(self) -> bool:
+    async def _confirm_leadership(self) -> bool:
         """Whether this node surely leads; waits for a confirmation that is about to come."""
         if self._group.leadership is None:
             return False
@@ -370,17 +376,17 @@
         record = self._group.record
         return "" if record is None else record.leader
 
-    def _unsure_status(self) -> JobStatus:
+    def _unconfirmed_status(self) -> JobStatus:
         return NOT_LEADING if self._group.leadership is None else UNSURE
 
-    def _visible(
+    def _visible_job(
         self, leadership: JobLeadership | None, job_id: str, tenant: str
     ) -> JobRecord | None:
         """Return a job that counts and that a caller may see, or None."""
         if leadership is None or leadership.counted_version(job_id) == 0:
             return None
         record = leadership.jobs[job_id]
-        return record if _is_of(record.job, tenant) else None
+        return record if _belongs_to(record.job, tenant) else None
 
     def _missing_status(
         self, leadership: JobLeadership | None, job_id: str, tenant: str
@@ -391,11 +397,11 @@
         # A job that is known but does not count yet may still come to count, and so may one that is
         # being taken: of two groups that take it at once each must learn of the other.
         if record is None:
-            return UNSURE if job_id in self._being_taken else NOT_FOUND
-        return UNSURE if _is_of(record.job, tenant) else NOT_FOUND
+            return UNSURE if job_id in self._pending_submissions else NOT_FOUND
+        return UNSURE if _belongs_to(record.job, tenant) else NOT_FOUND
 
 
-def _is_of(job: RequestJob, tenant: str) -> bool:
+def _belongs_to(job: RequestJob, tenant: str) -> bool:
     """Whether a job is a tenant's; one that was taken before the fleet had tenants is anyone's.
 
     Args:
@@ -405,7 +411,7 @@
     return not tenant or job.tenant in ("", tenant)
 
 
-def _page(total: int, results: list[ItemOutcome]) -> ResultPage:
+def _result_page(total: int, results: list[ItemOutcome]) -> ResultPage:
     page = ResultPage(status=DONE, total=total)
     size = 0
     for outcome in results:
--- a/src/wharfcart/experiments/job_group_simulation.py
+++ b/src/wharfcart/experiments/job_group_simulation.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from typing import Any, cast
 
-from wharfcart.batch.job_service import JobService
+from wharfcart.batch.job_service import JobGroupService
 from wharfcart.cluster.coordination import (
     Changes,
 )
@@ -187,7 +187,7 @@
             else:
                 await self._read(self.random.choice(list(self.jobs)))
 
-    def _some_service(self) -> JobService | None:
+    def _some_service(self) -> JobGroupService | None:
         leading = [
             node.service
             for node in self.nodes.values()
@@ -215,7 +215,7 @@
         accepted_before = known.accepted
         seen_before = len(known.results)
         asked_at = virtual_monotonic()
-        page = await service.read(ReadResults(job_id=job_id, after=0, wait_ms=0))
+        page = await service.read_results(ReadResults(job_id=job_id, after=0, wait_ms=0))
         stale = virtual_monotonic() - asked_at > 0.5
         if page.status == NOT_FOUND:
             if accepted_before and not stale:
@@ -243,7 +243,7 @@
             return
         known = self.jobs[job_id]
         known.end_asked = True
-        answer = await service.end(EndJob(job_id=job_id))
+        answer = await service.cancel(EndJob(job_id=job_id))
         if answer.status == NOT_FOUND and known.accepted:
             raise BrokenPromiseError(f"{job_id} was accepted and is denied at its end")
 
@@ -398,7 +398,7 @@
         for job_id, known in list(self.jobs.items()):
             if not known.accepted:
                 continue
-            page = await service.read(ReadResults(job_id=job_id, after=0, wait_ms=0))
+            page = await service.read_results(ReadResults(job_id=job_id, after=0, wait_ms=0))
             if page.status != DONE:
                 raise BrokenPromiseError(f"{job_id} was accepted and can't be read: {page.status}")
             texts = [result.text for result in page.results]
--- a/src/wharfcart/experiments/simulated_storage.py
+++ b/src/wharfcart/experiments/simulated_storage.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, cast
 
 from wharfcart.batch.job_execution import JobExecution
-from wharfcart.batch.job_service import JobService, OtherGroups
+from wharfcart.batch.job_service import JobGroupService, OtherGroups
 from wharfcart.cluster.address import Address
 from wharfcart.cluster.coordination import (
     Change,
@@ -177,7 +177,7 @@
         self.disk = SimulatedDisk(simulation.random, new_database())
         self.mirror = Mirror()
         self.group: JobGroup | None = None
-        self.service: JobService | None = None
+        self.service: JobGroupService | None = None
         self.refused = False
         self.resumed_at = -math.inf  # virtual time at which its machine was suspended last
         self._founding: asyncio.Task[None] | None = None
@@ -209,7 +209,7 @@
             lambda: self.resumed_at,
         )
         self.group = JobGroup(0, GROUP_KEY, context)
-        self.service = JobService(
+        self.service = JobGroupService(
             self.group,
             cast(JobExecution, NullExecution()),
             lambda: None,
--- a/src/wharfcart/node/led_group.py
+++ b/src/wharfcart/node/led_group.py
@@ -5,7 +5,7 @@
 
 from wharfcart.batch.item_run import ItemRunner
 from wharfcart.batch.job_execution import JobExecution
-from wharfcart.batch.job_service import JobService, OtherGroups
+from wharfcart.batch.job_service import JobGroupService, OtherGroups
 from wharfcart.cluster.topology import Distance
 from wharfcart.node.fleet_keys import group_key
 from wharfcart.node.serving_node import ServingNode
@@ -75,7 +75,7 @@
             node.metrics,
             node.broken_runs.suspects,
         )
-        self.service = JobService(
+        self.service = JobGroupService(
             self.replica,
             self._execution,
             lambda: node.configuration,
--- a/src/wharfcart/node/storage_process.py
+++ b/src/wharfcart/node/storage_process.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from wharfcart.batch.item_run import ItemRunner
-from wharfcart.batch.job_service import JobService
+from wharfcart.batch.job_service import JobGroupService
 from wharfcart.clock import monotonic
 from wharfcart.cluster.address import Address
 from wharfcart.cluster.coordination import (
@@ -189,16 +189,18 @@
                 return Frame(job_answer=await service.submit(frame.submit_job))
             case "read_results":
                 service = self._service(frame.read_results, frame.read_results.job_id)
-                return Frame(result_page=await service.read(frame.read_results))
+                return Frame(result_page=await service.read_results(frame.read_results))
             case "read_item_body":
                 service = self._service(frame.read_item_body, frame.read_item_body.job_id)
-                return Frame(item_body=await service.read_body(frame.read_item_body))
+                return Frame(item_body=await service.read_item_body(frame.read_item_body))
             case "end_job":
                 service = self._service(frame.end_job, frame.end_job.job_id)
-                return Frame(job_answer=await service.end(frame.end_job))
+                return Frame(job_answer=await service.cancel(frame.end_job))
             case "count_waiting_tokens":
                 count = frame.count_waiting_tokens
-                return Frame(waiting_tokens=self._group(count.group).service.count(count))
+                return Frame(
+                    waiting_tokens=self._group(count.group).service.count_waiting_tokens(count)
+                )
         return None
 
     def _group(self, number: int) -> LedGroup:
@@ -213,7 +215,7 @@
 
     def _service(
         self, call: SubmitJob | ReadResults | ReadItemBody | EndJob, job_id: str
-    ) -> JobService:
+    ) -> JobGroupService:
         """Return the service of the group that a call on a job names.
 
         Raises:
--- a/tests/batch/test_job_service.py
+++ b/tests/batch/test_job_service.py
@@ -3,7 +3,7 @@
 import asyncio
 from types import SimpleNamespace
 
-from wharfcart.batch.job_service import JobService, OtherGroups
+from wharfcart.batch.job_service import JobGroupService, OtherGroups
 from wharfcart.cluster.messages_pb2 import (
     DONE,
     NOT_FOUND,
@@ -74,7 +74,7 @@
         self.elsewhere = elsewhere or []  # None where the leader does not answer
         execution = SimpleNamespace(job_accepted=lambda _job: None, job_cancelled=lambda _job: None)
         others = OtherGroups(lambda: list(range(len(self.elsewhere))), self)
-        self.service = JobService(
+        self.service = JobGroupService(
             self.group, execution, lambda: configuration(limit), others, DecisionLog("test")
         )
 
@@ -83,7 +83,7 @@
         other = self.elsewhere[group]
         if other is None:
             return JobCallFailure(False, "no_leader")
-        return Frame(waiting_tokens=other.service.count(frame.count_waiting_tokens))
+        return Frame(waiting_tokens=other.service.count_waiting_tokens(frame.count_waiting_tokens))
 
     def submit(self, job_id: str, tokens: int, route: str = "jobs", tenant: str = "") -> JobStatus:
         items = [RequestItem(item_id=f"{job_id}-{n}", tokens=tokens // 2) for n in range(2)]
@@ -112,7 +112,7 @@
     jobs.submit("b", 40)
     jobs.group.leadership.append("a", ItemOutcome(item_id="a-0", succeeded=True))
     assert jobs.submit("c", 30) == DONE
-    asyncio.run(jobs.service.end(EndJob(job_id="b")))
+    asyncio.run(jobs.service.cancel(EndJob(job_id="b")))
     assert jobs.submit("d", 40) == DONE
 
 
@@ -167,11 +167,11 @@
     """Return what a tenant is told of job ``a``: read, body, end, sent again."""
     service = jobs.service
     return [
-        asyncio.run(service.read(ReadResults(job_id="a", tenant=tenant))).status,
+        asyncio.run(service.read_results(ReadResults(job_id="a", tenant=tenant))).status,
         asyncio.run(
-            service.read_body(ReadItemBody(job_id="a", item_id="a-0", tenant=tenant))
+            service.read_item_body(ReadItemBody(job_id="a", item_id="a-0", tenant=tenant))
         ).status,
-        asyncio.run(service.end(EndJob(job_id="a", tenant=tenant))).status,
+        asyncio.run(service.cancel(EndJob(job_id="a", tenant=tenant))).status,
         jobs.submit("a", 10, tenant=tenant),
     ]
 
@@ -213,10 +213,10 @@
         job = RequestJob(job_id="a", host="h", path="/jobs/a", items=[RequestItem(item_id="1")])
         submission = asyncio.create_task(jobs.service.submit(SubmitJob(job=job)))
         await others_asked.wait()
-        while_taken = (await jobs.service.end(EndJob(job_id="a"))).status
+        while_taken = (await jobs.service.cancel(EndJob(job_id="a"))).status
         answer_now.set()
         await submission
-        return while_taken, (await jobs.service.end(EndJob(job_id="a"))).status
+        return while_taken, (await jobs.service.cancel(EndJob(job_id="a"))).status
 
     assert asyncio.run(scenario()) == (UNSURE, DONE)
-    assert asyncio.run(Jobs(100).service.end(EndJob(job_id="none"))).status == NOT_FOUND
+    assert asyncio.run(Jobs(100).service.cancel(EndJob(job_id="none"))).status == NOT_FOUND
--- a/tests/batch/test_job_service_residence.py
+++ b/tests/batch/test_job_service_residence.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from wharfcart.batch.job_service import JobService, OtherGroups
+from wharfcart.batch.job_service import JobGroupService, OtherGroups
 from wharfcart.cluster.messages_pb2 import (
     DONE,
     MAYBE_ELSEWHERE,
@@ -75,7 +75,7 @@
         self.set_residence(route, tenant)
         execution = SimpleNamespace(job_accepted=lambda _job: None, job_cancelled=lambda _job: None)
         others = OtherGroups(lambda: list(range(len(self.elsewhere))), self)
-        self.service = JobService(
+        self.service = JobGroupService(
             self.group,
             execution,
             lambda: self.configuration,
@@ -95,7 +95,7 @@
         other = self.elsewhere[group]
         if other is None:
             return JobCallFailure(False, "no_leader")
-        page = await other.service.read(frame.read_results)
+        page = await other.service.read_results(frame.read_results)
         if page.status == UNSURE:
             return JobCallFailure(True, "unsure")
         return Frame(result_page=page)
@@ -213,7 +213,7 @@
         assert await one.submit(WEST, moved=True) == DONE
         assert list(one.group.leadership.jobs) == ["a"]
         assert two.group.leadership.jobs == {}
-        page = await two.service.read(ReadResults(job_id="a", tenant="t"))
+        page = await two.service.read_results(ReadResults(job_id="a", tenant="t"))
         assert page.status == NOT_FOUND
 
     asyncio.run(scenario())
--- a/tests/storage/test_job_group.py
+++ b/tests/storage/test_job_group.py
@@ -112,14 +112,14 @@
         """Whether the leader has a job that counts."""
         leader = await self.until_led()
         assert leader.service is not None
-        return (await leader.service.read(ReadResults(job_id=job_id))).status == DONE
+        return (await leader.service.read_results(ReadResults(job_id=job_id))).status == DONE
 
     async def readable(self, job_id: str) -> bool:
         """Whether a job can be read; a new leader may be unsure of it for a moment."""
         for _ in range(20):
             leader = await self.until_led()
             assert leader.service is not None
-            page = await leader.service.read(ReadResults(job_id=job_id))
+            page = await leader.service.read_results(ReadResults(job_id=job_id))
             assert page.status in (DONE, UNSURE)
             if page.status == DONE:
                 return True
