--- a/src/wharfcart/batch/job_execution.py
+++ b/src/wharfcart/batch/job_execution.py
@@ -323,7 +323,7 @@
         route = self._route_of(job)
         if configuration is None or route is None:
             return settled
-        return settled.within(configuration.residence_of(route, job.tenant))
+        return settled.intersect(configuration.residence_of(route, job.tenant))
 
     def _start_item(
         self, scheduled: ScheduledJob, item: RequestItem, state: InstanceState, slot: ItemSlot
--- a/src/wharfcart/batch/job_service.py
+++ b/src/wharfcart/batch/job_service.py
@@ -194,11 +194,11 @@
         configuration = self._configuration()
         if configuration is None:
             return
-        self._had_restricted_residence |= configuration.binds_residence
+        self._had_restricted_residence |= configuration.restricts_residence
         route = configuration.route_for(job.host, job.path)
         if route is None:
             return
-        both = residence_from_message(job).within(configuration.residence_of(route, job.tenant))
+        both = residence_from_message(job).intersect(configuration.residence_of(route, job.tenant))
         message = residence_to_message(both)
         if message is not None:
             job.residence.CopyFrom(message)
--- a/src/wharfcart/configuration/residence.py
+++ b/src/wharfcart/configuration/residence.py
@@ -18,7 +18,7 @@
     regions: frozenset[RegionName] | None = None
 
     @property
-    def is_bound(self) -> bool:
+    def is_restricted(self) -> bool:
         """Whether there is any region that the data may not be in."""
         return self.regions is not None
 
@@ -26,7 +26,7 @@
         """Whether the data may be in a region; None stands for one that is not known."""
         return self.regions is None or region in self.regions
 
-    def within(self, other: "Residence") -> "Residence":
+    def intersect(self, other: "Residence") -> "Residence":
         """Return what both allow."""
         if self.regions is None:
             return other
@@ -52,9 +52,9 @@
 
 
 def residence_from_message(
-    bearer: pb.SlotRequest | pb.RequestJob | pb.WaitingItems | pb.ItemOffer,
+    message: pb.SlotRequest | pb.RequestJob | pb.WaitingItems | pb.ItemOffer,
 ) -> Residence:
     """Read the residence that a message bears, if any."""
-    if not bearer.HasField("residence"):
+    if not message.HasField("residence"):
         return ANYWHERE
-    return Residence(frozenset(RegionName(name) for name in bearer.residence.regions))
+    return Residence(frozenset(RegionName(name) for name in message.residence.regions))
--- a/src/wharfcart/configuration/residence_check.py
+++ b/src/wharfcart/configuration/residence_check.py
@@ -7,10 +7,12 @@
 from wharfcart.configuration.serving import ServingConfiguration
 from wharfcart.errors import Finding
 
-CONFIGURATION = "serving configuration"
+FINDING_SOURCE = "serving configuration"
 
 
-def residence_findings(configuration: ServingConfiguration, topology: Topology) -> list[Finding]:
+def unknown_region_findings(
+    configuration: ServingConfiguration, topology: Topology
+) -> list[Finding]:
     """Return a finding for each region named by a route or tenant that no zone is in.
 
     Args:
@@ -19,14 +21,14 @@
     """
     known = set(topology.region_by_zone.values())
     findings = []
-    for place, residence in _places(configuration):
+    for place, residence in _residences_by_place(configuration):
         for region in sorted((residence.regions or frozenset()) - known):
             reason = f"no zone of the fleet is in region {region!r}"
-            findings.append(Finding(CONFIGURATION, place, reason))
+            findings.append(Finding(FINDING_SOURCE, place, reason))
     return findings
 
 
-def _places(configuration: ServingConfiguration) -> Iterator[tuple[str, Residence]]:
+def _residences_by_place(configuration: ServingConfiguration) -> Iterator[tuple[str, Residence]]:
     for route in configuration.routes:
         yield f"routes.{route.name}.residence", route.residence
     if configuration.tenants is not None:
--- a/src/wharfcart/configuration/serving.py
+++ b/src/wharfcart/configuration/serving.py
@@ -206,14 +206,14 @@
     def residence_of(self, route: Route, tenant: str) -> Residence:
         """Return where the data of a tenant's requests on a route may be; both bind."""
         found = None if self.tenants is None else self.tenants.by_name.get(tenant)
-        return route.residence if found is None else route.residence.within(found.residence)
+        return route.residence if found is None else route.residence.intersect(found.residence)
 
     @property
-    def binds_residence(self) -> bool:
+    def restricts_residence(self) -> bool:
         """Whether the data of any request must stay in some regions."""
         tenants = () if self.tenants is None else self.tenants.by_name.values()
-        return any(route.residence.is_bound for route in self.routes) or any(
-            tenant.residence.is_bound for tenant in tenants
+        return any(route.residence.is_restricted for route in self.routes) or any(
+            tenant.residence.is_restricted for tenant in tenants
         )
 
     def job_residences(self, host: str, tenant: str) -> frozenset[Residence]:
@@ -229,7 +229,7 @@
         tenants = () if self.tenants is None else self.tenants.by_name.values()
         of_tenants = {tenant.residence for tenant in tenants} | {ANYWHERE}
         of_routes = {route.residence for route in self.routes if route.kind is RouteKind.BATCH}
-        return frozenset(own.within(other) for own in of_routes for other in of_tenants)
+        return frozenset(own.intersect(other) for own in of_routes for other in of_tenants)
 
     def limit_of(self, tenant: str) -> RequestLimit | None:
         """Return the limit of a tenant's requests; None for no limit or no such tenant."""
--- a/src/wharfcart/node/group_spread.py
+++ b/src/wharfcart/node/group_spread.py
@@ -51,7 +51,7 @@
 
         def may_hold(identity: str) -> bool:
             configuration = node.configuration
-            if region is None or configuration is None or not configuration.binds_residence:
+            if region is None or configuration is None or not configuration.restricts_residence:
                 return True
             entry = node.storage_by_identity.get(identity)
             return entry is not None and node.topology.region(entry.zone) == region
--- a/src/wharfcart/node/serving_node.py
+++ b/src/wharfcart/node/serving_node.py
@@ -27,7 +27,7 @@
 from wharfcart.cluster.topology import Distance, RegionName, Topology
 from wharfcart.cluster.transport import Handler, Responder, TrafficClass, Transport
 from wharfcart.configuration.residence import Residence
-from wharfcart.configuration.residence_check import residence_findings
+from wharfcart.configuration.residence_check import unknown_region_findings
 from wharfcart.configuration.serving import RequestLimit, ServingConfiguration
 from wharfcart.node.backend_news import BackendNews
 from wharfcart.node.evacuations import Evacuations
@@ -283,7 +283,7 @@
             revision=change.revision,
             routes=len(configuration.routes),
         )
-        for finding in residence_findings(configuration, self.topology)[:MOST_FINDINGS]:
+        for finding in unknown_region_findings(configuration, self.topology)[:MOST_FINDINGS]:
             self.log.write(
                 Event.CONFIGURATION_FINDING,
                 version=configuration.version,
--- a/src/wharfcart/routing/caller_request.py
+++ b/src/wharfcart/routing/caller_request.py
@@ -47,7 +47,7 @@
     def residence(self) -> Residence:
         """Where its data may be: both its route and its tenant bind."""
         own = self.route.residence
-        return own if self.tenant is None else own.within(self.tenant.residence)
+        return own if self.tenant is None else own.intersect(self.tenant.residence)
 
     @property
     def priority(self) -> int:
--- a/src/wharfcart/routing/forwarder.py
+++ b/src/wharfcart/routing/forwarder.py
@@ -146,7 +146,7 @@
             return RuledOut.EVACUATED.value
         if progress.cause:
             return progress.cause
-        elsewhere = request.residence.is_bound and self._choice.accepting(
+        elsewhere = request.residence.is_restricted and self._choice.accepting(
             request.service, monotonic()
         )
         return OUTSIDE_RESIDENCE if elsewhere else "no_backend"
--- a/src/wharfcart/storage/job_client.py
+++ b/src/wharfcart/storage/job_client.py
@@ -61,7 +61,7 @@
     def holding_groups(self, residence: Residence) -> tuple[int, ...]:
         """Return the groups that may hold a job's data: all of their disks are where it may be."""
         groups = range(self._groups())
-        if not residence.is_bound:
+        if not residence.is_restricted:
             return tuple(groups)
         return tuple(
             group
--- a/src/wharfcart/storage/job_residence.py
+++ b/src/wharfcart/storage/job_residence.py
@@ -32,7 +32,7 @@
 
 def all_in(disks: Iterable[str], residence: Residence, region_of: RegionOf) -> bool:
     """Whether all of some disks are in the regions of a residence."""
-    return not residence.is_bound or all(residence.allows(region_of(disk)) for disk in disks)
+    return not residence.is_restricted or all(residence.allows(region_of(disk)) for disk in disks)
 
 
 def may_join(
--- a/src/wharfcart/storage/layout.py
+++ b/src/wharfcart/storage/layout.py
@@ -76,7 +76,7 @@
 
         Those of a zone that no group names may belong to any group.
         """
-        if not residence.is_bound:
+        if not residence.is_restricted:
             return True
         named = {zone for zones in self.zones_by_group for zone in zones}
         unnamed = topology.region_by_zone.keys() - named
--- a/tests/configuration/test_residence.py
+++ b/tests/configuration/test_residence.py
@@ -14,14 +14,14 @@
 
 
 def test_a_route_and_a_tenant_bind_both() -> None:
-    both = residence_in(["west", "east"]).within(residence_in(["east", "south"]))
+    both = residence_in(["west", "east"]).intersect(residence_in(["east", "south"]))
     assert both == residence_in(["east"])
-    assert ANYWHERE.within(both) == both.within(ANYWHERE) == both
+    assert ANYWHERE.intersect(both) == both.intersect(ANYWHERE) == both
 
 
 def test_nothing_is_allowed_where_they_have_no_region_in_common() -> None:
-    nowhere = residence_in(["west"]).within(residence_in(["east"]))
-    assert nowhere.is_bound
+    nowhere = residence_in(["west"]).intersect(residence_in(["east"]))
+    assert nowhere.is_restricted
     assert not nowhere.allows(WEST)
     assert not nowhere.allows(EAST)
     assert not nowhere.allows(None)
--- a/tests/slots/test_granter_residence.py
+++ b/tests/slots/test_granter_residence.py
@@ -88,7 +88,7 @@
 def test_a_request_without_any_back_end_in_its_regions_is_told_so_at_once() -> None:
     bench = Bench()
     assert bench.ask(EAST) == [NoneHere(GATEWAY, SlotNumber(1))]
-    assert bench.ask(NORTH.within(SOUTH)) == [NoneHere(GATEWAY, SlotNumber(2))]
+    assert bench.ask(NORTH.intersect(SOUTH)) == [NoneHere(GATEWAY, SlotNumber(2))]
 
 
 def test_a_request_that_waits_for_a_full_region_holds_up_no_other() -> None:
@@ -166,7 +166,7 @@
 
 
 def test_a_residence_travels_with_what_is_asked_and_told() -> None:
-    asked = SlotAsked(GATEWAY, SlotNumber(1), "s", 1.0, 2.0, residence=NORTH.within(SOUTH))
+    asked = SlotAsked(GATEWAY, SlotNumber(1), "s", 1.0, 2.0, residence=NORTH.intersect(SOUTH))
     message = asked_to_message(0, asked, "", 0.0)
     assert asked_from_message(GATEWAY, message, 0.0).residence == asked.residence
     told = ItemsWaiting(LEADER, "s", 1, 0, PATIENT, residence=SOUTH)
--- a/tests/storage/test_job_client_residence.py
+++ b/tests/storage/test_job_client_residence.py
@@ -101,7 +101,7 @@
 def test_a_job_that_no_group_may_hold_is_refused_at_once_and_sent_nowhere() -> None:
     async def scenario() -> None:
         leaders = Leaders()
-        for residence in (residence_in(["south"]), WEST.within(EAST)):
+        for residence in (residence_in(["south"]), WEST.intersect(EAST)):
             refused = await leaders.submit("a", residence)
             assert refused == JobCallFailure(False, "outside_residence")
         assert virtual_monotonic() == 0.0
@@ -114,7 +114,7 @@
     async def scenario() -> None:
         leaders = Leaders()
         leaders.hint = "e3"
-        refused = await leaders.submit("a", EAST.within(EAST))
+        refused = await leaders.submit("a", EAST.intersect(EAST))
         leaders.hint = "w1"
         refused = await leaders.submit("a", EAST)
         assert refused == JobCallFailure(False, "outside_residence")
