--- a/src/wharfcart/admin/handlers.py
+++ b/src/wharfcart/admin/handlers.py
@@ -96,7 +96,7 @@
     async def get(self, request: Request) -> HTTPResponse:
         """Return the configuration in force here."""
         entries = self._context.configuration
-        document = join_entries(entries.live())
+        document = join_entries(entries.live_values())
         text = yaml.safe_dump(
             document.model_dump(mode="json", exclude_defaults=True), sort_keys=False
         )
@@ -151,7 +151,7 @@
         wanted = _parse(RollbackRequest, request)
         await self._catch_up()
         records = await _or_unavailable(self._store.read_history(wanted.to_revision))
-        plan = plan_rollback(self._context.configuration.live(), records)
+        plan = plan_rollback(self._context.configuration.live_values(), records)
         self._check(plan, "rollback")
         return await self._accept(request, plan, wanted)
 
@@ -161,13 +161,13 @@
         if isinstance(parsed, Failure):
             raise FindingsError(parsed.failure())
         entries = document_entries(parsed.unwrap())
-        current = self._context.configuration.live()
+        current = self._context.configuration.live_values()
         plan = plan_changes(current, entries, wanted.replace)
         self._check(plan, wanted.file)
         return plan
 
     def _check(self, plan: ChangePlan, file: str) -> None:
-        findings = check_result(self._context.configuration.live(), plan, file)
+        findings = check_result(self._context.configuration.live_values(), plan, file)
         if findings:
             raise FindingsError(findings)
 
--- a/src/wharfcart/admission/backend_gate.py
+++ b/src/wharfcart/admission/backend_gate.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from wharfcart.configuration.schema import YieldingPolicy
+from wharfcart.configuration.schema import PreemptionPolicy
 
 FIT_MEMORY = 0.98
 FEWEST_SAMPLES = 20
@@ -43,8 +43,8 @@
 
 
 POLICY_PARAMETERS = {
-    YieldingPolicy.TAIL: PolicyParameters(0.05, 0.05, 1, 4, 0.1),
-    YieldingPolicy.THROUGHPUT: PolicyParameters(0.08, 0.25, 1, 4, SHORTEST_IDLE_S),
+    PreemptionPolicy.TAIL: PolicyParameters(0.05, 0.05, 1, 4, 0.1),
+    PreemptionPolicy.THROUGHPUT: PolicyParameters(0.08, 0.25, 1, 4, SHORTEST_IDLE_S),
 }
 
 
@@ -106,7 +106,7 @@
 
     backend_id: str
     capacity: Capacity
-    policy: YieldingPolicy = YieldingPolicy.TAIL
+    policy: PreemptionPolicy = PreemptionPolicy.TAIL
     state: BackendState = BackendState.LIVE
     fit: TokenTimeFit = field(default_factory=TokenTimeFit)
     online: dict[str, _Running] = field(default_factory=dict)
--- a/src/wharfcart/admission/tenant_limits.py
+++ b/src/wharfcart/admission/tenant_limits.py
@@ -111,7 +111,7 @@
         """
         times = self._times_by_tenant.get(tenant, ())
         if contact_at is None:
-            most = max(FEWEST_FIRST, limit.per_s * WINDOW_S * FIRST_SHARE)
+            most = max(FEWEST_FIRST, limit.requests_per_s * WINDOW_S * FIRST_SHARE)
         elif now - contact_at > ALONE_S:
             most = 0.0
         elif usage > NEAR_SHARE * _whole(limit):
@@ -327,7 +327,7 @@
         """Add the tokens that time brought; return the rate at which they come."""
         kept = sum(tenant.kept(holder, now) for holder in tenant.lost_at_by_holder)
         unknown = self._unknown(tenant, limit, now)
-        left = limit.per_s * WINDOW_S - kept - unknown
+        left = limit.requests_per_s * WINDOW_S - kept - unknown
         rate = max(0.0, left / WINDOW_S)
         burst = max(1.0, limit.burst) + min(0.0, left)
         if tenant.counted_at is None:
@@ -357,7 +357,7 @@
         age_s = now - self._began_at
         if age_s >= WINDOW_S:
             return float("inf")
-        return FIRST_BURST_SHARE * _whole(limit) + limit.per_s * age_s - tenant.sent_here
+        return FIRST_BURST_SHARE * _whole(limit) + limit.requests_per_s * age_s - tenant.sent_here
 
     def _retry_after(self, tenant: _Tenant, level: float, rate: float, now: float) -> float:
         """Return when a token is there that was promised to nobody yet."""
@@ -381,7 +381,7 @@
 
 def _whole(limit: RequestLimit) -> float:
     """Return how many requests one window may see."""
-    return limit.per_s * WINDOW_S + limit.burst
+    return limit.requests_per_s * WINDOW_S + limit.burst
 
 
 def _count(times: Iterable[float], until: float) -> int:
--- a/src/wharfcart/batch/job_scheduler.py
+++ b/src/wharfcart/batch/job_scheduler.py
@@ -80,7 +80,7 @@
 
         Args:
             jobs: that are put in order.
-            makes_it: whether the next item of a job may still be done in time.
+            can_meet_objective: whether the next item of a job may still be done in time.
         """
         return sorted(jobs, key=lambda job: (not can_meet_objective(job), job.due_at))
 
--- a/src/wharfcart/batch/job_service.py
+++ b/src/wharfcart/batch/job_service.py
@@ -314,9 +314,9 @@
         if configuration is None:
             return True
         route = configuration.route_for(job.host, job.path)
-        if route is None or not route.most_waiting_tokens:
+        if route is None or not route.max_waiting_tokens:
             return True
-        limit = route.most_waiting_tokens
+        limit = route.max_waiting_tokens
         elsewhere = await self._other_groups.waiting_tokens(job, limit)
         here = self._waiting_tokens(leadership, configuration, route, job.tenant)
         waiting = elsewhere + here
--- a/src/wharfcart/configuration/api_keys.py
+++ b/src/wharfcart/configuration/api_keys.py
@@ -9,7 +9,7 @@
 KeyDigest = NewType("KeyDigest", str)
 
 # Hexadecimal digits of a digest that tell keys apart in a log, and nobody what the key is.
-SHORT_DIGEST = 8
+SHORT_DIGEST_DIGITS = 8
 
 
 def digest_of(api_key: str) -> KeyDigest:
@@ -19,7 +19,7 @@
 
 def short_digest_of(api_key: str) -> str:
     """Return what stands for a key in a log; '' for no key."""
-    return digest_of(api_key)[:SHORT_DIGEST] if api_key else ""
+    return digest_of(api_key)[:SHORT_DIGEST_DIGITS] if api_key else ""
 
 
 class KeyIndex:
--- a/src/wharfcart/configuration/changes.py
+++ b/src/wharfcart/configuration/changes.py
@@ -8,7 +8,7 @@
 
 from pydantic import BaseModel, Field
 
-from wharfcart.configuration.schema import Item, join_entries
+from wharfcart.configuration.schema import DocumentItem, join_entries
 from wharfcart.configuration.validation import check_document
 from wharfcart.errors import Finding
 
@@ -21,7 +21,7 @@
     DELETE = "delete"
 
 
-class Change(BaseModel):
+class EntryChange(BaseModel):
     """One entry before and after, as JSON values."""
 
     kind: ChangeKind
@@ -38,14 +38,14 @@
     author: str = ""
     reason: str = ""
     at: Annotated[str, Field(description="time of acceptance, ISO 8601, UTC")] = ""
-    changes: list[Change] = Field(default_factory=list)
+    changes: list[EntryChange] = Field(default_factory=list)
 
 
 @dataclass(frozen=True)
 class ChangePlan:
     """What applying a document would do."""
 
-    changes: list[Change]
+    changes: list[EntryChange]
 
     def entries(self) -> dict[str, bytes | None]:
         """Return key to new value; None deletes."""
@@ -61,18 +61,18 @@
     current: dict[str, bytes], wanted: dict[str, bytes], replace_all: bool
 ) -> ChangePlan:
     """Compare entries; with ``replace_all`` what ``wanted`` lacks is deleted."""
-    changes: list[Change] = []
+    changes: list[EntryChange] = []
     for key, value in sorted(wanted.items()):
         before = json.loads(current[key]) if key in current else None
         after = json.loads(value)
         if before is None:
-            changes.append(Change(kind=ChangeKind.ADD, key=key, after=after))
+            changes.append(EntryChange(kind=ChangeKind.ADD, key=key, after=after))
         elif before != after:
-            changes.append(Change(kind=ChangeKind.UPDATE, key=key, before=before, after=after))
+            changes.append(EntryChange(kind=ChangeKind.UPDATE, key=key, before=before, after=after))
     if replace_all:
         for key in sorted(current.keys() - wanted.keys()):
             before = json.loads(current[key])
-            changes.append(Change(kind=ChangeKind.DELETE, key=key, before=before))
+            changes.append(EntryChange(kind=ChangeKind.DELETE, key=key, before=before))
     return ChangePlan(changes)
 
 
@@ -82,7 +82,7 @@
     for record in sorted(records, key=lambda record: -record.revision):
         for change in record.changes:
             target[change.key] = change.before
-    changes: list[Change] = []
+    changes: list[EntryChange] = []
     for key, after in sorted(target.items()):
         before = json.loads(current[key]) if key in current else None
         if before == after:
@@ -92,7 +92,7 @@
             kind = ChangeKind.ADD
         elif after is None:
             kind = ChangeKind.DELETE
-        changes.append(Change(kind=kind, key=key, before=before, after=after))
+        changes.append(EntryChange(kind=kind, key=key, before=before, after=after))
     return ChangePlan(changes)
 
 
@@ -105,7 +105,7 @@
         else:
             result[key] = value
     document = join_entries(result)
-    sections: dict[str, Sequence[Item]] = {
+    sections: dict[str, Sequence[DocumentItem]] = {
         "tenants": document.tenants,
         "models": document.models,
         "templates": document.templates,
--- a/src/wharfcart/configuration/instances.py
+++ b/src/wharfcart/configuration/instances.py
@@ -12,8 +12,8 @@
     slots: requests that it works on at once.
     accepting: False while it drains.
     cold_for_s: how much longer it is cold after a start, as it told when the entry was written.
-    born_ms: wall clock milliseconds of its start, as its own clock tells; None if it does not say.
-        A back end may start again under its id: this tells one life from the next.
+    started_at_ms: wall clock milliseconds of its start by its own clock; None if it reports none.
+        Distinguishes the instances of a back end that restarts under its id.
     """
 
     instance_id: str
@@ -24,10 +24,10 @@
     slots: int
     accepting: bool
     cold_for_s: float = 0.0
-    born_ms: int | None = None
+    started_at_ms: int | None = None
 
-    def is_later_life_of(self, other: "BackendInstance") -> bool:
+    def is_restart_of(self, other: "BackendInstance") -> bool:
         """Whether this has started again since another entry of the same id."""
-        if self.born_ms is None or other.born_ms is None:
+        if self.started_at_ms is None or other.started_at_ms is None:
             return False
-        return self.born_ms > other.born_ms
+        return self.started_at_ms > other.started_at_ms
--- a/src/wharfcart/configuration/schema.py
+++ b/src/wharfcart/configuration/schema.py
@@ -26,7 +26,7 @@
     APPLICATION = "application"
 
 
-class YieldingPolicy(StrEnum):
+class PreemptionPolicy(StrEnum):
     """How batch gives way to online work on a server (docs/operations/yielding.md)."""
 
     TAIL = "tail"
@@ -116,7 +116,7 @@
     deadline_seconds: float = Field(30.0, gt=0, le=3600)
     batch_deadline_seconds: float = Field(14_400.0, gt=0, le=30 * 86_400)
     repeatable: bool = Field(True, description="whether running it twice is harmless")
-    yielding: YieldingPolicy = YieldingPolicy.TAIL
+    yielding: PreemptionPolicy = PreemptionPolicy.TAIL
     limits: Limits = Limits()
     parameters: dict[str, Parameter] = Field(default_factory=dict)
 
@@ -147,10 +147,10 @@
     deployments: list[Deployment] = Field(default_factory=list)
 
 
-Item = Tenant | Model | Template | Deployment
+DocumentItem = Tenant | Model | Template | Deployment
 
 
-def entry_key(item: Item) -> str:
+def entry_key(item: DocumentItem) -> str:
     """Return the key of the entry that carries an item."""
     if isinstance(item, Deployment):
         return f"deployment/{item.tenant}/{item.name}"
@@ -159,7 +159,7 @@
 
 def document_entries(document: Document) -> dict[str, bytes]:
     """Split a document into entries, key to JSON."""
-    items: list[Item] = [
+    items: list[DocumentItem] = [
         *document.tenants,
         *document.models,
         *document.templates,
@@ -168,7 +168,7 @@
     return {entry_key(item): item.model_dump_json(exclude_defaults=True).encode() for item in items}
 
 
-_TYPE_BY_PREFIX: dict[str, type[Item]] = {
+_TYPE_BY_PREFIX: dict[str, type[DocumentItem]] = {
     "tenant": Tenant,
     "model": Model,
     "template": Template,
@@ -176,7 +176,7 @@
 }
 
 
-def parse_entry(key: str, value: bytes) -> Item:
+def parse_entry(key: str, value: bytes) -> DocumentItem:
     """Return the item of one entry."""
     return _TYPE_BY_PREFIX[key.split("/", 1)[0]].model_validate_json(value)
 
--- a/src/wharfcart/configuration/services.py
+++ b/src/wharfcart/configuration/services.py
@@ -12,14 +12,14 @@
 from wharfcart.configuration.api_keys import KeyDigest, KeyIndex
 from wharfcart.configuration.schema import (
     Deployment,
-    Item,
+    DocumentItem,
     Limits,
     Model,
     ParameterValue,
+    PreemptionPolicy,
     Template,
     TemplateKind,
     Tenant,
-    YieldingPolicy,
     parse_entry,
 )
 
@@ -41,7 +41,7 @@
     deadline_seconds: float
     batch_deadline_seconds: float
     repeatable: bool
-    yielding: YieldingPolicy
+    preemption_policy: PreemptionPolicy
     limits: Limits
     parameters: dict[str, ParameterValue] = field(default_factory=dict)
 
@@ -115,12 +115,12 @@
             deadline_seconds=template.deadline_seconds,
             batch_deadline_seconds=template.batch_deadline_seconds,
             repeatable=template.repeatable,
-            yielding=template.yielding,
+            preemption_policy=template.yielding,
             limits=template.limits,
             parameters=values,
         )
 
-    def _add(self, item: Item) -> None:
+    def _add(self, item: DocumentItem) -> None:
         if isinstance(item, Tenant):
             self.tenants[item.name] = item
             for digest in item.key_sha256:
--- a/src/wharfcart/configuration/serving.py
+++ b/src/wharfcart/configuration/serving.py
@@ -12,7 +12,7 @@
 from wharfcart.configuration.api_keys import KeyDigest, KeyIndex
 from wharfcart.configuration.residence import ANYWHERE, Residence
 
-DEFAULT_PATIENCE_S = 2.0
+DEFAULT_CALLER_TIMEOUT_S = 2.0
 
 
 class RouteKind(StrEnum):
@@ -41,11 +41,11 @@
     path_prefix: begins and ends with a slash.
     time_limit_s: longest time that a request is held.
     objective_s: time within which an answer (a stream: its first event) is wanted.
-    most_waiting_tokens: batch: tokens of all items without a result, over all jobs of one tenant; 0
+    max_waiting_tokens: batch: tokens of all items without a result, over all jobs of one tenant; 0
         for no limit.
-    patience_s: a caller that has seen nothing of its answer for so long leaves.
+    caller_timeout_s: a caller that has seen nothing of its answer for so long leaves.
     priority: 0 is the most urgent.
-    most_backends: number of back ends that one request may be sent to.
+    max_backends: number of back ends that one request may be sent to.
     resumable: a broken stream may be taken up at another back end.
     give_up_after_s: batch: age of a job at which its items may be given up.
     public: callers need no key.
@@ -60,12 +60,12 @@
     time_limit_s: float
     objective_s: float
     priority: int = 0
-    most_backends: int = 1
+    max_backends: int = 1
     resumable: bool = False
     completion_objective_s: float = 0.0
     give_up_after_s: float = 0.0
-    patience_s: float = DEFAULT_PATIENCE_S
-    most_waiting_tokens: int = 0
+    caller_timeout_s: float = DEFAULT_CALLER_TIMEOUT_S
+    max_waiting_tokens: int = 0
     public: bool = False
     residence: Residence = ANYWHERE
 
@@ -83,11 +83,11 @@
 
     Attributes:
         requests_per_s: from all callers together; it fails at well above that.
-        lasts_s: how long it stays cold after a start.
+        duration_s: how long it stays cold after a start.
     """
 
     requests_per_s: float
-    lasts_s: float
+    duration_s: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,13 +97,13 @@
     Attributes:
         connection_limit: connections that one back end takes from all callers.
         slots: requests that a model server works on at once; 0 for other back ends.
-        cold: what one bears while it is cold; None where that is no less than usual.
+        cold_limit: what one bears while it is cold; None where that is no less than usual.
     """
 
     name: str
     connection_limit: int
     slots: int = 0
-    cold: ColdLimit | None = None
+    cold_limit: ColdLimit | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -111,11 +111,11 @@
     """A token bucket that holds over the whole fleet.
 
     Attributes:
-        per_s: requests a second.
+        requests_per_s: requests a second.
         burst: requests that may come at once after a rest.
     """
 
-    per_s: float
+    requests_per_s: float
     burst: float
 
 
@@ -157,9 +157,9 @@
 class CallerLimits:
     """Bounds on what a caller may send and for how long it may rest."""
 
-    header_bytes: int = 16_384
-    body_bytes: int = 4 * 1024 * 1024
-    idle_s: float = 15.0
+    max_header_bytes: int = 16_384
+    max_body_bytes: int = 4 * 1024 * 1024
+    idle_timeout_s: float = 15.0
 
 
 @dataclass(frozen=True)
@@ -201,7 +201,11 @@
     @property
     def cold_limits(self) -> dict[str, ColdLimit]:
         """What a cold back end bears, by service; those left out bear as much as ever."""
-        return {name: spec.cold for name, spec in self.services.items() if spec.cold is not None}
+        return {
+            name: spec.cold_limit
+            for name, spec in self.services.items()
+            if spec.cold_limit is not None
+        }
 
     def residence_of(self, route: Route, tenant: str) -> Residence:
         """Return where the data of a tenant's requests on a route may be; both bind."""
--- a/src/wharfcart/configuration/spreading.py
+++ b/src/wharfcart/configuration/spreading.py
@@ -18,12 +18,12 @@
 
     Parameters
     ----------
-    overlap: how far below its own revision a pull asks. Zero where one sequence of revisions exists
-        (configuration); a time where several writers stamp entries with their clocks (directory),
-        so that an entry stamped a little earlier by another writer is not missed.
+    pull_overlap: how far below the own revision a pull starts. Zero if one writer issues the
+        revisions (configuration); a time span if several writers stamp entries with their clocks
+        (directory), so that an entry with a slightly earlier stamp is not missed.
     """
 
-    overlap: int = 0
+    pull_overlap: int = 0
     revision: int = 0
     entries: dict[str, Entry] = field(default_factory=dict)
 
@@ -43,10 +43,10 @@
         newer = [entry for entry in self.entries.values() if entry.revision > revision]
         return sorted(newer, key=lambda entry: entry.revision)
 
-    def pull_since(self) -> int:
+    def pull_revision(self) -> int:
         """Return the revision to name in a pull."""
-        return max(0, self.revision - self.overlap)
+        return max(0, self.revision - self.pull_overlap)
 
-    def live(self) -> dict[str, bytes]:
+    def live_values(self) -> dict[str, bytes]:
         """Return the values of entries that are not deleted."""
         return {key: entry.value for key, entry in self.entries.items() if not entry.deleted}
--- a/src/wharfcart/configuration/validation.py
+++ b/src/wharfcart/configuration/validation.py
@@ -18,7 +18,7 @@
 Location = tuple[str | int, ...]
 
 
-class _Lines:
+class _LineIndex:
     """Line numbers of a YAML document's nodes."""
 
     def __init__(self, text: str) -> None:
@@ -60,7 +60,7 @@
     """
     try:
         raw = yaml.safe_load(text) or {}
-        lines = _Lines(text)
+        lines = _LineIndex(text)
     except yaml.YAMLError as error:
         mark = getattr(error, "problem_mark", None)
         place = f"line {mark.line + 1}" if mark is not None else "document"
@@ -79,7 +79,7 @@
     return Failure(findings) if findings else Success(document)
 
 
-def _place(location: Location, lines: _Lines | None) -> str:
+def _place(location: Location, lines: _LineIndex | None) -> str:
     path = ".".join(str(step) for step in location) or "document"
     line = lines.find(location) if lines is not None else None
     return path if line is None else f"{path} (line {line})"
--- a/src/wharfcart/experiments/heaps.py
+++ b/src/wharfcart/experiments/heaps.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from wharfcart.configuration.schema import YieldingPolicy
+from wharfcart.configuration.schema import PreemptionPolicy
 from wharfcart.experiments.example_fleets import Profile
 from wharfcart.experiments.simulated_serving import (
     Arrival,
@@ -27,7 +27,7 @@
     """A profile's fleet and load."""
 
     engines: int
-    policy: YieldingPolicy
+    policy: PreemptionPolicy
     online_per_second: float
     online_prompt_words: int
     heap_items: int
@@ -36,8 +36,8 @@
 
 
 SHAPES = {
-    Profile.REGISTRATION: FleetShape(6, YieldingPolicy.TAIL, 9.0, 400, 6000, 60, 50),
-    Profile.SWAP: FleetShape(9, YieldingPolicy.THROUGHPUT, 12.0, 250, 9000, 60, 60),
+    Profile.REGISTRATION: FleetShape(6, PreemptionPolicy.TAIL, 9.0, 400, 6000, 60, 50),
+    Profile.SWAP: FleetShape(9, PreemptionPolicy.THROUGHPUT, 12.0, 250, 9000, 60, 60),
 }
 
 
--- a/src/wharfcart/experiments/limits.py
+++ b/src/wharfcart/experiments/limits.py
@@ -78,7 +78,7 @@
     arrivals: list[Arrival] = []
     for number in range(load.tenants):
         tenant = f"t{number}"
-        usual = load.limit_of(tenant).per_s * load.usual_share
+        usual = load.limit_of(tenant).requests_per_s * load.usual_share
         clients = [rng.randrange(load.gateways) for _ in range(max(2, round(usual / 2)))]
         most = usual * load.high * (load.hot[2] if number == 0 else 1.0)
         at = 0.0
@@ -169,15 +169,15 @@
             return True
         if self.load.home_is_lost(at):
             self._lost = True
-            return taken.spend_fallback(limit.per_s, limit.burst, self.load.gateways, at)
+            return taken.spend_fallback(limit.requests_per_s, limit.burst, self.load.gateways, at)
         if self._lost:
             self._home, self._lost = BucketHome(), False
         if at < taken.refused_until:
             return False
         self.messages += 2
         self.round_trips += 1
-        wanted = tokens_to_take(limit.per_s, limit.burst)
-        granted, seconds = self._home.take(tenant, wanted, limit.per_s, limit.burst, at)
+        wanted = tokens_to_take(limit.requests_per_s, limit.burst)
+        granted, seconds = self._home.take(tenant, wanted, limit.requests_per_s, limit.burst, at)
         if granted < 1.0:
             taken.refused_until = at + seconds
             return False
@@ -204,7 +204,7 @@
         limit = self.load.limit_of(tenant)
         even = 1.0 / self.load.gateways
         bucket = self._buckets.setdefault(
-            (gateway, tenant), TokenBucket(limit.per_s * even, limit.burst * even, 0.0, at)
+            (gateway, tenant), TokenBucket(limit.requests_per_s * even, limit.burst * even, 0.0, at)
         )
         return bucket.take(1.0, at) >= 1.0
 
@@ -223,7 +223,7 @@
                     continue
                 part = (by_gateway[gateway] + 0.02) / whole
                 bucket.refill(at)
-                bucket.rate = limit.per_s * part
+                bucket.rate = limit.requests_per_s * part
                 bucket.burst = max(1.0, limit.burst * part)
                 bucket.tokens = min(bucket.tokens, bucket.burst)
 
@@ -262,7 +262,9 @@
     for arrival in arrivals:
         at, tenant, _ = arrival
         limit = load.limit_of(tenant)
-        bucket = single.setdefault(tenant, TokenBucket(limit.per_s, limit.burst, limit.burst, at))
+        bucket = single.setdefault(
+            tenant, TokenBucket(limit.requests_per_s, limit.burst, limit.burst, at)
+        )
         would_pass = bucket.take(1.0, at) >= 1.0
         sent = keeper.permits(arrival)
         passed += would_pass
@@ -273,12 +275,13 @@
     outcome.messages_per_s = keeper.messages / load.seconds
     outcome.round_trips = keeper.round_trips / max(1, len(arrivals))
     outcome.worst_window = max(
-        _busiest(times) / (load.limit_of(tenant).per_s * WINDOW_S + load.limit_of(tenant).burst)
+        _busiest(times)
+        / (load.limit_of(tenant).requests_per_s * WINDOW_S + load.limit_of(tenant).burst)
         for tenant, times in outcome.sent_by_tenant.items()
     )
     begun, until, _ = load.hot
     hot = sum(begun + 1.0 <= at < until for at in outcome.sent_by_tenant["t0"])
-    outcome.hot_share = hot / (load.limit_of("t0").per_s * (until - begun - 1.0))
+    outcome.hot_share = hot / (load.limit_of("t0").requests_per_s * (until - begun - 1.0))
     return outcome
 
 
--- a/src/wharfcart/experiments/simulated_serving.py
+++ b/src/wharfcart/experiments/simulated_serving.py
@@ -15,7 +15,7 @@
 from hdrh.histogram import HdrHistogram
 
 from wharfcart.admission.backend_gate import BackendGate, Capacity
-from wharfcart.configuration.schema import YieldingPolicy
+from wharfcart.configuration.schema import PreemptionPolicy
 from wharfcart.emulator.engine_core import (
     EngineCore,
     EngineModel,
@@ -102,7 +102,7 @@
         mode: Mode,
         workload: Workload,
         engines: int,
-        policy: YieldingPolicy,
+        policy: PreemptionPolicy,
         seed: int,
         slow_engine: float = 1.0,
     ) -> None:
--- a/src/wharfcart/gateway/job_calls.py
+++ b/src/wharfcart/gateway/job_calls.py
@@ -87,7 +87,7 @@
             accepted_ms=int(time() * 1000),
             objective_s=route.completion_objective_s,
             give_up_after_s=route.give_up_after_s,
-            most_attempts=route.most_backends,
+            most_attempts=route.max_backends,
             items=items,
             tenant=tenant,
             residence=residence_to_message(residence),
--- a/src/wharfcart/node/backend_news.py
+++ b/src/wharfcart/node/backend_news.py
@@ -67,9 +67,9 @@
                 service = known.instance.service
                 self._note(Event.BACKEND_GONE, instance_id, service, change, drained)
             return
-        if known is not None and known.instance.is_later_life_of(instance):
+        if known is not None and known.instance.is_restart_of(instance):
             return  # told late
-        if known is not None and instance.is_later_life_of(known.instance):
+        if known is not None and instance.is_restart_of(known.instance):
             self._pool.drop_instance(instance_id)
             self._note(Event.BACKEND_RESTARTED, instance_id, instance.service, change)
         was_accepting = known is not None and known.instance.accepting
--- a/src/wharfcart/node/fleet.py
+++ b/src/wharfcart/node/fleet.py
@@ -17,7 +17,7 @@
 from wharfcart.clock import monotonic
 from wharfcart.cluster.messages_pb2 import BackendView, Entry
 from wharfcart.cluster.ownership import choose_owner
-from wharfcart.configuration.schema import YieldingPolicy
+from wharfcart.configuration.schema import PreemptionPolicy
 from wharfcart.configuration.services import ServiceIndex
 from wharfcart.fleet.reconciler import EngineStatus, FleetReconciler, TargetModel
 from wharfcart.observability.tasks import BackgroundTasks
@@ -180,15 +180,15 @@
         if known is not None and known.drain_until is not None and time.time() > known.drain_until:
             self._context.publish(f"drain/{backend_id}", None)
 
-    def _policy(self, backend: Backend) -> YieldingPolicy:
+    def _policy(self, backend: Backend) -> PreemptionPolicy:
         """Return the stricter policy of the templates that the back end serves."""
         policies = {
             template.yielding
             for template in self._context.services.templates.values()
             if backend.targets & {template.adapter, template.model, template.application}
         }
-        only_throughput = policies == {YieldingPolicy.THROUGHPUT}
-        return YieldingPolicy.THROUGHPUT if only_throughput else YieldingPolicy.TAIL
+        only_throughput = policies == {PreemptionPolicy.THROUGHPUT}
+        return PreemptionPolicy.THROUGHPUT if only_throughput else PreemptionPolicy.TAIL
 
     def _disown(self, backend_id: str) -> None:
         running = self._running.pop(backend_id)
--- a/src/wharfcart/node/spreading.py
+++ b/src/wharfcart/node/spreading.py
@@ -71,7 +71,7 @@
         hooks: SpreadingHooks,
     ) -> None:
         self.configuration = RevisionedMap()
-        self.directory = RevisionedMap(overlap=DIRECTORY_OVERLAP_MS)
+        self.directory = RevisionedMap(pull_overlap=DIRECTORY_OVERLAP_MS)
         self.placement = PlacementMap()
         self._gossip = gossip
         self._transport = transport
@@ -163,7 +163,7 @@
         task.add_done_callback(lambda _: self._pulling.discard(what))
 
     async def _pull_entries(self, address: Address, namespace: Namespace) -> None:
-        since = self._map(namespace).pull_since()
+        since = self._map(namespace).pull_revision()
         call = Frame(pull_entries=PullEntries(namespace=namespace, since_revision=since))
         answer = await self._call(address, call)
         if answer is None:
@@ -251,7 +251,7 @@
     def _listed_in_directory(self) -> dict[str, ListedMachine]:
         return {
             key.removeprefix("machine/"): ListedMachine(**json.loads(value))
-            for key, value in self.directory.live().items()
+            for key, value in self.directory.live_values().items()
             if key.startswith("machine/")
         }
 
--- a/src/wharfcart/platform/documents.py
+++ b/src/wharfcart/platform/documents.py
@@ -9,7 +9,7 @@
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.residence import residence_in
 from wharfcart.configuration.serving import (
-    DEFAULT_PATIENCE_S,
+    DEFAULT_CALLER_TIMEOUT_S,
     CallerLimits,
     ColdLimit,
     RequestLimit,
@@ -49,9 +49,9 @@
         routes=tuple(_route(route) for route in document["routes"]),
         services={service["name"]: _service(service) for service in document["services"]},
         limits=CallerLimits(
-            int(limits.get("maxHeaderBytes", defaults.header_bytes)),
-            int(limits.get("maxBodyBytes", defaults.body_bytes)),
-            limits.get("idleTimeoutMs", defaults.idle_s * 1000) / 1000,
+            int(limits.get("maxHeaderBytes", defaults.max_header_bytes)),
+            int(limits.get("maxBodyBytes", defaults.max_body_bytes)),
+            limits.get("idleTimeoutMs", defaults.idle_timeout_s * 1000) / 1000,
         ),
         tenants=_tenants(document.get("tenants")),
     )
@@ -116,7 +116,7 @@
     objective_s = float(route.get("targetLatencyMs") or 0) / 1000
     longest_gap_s = float(route.get("gapAimMs") or 0) / 1000
     return max(
-        DEFAULT_PATIENCE_S,
+        DEFAULT_CALLER_TIMEOUT_S,
         PATIENCE_IN_OBJECTIVES * objective_s,
         PATIENCE_IN_GAPS * longest_gap_s,
     )
@@ -133,12 +133,12 @@
         time_limit_s=float(route.get("timeoutMs") or 60_000) / 1000,
         objective_s=float(route.get("targetLatencyMs") or 1000) / 1000,
         priority=int(route.get("priority", 0)),
-        most_backends=int(route.get("maxAttempts") or 1),
+        max_backends=int(route.get("maxAttempts") or 1),
         resumable=bool(route.get("resumable", False)),
         completion_objective_s=float(route.get("targetCompletionMs") or 0) / 1000,
         give_up_after_s=float(route.get("maxWaitS") or 0),
-        patience_s=_patience_s(route),
-        most_waiting_tokens=int(route.get("maxQueuedTokens") or 0),
+        caller_timeout_s=_patience_s(route),
+        max_waiting_tokens=int(route.get("maxQueuedTokens") or 0),
         public=bool(route.get("public", False)),
         residence=residence_in(route.get("allowedRegions")),
     )
--- a/src/wharfcart/platform/server_entry.py
+++ b/src/wharfcart/platform/server_entry.py
@@ -49,7 +49,7 @@
         slots=_whole(entry, "slots", 1, MOST_SLOTS),
         accepting=_accepting(entry),
         cold_for_s=_cold_ms(entry) / 1000,
-        born_ms=None if entry.get("born") is None else _whole(entry, "born", 0, MOST_BORN_MS),
+        started_at_ms=None if entry.get("born") is None else _whole(entry, "born", 0, MOST_BORN_MS),
     )
 
 
--- a/src/wharfcart/routing/backend_choice.py
+++ b/src/wharfcart/routing/backend_choice.py
@@ -167,9 +167,9 @@
         """
         self._vanished.pop(instance.instance_id, None)
         state = self._states.get(instance.instance_id)
-        if state is not None and state.instance.is_later_life_of(instance):
+        if state is not None and state.instance.is_restart_of(instance):
             return
-        if state is not None and instance.is_later_life_of(state.instance):
+        if state is not None and instance.is_restart_of(state.instance):
             self._forget(state)
             state = None
         if state is None:
@@ -177,8 +177,8 @@
             self._states[instance.instance_id] = state
         else:
             self._by_service.get(state.instance.service, {}).pop(instance.instance_id, None)
-            if instance.born_ms is None:
-                instance = replace(instance, born_ms=state.instance.born_ms)
+            if instance.started_at_ms is None:
+                instance = replace(instance, started_at_ms=state.instance.started_at_ms)
             state.instance = instance
         self._by_service.setdefault(instance.service, {})[instance.instance_id] = state
         self.cold.told(state.cold, instance.cold_for_s, now, revision)
--- a/src/wharfcart/routing/forwarder.py
+++ b/src/wharfcart/routing/forwarder.py
@@ -160,7 +160,7 @@
         progress.may_have_run = True
         if progress.started and progress.last_event is None:
             return False
-        return request.route.repeatable and progress.sends < request.route.most_backends
+        return request.route.repeatable and progress.sends < request.route.max_backends
 
     async def _give_up(
         self, request: CallerRequest, sink: AnswerSink, progress: RequestProgress, status: int
@@ -199,7 +199,7 @@
 
 def _placement_request(request: CallerRequest, progress: RequestProgress) -> PlacementRequest:
     route = request.route
-    patience_s = min(route.patience_s, request.deadline - request.received_at)
+    patience_s = min(route.caller_timeout_s, request.deadline - request.received_at)
     in_time_until = request.received_at + route.objective_s
     leave_at = request.received_at + patience_s * WAIT_SHARE_OF_PATIENCE
     if progress.started:
--- a/src/wharfcart/routing/owner.py
+++ b/src/wharfcart/routing/owner.py
@@ -13,7 +13,7 @@
 from wharfcart.backends.engine_client import EngineClient
 from wharfcart.backends.interface import BackendClient, BackendPart, BackendRequest
 from wharfcart.clock import monotonic
-from wharfcart.configuration.schema import YieldingPolicy
+from wharfcart.configuration.schema import PreemptionPolicy
 from wharfcart.errors import ServingError
 from wharfcart.observability.tasks import BackgroundTasks
 from wharfcart.routing.router import Backend, BackendKind
@@ -56,7 +56,7 @@
 
     # ---- which back ends ----
 
-    def adopt(self, backend: Backend, policy: YieldingPolicy) -> OwnedBackend:
+    def adopt(self, backend: Backend, policy: PreemptionPolicy) -> OwnedBackend:
         """Return the owned back end, made if need be, with its newest description."""
         owned = self.backends.get(backend.backend_id)
         if owned is None or owned.backend.address != backend.address:
@@ -69,9 +69,9 @@
 
     def stand_in(self, backend: Backend) -> OwnedBackend:
         """Return a back end whose owner is silent, for one request, without adopting it."""
-        return self._make(backend, YieldingPolicy.TAIL)
+        return self._make(backend, PreemptionPolicy.TAIL)
 
-    def _make(self, backend: Backend, policy: YieldingPolicy) -> OwnedBackend:
+    def _make(self, backend: Backend, policy: PreemptionPolicy) -> OwnedBackend:
         client: BackendClient
         if backend.kind is BackendKind.ENGINE:
             client = EngineClient(backend.address, self._session)
--- a/src/wharfcart/routing/sender.py
+++ b/src/wharfcart/routing/sender.py
@@ -275,7 +275,7 @@
         progress.well = not failed or head.status == STATUS_TIMEOUT
         if failed and progress.started:
             raise ConnectionBrokenError("resumption failed")
-        if failed and request.route.repeatable and progress.sends < request.route.most_backends:
+        if failed and request.route.repeatable and progress.sends < request.route.max_backends:
             return NoAnswer(True, f"status_{head.status}")
         self._told.first_byte(request, progress)
         if progress.started:
@@ -331,7 +331,7 @@
 
     def _patience_s(self, request: CallerRequest, progress: RequestProgress) -> float | None:
         route = request.route
-        if not route.repeatable or progress.sends >= route.most_backends:
+        if not route.repeatable or progress.sends >= route.max_backends:
             return None
         accepting = self._choice.accepting(request.service, monotonic(), request.residence)
         others = len(accepting) - len(progress.tried)
--- a/src/wharfcart/slots/service.py
+++ b/src/wharfcart/slots/service.py
@@ -340,7 +340,7 @@
             request=request_id,
             tenant=tenant,
             group=self.group,
-            per_s=None if limit is None else limit.per_s,
+            per_s=None if limit is None else limit.requests_per_s,
             burst=None if limit is None else limit.burst,
             used=self._limits.used(tenant, now),
             retry_after_s=round(retry_after_s, 2),
--- a/tests/admission/limit_fleet.py
+++ b/tests/admission/limit_fleet.py
@@ -137,7 +137,7 @@
 
 
 def whole(limit: RequestLimit) -> float:
-    return limit.per_s * WINDOW_S + limit.burst
+    return limit.requests_per_s * WINDOW_S + limit.burst
 
 
 class PicturingFleet(Fleet):
--- a/tests/admission/test_backend_gate.py
+++ b/tests/admission/test_backend_gate.py
@@ -9,18 +9,18 @@
     BackendState,
     Capacity,
 )
-from wharfcart.configuration.schema import YieldingPolicy
+from wharfcart.configuration.schema import PreemptionPolicy
 
 BASE_S = 0.012
 SLOPE_S = 0.0001
 IDLE_S = 10.0
 
 
-def _gate(policy: YieldingPolicy = YieldingPolicy.TAIL) -> BackendGate:
+def _gate(policy: PreemptionPolicy = PreemptionPolicy.TAIL) -> BackendGate:
     return BackendGate("engine", Capacity(online=4, batch=40), policy)
 
 
-def _measured(policy: YieldingPolicy) -> BackendGate:
+def _measured(policy: PreemptionPolicy) -> BackendGate:
     gate = _gate(policy)
     for sequences in range(1, 41):
         gate.fit.add(sequences, BASE_S + SLOPE_S * sequences)
@@ -51,7 +51,7 @@
 
 
 def test_arrival_stops_batch_above_the_measured_bound() -> None:
-    for policy in YieldingPolicy:
+    for policy in PreemptionPolicy:
         gate = _measured(policy)
         now = _fill(gate, 2.0)
         gate.admit_online("o", now)
@@ -63,7 +63,7 @@
 
 
 def test_no_batch_prompt_before_an_online_first_token() -> None:
-    gate = _measured(YieldingPolicy.THROUGHPUT)
+    gate = _measured(PreemptionPolicy.THROUGHPUT)
     gate.admit_online("o", IDLE_S)
     assert gate.batch_slots(IDLE_S + 1) == 0
     gate.first_token("o", IDLE_S + 1)
@@ -84,7 +84,7 @@
     )
 )
 def test_bounds_hold_whatever_happens(steps: list[tuple[str, float]]) -> None:
-    gate = _measured(YieldingPolicy.TAIL)
+    gate = _measured(PreemptionPolicy.TAIL)
     now = IDLE_S
     for number, (step, seconds) in enumerate(steps):
         now += seconds
--- a/tests/admission/test_tenant_limits.py
+++ b/tests/admission/test_tenant_limits.py
@@ -26,7 +26,7 @@
     fleet = Fleet(10)
     fleet.offer(20.0, 40.0, Random(1))
     assert fleet.busiest_window() <= whole(LIMIT)
-    assert len(fleet.sent) >= 20 * LIMIT.per_s
+    assert len(fleet.sent) >= 20 * LIMIT.requests_per_s
 
 
 def test_who_is_refused_is_told_when_a_token_is_there_for_it() -> None:
@@ -173,7 +173,7 @@
     limit = RequestLimit(rng.choice([2.0, 5.0, 20.0]), rng.choice([2.0, 5.0, 20.0]))
     fleet = Fleet(rng.randint(1, 12), limit)
     for _ in range(rng.randint(5, 25)):
-        fleet.offer(rng.uniform(0.1, 3.0), limit.per_s * rng.uniform(0.3, 8.0), rng)
+        fleet.offer(rng.uniform(0.1, 3.0), limit.requests_per_s * rng.uniform(0.3, 8.0), rng)
         n = rng.randrange(len(fleet.gateways))
         what = rng.random()
         if what < 0.35:
@@ -201,7 +201,7 @@
         limit = RequestLimit(rng.choice([2.0, 5.0, 20.0]), rng.choice([2.0, 5.0, 20.0]))
         fleet = Fleet(rng.randint(1, 12), limit)
         for _ in range(10):
-            fleet.offer(rng.uniform(0.1, 5.0), limit.per_s * rng.uniform(0.3, 8.0), rng)
+            fleet.offer(rng.uniform(0.1, 5.0), limit.requests_per_s * rng.uniform(0.3, 8.0), rng)
             fleet.change_home()
             for gateway in fleet.gateways:
                 fleet.connect(gateway)
--- a/tests/batch/test_job_service.py
+++ b/tests/batch/test_job_service.py
@@ -59,7 +59,7 @@
             shares,
             30.0,
             0.4,
-            most_waiting_tokens=limit if name == "jobs" else 0,
+            max_waiting_tokens=limit if name == "jobs" else 0,
         )
         for name in ("jobs", "other")
     )
--- a/tests/batch/test_runner.py
+++ b/tests/batch/test_runner.py
@@ -18,7 +18,7 @@
     ProposeResult,
 )
 from wharfcart.cluster.placement import PlacementMap
-from wharfcart.configuration.schema import YieldingPolicy
+from wharfcart.configuration.schema import PreemptionPolicy
 from wharfcart.configuration.services import Service
 from wharfcart.experiments.virtual_time import run_virtually
 from wharfcart.observability.metrics import Metrics
@@ -111,7 +111,7 @@
         lambda _service, _line, request_id: BackendRequest(request_id, "GET", "/", {}, b"", False),
     )
     backend = Backend("backend", kind, "127.0.0.1:1", "zone", frozenset({"t"}))
-    gate = BackendGate("backend", APPLICATION_CAPACITY, YieldingPolicy.TAIL)
+    gate = BackendGate("backend", APPLICATION_CAPACITY, PreemptionPolicy.TAIL)
     owned = OwnedBackend(backend, gate, cast(BackendClient, None))
     return BatchRunner(
         "node", owned, cast(Owner, owner), cast(JournalClient, journal), _service, Metrics()
--- a/tests/node/test_backend_news.py
+++ b/tests/node/test_backend_news.py
@@ -58,7 +58,10 @@
     node.take(born=1_000, slots=5)
     node.take(slots=6)
     assert node.choice.state("a") is before
-    assert before is not None and (before.instance.slots, before.instance.born_ms) == (6, 1_000)
+    assert before is not None and (before.instance.slots, before.instance.started_at_ms) == (
+        6,
+        1_000,
+    )
     node.pool.drop_instance.assert_not_called()
 
 
@@ -68,7 +71,7 @@
     node.take(born=1_000, state="draining")
     state = node.choice.state("a")
     assert state is not None and state.instance.accepting
-    assert state.instance.born_ms == 5_000
+    assert state.instance.started_at_ms == 5_000
     assert Event.BACKEND_DRAINING not in node.logged()
 
 
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -34,10 +34,10 @@
 def test_configuration() -> None:
     configuration = documents.configuration_from(json.dumps(CONFIGURATION).encode())
     (route,) = configuration.routes
-    assert (route.kind, route.time_limit_s, route.most_backends) == (RouteKind.STREAM, 6.0, 2)
+    assert (route.kind, route.time_limit_s, route.max_backends) == (RouteKind.STREAM, 6.0, 2)
     assert [share.service for share in route.shares] == ["s", "t"]
     assert configuration.services["s"].connection_limit == 300
-    assert configuration.limits.idle_s == 15.0
+    assert configuration.limits.idle_timeout_s == 15.0
 
 
 def test_server_entry() -> None:
--- a/tests/platform/test_server_entry.py
+++ b/tests/platform/test_server_entry.py
@@ -52,7 +52,7 @@
     entry = {key: GOOD[key] for key in ("backend", "address", "zone", "slots", "state")}
     instance = read(entry)
     assert instance is not None
-    assert (instance.cold_for_s, instance.born_ms) == (0.0, None)
+    assert (instance.cold_for_s, instance.started_at_ms) == (0.0, None)
 
 
 @pytest.mark.parametrize(
--- a/tests/routing/test_forwarder_residence.py
+++ b/tests/routing/test_forwarder_residence.py
@@ -108,7 +108,7 @@
     def send(self, route: Residence, tenant: Residence) -> None:
         kind = RouteKind.REPEATABLE
         shares = (TrafficShare("s", 1.0),)
-        bound = Route("r", "h", "/", kind, shares, 5.0, 0.3, most_backends=3, residence=route)
+        bound = Route("r", "h", "/", kind, shares, 5.0, 0.3, max_backends=3, residence=route)
         facts = RequestFacts("id", None, (), 0, None)
 
         async def forward() -> None:
--- a/tests/routing/test_leaving_for_back_end.py
+++ b/tests/routing/test_leaving_for_back_end.py
@@ -132,7 +132,7 @@
             (TrafficShare("s", 1.0),),
             5.0,
             1.0,
-            most_backends=most_backends,
+            max_backends=most_backends,
         )
         request = CallerRequest(
             "POST",
--- a/tests/slots/test_tenant_permits.py
+++ b/tests/slots/test_tenant_permits.py
@@ -145,7 +145,7 @@
         for _ in range(8):  # 2 s at the new granting node
             count += await sent(second)
             await asyncio.sleep(0.25)
-        assert 16 <= count <= LIMIT.per_s * WINDOW_S + LIMIT.burst
+        assert 16 <= count <= LIMIT.requests_per_s * WINDOW_S + LIMIT.burst
         await asyncio.sleep(SETTLE_S)
         assert fleet.in_use() == 0
 
