--- a/tests/batch/test_job_execution.py
+++ b/tests/batch/test_job_execution.py
@@ -59,7 +59,7 @@
 GATEWAY = SessionKey(HolderId("g1"), 1)
 
 
-class Runner:
+class FakeItemRunner:
     """Items run until they are cancelled or fail."""
 
     def __init__(self, choice: BackendChoice) -> None:
@@ -82,7 +82,7 @@
         self._failed[item_id].set()
 
 
-class GrantedSlots(ItemSlots):
+class InProcessItemSlots(ItemSlots):
     """Slots of a granter in the same process."""
 
     def __init__(self, choice: BackendChoice) -> None:
@@ -91,9 +91,9 @@
         self._offers: Counter[Residence] = Counter()
         self._numbers = 0
         for key in (LEADER, GATEWAY):
-            self.tell(SessionOpened(key, "z"))
+            self.handle_event(SessionOpened(key, "z"))
 
-    def tell(self, event: object) -> None:
+    def handle_event(self, event: object) -> None:
         loop = asyncio.get_running_loop()
         for instruction in self.granter.handle(event, loop.time()):
             match instruction:
@@ -113,21 +113,21 @@
     def occupy(self, instance_id: str, slots: int) -> None:
         """Have a gateway come that has taken slots long ago."""
         uses = tuple(SlotUse(SlotNumber(n), instance_id) for n in range(slots))
-        self.tell(SessionOpened(SessionKey(HolderId("g2"), 1), "z", uses))
+        self.handle_event(SessionOpened(SessionKey(HolderId("g2"), 1), "z", uses))
 
-    def ask(self) -> SlotNumber:
+    def request_slot(self) -> SlotNumber:
         """Have a gateway ask for a slot."""
         self._numbers += 1
         number = SlotNumber(self._numbers)
         now = asyncio.get_running_loop().time()
-        self.tell(SlotAsked(GATEWAY, number, "s", now + 9.0, now + 9.0, Manner.WAIT))
+        self.handle_event(SlotAsked(GATEWAY, number, "s", now + 9.0, now + 9.0, Manner.WAIT))
         return number
 
-    def free(self, number: SlotNumber) -> None:
-        self.tell(SlotReleased(GATEWAY, number))
+    def free_slot(self, number: SlotNumber) -> None:
+        self.handle_event(SlotReleased(GATEWAY, number))
 
     def items_wait(self, service: str, demand: ItemDemand, residence: Residence = ANYWHERE) -> None:
-        self.tell(
+        self.handle_event(
             ItemsWaiting(
                 LEADER,
                 service,
@@ -141,10 +141,10 @@
         )
 
     def begun(self, slot: ItemSlot, urgency: Urgency) -> None:
-        self.tell(ItemBegun(LEADER, slot.number, urgency))
+        self.handle_event(ItemBegun(LEADER, slot.number, urgency))
 
     def release(self, slot: HeldSlot, verdict: Verdict = Verdict.UNKNOWN) -> None:
-        self.tell(SlotReleased(LEADER, slot.number, verdict))
+        self.handle_event(SlotReleased(LEADER, slot.number, verdict))
 
     def tick(self) -> None:
         for instruction in self.granter.tick(asyncio.get_running_loop().time()):
@@ -152,7 +152,7 @@
             self.on_leave(HeldSlot(0, instruction.number), instruction.cause)
 
 
-class Records:
+class FakeLeadership:
     """Stands in for the group's leadership: results count at once."""
 
     epoch = 1
@@ -167,7 +167,7 @@
         return True
 
 
-class Bench:
+class ExecutionHarness:
     """A job execution before back ends that run items for ever."""
 
     def __init__(self, servers: int = 1, slots: int = 4, zones: str = "") -> None:
@@ -175,9 +175,9 @@
         for n in range(servers):
             zone = zones[n] if zones else "z"
             self.choice.put(BackendInstance(f"i{n}", "s", "127.0.0.1", 1, zone, slots, True))
-        self.slots = GrantedSlots(self.choice)
-        self.runner = Runner(self.choice)
-        self.records = Records()
+        self.slots = InProcessItemSlots(self.choice)
+        self.runner = FakeItemRunner(self.choice)
+        self.leadership = FakeLeadership()
         route = Route(
             "jobs",
             "h",
@@ -191,7 +191,7 @@
         self.configuration = ServingConfiguration(1, (route,), {"s": ServiceSpec("s", 100)})
         self.group = SimpleNamespace(
             partial_texts=PartialTexts(),
-            leadership=self.records,
+            leadership=self.leadership,
             replicas_behind=0,
             is_confirmed=True,
             wake_sessions=lambda: None,
@@ -209,12 +209,12 @@
         )
         self.execution.start()
 
-    def bind_route(self, residence: Residence) -> None:
+    def restrict_route(self, residence: Residence) -> None:
         """Have a configuration come into force that binds the route."""
         route = replace(self.configuration.routes[0], residence=residence)
         self.configuration = replace(self.configuration, routes=(route,))
 
-    def at(self, instance_id: str) -> list[str]:
+    def items_at(self, instance_id: str) -> list[str]:
         """Return the items that run at a back end."""
         running = self.runner.running.items()
         return sorted(item for item, backend in running if backend == instance_id)
@@ -241,9 +241,11 @@
             await asyncio.sleep(job_execution.MIN_DEMAND_INTERVAL_S / 5)
 
 
-def play(scenario: Callable[[Bench], Awaitable[None]], **more: int | str) -> None:
+def run_scenario(
+    scenario: Callable[[ExecutionHarness], Awaitable[None]], **more: int | str
+) -> None:
     async def run() -> None:
-        bench = Bench(**more)
+        bench = ExecutionHarness(**more)
         await bench.settle()
         await scenario(bench)
         bench.execution.stop()
@@ -252,54 +254,54 @@
     asyncio.run(run())
 
 
-def test_items_take_every_slot_that_is_free() -> None:
-    async def scenario(bench: Bench) -> None:
+def test_items_use_every_free_slot() -> None:
+    async def scenario(bench: ExecutionHarness) -> None:
         bench.submit("j", 9)
         await bench.settle()
         assert len(bench.runner.running) == 4
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_one_item_leaves_at_once_for_one_online_request() -> None:
-    async def scenario(bench: Bench) -> None:
+def test_one_online_request_preempts_one_item_at_once() -> None:
+    async def scenario(bench: ExecutionHarness) -> None:
         bench.submit("j", 9)
         await bench.settle()
-        bench.slots.ask()
+        bench.slots.request_slot()
         await bench.settle()
         assert len(bench.runner.running) == 3
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_the_item_with_the_most_time_left_leaves() -> None:
-    async def scenario(bench: Bench) -> None:
+def test_the_item_with_the_most_time_left_is_preempted() -> None:
+    async def scenario(bench: ExecutionHarness) -> None:
         bench.submit("old", 2, age_s=5.0)
         bench.submit("new", 2)
         await bench.settle()
         assert len(bench.runner.running) == 4
-        bench.slots.ask()
-        bench.slots.ask()
+        bench.slots.request_slot()
+        bench.slots.request_slot()
         await bench.settle()
         assert sorted(bench.runner.running) == ["old-0", "old-1"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_nothing_starts_in_a_slot_that_online_requests_need_in_a_moment() -> None:
-    async def scenario(bench: Bench) -> None:
+def test_items_leave_headroom_for_the_recent_online_rate() -> None:
+    async def scenario(bench: ExecutionHarness) -> None:
         for _ in range(round(2 * 1.5 / RESTART_COST_S)):
-            bench.slots.free(bench.slots.ask())
-        bench.slots.ask()
+            bench.slots.free_slot(bench.slots.request_slot())
+        bench.slots.request_slot()
         bench.submit("j", 9)
         await bench.settle()
         assert len(bench.runner.running) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_items_leave_back_ends_that_are_fuller_than_thought() -> None:
-    async def scenario(bench: Bench) -> None:
+def test_items_are_preempted_on_overcommitted_backends() -> None:
+    async def scenario(bench: ExecutionHarness) -> None:
         bench.submit("j", 9)
         await bench.settle()
         bench.slots.occupy("i0", 2)
@@ -307,64 +309,64 @@
         await bench.settle()
         assert len(bench.runner.running) == 2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_overdue_item_leaves_before_one_that_can_still_be_in_time() -> None:
-    async def scenario(bench: Bench) -> None:
+def test_an_overdue_item_is_preempted_before_one_that_can_meet_its_objective() -> None:
+    async def scenario(bench: ExecutionHarness) -> None:
         bench.submit("overdue", 2, age_s=OBJECTIVE_S + 5)
         bench.submit("new", 2)
         await bench.settle()
         assert len(bench.runner.running) == 4
-        bench.slots.ask()
+        bench.slots.request_slot()
         await bench.settle()
         assert sum(item.startswith("new") for item in bench.runner.running) == 2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_jobs_that_can_still_be_in_time_start_before_an_overdue_one() -> None:
-    async def scenario(bench: Bench) -> None:
+def test_jobs_that_can_meet_their_objective_start_before_an_overdue_one() -> None:
+    async def scenario(bench: ExecutionHarness) -> None:
         bench.slots.occupy("i0", 2)
         bench.submit("overdue", 4, age_s=OBJECTIVE_S + 5)
         bench.submit("new", 4)
         await bench.settle()
         assert sorted(bench.runner.running) == ["new-0", "new-1"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_item_that_must_leave_before_it_has_begun_is_not_lost() -> None:
-    async def scenario(bench: Bench) -> None:
+def test_an_item_preempted_before_its_task_starts_is_requeued() -> None:
+    async def scenario(bench: ExecutionHarness) -> None:
         bench.submit("j", 2)
         while not bench.choice.state("i0").in_flight:
             await asyncio.sleep(0)
         assert not bench.runner.running
-        numbers = [bench.slots.ask() for _ in range(4)]
+        numbers = [bench.slots.request_slot() for _ in range(4)]
         await bench.settle()
         assert bench.choice.state("i0").in_flight == 0
         assert not bench.runner.running
         await asyncio.sleep(job_execution.PREEMPTED_RETRY_DELAY_S * 2)
         for number in numbers:
-            bench.slots.free(number)
+            bench.slots.free_slot(number)
         await asyncio.sleep(job_execution.DEMAND_INTERVAL_S * 2)
         assert sorted(bench.runner.running) == ["j-0", "j-1"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_slot_that_no_item_takes_is_given_back() -> None:
-    async def scenario(bench: Bench) -> None:
-        bench.slots.tell(ItemsWaiting(LEADER, "s", 3, 0, Urgency(9.0, 4.0)))
+def test_an_unused_slot_is_released() -> None:
+    async def scenario(bench: ExecutionHarness) -> None:
+        bench.slots.handle_event(ItemsWaiting(LEADER, "s", 3, 0, Urgency(9.0, 4.0)))
         await bench.settle()
         now = asyncio.get_running_loop().time()
         assert sum(load.in_use for load in bench.slots.granter.picture(now).backends) == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_leader_that_is_not_sure_to_lead_starts_nothing() -> None:
-    async def scenario(bench: Bench) -> None:
+def test_a_leader_without_confirmed_leadership_starts_nothing() -> None:
+    async def scenario(bench: ExecutionHarness) -> None:
         bench.group.is_confirmed = False
         bench.submit("j", 4)
         await bench.settle()
@@ -374,11 +376,11 @@
         await asyncio.sleep(2 * job_execution.DEMAND_INTERVAL_S)
         assert len(bench.runner.running) == 4
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_offer_in_a_zone_that_was_emptied_meanwhile_is_given_back() -> None:
-    async def scenario(bench: Bench) -> None:
+def test_an_offer_in_a_zone_evacuated_meanwhile_is_released() -> None:
+    async def scenario(bench: ExecutionHarness) -> None:
         take = bench.slots.on_offer
 
         def take_later(slot: ItemSlot) -> None:
@@ -396,11 +398,11 @@
             while len(bench.runner.running) < 2:
                 await bench.settle()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_item_goes_elsewhere_after_it_has_failed_at_a_back_end() -> None:
-    async def scenario(bench: Bench) -> None:
+def test_a_failed_item_is_retried_on_another_backend() -> None:
+    async def scenario(bench: ExecutionHarness) -> None:
         bench.submit("j", 1)
         await bench.settle()
         (first,) = bench.runner.running.values()
@@ -411,11 +413,11 @@
         (second,) = bench.runner.running.values()
         assert first != second
 
-    play(scenario, servers=2, slots=1)
+    run_scenario(scenario, servers=2, slots=1)
 
 
-def test_a_job_that_ends_before_its_items_have_begun_leaves_nothing_in_flight() -> None:
-    async def scenario(bench: Bench) -> None:
+def test_a_job_cancelled_before_its_items_start_leaves_nothing_in_flight() -> None:
+    async def scenario(bench: ExecutionHarness) -> None:
         bench.submit("j", 2)
         while not bench.choice.state("i0").in_flight:
             await asyncio.sleep(0)
@@ -424,11 +426,11 @@
         assert bench.choice.state("i0").in_flight == 0
         assert not bench.runner.running
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_leader_that_is_deposed_leaves_nothing_in_flight() -> None:
-    async def scenario(bench: Bench) -> None:
+def test_a_leader_that_loses_leadership_leaves_nothing_in_flight() -> None:
+    async def scenario(bench: ExecutionHarness) -> None:
         bench.submit("j", 2)
         while not bench.choice.state("i0").in_flight:
             await asyncio.sleep(0)
@@ -436,91 +438,91 @@
         await bench.settle()
         assert bench.choice.state("i0").in_flight == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_item_that_has_failed_often_enough_is_not_tried_by_the_next_leader() -> None:
-    async def scenario(bench: Bench) -> None:
+def test_failures_under_earlier_leaders_count_towards_the_attempt_limit() -> None:
+    async def scenario(bench: ExecutionHarness) -> None:
         known = bench.group.partial_texts.of("j", "j-0")
         known.failed_at += ["i0", "i1", "i2"]
         bench.submit("j", 1)
         await bench.settle()
         bench.runner.fail("j-0")
         await bench.settle()
-        assert [outcome.succeeded for outcome in bench.records.outcomes] == [False]
+        assert [outcome.succeeded for outcome in bench.leadership.outcomes] == [False]
 
-    play(scenario, servers=4)
+    run_scenario(scenario, servers=4)
 
 
-def test_items_run_only_where_their_job_was_bound_to_when_it_was_taken() -> None:
-    async def scenario(bench: Bench) -> None:
+def test_items_run_only_in_the_residence_their_job_was_accepted_with() -> None:
+    async def scenario(bench: ExecutionHarness) -> None:
         bench.submit("a", 6, residence=residence_in(["west"]))
         await bench.settle()
-        assert bench.at("i0") == ["a-0", "a-1"]
-        assert bench.at("i1") == []
+        assert bench.items_at("i0") == ["a-0", "a-1"]
+        assert bench.items_at("i1") == []
 
-    play(scenario, servers=2, slots=2, zones="we")
+    run_scenario(scenario, servers=2, slots=2, zones="we")
 
 
-def test_items_run_only_where_their_route_is_bound_to_now() -> None:
-    async def scenario(bench: Bench) -> None:
-        bench.bind_route(residence_in(["west"]))
+def test_items_run_only_in_the_current_residence_of_their_route() -> None:
+    async def scenario(bench: ExecutionHarness) -> None:
+        bench.restrict_route(residence_in(["west"]))
         bench.submit("a", 6)
         await bench.settle()
-        assert bench.at("i0") == ["a-0", "a-1"]
-        assert bench.at("i1") == []
+        assert bench.items_at("i0") == ["a-0", "a-1"]
+        assert bench.items_at("i1") == []
 
-    play(scenario, servers=2, slots=2, zones="we")
+    run_scenario(scenario, servers=2, slots=2, zones="we")
 
 
-def test_an_item_that_may_run_nowhere_waits_and_takes_no_slot_from_others() -> None:
-    async def scenario(bench: Bench) -> None:
+def test_an_item_with_an_empty_residence_waits_without_using_slots() -> None:
+    async def scenario(bench: ExecutionHarness) -> None:
         bench.submit("a", 6, residence=residence_in(["west"]))
-        bench.bind_route(residence_in(["east"]))
+        bench.restrict_route(residence_in(["east"]))
         bench.submit("b", 6)
         await bench.settle()
-        assert bench.at("i0") == []
-        assert bench.at("i1") == ["b-0", "b-1"]
+        assert bench.items_at("i0") == []
+        assert bench.items_at("i1") == ["b-0", "b-1"]
 
-    play(scenario, servers=2, slots=2, zones="we")
+    run_scenario(scenario, servers=2, slots=2, zones="we")
 
 
 def test_jobs_of_several_residences_share_the_back_ends() -> None:
-    async def scenario(bench: Bench) -> None:
+    async def scenario(bench: ExecutionHarness) -> None:
         bench.submit("w", 9, age_s=2.0, residence=residence_in(["west"]))
         bench.submit("e", 1, age_s=1.0, residence=residence_in(["east"]))
         bench.submit("any", 9)
         await bench.settle()
-        assert bench.at("i0") == ["w-0", "w-1"]
-        assert bench.at("i1") == ["any-0", "e-0"]
+        assert bench.items_at("i0") == ["w-0", "w-1"]
+        assert bench.items_at("i1") == ["any-0", "e-0"]
 
-    play(scenario, servers=2, slots=2, zones="we")
+    run_scenario(scenario, servers=2, slots=2, zones="we")
 
 
-def test_an_offer_outside_is_given_back_once_and_not_made_again() -> None:
+def test_an_offer_outside_the_residence_is_released_and_not_repeated() -> None:
     """The configuration binds the route after its items were told to wait for any slot."""
 
-    async def scenario(bench: Bench) -> None:
+    async def scenario(bench: ExecutionHarness) -> None:
         bench.submit("a", 2)
-        bench.bind_route(residence_in(["west"]))
+        bench.restrict_route(residence_in(["west"]))
         await bench.settle()
-        assert bench.at("i1") == []
+        assert bench.items_at("i1") == []
         offers = bench.slots.offers
         await asyncio.sleep(3 * job_execution.DEMAND_INTERVAL_S)
         assert bench.slots.offers == offers
 
-    play(scenario, servers=2, slots=2, zones="we")
+    run_scenario(scenario, servers=2, slots=2, zones="we")
 
 
-def test_a_new_leader_puts_first_what_is_far_on_and_knows_how_far() -> None:
+def test_a_new_leader_starts_the_most_advanced_items_first() -> None:
     """After a loss of power items far on were thought to need the whole time, and left first."""
 
-    async def scenario(bench: Bench) -> None:
+    async def scenario(bench: ExecutionHarness) -> None:
         bench.execution.stop()
         lines = "\n".join(["x"] * 100).encode()
         results = [ItemOutcome(item_id=f"d-{n}", succeeded=True, text=lines) for n in range(2)]
         job = RequestJob(job_id="d", host="h", path="/jobs/d", objective_s=OBJECTIVE_S)
-        bench.records.jobs["d"] = SimpleNamespace(
+        bench.leadership.jobs["d"] = SimpleNamespace(
             job=job, results=results, ended=False, complete=True
         )
         for number in range(91):
@@ -534,4 +536,4 @@
         # Planned 0.4 of the objective: all of it, and the 39 of 130 events that are left.
         assert sorted({round(one.remaining_s, 1) for one in told}) == [2.4, 8.0]
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/batch/test_job_service.py
+++ b/tests/batch/test_job_service.py
@@ -29,7 +29,7 @@
 MEMBERS = frozenset({"a"})
 
 
-class Group:
+class SingleReplicaGroup:
     """A group of one replica, which has everything on its disk at once."""
 
     def __init__(self) -> None:
@@ -66,21 +66,23 @@
     return ServingConfiguration(1, routes, {})
 
 
-class Jobs:
+class JobServiceHarness:
     """A job service before its caller."""
 
-    def __init__(self, limit: int, elsewhere: "list[Jobs | None] | None" = None) -> None:
-        self.group = Group()
-        self.elsewhere = elsewhere or []  # None where the leader does not answer
+    def __init__(
+        self, limit: int, other_groups: "list[JobServiceHarness | None] | None" = None
+    ) -> None:
+        self.group = SingleReplicaGroup()
+        self.other_groups = other_groups or []  # None where the leader does not answer
         execution = SimpleNamespace(job_accepted=lambda _job: None, job_cancelled=lambda _job: None)
-        others = OtherGroups(lambda: list(range(len(self.elsewhere))), self)
+        others = OtherGroups(lambda: list(range(len(self.other_groups))), self)
         self.service = JobGroupService(
             self.group, execution, lambda: configuration(limit), others, DecisionLog("test")
         )
 
     async def call_group(self, group: int, frame: Frame, *_more: object) -> Frame | JobCallFailure:
         """Stand in for the client that calls the leaders of other groups."""
-        other = self.elsewhere[group]
+        other = self.other_groups[group]
         if other is None:
             return JobCallFailure(False, "no_leader")
         return Frame(waiting_tokens=other.service.count_waiting_tokens(frame.count_waiting_tokens))
@@ -93,21 +95,21 @@
         return asyncio.run(self.service.submit(SubmitJob(job=job))).status
 
 
-def test_a_job_that_does_not_fit_is_refused_and_one_that_does_is_taken() -> None:
-    jobs = Jobs(100)
+def test_a_job_over_the_token_limit_is_refused() -> None:
+    jobs = JobServiceHarness(100)
     assert jobs.submit("a", 60) == DONE
     assert jobs.submit("b", 60) == REFUSED
     assert jobs.submit("c", 40) == DONE
 
 
-def test_a_job_that_comes_again_is_not_counted_twice() -> None:
-    jobs = Jobs(100)
+def test_a_repeated_submission_is_not_counted_twice() -> None:
+    jobs = JobServiceHarness(100)
     assert jobs.submit("a", 100) == DONE
     assert jobs.submit("a", 100) == DONE
 
 
-def test_results_and_ends_make_room() -> None:
-    jobs = Jobs(100)
+def test_results_and_cancelled_jobs_free_waiting_tokens() -> None:
+    jobs = JobServiceHarness(100)
     jobs.submit("a", 60)
     jobs.submit("b", 40)
     jobs.group.leadership.append("a", ItemOutcome(item_id="a-0", succeeded=True))
@@ -116,54 +118,54 @@
     assert jobs.submit("d", 40) == DONE
 
 
-def test_another_route_and_no_limit_at_all() -> None:
-    jobs = Jobs(100)
+def test_the_limit_of_a_route_does_not_apply_to_other_routes() -> None:
+    jobs = JobServiceHarness(100)
     jobs.submit("a", 100)
     assert jobs.submit("b", 1000, route="other") == DONE
-    assert Jobs(0).submit("a", 10_000_000) == DONE
+    assert JobServiceHarness(0).submit("a", 10_000_000) == DONE
 
 
-def test_a_limit_is_kept_over_all_groups() -> None:
-    other = Jobs(100)
+def test_the_token_limit_holds_over_all_groups() -> None:
+    other = JobServiceHarness(100)
     assert other.submit("a", 60) == DONE
-    jobs = Jobs(100, elsewhere=[other, Jobs(100)])
+    jobs = JobServiceHarness(100, other_groups=[other, JobServiceHarness(100)])
     assert jobs.submit("b", 50) == REFUSED
     assert jobs.submit("c", 40) == DONE
     other.group.leadership.append("a", ItemOutcome(item_id="a-0", succeeded=True))
     assert jobs.submit("d", 30) == DONE
 
 
-def test_a_group_that_does_not_answer_counts_with_its_share_of_the_limit() -> None:
-    jobs = Jobs(100, elsewhere=[None])
+def test_an_unresponsive_group_counts_as_its_share_of_the_limit() -> None:
+    jobs = JobServiceHarness(100, other_groups=[None])
     assert jobs.submit("a", 60) == REFUSED
     assert jobs.submit("b", 50) == DONE
 
 
-def test_a_group_whose_node_no_longer_leads_counts_with_its_share_too() -> None:
-    other = Jobs(100)
+def test_a_group_without_a_leader_counts_as_its_share_of_the_limit() -> None:
+    other = JobServiceHarness(100)
     other.group.leadership = None
-    jobs = Jobs(100, elsewhere=[other])
+    jobs = JobServiceHarness(100, other_groups=[other])
     assert jobs.submit("a", 60) == REFUSED
     assert jobs.submit("b", 50) == DONE
 
 
-def test_a_node_that_may_no_longer_lead_does_not_refuse() -> None:
-    jobs = Jobs(100)
+def test_a_node_that_lost_leadership_does_not_refuse_for_the_token_limit() -> None:
+    jobs = JobServiceHarness(100)
     jobs.submit("a", 100)
     jobs.group.leadership = None
     assert jobs.submit("b", 60) == NOT_LEADING
 
 
 def test_each_tenant_has_the_limit_for_itself_over_all_groups() -> None:
-    other = Jobs(100)
+    other = JobServiceHarness(100)
     assert other.submit("a", 60, tenant="t") == DONE
-    jobs = Jobs(100, elsewhere=[other])
+    jobs = JobServiceHarness(100, other_groups=[other])
     assert jobs.submit("b", 50, tenant="t") == REFUSED
     assert jobs.submit("c", 90, tenant="u") == DONE
     assert jobs.submit("d", 40, tenant="t") == DONE
 
 
-def calls(jobs: Jobs, tenant: str) -> list[JobStatus]:
+def statuses_for_tenant(jobs: JobServiceHarness, tenant: str) -> list[JobStatus]:
     """Return what a tenant is told of job ``a``: read, body, end, sent again."""
     service = jobs.service
     return [
@@ -177,39 +179,39 @@
 
 
 def test_a_job_does_not_exist_for_another_tenant() -> None:
-    jobs = Jobs(0)
+    jobs = JobServiceHarness(0)
     assert jobs.submit("a", 10, tenant="t") == DONE
-    assert calls(jobs, "u") == [NOT_FOUND, NOT_FOUND, NOT_FOUND, TAKEN]
+    assert statuses_for_tenant(jobs, "u") == [NOT_FOUND, NOT_FOUND, NOT_FOUND, TAKEN]
     assert not jobs.group.leadership.jobs["a"].ended
-    assert calls(jobs, "t") == [DONE] * 4
+    assert statuses_for_tenant(jobs, "t") == [DONE] * 4
 
 
-def test_a_job_from_before_the_fleet_had_tenants_is_anyones() -> None:
-    jobs = Jobs(0)
+def test_a_job_without_a_tenant_is_visible_to_every_tenant() -> None:
+    jobs = JobServiceHarness(0)
     assert jobs.submit("a", 10) == DONE
-    assert calls(jobs, "t") == [DONE] * 4
+    assert statuses_for_tenant(jobs, "t") == [DONE] * 4
 
 
-def test_where_callers_need_no_key_a_tenants_job_is_shown() -> None:
-    jobs = Jobs(0)
+def test_without_api_keys_jobs_of_all_tenants_are_visible() -> None:
+    jobs = JobServiceHarness(0)
     assert jobs.submit("a", 10, tenant="t") == DONE
-    assert calls(jobs, "") == [DONE] * 4
+    assert statuses_for_tenant(jobs, "") == [DONE] * 4
 
 
-def test_an_end_does_not_deny_a_job_that_is_being_taken() -> None:
+def test_cancelling_a_job_during_its_submission_is_unsure() -> None:
     """Else its caller takes it for unknown, and it runs to its end all the same."""
 
     async def scenario() -> tuple[JobStatus, JobStatus]:
         others_asked = asyncio.Event()
         answer_now = asyncio.Event()
 
-        class Slow(Jobs):
+        class Slow(JobServiceHarness):
             async def call_group(self, *_arguments: object) -> Frame | JobCallFailure:
                 others_asked.set()
                 await answer_now.wait()
                 return JobCallFailure(False, "no_leader")
 
-        jobs = Slow(100, elsewhere=[None])
+        jobs = Slow(100, other_groups=[None])
         job = RequestJob(job_id="a", host="h", path="/jobs/a", items=[RequestItem(item_id="1")])
         submission = asyncio.create_task(jobs.service.submit(SubmitJob(job=job)))
         await others_asked.wait()
@@ -219,4 +221,7 @@
         return while_taken, (await jobs.service.cancel(EndJob(job_id="a"))).status
 
     assert asyncio.run(scenario()) == (UNSURE, DONE)
-    assert asyncio.run(Jobs(100).service.cancel(EndJob(job_id="none"))).status == NOT_FOUND
+    assert (
+        asyncio.run(JobServiceHarness(100).service.cancel(EndJob(job_id="none"))).status
+        == NOT_FOUND
+    )
--- a/tests/batch/test_job_service_residence.py
+++ b/tests/batch/test_job_service_residence.py
@@ -42,7 +42,7 @@
 REGIONS = {"w": RegionName("west"), "e": RegionName("east")}
 
 
-class Group:
+class SingleReplicaGroup:
     """A group of one replica; more disks may be written to."""
 
     def __init__(self, *more_disks: str) -> None:
@@ -60,7 +60,7 @@
         return True
 
 
-class Jobs:
+class JobServiceHarness:
     """A job service before its caller, with the services of other groups."""
 
     def __init__(
@@ -68,13 +68,13 @@
         *more_disks: str,
         route: Residence = ANYWHERE,
         tenant: Residence = ANYWHERE,
-        elsewhere: "tuple[Jobs | None, ...]" = (),
+        other_groups: "tuple[JobServiceHarness | None, ...]" = (),
     ) -> None:
-        self.group = Group(*more_disks)
-        self.elsewhere = elsewhere  # None where the leader does not answer
+        self.group = SingleReplicaGroup(*more_disks)
+        self.other_groups = other_groups  # None where the leader does not answer
         self.set_residence(route, tenant)
         execution = SimpleNamespace(job_accepted=lambda _job: None, job_cancelled=lambda _job: None)
-        others = OtherGroups(lambda: list(range(len(self.elsewhere))), self)
+        others = OtherGroups(lambda: list(range(len(self.other_groups))), self)
         self.service = JobGroupService(
             self.group,
             execution,
@@ -92,7 +92,7 @@
 
     async def call_group(self, group: int, frame: Frame, *_more: object) -> Frame | JobCallFailure:
         """Stand in for the client that calls the leaders of other groups."""
-        other = self.elsewhere[group]
+        other = self.other_groups[group]
         if other is None:
             return JobCallFailure(False, "no_leader")
         page = await other.service.read_results(frame.read_results)
@@ -114,39 +114,39 @@
         return (await self.service.submit(SubmitJob(job=job, moved=moved))).status
 
 
-def test_a_leader_takes_a_job_whose_data_may_be_on_all_disks() -> None:
-    jobs = Jobs("w2", route=WEST)
+def test_a_job_is_accepted_if_all_disks_are_in_its_residence() -> None:
+    jobs = JobServiceHarness("w2", route=WEST)
     assert asyncio.run(jobs.submit(WEST)) == DONE
     assert jobs.group.leadership.residences == {WEST}
 
 
-def test_a_disk_elsewhere_has_a_job_refused_that_surely_does_not_run() -> None:
+def test_a_job_is_refused_if_a_disk_is_outside_its_residence() -> None:
     """It may be a replica, one to come, or a spare that is fed."""
-    jobs = Jobs("e1", route=WEST)
+    jobs = JobServiceHarness("e1", route=WEST)
     assert asyncio.run(jobs.submit(WEST)) == OUTSIDE_RESIDENCE
     assert jobs.group.leadership.jobs == {}
 
 
-def test_a_disk_of_no_known_region_has_a_bound_job_refused() -> None:
-    assert asyncio.run(Jobs("?", route=WEST).submit(WEST)) == OUTSIDE_RESIDENCE
-    assert asyncio.run(Jobs("?").submit()) == DONE
+def test_a_disk_of_unknown_region_is_outside_any_restricted_residence() -> None:
+    assert asyncio.run(JobServiceHarness("?", route=WEST).submit(WEST)) == OUTSIDE_RESIDENCE
+    assert asyncio.run(JobServiceHarness("?").submit()) == DONE
 
 
 @pytest.mark.parametrize(("route", "tenant"), [(EAST, ANYWHERE), (ANYWHERE, EAST), (EAST, WEST)])
-def test_what_the_leader_knows_binds_although_its_gateway_is_behind(
+def test_the_leaders_configuration_applies_if_the_gateway_is_behind(
     route: Residence, tenant: Residence
 ) -> None:
-    assert asyncio.run(Jobs(route=route, tenant=tenant).submit()) == OUTSIDE_RESIDENCE
+    assert asyncio.run(JobServiceHarness(route=route, tenant=tenant).submit()) == OUTSIDE_RESIDENCE
 
 
-def test_what_the_gateway_knows_binds_although_the_leader_is_behind() -> None:
-    assert asyncio.run(Jobs().submit(EAST)) == OUTSIDE_RESIDENCE
+def test_the_gateways_residence_applies_if_the_leader_is_behind() -> None:
+    assert asyncio.run(JobServiceHarness().submit(EAST)) == OUTSIDE_RESIDENCE
 
 
-def test_a_set_that_changes_while_other_groups_are_asked_is_seen() -> None:
+def test_a_disk_added_while_other_groups_are_asked_is_checked() -> None:
     async def scenario() -> None:
-        other = Jobs()
-        jobs = Jobs(route=WEST, elsewhere=(other,))
+        other = JobServiceHarness()
+        jobs = JobServiceHarness(route=WEST, other_groups=(other,))
         ask = jobs.call_group
 
         async def ask_and_change(*more: object) -> Frame | JobCallFailure:
@@ -159,11 +159,11 @@
     asyncio.run(scenario())
 
 
-def test_a_submission_that_is_sent_again_after_a_change_is_not_taken_twice() -> None:
+def test_a_resubmission_after_a_residence_change_is_not_accepted_twice() -> None:
     async def scenario() -> None:
-        first = Jobs()
+        first = JobServiceHarness()
         assert await first.submit() == DONE
-        second = Jobs(route=WEST, elsewhere=(Jobs(), first))
+        second = JobServiceHarness(route=WEST, other_groups=(JobServiceHarness(), first))
         assert await second.submit(WEST) == DONE
         assert second.group.leadership.jobs == {}
         assert await second.submit(WEST, job_id="b") == DONE
@@ -172,11 +172,11 @@
     asyncio.run(scenario())
 
 
-def test_other_groups_are_asked_after_the_last_residence_was_taken_away() -> None:
+def test_other_groups_are_asked_after_the_last_restriction_is_removed() -> None:
     async def scenario() -> None:
-        first = Jobs(route=WEST)
+        first = JobServiceHarness(route=WEST)
         assert await first.submit(WEST) == DONE
-        second = Jobs(route=WEST, elsewhere=(first,))
+        second = JobServiceHarness(route=WEST, other_groups=(first,))
         assert await second.submit(WEST, job_id="b") == DONE
         second.set_residence(ANYWHERE)
         assert await second.submit() == DONE
@@ -185,9 +185,9 @@
     asyncio.run(scenario())
 
 
-def test_a_group_that_does_not_answer_stops_only_jobs_that_may_be_there() -> None:
+def test_an_unresponsive_group_blocks_only_jobs_that_it_may_have() -> None:
     async def scenario() -> None:
-        jobs = Jobs(route=WEST, elsewhere=(None,))
+        jobs = JobServiceHarness(route=WEST, other_groups=(None,))
         assert await jobs.submit(WEST, moved=True) == MAYBE_ELSEWHERE
         assert jobs.group.leadership.jobs == {}
         assert await jobs.submit(WEST) == DONE
@@ -195,14 +195,14 @@
     asyncio.run(scenario())
 
 
-def test_where_nothing_is_bound_no_other_group_is_asked() -> None:
-    assert asyncio.run(Jobs(elsewhere=(None,)).submit()) == DONE
+def test_without_restrictions_no_other_group_is_asked() -> None:
+    assert asyncio.run(JobServiceHarness(other_groups=(None,)).submit()) == DONE
 
 
-def test_of_two_groups_that_take_a_job_at_once_neither_says_that_it_has_none() -> None:
+def test_concurrent_submissions_of_one_job_to_two_groups_are_accepted_once() -> None:
     async def scenario() -> None:
-        one, two = Jobs(route=WEST), Jobs(route=WEST)
-        one.elsewhere, two.elsewhere = (two,), (one,)
+        one, two = JobServiceHarness(route=WEST), JobServiceHarness(route=WEST)
+        one.other_groups, two.other_groups = (two,), (one,)
         ask = one.call_group
 
         async def ask_while_the_other_takes_it(*more: object) -> Frame | JobCallFailure:
--- a/tests/batch/test_jobs_at_a_start.py
+++ b/tests/batch/test_jobs_at_a_start.py
@@ -33,7 +33,7 @@
 FILE_ON_SHARD_2 = "file-0002d2159c8265534b8f8f61"
 
 
-class _NoPeers:
+class _UnreachableTransport:
     """Fails a test in which a shard's leader is asked."""
 
     async def call(self, _address: object, _frame: Frame) -> Frame:
@@ -50,7 +50,7 @@
     placement.merge(
         ShardPlacement(shard=shard, replicas=["a", "b", "c"], version=7) for shard in shards_on_disk
     )
-    return JournalClient(placement, cast(Transport, _NoPeers()), _address)
+    return JournalClient(placement, cast(Transport, _UnreachableTransport()), _address)
 
 
 def _jobs(shards_on_disk: list[int]) -> BatchApiService:
@@ -65,7 +65,9 @@
 
 @pytest.mark.parametrize("shards_on_disk", [[], [0], [0, 1]])
 @pytest.mark.parametrize("call", ["find", "cancel", "find_file", "list", "create"])
-def test_a_node_that_does_not_know_all_shards_says_so(call: str, shards_on_disk: list[int]) -> None:
+def test_a_node_without_the_full_placement_answers_unavailable(
+    call: str, shards_on_disk: list[int]
+) -> None:
     jobs = _jobs(shards_on_disk)
     new = NewJob(FILE_ON_SHARD_2, "/v1/chat/completions", 60.0, b"", "key")
     work: dict[str, Coroutine[object, object, object]] = {
@@ -84,7 +86,7 @@
     assert refusal.retry_after_seconds is not None
 
 
-def test_a_node_that_knows_some_shards_sends_no_key_to_a_wrong_one() -> None:
+def test_a_node_with_a_partial_placement_sends_no_key_to_a_wrong_shard() -> None:
     # Of three shards the node holds two: by two it would ask another shard than by three.
     key = next(
         key
@@ -97,6 +99,6 @@
     assert refusal.outcome is Outcome.NOT_RUN
 
 
-def test_an_id_of_no_shard_is_not_found() -> None:
+def test_an_id_that_names_no_shard_is_not_found() -> None:
     refusal = _refusal(_jobs([]).find(TENANT, "batch_none"))
     assert (refusal.code, refusal.status) == ("batch_not_found", 404)
--- a/tests/batch/test_run_estimate.py
+++ b/tests/batch/test_run_estimate.py
@@ -4,7 +4,7 @@
 from wharfcart.slots.urgency import Urgency
 
 
-def test_before_anything_is_known_the_objective_decides() -> None:
+def test_without_data_the_estimate_is_a_share_of_the_objective() -> None:
     assert RunEstimate().remaining_s(0, 20.0) == 8.0
 
 
@@ -16,7 +16,7 @@
     assert estimate.remaining_s(500, 20.0) == 2.0 * MIN_REMAINING_SHARE
 
 
-def test_slower_back_ends_are_learnt() -> None:
+def test_the_estimate_follows_slower_backends() -> None:
     estimate = RunEstimate()
     estimate.record_finished(100, 2.0)
     for _ in range(60):
@@ -24,7 +24,7 @@
     assert 7.0 < estimate.remaining_s(0, 20.0) < 8.0
 
 
-def test_an_item_that_comes_too_late_is_not_urgent_and_waits_first() -> None:
+def test_an_item_past_its_objective_is_not_urgent_and_is_preempted_first() -> None:
     late = Urgency(left_s=-3.0, remaining_s=4.0)
     urgent = Urgency(left_s=4.5, remaining_s=4.0)
     early = Urgency(left_s=15.0, remaining_s=4.0)
@@ -32,14 +32,14 @@
     assert sorted([urgent, early, late], key=lambda one: one.order) == [late, early, urgent]
 
 
-def test_before_anything_is_known_what_an_item_has_run_counts() -> None:
+def test_without_data_the_run_time_reduces_the_estimate() -> None:
     """After a power loss no item finishes for a while; those far on must not look hopeless."""
     estimate = RunEstimate()
     assert estimate.remaining_s(80, 20.0, run_time_s=5.0) == 3.0
     assert estimate.remaining_s(200, 20.0, run_time_s=30.0) == 8.0 * MIN_REMAINING_SHARE
 
 
-def test_a_new_leader_knows_from_results_how_far_an_item_is() -> None:
+def test_results_of_earlier_leaders_give_the_mean_item_size() -> None:
     """Items that had given 63 of 144 events were taken to need the whole time, and cut."""
     estimate = RunEstimate()
     for _ in range(5):
--- a/tests/batch/test_runner.py
+++ b/tests/batch/test_runner.py
@@ -29,18 +29,18 @@
 ROWS = [0, 1, 2]
 
 
-class _Journal:
+class _FakeJournal:
     """Grants one lease, once the test lets it, and takes what is proposed."""
 
     def __init__(self) -> None:
         self.placement = PlacementMap()
         self.granted = asyncio.Event()
-        self.asked = asyncio.Event()
+        self.polled = asyncio.Event()
         self.proposed: list[Command] = []
         self._lease: GrantedLease | None = _granted_lease()
 
     async def ask_leader(self, _shard: int, _frame: Frame, _timeout_s: float) -> Frame:
-        self.asked.set()
+        self.polled.set()
         await self.granted.wait()
         lease, self._lease = self._lease, None
         return Frame(lease_grant=LeaseGrant(leases=[] if lease is None else [lease]))
@@ -52,14 +52,14 @@
         return ProposeResult(code="ok")
 
 
-class _Owner:
+class _FakeOwner:
     """Runs nothing: notes what it is given."""
 
     def __init__(self) -> None:
-        self.run: list[str] = []
+        self.started_ids: list[str] = []
 
     async def run_batch(self, _owned: OwnedBackend, request: BackendRequest) -> BackendPart:
-        self.run.append(request.request_id)
+        self.started_ids.append(request.request_id)
         await asyncio.Event().wait()
         raise AssertionError
 
@@ -82,27 +82,27 @@
     repeatable = False
 
 
-class _SlowToStop(_Owner):
+class _SlowToStopOwner(_FakeOwner):
     """An engine that answers an order to stop only once the test lets it."""
 
     def __init__(self) -> None:
         super().__init__()
         self.stopping = 0
-        self.answers = asyncio.Event()
+        self.stop_confirmed = asyncio.Event()
 
     async def run_batch(self, _owned: OwnedBackend, request: BackendRequest) -> BackendPart:
-        self.run.append(request.request_id)
+        self.started_ids.append(request.request_id)
         try:
             await asyncio.Event().wait()
         finally:
             self.stopping += 1
-            await asyncio.shield(self.answers.wait())
+            await asyncio.shield(self.stop_confirmed.wait())
         raise AssertionError
 
 
 def _runner(
-    journal: _Journal,
-    owner: _Owner,
+    journal: _FakeJournal,
+    owner: _FakeOwner,
     monkeypatch: pytest.MonkeyPatch,
     kind: BackendKind = BackendKind.APPLICATION,
 ) -> BatchRunner:
@@ -118,19 +118,19 @@
     )
 
 
-def test_a_lease_that_is_revoked_before_its_grant_arrives_runs_nothing(
+def test_a_lease_revoked_before_its_grant_arrives_runs_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> tuple[list[Command], list[str]]:
-        journal, owner = _Journal(), _Owner()
+        journal, owner = _FakeJournal(), _FakeOwner()
         runner = _runner(journal, owner, monkeypatch)
         polling = asyncio.create_task(runner._poll_shard(0))
-        await journal.asked.wait()
+        await journal.polled.wait()
         runner.revoke(["lease"])
         journal.granted.set()
         await polling
         await _settle()
-        return journal.proposed, owner.run
+        return journal.proposed, owner.started_ids
 
     proposed, run = asyncio.run(scenario())
     (command,) = proposed
@@ -139,11 +139,11 @@
     assert not run
 
 
-def test_items_that_had_not_begun_when_their_lease_ended_are_given_back_as_not_run(
+def test_waiting_items_of_a_revoked_lease_are_returned_as_not_run(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> list[Command]:
-        journal, owner = _Journal(), _Owner()
+        journal, owner = _FakeJournal(), _FakeOwner()
         runner = _runner(journal, owner, monkeypatch)
         journal.granted.set()
         await runner._poll_shard(0)
@@ -158,7 +158,7 @@
     assert list(command.lease_end.not_run) == ROWS
 
 
-def test_an_engine_that_is_slow_to_stop_does_not_hold_up_the_end_of_a_lease(
+def test_a_slow_engine_does_not_delay_the_end_of_a_revoked_lease(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A cancelled job took 2.1 s of the 2 s promised beside a busy machine.
@@ -169,14 +169,14 @@
     """
 
     async def scenario() -> None:
-        journal, owner = _Journal(), _SlowToStop()
+        journal, owner = _FakeJournal(), _SlowToStopOwner()
         runner = _runner(journal, owner, monkeypatch, BackendKind.ENGINE)
         journal.granted.set()
         await runner._poll_shard(0)
         while runner._waiting:
             runner._start(runner._waiting.popleft())
         await _settle()
-        assert len(owner.run) == len(ROWS)
+        assert len(owner.started_ids) == len(ROWS)
         began_at = asyncio.get_running_loop().time()
         runner.revoke(["lease"])
         async with asyncio.timeout(2 * STOP_TIMEOUT_S):
@@ -188,7 +188,7 @@
         assert not command.lease_end.not_run  # they began
         # Each was told to stop, and keeps its slot until the engine says that it did.
         assert owner.stopping == len(runner._running) == len(ROWS)
-        owner.answers.set()
+        owner.stop_confirmed.set()
         await _settle()
         assert not runner._running
         assert len(journal.proposed) == 1  # nothing is recorded of them
--- a/tests/batch/test_scheduler.py
+++ b/tests/batch/test_scheduler.py
@@ -55,18 +55,18 @@
     assert choice.job_id == "soon"
 
 
-def test_a_huge_job_does_not_hold_up_a_small_one() -> None:
+def test_a_huge_job_does_not_delay_a_small_one() -> None:
     state = _state([("huge", "t", 690_000, 100), ("small", "t", 50, 900)])
     assert _drain(state, 5)["small"] == 50
 
 
-def test_tenants_are_served_by_their_shares() -> None:
+def test_tenants_are_served_in_proportion_to_their_weights() -> None:
     state = _state([("a", "small", 10_000, 100), ("b", "large", 10_000, 100)])
     items = _drain(state, 80)
     assert 2.5 < items["b"] / items["a"] < 3.5
 
 
-def test_what_is_being_leased_is_not_chosen_twice() -> None:
+def test_reserved_items_are_not_chosen_twice() -> None:
     scheduler = _scheduler(_state([("a", "t", 100, 1)]))
     first = scheduler.choose({"model"}, 64)
     second = scheduler.choose({"model"}, 64)
@@ -74,12 +74,12 @@
     assert sorted(rows) == list(range(100))
 
 
-def test_only_jobs_that_the_back_end_can_serve() -> None:
+def test_only_jobs_that_the_backend_can_serve_are_chosen() -> None:
     scheduler = _scheduler(_state([("a", "t", 10, 1)]))
     assert scheduler.choose({"another model"}, 64) == []
 
 
-def test_lease_lapses_by_the_leaders_clock_and_a_renewal_prolongs_it() -> None:
+def test_a_lease_expires_by_the_leaders_clock_unless_renewed() -> None:
     state = _state([("a", "t", 10, 1)])
     scheduler = _scheduler(state)
     _lease(state, scheduler, scheduler.choose({"model"}, 10)[0], "l")
@@ -89,7 +89,7 @@
     assert scheduler.expired_leases(LEASE_TERM_S + 6) == ["l"]
 
 
-def test_ended_lease_gives_back_what_may_run_again() -> None:
+def test_an_ended_lease_returns_items_that_did_not_run() -> None:
     state = _state([("a", "t", 3, 1)])
     scheduler = _scheduler(state)
     _lease(state, scheduler, scheduler.choose({"model"}, 3)[0], "l")
@@ -102,7 +102,7 @@
     assert states == [ItemState.COMPLETED, ItemState.PENDING, ItemState.UNKNOWN]
 
 
-def test_unknown_item_becomes_definite_and_a_definite_one_stays() -> None:
+def test_a_result_replaces_an_unknown_outcome_but_not_another_result() -> None:
     state = _state([("a", "t", 1, 1)])
     for index, end in enumerate([UNKNOWN, 0, 1], start=1):
         result = ItemResult(row=0, end=end)  # type: ignore[arg-type]
@@ -112,7 +112,7 @@
     assert state.dropped_completions == 1
 
 
-def test_cancelled_job_leases_nothing_and_its_counts_add_up() -> None:
+def test_a_cancelled_job_leases_nothing_and_counts_every_item() -> None:
     state = _state([("a", "t", 10, 1)])
     scheduler = _scheduler(state)
     _lease(state, scheduler, scheduler.choose({"model"}, 4)[0], "l")
--- a/tests/configuration/test_configuration.py
+++ b/tests/configuration/test_configuration.py
@@ -47,12 +47,12 @@
     return {finding.place: finding.reason for finding in findings}
 
 
-def test_every_wrong_field_is_found_with_its_line() -> None:
+def test_every_invalid_field_is_reported_with_its_line() -> None:
     found = _findings(BAD)
     assert set(found) == {"tenants.0.colour (line 4)", "tenants.1.name (line 5)"}
 
 
-def test_every_wrong_reference_is_found() -> None:
+def test_every_invalid_reference_is_reported() -> None:
     found = "\n".join(f"{place}: {reason}" for place, reason in _findings(DANGLING).items())
     for text in (
         "tenants.1.name (line 2): 't' stands twice",
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("text", ["a: [", "- 1", "tenants: 5", "\t"])
-def test_no_document_at_all_is_a_finding(text: str) -> None:
+def test_text_that_is_no_document_is_a_finding(text: str) -> None:
     assert _findings(text)
 
 
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("profile", Profile)
-def test_examples_are_what_the_module_makes(profile: Profile) -> None:
+def test_example_files_match_the_generator(profile: Profile) -> None:
     path = ROOT / "examples" / profile.value / "configuration.yaml"
     text = path.read_text(encoding="utf-8")
     assert yaml.safe_load(text) == example_document(profile)
@@ -90,7 +90,7 @@
     return [Entry(key=k, value=v, revision=revision) for k, v in document.items()]
 
 
-def test_service_is_template_and_values_and_follows_changes() -> None:
+def test_a_service_combines_template_and_values_and_follows_changes() -> None:
     document = load_document(yaml.safe_dump(example_document(Profile.SWAP)), "doc").unwrap()
     entries = document_entries(document)
     index = ServiceIndex()
--- a/tests/configuration/test_residence.py
+++ b/tests/configuration/test_residence.py
@@ -13,13 +13,13 @@
 WEST, EAST = RegionName("west"), RegionName("east")
 
 
-def test_a_route_and_a_tenant_bind_both() -> None:
+def test_residences_of_a_route_and_a_tenant_intersect() -> None:
     both = residence_in(["west", "east"]).intersect(residence_in(["east", "south"]))
     assert both == residence_in(["east"])
     assert ANYWHERE.intersect(both) == both.intersect(ANYWHERE) == both
 
 
-def test_nothing_is_allowed_where_they_have_no_region_in_common() -> None:
+def test_an_empty_intersection_allows_no_region() -> None:
     nowhere = residence_in(["west"]).intersect(residence_in(["east"]))
     assert nowhere.is_restricted
     assert not nowhere.allows(WEST)
@@ -27,12 +27,12 @@
     assert not nowhere.allows(None)
 
 
-def test_a_region_that_is_not_known_is_not_in_a_bound_residence() -> None:
+def test_an_unknown_region_is_outside_a_restricted_residence() -> None:
     assert ANYWHERE.allows(None)
     assert not residence_in(["west"]).allows(None)
 
 
-def test_a_residence_without_any_region_stays_bound_as_it_travels() -> None:
+def test_a_message_keeps_a_residence_without_regions() -> None:
     for residence in (ANYWHERE, residence_in(["west"]), Residence(frozenset())):
         message = residence_to_message(residence)
         assert residence_from_message(SlotRequest(residence=message)) == residence
--- a/tests/configuration/test_serving.py
+++ b/tests/configuration/test_serving.py
@@ -26,11 +26,11 @@
     assert table(route("h", "/a/")).route_for("h", "/a") is None
 
 
-def test_another_host_has_other_routes() -> None:
+def test_routes_belong_to_one_host() -> None:
     assert table(route("h", "/a/")).route_for("g", "/a/b") is None
 
 
-def test_what_may_run_again() -> None:
+def test_repeatable_routes() -> None:
     assert route("h", "/").repeatable
     assert not route("h", "/", RouteKind.AT_MOST_ONCE).repeatable
     assert not route("h", "/", RouteKind.STREAM).repeatable
