--- a/src/wharfcart/batch/item_run.py
+++ b/src/wharfcart/batch/item_run.py
@@ -114,12 +114,12 @@
 
     def __init__(
         self,
-        choice: BackendChoice,
+        selector: BackendChoice,
         pool: ConnectionPool,
         connection_limit: Callable[[str], int],
         crash_detector: BrokenRuns,
     ) -> None:
-        self._choice = choice
+        self._selector = selector
         self._pool = pool
         self._connection_limit = connection_limit
         self._crash_detector = crash_detector
@@ -137,18 +137,18 @@
         try:
             return await self._connect_and_send(attempt)
         except ConnectFailedError:
-            self._choice.failed(attempt.state, monotonic())
+            self._selector.failed(attempt.state, monotonic())
             return RunOutcome.REFUSED
         except ConnectionLimitError:
             return RunOutcome.REFUSED
         finally:
-            self._choice.ended(attempt.state, attempt.send_id)
+            self._selector.ended(attempt.state, attempt.send_id)
 
     async def _connect_and_send(self, attempt: ItemAttempt) -> RunOutcome:
         instance = attempt.state.instance
         placed_at = monotonic()
         connection = await self._pool.take(instance, self._connection_limit(instance.service))
-        ruled_out = self._choice.held_back(attempt.state, placed_at, monotonic()) is not None
+        ruled_out = self._selector.held_back(attempt.state, placed_at, monotonic()) is not None
         if ruled_out or self._is_quarantined(attempt):
             self._pool.give_back(instance, connection)
             return RunOutcome.REFUSED
@@ -187,10 +187,10 @@
         self._send_request(connection, attempt)
         async with asyncio.timeout(READ_TIMEOUT_S):
             head = await connection.read_head()
-        self._choice.answered(attempt.state, attempt.send_id)
+        self._selector.answered(attempt.state, attempt.send_id)
         load = exchanges.reported_load(head)
         if load is not None:
-            self._choice.reported(attempt.state, load.running, load.waiting, monotonic())
+            self._selector.reported(attempt.state, load.running, load.waiting, monotonic())
         if head.status >= 300:
             await connection.read_body()
             return self._outcome_of_error(head, attempt.state)
@@ -223,7 +223,7 @@
     def _outcome_of_error(self, head: AnswerHead, state: InstanceState) -> RunOutcome:
         if exchanges.was_not_run(head):
             if head.status == STATUS_UNAVAILABLE:
-                self._choice.full(state, monotonic())
+                self._selector.full(state, monotonic())
             return RunOutcome.REFUSED
         if head.status == STATUS_UNPROCESSABLE:
             return RunOutcome.UNPROCESSABLE
--- a/src/wharfcart/batch/job_execution.py
+++ b/src/wharfcart/batch/job_execution.py
@@ -68,7 +68,7 @@
         self,
         group: JobGroup,
         runner: ItemRunner,
-        choice: BackendChoice,
+        selector: BackendChoice,
         configuration: Callable[[], ServingConfiguration | None],
         slots: ItemSlots,
         keep_jobs_s: float,
@@ -78,7 +78,7 @@
     ) -> None:
         self._group = group
         self._runner = runner
-        self._choice = choice
+        self._selector = selector
         self._configuration = configuration
         self._slots = slots
         self._keep_jobs_s = keep_jobs_s
@@ -118,9 +118,9 @@
 
     def _handle_offer(self, slot: ItemSlot) -> None:
         """Run the item that goes first in a slot that is offered, or give the slot back."""
-        state = self._choice.state(slot.instance_id)
+        state = self._selector.state(slot.instance_id)
         found = None if state is None else self._next_item(slot.service, state)
-        if state is None or self._choice.ruled_out(state) or found is None:
+        if state is None or self._selector.ruled_out(state) or found is None:
             self._slots.release(slot)
             return
         scheduled, item = found
@@ -153,7 +153,7 @@
         instance_id = state.instance.instance_id
         for scheduled in self._jobs_by_due_time(service):
             residence = self._residence_of(scheduled.job)
-            if self._choice.eligibility.ruled_out(state.instance, residence) is not None:
+            if self._selector.eligibility.ruled_out(state.instance, residence) is not None:
                 continue
             for item in self._startable_items(scheduled, now):
                 if instance_id not in self._excluded_instances(scheduled, item, service, now):
@@ -198,7 +198,7 @@
         if not excluded:
             return excluded
         residence = self._residence_of(scheduled.job)
-        usable = self._choice.usable(service, now, excluded, residence=residence)
+        usable = self._selector.usable(service, now, excluded, residence=residence)
         return excluded if usable else set()
 
     def _report_demand(self) -> None:
@@ -274,7 +274,7 @@
         self._reported_demand = set()
         for placed in self._placed.clear():
             if not placed.started:
-                self._choice.ended(placed.state, placed.send_id)
+                self._selector.ended(placed.state, placed.send_id)
 
     def _add_job(self, job: RequestJob, finished_item_ids: set[str]) -> None:
         age_s = max(0.0, time() - job.accepted_ms / 1000)
@@ -330,7 +330,7 @@
     ) -> None:
         urgency = self._urgency(scheduled, item, slot.service)
         self._scheduler.start_item(scheduled, item)
-        placed = PlacedItem(scheduled, item, state, self._choice.sent(state, monotonic()), slot)
+        placed = PlacedItem(scheduled, item, state, self._selector.sent(state, monotonic()), slot)
         self._placed.add(placed)
         self._slots.begun(slot, urgency)
         placed.task = self._tasks.spawn(self._run_item(placed))
@@ -373,7 +373,7 @@
 
     async def _attempt_item(self, placed: PlacedItem, progress: ItemProgress) -> RunOutcome:
         if placed.is_stopping:
-            self._choice.ended(placed.state, placed.send_id)
+            self._selector.ended(placed.state, placed.send_id)
             raise asyncio.CancelledError
         placed.started = True
         job = placed.scheduled.job
