--- a/benchmarks/capacity_slopes.py
+++ b/benchmarks/capacity_slopes.py
@@ -11,7 +11,7 @@
 import tracemalloc
 from collections.abc import Callable
 
-from wharfcart.batch.scheduler import LeaseScheduler
+from wharfcart.batch.lease_scheduler import LeaseScheduler
 from wharfcart.cluster.messages_pb2 import (
     AppendRequest,
     AppendResponse,
--- a/src/wharfcart/admin/interface.py
+++ b/src/wharfcart/admin/interface.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from wharfcart.cluster.messages_pb2 import Entry, FleetView
-from wharfcart.configuration.spreading import RevisionedMap
+from wharfcart.configuration.revisioned_map import RevisionedMap
 
 
 @dataclass(frozen=True)
--- a/src/wharfcart/batch/leader.py
+++ b/src/wharfcart/batch/leader.py
@@ -5,8 +5,8 @@
 import uuid
 from collections.abc import Callable
 
+from wharfcart.batch.lease_scheduler import LEASE_TERM_S, LeaseChoice, LeaseScheduler
 from wharfcart.batch.lines import now_ms
-from wharfcart.batch.scheduler import LEASE_TERM_S, LeaseChoice, LeaseScheduler
 from wharfcart.clock import monotonic
 from wharfcart.cluster.messages_pb2 import (
     Command,
--- a/src/wharfcart/batch/runner.py
+++ b/src/wharfcart/batch/runner.py
@@ -16,8 +16,8 @@
 from wharfcart.backends.interface import BackendError, BackendPart, BackendRequest
 from wharfcart.backends.requests import batch_request
 from wharfcart.batch.held_leases import HeldLease, HeldLeases
+from wharfcart.batch.lease_scheduler import MAX_ITEMS_PER_LEASE
 from wharfcart.batch.lines import error_line, output_line, service_name_of
-from wharfcart.batch.scheduler import MAX_ITEMS_PER_LEASE
 from wharfcart.clock import monotonic
 from wharfcart.cluster.messages_pb2 import (
     COMPLETED,
--- a/src/wharfcart/experiments/hollow_fleet.py
+++ b/src/wharfcart/experiments/hollow_fleet.py
@@ -29,7 +29,7 @@
     Member,
     PullEntries,
 )
-from wharfcart.configuration.spreading import RevisionedMap
+from wharfcart.configuration.revisioned_map import RevisionedMap
 
 TICK_S = 0.05
 ZONE_DELAY_S = 0.001
--- a/src/wharfcart/node/spreading.py
+++ b/src/wharfcart/node/spreading.py
@@ -31,7 +31,7 @@
 from wharfcart.cluster.ownership import rendezvous_order
 from wharfcart.cluster.placement import PlacementMap
 from wharfcart.cluster.transport import PeerUnreachableError, Transport
-from wharfcart.configuration.spreading import DIRECTORY_OVERLAP_MS, RevisionedMap
+from wharfcart.configuration.revisioned_map import DIRECTORY_OVERLAP_MS, RevisionedMap
 from wharfcart.errors import ServingError
 from wharfcart.observability.tasks import BackgroundTasks
 from wharfcart.platform.key_value import KeyValueUnavailableError
--- a/tests/batch/test_scheduler.py
+++ b/tests/batch/test_lease_scheduler.py
@@ -2,7 +2,7 @@
 
 from collections import Counter
 
-from wharfcart.batch.scheduler import LEASE_TERM_S, LeaseChoice, LeaseScheduler
+from wharfcart.batch.lease_scheduler import LEASE_TERM_S, LeaseChoice, LeaseScheduler
 from wharfcart.cluster.messages_pb2 import (
     UNKNOWN,
     Command,
--- a/tests/configuration/test_configuration.py
+++ b/tests/configuration/test_configuration.py
@@ -10,9 +10,9 @@
 
 from wharfcart.cluster.messages_pb2 import Entry
 from wharfcart.configuration.changes import ChangeRecord, plan_changes, plan_rollback
+from wharfcart.configuration.revisioned_map import RevisionedMap
 from wharfcart.configuration.schema import document_entries
 from wharfcart.configuration.services import ServiceIndex
-from wharfcart.configuration.spreading import RevisionedMap
 from wharfcart.configuration.validation import load_document
 from wharfcart.experiments.example_fleets import Profile, example_document
 
