--- a/src/wharfcart/batch/leader.py
+++ b/src/wharfcart/batch/leader.py
@@ -5,8 +5,8 @@
 import uuid
 from collections.abc import Callable
 
+from wharfcart.batch.lease_scheduler import LEASE_TERM_S, LeaseChoice, LeaseScheduler
 from wharfcart.batch.lines import now_ms
-from wharfcart.batch.scheduler import LEASE_TERM_S, BatchScheduler, Choice
 from wharfcart.clock import monotonic
 from wharfcart.cluster.messages_pb2 import (
     Command,
@@ -26,11 +26,11 @@
 from wharfcart.storage.shard import Shard
 from wharfcart.storage.shard_state import Job, RowKind
 
-HOUSEKEEPING_S = 0.5
-EXPIRE_EVERY_S = 60.0
-EXPIRE_AT_ONCE = 100
-MOST_LINE_BYTES_A_GRANT = 8 * 1024 * 1024
-MOST_JOBS_A_QUERY = 100
+HOUSEKEEPING_INTERVAL_S = 0.5
+EXPIRE_INTERVAL_S = 60.0
+MAX_EXPIRED_PER_COMMAND = 100
+MAX_LINE_BYTES_PER_GRANT = 8 * 1024 * 1024
+MAX_JOBS_PER_QUERY = 100
 
 logger = logging.getLogger(__name__)
 
@@ -44,33 +44,33 @@
         self,
         journal: Journal,
         find_service: FindService,
-        share_of: Callable[[str], float],
+        weight_of: Callable[[str], float],
         retention_hours: float,
         send_revocation: Callable[[str, list[str]], None],
     ) -> None:
         self._journal = journal
         self._find_service = find_service
-        self._share_of = share_of
+        self._weight_of = weight_of
         self._send_revocation = send_revocation
         self._retention_ms = int(retention_hours * 3_600_000)
-        self._schedulers: dict[int, BatchScheduler] = {}
-        self._expired_at = 0.0
+        self._schedulers: dict[int, LeaseScheduler] = {}
+        self._last_expire_at = 0.0
 
     def leadership_changed(self, shard: int, leads: bool) -> None:
         """Start or drop the scheduling of a shard; nothing of it is carried over."""
         self._schedulers.pop(shard, None)
         if leads:
             state = self._journal.shards[shard].state
-            self._schedulers[shard] = BatchScheduler(state, self._share_of, self._target_of)
+            self._schedulers[shard] = LeaseScheduler(state, self._weight_of, self._target_of)
 
     def _target_of(self, tenant: str, name: str) -> str | None:
         service = self._find_service(tenant, name)
         return None if service is None else service.target
 
-    def _scheduler(self, shard: Shard) -> BatchScheduler:
+    def _scheduler_of(self, shard: Shard) -> LeaseScheduler:
         scheduler = self._schedulers.get(shard.number)
         if scheduler is None or scheduler.state is not shard.state:
-            scheduler = BatchScheduler(shard.state, self._share_of, self._target_of)
+            scheduler = LeaseScheduler(shard.state, self._weight_of, self._target_of)
             self._schedulers[shard.number] = scheduler
         return scheduler
 
@@ -85,7 +85,7 @@
             ``not_leader``.
         """
         shard = self._journal.leading_shard(poll.shard)
-        scheduler = self._scheduler(shard)
+        scheduler = self._scheduler_of(shard)
         now = monotonic()
         grant = LeaseGrant(lease_ms=int(LEASE_TERM_S * 1000))
         grant.revoked.extend(scheduler.renew(poll.held, now))
@@ -97,7 +97,7 @@
         return grant
 
     async def _lease(
-        self, shard: Shard, scheduler: BatchScheduler, choice: Choice, poll: LeasePoll
+        self, shard: Shard, scheduler: LeaseScheduler, choice: LeaseChoice, poll: LeasePoll
     ) -> GrantedLease | None:
         lease_id = uuid.uuid4().hex
         items = ItemsLease(
@@ -109,16 +109,16 @@
         )
         try:
             # The lease is on disk before the first item goes out: it is the items' `started`.
-            result = await self._journal.propose(shard.number, command(items_lease=items))
+            result = await self._journal.propose(shard.number, stamped_command(items_lease=items))
         finally:
-            scheduler.settled(choice)
+            scheduler.release_reservation(choice)
         lease = shard.state.leases.get(lease_id)
         if result.code != "ok" or lease is None:
             return None
         scheduler.renew([lease_id], monotonic())
-        return await self._granted(shard, lease)
+        return await self._granted_lease(shard, lease)
 
-    async def _granted(self, shard: Shard, lease: Lease) -> GrantedLease:
+    async def _granted_lease(self, shard: Shard, lease: Lease) -> GrantedLease:
         job = shard.state.jobs[lease.job_id]
         create = job.record.create
         lines: dict[int, bytes] = {}
@@ -126,7 +126,12 @@
             if row not in lines:
                 wanted = lease.rows[-1] - row + 1
                 found = await self._journal.read_rows(
-                    shard.number, RowKind.LINE, create.file_id, row, wanted, MOST_LINE_BYTES_A_GRANT
+                    shard.number,
+                    RowKind.LINE,
+                    create.file_id,
+                    row,
+                    wanted,
+                    MAX_LINE_BYTES_PER_GRANT,
                 )
                 lines.update({line.number: line.value for line in found.rows})
         previous = shard.state.previous_backends
@@ -148,40 +153,41 @@
             return [job.view()] if job is not None and mine else []
         jobs = [j for j in shard.state.jobs.values() if j.record.create.tenant == query.tenant]
         jobs.sort(key=lambda job: -job.record.created_ms)
-        return [job.view() for job in jobs[: query.most or MOST_JOBS_A_QUERY]]
+        return [job.view() for job in jobs[: query.most or MAX_JOBS_PER_QUERY]]
 
     # ---- housekeeping ----
 
     async def run(self) -> None:
         """End lapsed leases and expired work, for ever."""
         while True:
-            await asyncio.sleep(HOUSEKEEPING_S)
+            await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
             now = monotonic()
-            expire = now - self._expired_at > EXPIRE_EVERY_S
+            expire = now - self._last_expire_at > EXPIRE_INTERVAL_S
             if expire:
-                self._expired_at = now
+                self._last_expire_at = now
             for number in list(self._journal.shards):
                 try:
-                    await self._keep_house(number, now, expire)
+                    await self._housekeep_shard(number, now, expire)
                 except ServingError as error:
                     if error.code != "not_leader":
                         logger.warning("housekeeping failed", extra={"cause": str(error)})
 
-    async def _keep_house(self, number: int, now: float, expire: bool) -> None:
+    async def _housekeep_shard(self, number: int, now: float, expire: bool) -> None:
         shard = self._journal.leading_shard(number)
-        for lease_id in self._scheduler(shard).lapsed(now):
+        for lease_id in self._scheduler_of(shard).expired_leases(now):
             lease = shard.state.leases[lease_id]
             job = shard.state.jobs[lease.job_id]
-            end = LeaseEnd(lease_id=lease_id, repeatable=self._repeatable(job, lease))
+            end = LeaseEnd(lease_id=lease_id, repeatable=self._is_repeatable(job, lease))
             logger.info("lease lapsed", extra={"lease": lease_id, "holder": lease.holder})
-            await self._journal.propose(number, command(lease_end=end))
+            await self._journal.propose(number, stamped_command(lease_end=end))
         if expire:
             before = now_ms() - self._retention_ms
             await self._journal.propose(
-                number, command(expire=Expire(before_ms=before, most=EXPIRE_AT_ONCE))
+                number,
+                stamped_command(expire=Expire(before_ms=before, most=MAX_EXPIRED_PER_COMMAND)),
             )
 
-    def _repeatable(self, job: Job, lease: Lease) -> bool:
+    def _is_repeatable(self, job: Job, lease: Lease) -> bool:
         # A lease is of one service. One that was deleted meanwhile may have had any effect.
         name = job.record.service_names[job.classes[lease.rows[0]]]
         service = self._find_service(job.record.create.tenant, name)
@@ -201,7 +207,7 @@
             self._send_revocation(holder, lease_ids)
 
 
-def command(
+def stamped_command(
     items_lease: ItemsLease | None = None,
     lease_end: LeaseEnd | None = None,
     expire: Expire | None = None,
--- a/src/wharfcart/node/hosted_group.py
+++ b/src/wharfcart/node/hosted_group.py
@@ -5,7 +5,7 @@
 
 from wharfcart.batch.item_run import ItemRunner
 from wharfcart.batch.job_execution import JobExecution
-from wharfcart.batch.job_service import JobService, OtherGroups
+from wharfcart.batch.job_service import JobGroupService, OtherGroups
 from wharfcart.cluster.topology import Distance
 from wharfcart.node.fleet_keys import group_key
 from wharfcart.node.serving_node import ServingNode
@@ -75,7 +75,7 @@
             node.metrics,
             node.crash_detector.suspects,
         )
-        self.service = JobService(
+        self.service = JobGroupService(
             self.replica,
             self._execution,
             lambda: node.configuration,
@@ -112,7 +112,7 @@
         self._tasks.spawn(self.slots.run())
         self._tasks.spawn(self._watch_orphaned_runs())
         self._tasks.spawn(sessions.run())
-        self._execution.begin()
+        self._execution.start()
 
     async def _watch_orphaned_runs(self) -> None:
         """Find what earlier leaders left at the model servers."""
@@ -137,7 +137,7 @@
         await runs.watch(granter, instances)
 
     def _stop_leading(self) -> None:
-        self._execution.end()
+        self._execution.stop()
         self.slots.end()
         self._tasks.cancel()
 
--- a/tests/node/test_backend_updates.py
+++ b/tests/node/test_backend_updates.py
@@ -58,7 +58,10 @@
     node.apply(born=1_000, slots=5)
     node.apply(slots=6)
     assert node.choice.state("a") is before
-    assert before is not None and (before.instance.slots, before.instance.born_ms) == (6, 1_000)
+    assert before is not None and (before.instance.slots, before.instance.started_at_ms) == (
+        6,
+        1_000,
+    )
     node.pool.drop_instance.assert_not_called()
 
 
@@ -68,7 +71,7 @@
     node.apply(born=1_000, state="draining")
     state = node.choice.state("a")
     assert state is not None and state.instance.accepting
-    assert state.instance.born_ms == 5_000
+    assert state.instance.started_at_ms == 5_000
     assert Event.BACKEND_DRAINING not in node.logged_events()
 
 
--- a/tests/slots/test_granter_residence.py
+++ b/tests/slots/test_granter_residence.py
@@ -90,7 +90,7 @@
 def test_request_without_back_end_in_its_regions_gets_no_slot_at_once() -> None:
     bench = GranterHarness()
     assert bench.request(EAST) == [NoSlot(GATEWAY, SlotNumber(1))]
-    assert bench.request(NORTH.within(SOUTH)) == [NoSlot(GATEWAY, SlotNumber(2))]
+    assert bench.request(NORTH.intersect(SOUTH)) == [NoSlot(GATEWAY, SlotNumber(2))]
 
 
 def test_request_waiting_for_a_full_region_does_not_block_others() -> None:
@@ -168,7 +168,7 @@
 
 
 def test_residence_is_kept_in_messages() -> None:
-    asked = SlotRequested(GATEWAY, SlotNumber(1), "s", 1.0, 2.0, residence=NORTH.within(SOUTH))
+    asked = SlotRequested(GATEWAY, SlotNumber(1), "s", 1.0, 2.0, residence=NORTH.intersect(SOUTH))
     message = request_to_message(0, asked, "", 0.0)
     assert request_from_message(GATEWAY, message, 0.0).residence == asked.residence
     told = ItemsWaiting(LEADER, "s", 1, 0, PATIENT, residence=SOUTH)
