--- a/src/wharfcart/admission/backend_gate.py
+++ b/src/wharfcart/admission/backend_gate.py
@@ -12,16 +12,16 @@
 
 from wharfcart.configuration.schema import YieldingPolicy
 
-FIT_MEMORY = 0.98
-FEWEST_SAMPLES = 20
-SHORTEST_IDLE_S = 0.02
-TYPICAL_FIRST_TOKEN_S = 0.1
-TYPICAL_STEP_S = 0.015
+FIT_DECAY = 0.98
+MIN_SAMPLES = 20
+MIN_IDLE_S = 0.02
+DEFAULT_FIRST_TOKEN_S = 0.1
+DEFAULT_STEP_S = 0.015
 FIRST_TOKEN_WEIGHT = 0.1
 
 
 @dataclass(frozen=True)
-class PolicyParameters:
+class PreemptionParameters:
     """Numbers behind a yielding policy (docs/operations/yielding.md).
 
     Parameters
@@ -35,16 +35,16 @@
     idle_seconds: how long a back end has been without online work before batch takes all slots.
     """
 
-    tolerance: float
-    floor_fraction: float
+    max_slowdown: float
+    unmeasured_batch_fraction: float
     prefills_beside_online: int
     prefills_when_idle: int
     idle_seconds: float
 
 
 POLICY_PARAMETERS = {
-    YieldingPolicy.TAIL: PolicyParameters(0.05, 0.05, 1, 4, 0.1),
-    YieldingPolicy.THROUGHPUT: PolicyParameters(0.08, 0.25, 1, 4, SHORTEST_IDLE_S),
+    YieldingPolicy.TAIL: PreemptionParameters(0.05, 0.05, 1, 4, 0.1),
+    YieldingPolicy.THROUGHPUT: PreemptionParameters(0.08, 0.25, 1, 4, MIN_IDLE_S),
 }
 
 
@@ -52,12 +52,12 @@
     """Whether a back end may take new work."""
 
     LIVE = "live"
-    LEAVING = "leaving"
-    GONE = "gone"
+    DRAINING = "leaving"
+    REMOVED = "gone"
 
 
 @dataclass(frozen=True)
-class Capacity:
+class GateCapacity:
     """Bounds of one back end: requests it runs at once."""
 
     online: int
@@ -77,17 +77,17 @@
 
     def add(self, sequences: int, seconds: float) -> None:
         """Take one observation."""
-        self.weight = self.weight * FIT_MEMORY + 1
-        self.sum_x = self.sum_x * FIT_MEMORY + sequences
-        self.sum_y = self.sum_y * FIT_MEMORY + seconds
-        self.sum_xx = self.sum_xx * FIT_MEMORY + sequences * sequences
-        self.sum_xy = self.sum_xy * FIT_MEMORY + sequences * seconds
+        self.weight = self.weight * FIT_DECAY + 1
+        self.sum_x = self.sum_x * FIT_DECAY + sequences
+        self.sum_y = self.sum_y * FIT_DECAY + seconds
+        self.sum_xx = self.sum_xx * FIT_DECAY + sequences * sequences
+        self.sum_xy = self.sum_xy * FIT_DECAY + sequences * seconds
         self.samples += 1
 
-    def line(self) -> tuple[float, float] | None:
+    def coefficients(self) -> tuple[float, float] | None:
         """Return base and slope, or None before they can be told."""
         determinant = self.weight * self.sum_xx - self.sum_x * self.sum_x
-        if self.samples < FEWEST_SAMPLES or determinant < 1e-6 * self.weight**2:
+        if self.samples < MIN_SAMPLES or determinant < 1e-6 * self.weight**2:
             return None
         slope = (self.weight * self.sum_xy - self.sum_x * self.sum_y) / determinant
         base = (self.sum_y - slope * self.sum_x) / self.weight
@@ -95,7 +95,7 @@
 
 
 @dataclass
-class _Running:
+class _RunningRequest:
     started_at: float
     first_token_seen: bool = False
 
@@ -105,16 +105,16 @@
     """Everything in flight on one back end, exactly, as its owner knows it."""
 
     backend_id: str
-    capacity: Capacity
+    capacity: GateCapacity
     policy: YieldingPolicy = YieldingPolicy.TAIL
     state: BackendState = BackendState.LIVE
     fit: TokenTimeFit = field(default_factory=TokenTimeFit)
-    online: dict[str, _Running] = field(default_factory=dict)
-    batch: dict[str, _Running] = field(default_factory=dict)
+    online: dict[str, _RunningRequest] = field(default_factory=dict)
+    batch: dict[str, _RunningRequest] = field(default_factory=dict)
     last_online_at: float = -1e9
-    first_token_seconds: float = TYPICAL_FIRST_TOKEN_S
-    stopped_batch: int = 0
-    _stopping: set[str] = field(default_factory=set)
+    first_token_seconds: float = DEFAULT_FIRST_TOKEN_S
+    preempted_count: int = 0
+    _preempted: set[str] = field(default_factory=set)
 
     # ---- online ----
 
@@ -122,26 +122,26 @@
         """Admit an online request, or refuse it because the back end is full or leaving."""
         if self.state is not BackendState.LIVE or len(self.online) >= self.capacity.online:
             return False
-        self.online[request_id] = _Running(now)
+        self.online[request_id] = _RunningRequest(now)
         self.last_online_at = now
         return True
 
-    def batch_to_stop(self) -> list[str]:
+    def preempt_batch(self) -> list[str]:
         """Return the batch requests that must stop now: youngest first, they lose least."""
-        running = [name for name in self.batch if name not in self._stopping]
-        surplus = len(running) - self._batch_bound_beside_online()
+        running = [name for name in self.batch if name not in self._preempted]
+        surplus = len(running) - self._max_batch_beside_online()
         if surplus <= 0 or not self.online:
             return []
         stopped = running[-surplus:]
-        self._stopping.update(stopped)
-        self.stopped_batch += len(stopped)
+        self._preempted.update(stopped)
+        self.preempted_count += len(stopped)
         return stopped
 
-    def is_stopping(self, request_id: str) -> bool:
+    def is_preempted(self, request_id: str) -> bool:
         """Whether a batch request was told to stop."""
-        return request_id in self._stopping
+        return request_id in self._preempted
 
-    def first_token(self, request_id: str, now: float) -> None:
+    def record_first_token(self, request_id: str, now: float) -> None:
         """Note that an online request's first token came."""
         running = self.online.get(request_id)
         if running is not None and not running.first_token_seen:
@@ -149,57 +149,61 @@
             seconds = now - running.started_at
             self.first_token_seconds += FIRST_TOKEN_WEIGHT * (seconds - self.first_token_seconds)
 
-    def token_time(self, seconds: float) -> None:
+    def record_token_time(self, seconds: float) -> None:
         """Note the time between two tokens of any running request."""
         self.fit.add(len(self.online) + len(self.batch), seconds)
 
-    def end_online(self, request_id: str, now: float) -> None:
+    def finish_online(self, request_id: str, now: float) -> None:
         """Note that an online request ended."""
         self.online.pop(request_id, None)
         self.last_online_at = now
 
     # ---- batch ----
 
-    def batch_slots(self, now: float) -> int:
+    def available_batch_slots(self, now: float) -> int:
         """Return how many batch requests may be admitted now."""
         if self.state is not BackendState.LIVE:
             return 0
         idle_for = now - self.last_online_at
         if not self.online and idle_for >= POLICY_PARAMETERS[self.policy].idle_seconds:
             room = self.capacity.batch - len(self.batch)
-            return max(0, min(room, self._parameters.prefills_when_idle - self._beginning(now)))
+            return max(
+                0, min(room, self._parameters.prefills_when_idle - self._prefilling_count(now))
+            )
         if any(not running.first_token_seen for running in self.online.values()):
             return 0  # no batch prompt before an online first token
-        room = self._batch_bound_beside_online() - len(self.batch)
-        return max(0, min(room, self._parameters.prefills_beside_online - self._beginning(now)))
+        room = self._max_batch_beside_online() - len(self.batch)
+        return max(
+            0, min(room, self._parameters.prefills_beside_online - self._prefilling_count(now))
+        )
 
-    def _beginning(self, now: float) -> int:
+    def _prefilling_count(self, now: float) -> int:
         """Batch requests whose prompt is likely processed in the engine's present step."""
-        line = self.fit.line()
-        step = line[0] if line is not None else TYPICAL_STEP_S
+        line = self.fit.coefficients()
+        step = line[0] if line is not None else DEFAULT_STEP_S
         return sum(now - running.started_at < step for running in self.batch.values())
 
     def start_batch(self, request_id: str, now: float) -> None:
         """Note that a batch request was sent."""
-        self.batch[request_id] = _Running(now)
+        self.batch[request_id] = _RunningRequest(now)
 
-    def end_batch(self, request_id: str) -> None:
+    def finish_batch(self, request_id: str) -> None:
         """Note that a batch request ended."""
         self.batch.pop(request_id, None)
-        self._stopping.discard(request_id)
+        self._preempted.discard(request_id)
 
     @property
-    def _parameters(self) -> PolicyParameters:
+    def _parameters(self) -> PreemptionParameters:
         return POLICY_PARAMETERS[self.policy]
 
-    def _batch_bound_beside_online(self) -> int:
+    def _max_batch_beside_online(self) -> int:
         """Return how many batch sequences lengthen an online token by no more than tolerated."""
         parameters = self._parameters
-        line = self.fit.line()
+        line = self.fit.coefficients()
         if line is None:
-            return int(self.capacity.batch * parameters.floor_fraction)
+            return int(self.capacity.batch * parameters.unmeasured_batch_fraction)
         base, slope = line
         if slope <= 0:
             return self.capacity.batch
         alone = base + slope * max(1, len(self.online))
-        return min(self.capacity.batch, int(parameters.tolerance * alone / slope))
+        return min(self.capacity.batch, int(parameters.max_slowdown * alone / slope))
--- a/src/wharfcart/batch/runner.py
+++ b/src/wharfcart/batch/runner.py
@@ -30,7 +30,7 @@
 from wharfcart.configuration.services import Service
 from wharfcart.errors import Outcome, ServingError
 from wharfcart.observability.metrics import Metrics
-from wharfcart.routing.owner import BatchStoppedError, OwnedBackend, Owner
+from wharfcart.routing.owner import BackendOwner, BatchPreemptedError, OwnedBackend
 from wharfcart.routing.router import BackendKind
 from wharfcart.storage.client import JournalClient
 
@@ -71,7 +71,7 @@
         self,
         node_id: str,
         owned: OwnedBackend,
-        owner: Owner,
+        owner: BackendOwner,
         journal: JournalClient,
         find_service: FindService,
         metrics: Metrics,
@@ -117,15 +117,15 @@
     async def _fill_loop(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            self.owned.changed.clear()
-            slots = 0 if self._stopping else self.owned.gate.batch_slots(monotonic())
+            self.owned.capacity_changed.clear()
+            slots = 0 if self._stopping else self.owned.gate.available_batch_slots(monotonic())
             for _ in range(min(slots, len(self._waiting))):
                 self._start(self._waiting.popleft())
             if self._polling is None and self._wants_items(slots, monotonic()):
                 self._polling = loop.create_task(self._poll())
             try:
                 async with asyncio.timeout(SLOT_WAIT_S):
-                    await self.owned.changed.wait()
+                    await self.owned.capacity_changed.wait()
             except TimeoutError:
                 continue
 
@@ -158,7 +158,7 @@
             self._next_poll = monotonic() + pause
         finally:
             self._polling = None
-            self.owned.changed.set()
+            self.owned.capacity_changed.set()
 
     def _shards_to_ask(self) -> list[int]:
         """Shards that gave work last, and a few others at random: no node asks all of them."""
@@ -209,7 +209,7 @@
         item.known_there = True
         try:
             part = await self._owner.run_batch(self.owned, request)
-        except BatchStoppedError:
+        except BatchPreemptedError:
             self._waiting.appendleft(item)
         except ServingError as error:
             await self._item_failed(item, request, error)
--- a/src/wharfcart/experiments/simulated_serving.py
+++ b/src/wharfcart/experiments/simulated_serving.py
@@ -14,7 +14,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from wharfcart.admission.backend_gate import BackendGate, Capacity
+from wharfcart.admission.backend_gate import BackendGate, GateCapacity
 from wharfcart.configuration.schema import YieldingPolicy
 from wharfcart.emulator.engine_core import (
     EngineCore,
@@ -128,7 +128,7 @@
         name = f"engine-{number}"
         backend = Backend(name, BackendKind.ENGINE, "", "zone", frozenset({TARGET}))
         self._router.put_backend(backend, 0.0)
-        gate = BackendGate(name, Capacity(ONLINE_SLOTS, BATCH_SLOTS), self._policy)
+        gate = BackendGate(name, GateCapacity(ONLINE_SLOTS, BATCH_SLOTS), self._policy)
         free = self.mode is Mode.ORACLE
         return _Engine(name, EngineCore(EngineModel(resume_is_free=free)), gate)
 
@@ -147,7 +147,7 @@
         for engine in self._engines:
             self.outcome.prompt_tokens += engine.core.prompt_tokens
             self.outcome.hit_tokens += engine.core.hit_tokens
-            self.outcome.batch_stopped += engine.gate.stopped_batch
+            self.outcome.batch_stopped += engine.gate.preempted_count
         return self.outcome
 
     def _later(self, at: float, work: Callable[[], None]) -> None:
@@ -171,7 +171,7 @@
         self._router.started(engine.name)
         self._online[request_id] = arrival
         if self.mode in (Mode.WHARFCART, Mode.ORACLE):
-            for batch_id in engine.gate.batch_to_stop():
+            for batch_id in engine.gate.preempt_batch():
                 self._later(self.now + ONE_WAY_S, lambda b=batch_id: self._stop(engine, b))  # type: ignore[misc]
         request = EngineRequest(
             request_id, TARGET, arrival.prompt, f"{arrival.prompt[-20:]}{number}", 48, 0
@@ -187,7 +187,7 @@
 
     def _stop(self, engine: _Engine, batch_id: str) -> None:
         if engine.core.cancel(batch_id):
-            engine.gate.end_batch(batch_id)
+            engine.gate.finish_batch(batch_id)
             engine.stopped.append(batch_id)
 
     # ---- batch ----
@@ -210,7 +210,7 @@
         if self.mode is Mode.ORACLE and not engine.gate.online:
             # It knows when the next online request comes, and starts no prompt just before it.
             return 0 if self._next_arrival() - self.now < ORACLE_MARGIN_S else free
-        return engine.gate.batch_slots(self.now)
+        return engine.gate.available_batch_slots(self.now)
 
     def _next_arrival(self) -> float:
         while self._next_online_at and self._next_online_at[0] <= self.now:
@@ -269,7 +269,7 @@
             if online:
                 self._online_ended(engine, request)
             else:
-                engine.gate.end_batch(request.request_id)
+                engine.gate.finish_batch(request.request_id)
                 if self.now >= self.workload.warm_up:
                     self.outcome.items_completed += 1
             engine.core.requests.pop(request.request_id, None)
@@ -279,9 +279,9 @@
         last = engine.last_token_at.get(request_id)
         engine.last_token_at[request_id] = self.now
         if last is not None:
-            engine.gate.token_time(self.now - last)
+            engine.gate.record_token_time(self.now - last)
             return
-        engine.gate.first_token(request_id, self.now)
+        engine.gate.record_first_token(request_id, self.now)
         arrival = self._online[request_id]
         self._online_at[request_id] = self.now + 2 * ONE_WAY_S - arrival.at
         if arrival.at >= self.workload.warm_up:
@@ -294,7 +294,7 @@
 
     def _online_ended(self, engine: _Engine, request: EngineRequest) -> None:
         request_id = request.request_id
-        engine.gate.end_online(request_id, self.now)
+        engine.gate.finish_online(request_id, self.now)
         engine.last_token_at.pop(request_id, None)
         self._router.hint(engine.name, len(engine.gate.online), self.now)
         self._router.ended(engine.name, self.now, self._online_at.pop(request_id), False)
--- a/src/wharfcart/gateway/idempotency.py
+++ b/src/wharfcart/gateway/idempotency.py
@@ -20,7 +20,7 @@
 from wharfcart.configuration.services import Service
 from wharfcart.errors import Outcome, ServingError
 from wharfcart.routing.dispatcher import Dispatcher
-from wharfcart.routing.owner import Owner
+from wharfcart.routing.owner import BackendOwner
 from wharfcart.routing.router import Backend, Router
 from wharfcart.storage.client import JournalClient
 from wharfcart.storage.shard_state import KeyState, RowKind
@@ -58,7 +58,7 @@
         journal: JournalClient,
         dispatcher: Dispatcher,
         router: Router,
-        owner: Owner,
+        owner: BackendOwner,
         spawn: Callable[["asyncio.Task[None]"], None],
     ) -> None:
         self._journal = journal
@@ -248,7 +248,7 @@
         backend = self._router.backends.get(start.target)
         if backend is None:
             return
-        client = self._owner.stand_in(backend).client
+        client = self._owner.create_temporary(backend).client
         request = BackendRequest(start.request_id, "POST", "/v1/chat/completions", {}, b"", False)
         try:
             part = await client.settle(request)
--- a/src/wharfcart/node/calls.py
+++ b/src/wharfcart/node/calls.py
@@ -22,7 +22,7 @@
 from wharfcart.node.fleet import FleetDriver
 from wharfcart.node.spreading import SpreadingDriver
 from wharfcart.routing.dispatcher import part_message, request_of
-from wharfcart.routing.owner import Owner
+from wharfcart.routing.owner import BackendOwner
 from wharfcart.routing.router import Router
 from wharfcart.storage.journal import Journal, not_leader
 
@@ -35,7 +35,7 @@
     def __init__(
         self,
         spreading: SpreadingDriver,
-        owner: Owner,
+        owner: BackendOwner,
         router: Router,
         limiter: Limiter,
         fleet: FleetDriver,
@@ -137,7 +137,9 @@
         backend = self._router.backends.get(dispatch.backend_id)
         if backend is None:
             raise ServingError("no_backend", f"no back end {dispatch.backend_id!r}", 503)
-        owned = self._owner.backends.get(dispatch.backend_id) or self._owner.stand_in(backend)
+        owned = self._owner.backends.get(dispatch.backend_id) or self._owner.create_temporary(
+            backend
+        )
         request = request_of(dispatch)
         self.dispatches += 1
         try:
--- a/src/wharfcart/node/fleet.py
+++ b/src/wharfcart/node/fleet.py
@@ -22,7 +22,7 @@
 from wharfcart.fleet.reconciler import EngineStatus, FleetReconciler, TargetModel
 from wharfcart.observability.tasks import BackgroundTasks
 from wharfcart.platform.machine_list import ListedMachine
-from wharfcart.routing.owner import OwnedBackend, Owner
+from wharfcart.routing.owner import BackendOwner, OwnedBackend
 from wharfcart.routing.router import Backend, BackendKind, Router
 
 OWNERSHIP_CHECK_S = 0.5
@@ -77,7 +77,7 @@
     live_in_zone: Callable[[str], list[str]]
     services: ServiceIndex
     router: Router
-    owner: Owner
+    owner: BackendOwner
     session: aiohttp.ClientSession
     make_runner: Callable[[OwnedBackend], BatchRunner]
     publish: Callable[[str, bytes | None], None]
@@ -222,7 +222,7 @@
                 batch_in_flight=len(owned.gate.batch),
                 state=owned.gate.state.value,
                 completed=owned.completed,
-                batch_cancelled=owned.gate.stopped_batch,
+                batch_cancelled=owned.gate.preempted_count,
             )
             for backend_id, owned in self._context.owner.backends.items()
         ]
--- a/src/wharfcart/node/node.py
+++ b/src/wharfcart/node/node.py
@@ -48,7 +48,7 @@
 from wharfcart.platform.key_value import KeyValueUnavailableError
 from wharfcart.platform.machine_list import PrometheusDiscovery
 from wharfcart.routing.dispatcher import Dispatcher, NodeView
-from wharfcart.routing.owner import OwnedBackend, Owner
+from wharfcart.routing.owner import BackendOwner, OwnedBackend
 from wharfcart.routing.router import Router
 from wharfcart.settings.base import split_endpoint
 from wharfcart.settings.schema import NodeSettings
@@ -152,7 +152,7 @@
     def _build_serving(self) -> None:
         settings = self.settings
         self.router = Router(settings.zone, random.Random())
-        self.owner = Owner(self._session, self.metrics.batch_yields.inc)
+        self.owner = BackendOwner(self._session, self.metrics.batch_yields.inc)
         view = NodeView(settings.node_id, self._live_in_zone, self._gossip.address_of)
         self._dispatcher = Dispatcher(view, self.router, self.owner, self._transport, self.metrics)
         self._journal_client = JournalClient(
--- a/src/wharfcart/routing/dispatcher.py
+++ b/src/wharfcart/routing/dispatcher.py
@@ -21,7 +21,7 @@
 from wharfcart.configuration.services import Service
 from wharfcart.errors import Outcome, ServingError
 from wharfcart.observability.metrics import Metrics
-from wharfcart.routing.owner import Owner
+from wharfcart.routing.owner import BackendOwner
 from wharfcart.routing.router import Backend, Router
 
 MOST_TRIES = 3
@@ -45,7 +45,12 @@
     """Online dispatch of one node."""
 
     def __init__(
-        self, view: NodeView, router: Router, owner: Owner, transport: Transport, metrics: Metrics
+        self,
+        view: NodeView,
+        router: Router,
+        owner: BackendOwner,
+        transport: Transport,
+        metrics: Metrics,
     ) -> None:
         self._view = view
         self._router = router
@@ -162,7 +167,7 @@
     ) -> AsyncGenerator[BackendPart, None]:
         owned = self._owner.backends.get(backend.backend_id)
         if owned is None:
-            owned = self._owner.stand_in(backend)
+            owned = self._owner.create_temporary(backend)
         async with aclosing(self._owner.run_online(owned, request)) as parts:
             async for part in parts:
                 yield part
--- a/src/wharfcart/routing/owner.py
+++ b/src/wharfcart/routing/owner.py
@@ -8,7 +8,7 @@
 
 import aiohttp
 
-from wharfcart.admission.backend_gate import BackendGate, BackendState, Capacity
+from wharfcart.admission.backend_gate import BackendGate, BackendState, GateCapacity
 from wharfcart.backends.application_client import ApplicationClient
 from wharfcart.backends.engine_client import EngineClient
 from wharfcart.backends.interface import BackendClient, BackendPart, BackendRequest
@@ -18,16 +18,16 @@
 from wharfcart.observability.tasks import BackgroundTasks
 from wharfcart.routing.router import Backend, BackendKind
 
-ENGINE_CAPACITY = Capacity(online=96, batch=48)
-APPLICATION_CAPACITY = Capacity(online=256, batch=16)
+ENGINE_CAPACITY = GateCapacity(online=96, batch=48)
+APPLICATION_CAPACITY = GateCapacity(online=256, batch=16)
 RETRY_AFTER_S = 1.0
-STOP_TRIES = 8
-STOP_DELAY_S = 0.01
+MAX_CANCEL_ATTEMPTS = 8
+CANCEL_RETRY_DELAY_S = 0.01
 
 logger = logging.getLogger(__name__)
 
 
-class BatchStoppedError(Exception):
+class BatchPreemptedError(Exception):
     """A batch request was stopped to make way; its tokens are kept for a resume."""
 
 
@@ -40,17 +40,17 @@
     client: BackendClient
     batch_tasks: dict[str, "asyncio.Task[BackendPart]"] = field(default_factory=dict)
     completed: int = 0
-    changed: asyncio.Event = field(default_factory=asyncio.Event)
+    capacity_changed: asyncio.Event = field(default_factory=asyncio.Event)
 
 
-class Owner:
+class BackendOwner:
     """All back ends this node owns, or stands in for."""
 
     def __init__(
-        self, session: aiohttp.ClientSession, batch_yielded: Callable[[], None] = lambda: None
+        self, session: aiohttp.ClientSession, on_batch_preempted: Callable[[], None] = lambda: None
     ) -> None:
         self._session = session
-        self._batch_yielded = batch_yielded
+        self._on_batch_preempted = on_batch_preempted
         self.backends: dict[str, OwnedBackend] = {}
         self._tasks = BackgroundTasks()
 
@@ -60,18 +60,18 @@
         """Return the owned back end, made if need be, with its newest description."""
         owned = self.backends.get(backend.backend_id)
         if owned is None or owned.backend.address != backend.address:
-            owned = self._make(backend, policy)
+            owned = self._create(backend, policy)
             self.backends[backend.backend_id] = owned
         owned.backend = backend
         owned.gate.policy = policy
-        owned.gate.state = BackendState.LEAVING if backend.leaving else BackendState.LIVE
+        owned.gate.state = BackendState.DRAINING if backend.leaving else BackendState.LIVE
         return owned
 
-    def stand_in(self, backend: Backend) -> OwnedBackend:
+    def create_temporary(self, backend: Backend) -> OwnedBackend:
         """Return a back end whose owner is silent, for one request, without adopting it."""
-        return self._make(backend, YieldingPolicy.TAIL)
+        return self._create(backend, YieldingPolicy.TAIL)
 
-    def _make(self, backend: Backend, policy: YieldingPolicy) -> OwnedBackend:
+    def _create(self, backend: Backend, policy: YieldingPolicy) -> OwnedBackend:
         client: BackendClient
         if backend.kind is BackendKind.ENGINE:
             client = EngineClient(backend.address, self._session)
@@ -85,7 +85,7 @@
         """Give a back end up; what runs there is let finish."""
         owned = self.backends.pop(backend_id, None)
         if owned is not None:
-            owned.gate.state = BackendState.GONE
+            owned.gate.state = BackendState.REMOVED
 
     # ---- online ----
 
@@ -104,7 +104,7 @@
             raise ServingError(
                 "overloaded", "the back end takes no more", 503, retry_after_seconds=RETRY_AFTER_S
             )
-        self._make_way(owned)
+        self._preempt_batch(owned)
         finished = False
         last_at = 0.0
         try:
@@ -112,37 +112,37 @@
                 async for part in parts:
                     now = monotonic()
                     if last_at == 0.0:
-                        gate.first_token(request.request_id, now)
+                        gate.record_first_token(request.request_id, now)
                     elif not part.end:
-                        gate.token_time(now - last_at)
+                        gate.record_token_time(now - last_at)
                     last_at = now
                     finished = part.end
                     yield part
             owned.completed += 1
         finally:
-            gate.end_online(request.request_id, monotonic())
-            owned.changed.set()
+            gate.finish_online(request.request_id, monotonic())
+            owned.capacity_changed.set()
             if not finished:
                 # The caller went away or the deadline passed: free the engine at once.
                 await asyncio.shield(owned.client.cancel(request.request_id))
 
-    def _make_way(self, owned: OwnedBackend) -> None:
+    def _preempt_batch(self, owned: OwnedBackend) -> None:
         if owned.backend.kind is not BackendKind.ENGINE:
             return  # an application call that began is short, and stopping it makes it unknown
-        for request_id in owned.gate.batch_to_stop():
-            self._batch_yielded()
-            self._tasks.spawn(self._stop_batch(owned, request_id))
+        for request_id in owned.gate.preempt_batch():
+            self._on_batch_preempted()
+            self._tasks.spawn(self._cancel_batch(owned, request_id))
 
-    async def _stop_batch(self, owned: OwnedBackend, request_id: str) -> None:
+    async def _cancel_batch(self, owned: OwnedBackend, request_id: str) -> None:
         """Stop a batch request at the engine, whose answer then says that it was stopped.
 
         The order may overtake the request itself, so it is repeated while the request runs.
         """
         task = owned.batch_tasks.get(request_id)
-        for attempt in range(1, STOP_TRIES + 1):
+        for attempt in range(1, MAX_CANCEL_ATTEMPTS + 1):
             if task is None or task.done() or await owned.client.cancel(request_id):
                 return
-            await asyncio.sleep(STOP_DELAY_S * attempt)
+            await asyncio.sleep(CANCEL_RETRY_DELAY_S * attempt)
         if task is not None:
             task.cancel()
 
@@ -161,30 +161,30 @@
         owned.gate.start_batch(request.request_id, monotonic())
         task = loop.create_task(self._collect(owned, request))
         owned.batch_tasks[request.request_id] = task
-        task.add_done_callback(_note_exception)
+        task.add_done_callback(_consume_exception)
         try:
             return await asyncio.shield(task)
         except ServingError:
-            if owned.gate.is_stopping(request.request_id):
-                raise BatchStoppedError from None
+            if owned.gate.is_preempted(request.request_id):
+                raise BatchPreemptedError from None
             raise
         except asyncio.CancelledError:
             if task.cancelled():
-                raise BatchStoppedError from None
-            await asyncio.shield(self._stop_batch(owned, request.request_id))
+                raise BatchPreemptedError from None
+            await asyncio.shield(self._cancel_batch(owned, request.request_id))
             raise
         finally:
-            owned.gate.end_batch(request.request_id)
+            owned.gate.finish_batch(request.request_id)
             owned.batch_tasks.pop(request.request_id, None)
             owned.completed += 1
-            owned.changed.set()
+            owned.capacity_changed.set()
 
     async def _collect(self, owned: OwnedBackend, request: BackendRequest) -> BackendPart:
         parts = [part async for part in owned.client.send(request)]
         return parts[-1]
 
 
-def _note_exception(task: "asyncio.Task[BackendPart]") -> None:
+def _consume_exception(task: "asyncio.Task[BackendPart]") -> None:
     """Take the exception of a task whose waiter went away: a stopped request ends with one."""
     if not task.cancelled():
         task.exception()
--- a/tests/admission/test_backend_gate.py
+++ b/tests/admission/test_backend_gate.py
@@ -7,7 +7,7 @@
     POLICY_PARAMETERS,
     BackendGate,
     BackendState,
-    Capacity,
+    GateCapacity,
 )
 from wharfcart.configuration.schema import YieldingPolicy
 
@@ -17,7 +17,7 @@
 
 
 def _gate(policy: YieldingPolicy = YieldingPolicy.TAIL) -> BackendGate:
-    return BackendGate("engine", Capacity(online=4, batch=40), policy)
+    return BackendGate("engine", GateCapacity(online=4, batch=40), policy)
 
 
 def _measured(policy: YieldingPolicy) -> BackendGate:
@@ -31,7 +31,7 @@
     """Start batch as slots are given, a step apart; return the time."""
     now = IDLE_S
     while now < IDLE_S + until:
-        for _ in range(gate.batch_slots(now)):
+        for _ in range(gate.available_batch_slots(now)):
             gate.start_batch(f"b{len(gate.batch)}-{now}", now)
         now += 0.02
     return now
@@ -39,7 +39,7 @@
 
 def test_batch_fills_an_idle_back_end_step_by_step() -> None:
     gate = _gate()
-    assert 0 < gate.batch_slots(IDLE_S) < 40
+    assert 0 < gate.available_batch_slots(IDLE_S) < 40
     _fill(gate, 2.0)
     assert len(gate.batch) == 40
 
@@ -55,26 +55,26 @@
         gate = _measured(policy)
         now = _fill(gate, 2.0)
         gate.admit_online("o", now)
-        stopped = gate.batch_to_stop()
-        tolerance = POLICY_PARAMETERS[policy].tolerance
+        stopped = gate.preempt_batch()
+        tolerance = POLICY_PARAMETERS[policy].max_slowdown
         kept = 40 - len(stopped)
         assert kept == int(tolerance * (BASE_S + SLOPE_S) / SLOPE_S)
-        assert gate.batch_to_stop() == []  # told once
+        assert gate.preempt_batch() == []  # told once
 
 
 def test_no_batch_prompt_before_an_online_first_token() -> None:
     gate = _measured(YieldingPolicy.THROUGHPUT)
     gate.admit_online("o", IDLE_S)
-    assert gate.batch_slots(IDLE_S + 1) == 0
-    gate.first_token("o", IDLE_S + 1)
-    assert gate.batch_slots(IDLE_S + 1) == 1
+    assert gate.available_batch_slots(IDLE_S + 1) == 0
+    gate.record_first_token("o", IDLE_S + 1)
+    assert gate.available_batch_slots(IDLE_S + 1) == 1
 
 
 def test_leaving_back_end_takes_nothing() -> None:
     gate = _gate()
-    gate.state = BackendState.LEAVING
+    gate.state = BackendState.DRAINING
     assert not gate.admit_online("o", IDLE_S)
-    assert gate.batch_slots(IDLE_S) == 0
+    assert gate.available_batch_slots(IDLE_S) == 0
 
 
 @given(
@@ -89,15 +89,15 @@
     for number, (step, seconds) in enumerate(steps):
         now += seconds
         if step == "online" and gate.admit_online(f"o{number}", now):
-            for request_id in gate.batch_to_stop():
-                gate.end_batch(request_id)
+            for request_id in gate.preempt_batch():
+                gate.finish_batch(request_id)
         elif step == "end" and gate.online:
-            gate.end_online(next(iter(gate.online)), now)
+            gate.finish_online(next(iter(gate.online)), now)
         elif step == "batch":
-            for slot in range(gate.batch_slots(now)):
+            for slot in range(gate.available_batch_slots(now)):
                 gate.start_batch(f"b{number}-{slot}", now)
         elif step == "token" and gate.online:
-            gate.first_token(next(iter(gate.online)), now)
+            gate.record_first_token(next(iter(gate.online)), now)
         assert len(gate.online) <= 4
         assert len(gate.batch) <= 40
         if gate.online:
--- a/tests/batch/test_runner.py
+++ b/tests/batch/test_runner.py
@@ -22,7 +22,7 @@
 from wharfcart.configuration.services import Service
 from wharfcart.experiments.virtual_time import run_virtually
 from wharfcart.observability.metrics import Metrics
-from wharfcart.routing.owner import APPLICATION_CAPACITY, OwnedBackend, Owner
+from wharfcart.routing.owner import APPLICATION_CAPACITY, BackendOwner, OwnedBackend
 from wharfcart.routing.router import Backend, BackendKind
 from wharfcart.storage.client import JournalClient
 
@@ -114,7 +114,7 @@
     gate = BackendGate("backend", APPLICATION_CAPACITY, YieldingPolicy.TAIL)
     owned = OwnedBackend(backend, gate, cast(BackendClient, None))
     return BatchRunner(
-        "node", owned, cast(Owner, owner), cast(JournalClient, journal), _service, Metrics()
+        "node", owned, cast(BackendOwner, owner), cast(JournalClient, journal), _service, Metrics()
     )
 
 
