--- a/src/wharfcart/admission/hedging.py
+++ b/src/wharfcart/admission/hedging.py
@@ -6,25 +6,25 @@
 
 from dataclasses import dataclass
 
-PART_OF_REQUESTS = 0.1
-MOST_SAVED = 8.0
+HEDGES_PER_REQUEST = 0.1
+MAX_TOKENS = 8.0
 
 
 @dataclass
 class HedgeBudget:
     """Tokens that requests earn and repeats spend."""
 
-    tokens: float = MOST_SAVED
+    tokens: float = MAX_TOKENS
 
-    def earn(self) -> None:
+    def deposit(self) -> None:
         """Note a request."""
-        self.tokens = min(MOST_SAVED, self.tokens + PART_OF_REQUESTS)
+        self.tokens = min(MAX_TOKENS, self.tokens + HEDGES_PER_REQUEST)
 
     @property
-    def available(self) -> bool:
+    def can_hedge(self) -> bool:
         """Whether a repeat may be paid for."""
         return self.tokens >= 1.0
 
-    def spend(self) -> None:
+    def withdraw(self) -> None:
         """Pay for a repeat."""
         self.tokens = max(0.0, self.tokens - 1.0)
--- a/src/wharfcart/admission/limiter.py
+++ b/src/wharfcart/admission/limiter.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
-from wharfcart.admission.limits import BucketHome, TakenTokens, tokens_to_take
+from wharfcart.admission.limits import BucketCoordinator, GrantedTokens, grant_size
 from wharfcart.clock import monotonic
 from wharfcart.cluster.address import Address
 from wharfcart.cluster.messages_pb2 import Frame, TakeTokens, TokensTaken
@@ -12,7 +12,7 @@
 from wharfcart.configuration.schema import Limits
 from wharfcart.errors import ServingError
 
-HOME_TIMEOUT_S = 0.25
+COORDINATOR_TIMEOUT_S = 0.25
 
 
 class Limiter:
@@ -29,9 +29,9 @@
         self._live_nodes = live_nodes
         self._address_of = address_of
         self._transport = transport
-        self._home = BucketHome()
-        self._taken: dict[str, TakenTokens] = {}
-        self._asking: dict[str, asyncio.Lock] = {}
+        self._coordinator = BucketCoordinator()
+        self._tokens_by_bucket: dict[str, GrantedTokens] = {}
+        self._locks_by_bucket: dict[str, asyncio.Lock] = {}
 
     async def check(self, bucket: str, limits: Limits) -> None:
         """Spend one token of a bucket.
@@ -41,51 +41,53 @@
         ServingError
             ``rate_limited``, ``not_run``, with the time to come back.
         """
-        taken = self._taken.setdefault(bucket, TakenTokens())
+        taken = self._tokens_by_bucket.setdefault(bucket, GrantedTokens())
         if taken.spend(monotonic()):
             return
         # One asks for all that wait: else a burst of callers drains the bucket of tokens that
         # nobody spends.
-        async with self._asking.setdefault(bucket, asyncio.Lock()):
+        async with self._locks_by_bucket.setdefault(bucket, asyncio.Lock()):
             if taken.spend(monotonic()):
                 return
             if monotonic() < taken.refused_until:
                 raise _rate_limited(taken.refused_until - monotonic())
-            await self._take(bucket, limits, taken)
+            await self._request_tokens(bucket, limits, taken)
 
-    async def _take(self, bucket: str, limits: Limits, taken: TakenTokens) -> None:
+    async def _request_tokens(
+        self, bucket: str, limits: Limits, local_tokens: GrantedTokens
+    ) -> None:
         rate, burst = limits.requests_per_second, float(limits.burst)
         nodes = self._live_nodes()
         home = choose_owner(bucket, nodes) or self._node_id
-        wanted = tokens_to_take(rate, burst)
+        wanted = grant_size(rate, burst)
         request = TakeTokens(bucket=bucket, wanted=wanted, rate=rate, burst=burst)
         try:
-            answer = await self._ask(home, request)
+            answer = await self._call_coordinator(home, request)
         except (PeerUnreachableError, TimeoutError):
             now = monotonic()
-            if not taken.spend_fallback(rate, burst, len(nodes), now):
+            if not local_tokens.spend_fallback(rate, burst, len(nodes), now):
                 raise _rate_limited(1.0 / rate) from None
             return
         now = monotonic()
         if answer.granted < 1.0:
-            taken.refused_until = now + answer.retry_after_ms / 1000
+            local_tokens.refused_until = now + answer.retry_after_ms / 1000
             raise _rate_limited(answer.retry_after_ms / 1000)
-        taken.put(answer.granted, now)
-        taken.spend(now)
+        local_tokens.replace(answer.granted, now)
+        local_tokens.spend(now)
 
-    async def _ask(self, home: str, request: TakeTokens) -> TokensTaken:
-        address = self._address_of(home)
-        if home == self._node_id or address is None:
-            return self.serve(request)
-        async with asyncio.timeout(HOME_TIMEOUT_S):
+    async def _call_coordinator(self, coordinator: str, request: TakeTokens) -> TokensTaken:
+        address = self._address_of(coordinator)
+        if coordinator == self._node_id or address is None:
+            return self.grant(request)
+        async with asyncio.timeout(COORDINATOR_TIMEOUT_S):
             frame = Frame(take_tokens=request)
             answer = await self._transport.call(address, frame, TrafficClass.ONLINE)
         return answer.tokens_taken
 
-    def serve(self, request: TakeTokens) -> TokensTaken:
+    def grant(self, request: TakeTokens) -> TokensTaken:
         """Give tokens of a bucket whose home is this node."""
         now = monotonic()
-        granted, seconds = self._home.take(
+        granted, seconds = self._coordinator.take(
             request.bucket, request.wanted, request.rate, request.burst, now
         )
         return TokensTaken(granted=granted, retry_after_ms=int(seconds * 1000) + 1)
--- a/src/wharfcart/admission/limits.py
+++ b/src/wharfcart/admission/limits.py
@@ -7,11 +7,11 @@
 
 from dataclasses import dataclass, field
 
-TOKENS_A_TAKE_S = 0.1  # a node takes about as many tokens as refill in this time
-TOKEN_LIFE_S = 1.0  # taken tokens not spent in this time are void
+GRANT_REFILL_S = 0.1  # a node takes about as many tokens as refill in this time
+GRANT_TTL_S = 1.0  # taken tokens not spent in this time are void
 FALLBACK_FACTOR = 2.0
-RETRY_RATIO = 0.1
-RETRY_RESERVE = 10.0
+RETRIES_PER_REQUEST = 0.1
+INITIAL_RETRY_BALANCE = 10.0
 
 
 @dataclass
@@ -42,7 +42,7 @@
 
 
 @dataclass
-class BucketHome:
+class BucketCoordinator:
     """The buckets whose home is this node."""
 
     buckets: dict[str, TokenBucket] = field(default_factory=dict)
@@ -61,27 +61,27 @@
 
 
 @dataclass
-class TakenTokens:
+class GrantedTokens:
     """Tokens of one bucket that this node holds, and what to do when the home is silent."""
 
     tokens: float = 0.0
-    taken_at: float = 0.0
+    granted_at: float = 0.0
     refused_until: float = 0.0
     fallback: TokenBucket | None = None
 
     def spend(self, now: float) -> bool:
         """Spend one token if there is one."""
-        if now - self.taken_at > TOKEN_LIFE_S:
+        if now - self.granted_at > GRANT_TTL_S:
             self.tokens = 0.0
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
         return True
 
-    def put(self, granted: float, now: float) -> None:
+    def replace(self, granted: float, now: float) -> None:
         """Add tokens taken from the home."""
         self.tokens = granted
-        self.taken_at = now
+        self.granted_at = now
 
     def spend_fallback(self, rate: float, burst: float, live_nodes: int, now: float) -> bool:
         """Spend from a local bucket of our share while the home cannot be reached."""
@@ -92,9 +92,9 @@
         return self.fallback.take(1.0, now) >= 1.0
 
 
-def tokens_to_take(rate: float, burst: float) -> float:
+def grant_size(rate: float, burst: float) -> float:
     """Return how many tokens a node takes at once."""
-    return max(1.0, min(rate * TOKENS_A_TAKE_S, burst / 10))
+    return max(1.0, min(rate * GRANT_REFILL_S, burst / 10))
 
 
 @dataclass
@@ -105,11 +105,11 @@
     retry withdraws one.
     """
 
-    balance: float = RETRY_RESERVE
+    balance: float = INITIAL_RETRY_BALANCE
 
     def deposit(self) -> None:
         """Note a first try."""
-        self.balance = min(RETRY_RESERVE * 10, self.balance + RETRY_RATIO)
+        self.balance = min(INITIAL_RETRY_BALANCE * 10, self.balance + RETRIES_PER_REQUEST)
 
     def withdraw(self) -> bool:
         """Return whether a retry may be made."""
--- a/src/wharfcart/experiments/limits.py
+++ b/src/wharfcart/experiments/limits.py
@@ -21,7 +21,7 @@
 from random import Random
 from typing import Any
 
-from wharfcart.admission.limits import BucketHome, TakenTokens, TokenBucket, tokens_to_take
+from wharfcart.admission.limits import BucketCoordinator, GrantedTokens, TokenBucket, grant_size
 from wharfcart.admission.tenant_limits import WINDOW_S, TenantLimits, TenantSends, TenantUsage
 from wharfcart.configuration.serving import RequestLimit
 
@@ -156,8 +156,8 @@
 
     def __init__(self, load: LimitLoad) -> None:
         super().__init__(load)
-        self._home = BucketHome()
-        self._taken: defaultdict[tuple[int, str], TakenTokens] = defaultdict(TakenTokens)
+        self._home = BucketCoordinator()
+        self._taken: defaultdict[tuple[int, str], GrantedTokens] = defaultdict(GrantedTokens)
         self._lost = False
 
     def permits(self, arrival: Arrival) -> bool:
@@ -171,17 +171,17 @@
             self._lost = True
             return taken.spend_fallback(limit.per_s, limit.burst, self.load.gateways, at)
         if self._lost:
-            self._home, self._lost = BucketHome(), False
+            self._home, self._lost = BucketCoordinator(), False
         if at < taken.refused_until:
             return False
         self.messages += 2
         self.round_trips += 1
-        wanted = tokens_to_take(limit.per_s, limit.burst)
+        wanted = grant_size(limit.per_s, limit.burst)
         granted, seconds = self._home.take(tenant, wanted, limit.per_s, limit.burst, at)
         if granted < 1.0:
             taken.refused_until = at + seconds
             return False
-        taken.put(granted, at)
+        taken.replace(granted, at)
         return taken.spend(at)
 
 
--- a/src/wharfcart/node/calls.py
+++ b/src/wharfcart/node/calls.py
@@ -82,7 +82,7 @@
         if kind == "pull_placement":
             return Frame(placement=self._spreading.placement.message())
         if kind == "take_tokens":
-            return Frame(tokens_taken=self._limiter.serve(frame.take_tokens))
+            return Frame(tokens_taken=self._limiter.grant(frame.take_tokens))
         if kind == "read_fleet":
             return Frame(fleet_view=self._view())
         if self._journal is None or self._batch_leader is None:
--- a/src/wharfcart/routing/sender.py
+++ b/src/wharfcart/routing/sender.py
@@ -93,7 +93,7 @@
 
     def request_came(self) -> None:
         """Note that a request came: a share of them may be hedged."""
-        self._hedges.earn()
+        self._hedges.deposit()
 
     def is_held_back(self, request: CallerRequest, progress: RequestProgress) -> bool:
         """Whether back ends have ended under requests of the same content, here or elsewhere.
@@ -326,7 +326,7 @@
             async with asyncio.timeout(patience_s):
                 return await answer
         except TimeoutError as error:
-            self._hedges.spend()
+            self._hedges.withdraw()
             raise ConnectionBrokenError("too slow", cause=BreakCause.SLOW) from error
 
     def _patience_s(self, request: CallerRequest, progress: RequestProgress) -> float | None:
@@ -339,7 +339,7 @@
             return None
         if route.kind is RouteKind.STREAM:
             return STREAM_PATIENCE_S
-        if not self._hedges.available:
+        if not self._hedges.can_hedge:
             return None
         return max(FEWEST_PATIENCE_S, route.objective_s * PATIENCE_OF_OBJECTIVE)
 
