--- a/src/wharfcart/admission/tenant_limits.py
+++ b/src/wharfcart/admission/tenant_limits.py
@@ -32,31 +32,31 @@
 WINDOW_S = 5.0
 # A gateway without contact goes on for so long, and its part is kept for it a little longer: links
 # between machines of one region come back within seconds, or the machine is given up.
-ALONE_S = 20.0
-KEPT_S = ALONE_S + 3.0
+MAX_DISCONNECTED_S = 20.0
+RESERVATION_S = MAX_DISCONNECTED_S + 3.0
 # Part of a window's requests that a gateway may send that never had contact, and how many at least:
 # a tenant's callers come to few gateways, and a home counts these requests once it hears of them.
-FIRST_SHARE = 1 / 16
-FEWEST_FIRST = 4.0
+NO_CONTACT_SHARE = 1 / 16
+MIN_NO_CONTACT_REQUESTS = 4.0
 # Part of a window's requests that a home lends beyond the rate in its first window. Gateways that
 # were lost with the last home may have sent a whole burst that nobody tells of: with this share a
 # window sees a sixth too many at the most. A tenant whose burst is the rate of one second is not
 # refused anything for it; one with a larger burst waits for a window at the most.
-FIRST_BURST_SHARE = 1 / 6
+INITIAL_BURST_SHARE = 1 / 6
 # Usage is told of tenants that use more than this part of their limit. What gateways that a new
 # home does not hear may send for others is little beside the limit.
-TOLD_SHARE = 0.25
+REPORTED_SHARE = 0.25
 # A tenant that uses more than this part of its limit comes near it.
-NEAR_SHARE = 0.7
+NEAR_LIMIT_SHARE = 0.7
 # What gateways heard of usage says nothing once they had been without a home for so long: homes
 # tell it a few times a second.
-STALE_S = 1.5
+MAX_USAGE_AGE_S = 1.5
 # A tenant over its limit is told to come back within this time, however many were told before.
-MOST_RETRY_AFTER_S = WINDOW_S
+MAX_RETRY_AFTER_S = WINDOW_S
 
 
 @dataclass(frozen=True, slots=True)
-class TenantSend:
+class PermittedSend:
     """One request that was permitted.
 
     Attributes:
@@ -68,32 +68,32 @@
 
 
 @dataclass
-class TenantSends:
+class SendHistory:
     """What one gateway has sent lately, and what it may send without contact to a home."""
 
     _times_by_tenant: dict[str, deque[float]] = field(default_factory=dict)
 
-    def sent(self, tenant: str, now: float) -> None:
+    def record(self, tenant: str, now: float) -> None:
         """Note a request that was permitted."""
         times = self._times_by_tenant.setdefault(tenant, deque())
         times.append(now)
-        while times[0] < now - ALONE_S - WINDOW_S:
+        while times[0] < now - MAX_DISCONNECTED_S - WINDOW_S:
             times.popleft()
 
-    def recent(self, now: float) -> list[TenantSend]:
+    def recent(self, now: float) -> list[PermittedSend]:
         """Return the requests of the last two windows."""
         return [
-            TenantSend(tenant, now - at)
+            PermittedSend(tenant, now - at)
             for tenant, times in self._times_by_tenant.items()
             for at in times
             if at > now - 2 * WINDOW_S
         ]
 
-    def may_send_alone(
+    def may_send_disconnected(
         self,
         tenant: str,
         limit: RequestLimit,
-        contact_at: float | None,
+        last_contact_at: float | None,
         usage: int,
         now: float,
     ) -> bool:
@@ -110,15 +110,15 @@
             now: the time.
         """
         times = self._times_by_tenant.get(tenant, ())
-        if contact_at is None:
-            most = max(FEWEST_FIRST, limit.per_s * WINDOW_S * FIRST_SHARE)
-        elif now - contact_at > ALONE_S:
+        if last_contact_at is None:
+            most = max(MIN_NO_CONTACT_REQUESTS, limit.per_s * WINDOW_S * NO_CONTACT_SHARE)
+        elif now - last_contact_at > MAX_DISCONNECTED_S:
             most = 0.0
-        elif usage > NEAR_SHARE * _whole(limit):
-            most = _count(times, contact_at)
+        elif usage > NEAR_LIMIT_SHARE * _window_limit(limit):
+            most = _count_in_window(times, last_contact_at)
         else:
-            most = _busiest(times, contact_at)
-        return _count(times, now) < min(most, _whole(limit))
+            most = _max_in_window(times, last_contact_at)
+        return _count_in_window(times, now) < min(most, _window_limit(limit))
 
 
 @dataclass(frozen=True, slots=True)
@@ -130,7 +130,7 @@
 
 
 @dataclass
-class _Tenant:
+class _TenantState:
     """What a home knows of one tenant.
 
     Attributes:
@@ -144,39 +144,39 @@
         sent_here: requests that were sent since this home began, as far as it counted them itself.
     """
 
-    times_by_holder: dict[str, deque[float]] = field(default_factory=dict)
+    send_times_by_holder: dict[str, deque[float]] = field(default_factory=dict)
     lost_at_by_holder: dict[str, float] = field(default_factory=dict)
-    level: float = 0.0
-    counted_at: float | None = None
-    told_count: int = 0
-    told_at: float = 0.0
+    tokens: float = 0.0
+    refilled_at: float | None = None
+    reported_count: int = 0
+    reported_at: float = 0.0
     promised_until: float = 0.0
-    sent_here: int = 0
+    sent_count: int = 0
 
-    def note(self, holder: str, at: float) -> None:
+    def record(self, holder: str, at: float) -> None:
         """Count a request of a gateway."""
-        times = self.times_by_holder.setdefault(holder, deque())
+        times = self.send_times_by_holder.setdefault(holder, deque())
         times.append(at)
         while times[0] < at - 2 * WINDOW_S:
             times.popleft()
 
-    def kept(self, holder: str, now: float) -> int:
+    def reserved(self, holder: str, now: float) -> int:
         """Return how many requests a window a gateway may send without contact."""
         lost_at = self.lost_at_by_holder.get(holder)
-        times = self.times_by_holder.get(holder)
-        if lost_at is None or not times or now - lost_at > KEPT_S:
+        times = self.send_times_by_holder.get(holder)
+        if lost_at is None or not times or now - lost_at > RESERVATION_S:
             return 0
-        return _busiest(times, times[-1])
+        return _max_in_window(times, times[-1])
 
     def used(self, now: float) -> int:
         """Return the requests of the last window, those that may be sent without contact too."""
         return sum(
-            max(_count(times, now), self.kept(holder, now))
-            for holder, times in self.times_by_holder.items()
+            max(_count_in_window(times, now), self.reserved(holder, now))
+            for holder, times in self.send_times_by_holder.items()
         )
 
 
-class TenantLimits:
+class TenantLimitCoordinator:
     """The tenants whose home is one node.
 
     Args:
@@ -186,19 +186,19 @@
 
     def __init__(self, limit_of: Callable[[str], RequestLimit | None], now: float) -> None:
         self._limit_of = limit_of
-        self._began_at = now
-        self._heard_at = 0.0
-        self._open: set[str] = set()
+        self._started_at = now
+        self._usage_received_at = 0.0
+        self._connected: set[str] = set()
         self._lost_at_by_holder: dict[str, float] = {}
-        self._told_gateways = 0
-        self._tenants_by_name: dict[str, _Tenant] = {}
+        self._reported_gateways = 0
+        self._tenants_by_name: dict[str, _TenantState] = {}
 
     # ---- gateways ----
 
-    def holder_opened(
+    def holder_connected(
         self,
         holder: str,
-        sends: Iterable[TenantSend],
+        sends: Iterable[PermittedSend],
         usage: Iterable[TenantUsage],
         usage_age_s: float,
         gateways: int,
@@ -214,9 +214,9 @@
             gateways: how many gateways that home had counted.
             now: the time.
         """
-        self._open.add(holder)
+        self._connected.add(holder)
         self._lost_at_by_holder.pop(holder, None)
-        self._told_gateways = max(self._told_gateways, gateways)
+        self._reported_gateways = max(self._reported_gateways, gateways)
         for tenant in self._tenants_by_name.values():
             tenant.lost_at_by_holder.pop(holder, None)
         times_by_tenant: dict[str, list[float]] = {}
@@ -224,19 +224,21 @@
             times_by_tenant.setdefault(send.tenant, []).append(now - send.age_s)
         for name, times in times_by_tenant.items():
             tenant = self._tenant(name)
-            if _count(times, now) >= _count(tenant.times_by_holder.get(holder, ()), now):
-                tenant.times_by_holder[holder] = deque(sorted(times))
-                tenant.counted_at = None
+            if _count_in_window(times, now) >= _count_in_window(
+                tenant.send_times_by_holder.get(holder, ()), now
+            ):
+                tenant.send_times_by_holder[holder] = deque(sorted(times))
+                tenant.refilled_at = None
         heard_at = now - usage_age_s
-        self._heard_at = max(self._heard_at, heard_at)
+        self._usage_received_at = max(self._usage_received_at, heard_at)
         for told in usage:
             tenant = self._tenant(told.tenant)
-            if heard_at > tenant.told_at:
-                tenant.told_at = heard_at
-                tenant.told_count = told.count
-                tenant.counted_at = None
+            if heard_at > tenant.reported_at:
+                tenant.reported_at = heard_at
+                tenant.reported_count = told.count
+                tenant.refilled_at = None
 
-    def holder_lost(self, holder: str, silent_s: float, now: float) -> None:
+    def holder_lost(self, holder: str, unresponsive_s: float, now: float) -> None:
         """Keep a gateway's part for it: it may go on without contact.
 
         Args:
@@ -244,32 +246,32 @@
             silent_s: for how long nothing was heard of it; it may have gone on meanwhile.
             now: the time.
         """
-        self._open.discard(holder)
+        self._connected.discard(holder)
         self._lost_at_by_holder[holder] = now
         for name, tenant in self._tenants_by_name.items():
             limit = self._limit_of(name)
-            if holder not in tenant.times_by_holder or limit is None:
+            if holder not in tenant.send_times_by_holder or limit is None:
                 continue
             self._refill(tenant, limit, now)
             tenant.lost_at_by_holder[holder] = now
-            tenant.level -= tenant.kept(holder, now) * min(1.0, silent_s / WINDOW_S)
+            tenant.tokens -= tenant.reserved(holder, now) * min(1.0, unresponsive_s / WINDOW_S)
 
     # ---- requests ----
 
-    def take(self, holder: str, name: str, now: float) -> float:
+    def acquire(self, holder: str, name: str, now: float) -> float:
         """Permit a request; 0, or the seconds after which to come back."""
         limit = self._limit_of(name)
         if limit is None:
             return 0.0
         tenant = self._tenant(name)
         rate = self._refill(tenant, limit, now)
-        level = min(tenant.level, self._first_level(tenant, limit, now))
+        level = min(tenant.tokens, self._initial_tokens(tenant, limit, now))
         if level < 1.0:
             return self._retry_after(tenant, level, rate, now)
         self._spend(tenant, holder, now)
         return 0.0
 
-    def count_unasked(self, holder: str, name: str, now: float) -> None:
+    def count_unpermitted(self, holder: str, name: str, now: float) -> None:
         """Count a request that a gateway sent without asking."""
         limit = self._limit_of(name)
         if limit is None:
@@ -278,118 +280,123 @@
         self._refill(tenant, limit, now)
         self._spend(tenant, holder, now)
 
-    def give_back(self, holder: str, name: str, now: float) -> None:
+    def release(self, holder: str, name: str, now: float) -> None:
         """Take back a permit whose request was not sent."""
         limit = self._limit_of(name)
         tenant = self._tenants_by_name.get(name)
-        times = None if tenant is None else tenant.times_by_holder.get(holder)
+        times = None if tenant is None else tenant.send_times_by_holder.get(holder)
         if limit is None or tenant is None or not times:
             return
         self._refill(tenant, limit, now)
         times.pop()
-        tenant.sent_here -= 1
-        tenant.level = min(max(1.0, limit.burst), tenant.level + 1.0)
+        tenant.sent_count -= 1
+        tenant.tokens = min(max(1.0, limit.burst), tenant.tokens + 1.0)
 
-    def gateways(self, now: float) -> int:
+    def gateway_count(self, now: float) -> int:
         """Return how many gateways have a session here, or may go on without one."""
-        told = self._told_gateways if now - self._began_at <= KEPT_S else 0
-        return max(told, self._known_gateways(now))
+        told = self._reported_gateways if now - self._started_at <= RESERVATION_S else 0
+        return max(told, self._known_gateway_count(now))
 
-    def used(self, name: str, now: float) -> int:
+    def window_usage(self, name: str, now: float) -> int:
         """Return a tenant's requests of the last window, as far as they are known."""
         tenant = self._tenants_by_name.get(name)
         return 0 if tenant is None else tenant.used(now)
 
-    def usage(self, now: float) -> dict[str, int]:
+    def usage_by_tenant(self, now: float) -> dict[str, int]:
         """Return the requests of the last window by tenant, of those that come near their limit."""
-        self._forget_old(now)
+        self._expire(now)
         found = {}
         for name, tenant in self._tenants_by_name.items():
             limit = self._limit_of(name)
             if limit is None:
                 continue
-            used = tenant.used(now) + self._unknown(tenant, limit, now)
-            if used > TOLD_SHARE * _whole(limit):
+            used = tenant.used(now) + self._unreported_usage(tenant, limit, now)
+            if used > REPORTED_SHARE * _window_limit(limit):
                 found[name] = int(used)
         return found
 
     # ---- inner ----
 
-    def _tenant(self, name: str) -> _Tenant:
-        return self._tenants_by_name.setdefault(name, _Tenant())
+    def _tenant(self, name: str) -> _TenantState:
+        return self._tenants_by_name.setdefault(name, _TenantState())
 
-    def _spend(self, tenant: _Tenant, holder: str, now: float) -> None:
-        tenant.level -= 1.0
-        tenant.sent_here += 1
-        tenant.note(holder, now)
+    def _spend(self, tenant: _TenantState, holder: str, now: float) -> None:
+        tenant.tokens -= 1.0
+        tenant.sent_count += 1
+        tenant.record(holder, now)
 
-    def _refill(self, tenant: _Tenant, limit: RequestLimit, now: float) -> float:
+    def _refill(self, tenant: _TenantState, limit: RequestLimit, now: float) -> float:
         """Add the tokens that time brought; return the rate at which they come."""
-        kept = sum(tenant.kept(holder, now) for holder in tenant.lost_at_by_holder)
-        unknown = self._unknown(tenant, limit, now)
+        kept = sum(tenant.reserved(holder, now) for holder in tenant.lost_at_by_holder)
+        unknown = self._unreported_usage(tenant, limit, now)
         left = limit.per_s * WINDOW_S - kept - unknown
         rate = max(0.0, left / WINDOW_S)
         burst = max(1.0, limit.burst) + min(0.0, left)
-        if tenant.counted_at is None:
-            tenant.level = _replayed_level(tenant, rate, burst, now) - unknown
+        if tenant.refilled_at is None:
+            tenant.tokens = _replay_tokens(tenant, rate, burst, now) - unknown
         else:
-            gained = (now - tenant.counted_at) * rate
-            tenant.level = min(burst, tenant.level + gained)
-        tenant.counted_at = now
+            gained = (now - tenant.refilled_at) * rate
+            tenant.tokens = min(burst, tenant.tokens + gained)
+        tenant.refilled_at = now
         return rate
 
-    def _known_gateways(self, now: float) -> int:
-        lost = sum(now - lost_at <= KEPT_S for lost_at in self._lost_at_by_holder.values())
-        return len(self._open) + lost
+    def _known_gateway_count(self, now: float) -> int:
+        lost = sum(now - lost_at <= RESERVATION_S for lost_at in self._lost_at_by_holder.values())
+        return len(self._connected) + lost
 
-    def _unknown(self, tenant: _Tenant, limit: RequestLimit, now: float) -> float:
+    def _unreported_usage(self, tenant: _TenantState, limit: RequestLimit, now: float) -> float:
         """Return the most requests a window of gateways that have not opened their session here."""
-        if now - self._began_at > KEPT_S or self._known_gateways(now) >= self._told_gateways:
+        if (
+            now - self._started_at > RESERVATION_S
+            or self._known_gateway_count(now) >= self._reported_gateways
+        ):
             return 0.0
-        told_at, told_count = tenant.told_at, float(tenant.told_count)
-        if self._began_at - self._heard_at > STALE_S:
-            told_at, told_count = self._began_at, _whole(limit)
-        known = sum(_count(times, told_at) for times in tenant.times_by_holder.values())
+        told_at, told_count = tenant.reported_at, float(tenant.reported_count)
+        if self._started_at - self._usage_received_at > MAX_USAGE_AGE_S:
+            told_at, told_count = self._started_at, _window_limit(limit)
+        known = sum(
+            _count_in_window(times, told_at) for times in tenant.send_times_by_holder.values()
+        )
         return max(0.0, told_count - known)
 
-    def _first_level(self, tenant: _Tenant, limit: RequestLimit, now: float) -> float:
+    def _initial_tokens(self, tenant: _TenantState, limit: RequestLimit, now: float) -> float:
         """Return the tokens that this home may lend by its first window's share; many after it."""
-        age_s = now - self._began_at
+        age_s = now - self._started_at
         if age_s >= WINDOW_S:
             return float("inf")
-        return FIRST_BURST_SHARE * _whole(limit) + limit.per_s * age_s - tenant.sent_here
+        return INITIAL_BURST_SHARE * _window_limit(limit) + limit.per_s * age_s - tenant.sent_count
 
-    def _retry_after(self, tenant: _Tenant, level: float, rate: float, now: float) -> float:
+    def _retry_after(self, tenant: _TenantState, tokens: float, rate: float, now: float) -> float:
         """Return when a token is there that was promised to nobody yet."""
         if rate <= 0.0:
-            return MOST_RETRY_AFTER_S
-        next_token = now + (1.0 - level) / rate
+            return MAX_RETRY_AFTER_S
+        next_token = now + (1.0 - tokens) / rate
         tenant.promised_until = max(next_token, tenant.promised_until + 1.0 / rate)
-        return min(MOST_RETRY_AFTER_S, tenant.promised_until - now)
+        return min(MAX_RETRY_AFTER_S, tenant.promised_until - now)
 
-    def _forget_old(self, now: float) -> None:
+    def _expire(self, now: float) -> None:
         for holder, lost_at in list(self._lost_at_by_holder.items()):
-            if now - lost_at > KEPT_S:
+            if now - lost_at > RESERVATION_S:
                 del self._lost_at_by_holder[holder]
         for tenant in self._tenants_by_name.values():
-            for holder, times in list(tenant.times_by_holder.items()):
+            for holder, times in list(tenant.send_times_by_holder.items()):
                 over = not times or times[-1] < now - 2 * WINDOW_S
-                if over and not tenant.kept(holder, now):
-                    del tenant.times_by_holder[holder]
+                if over and not tenant.reserved(holder, now):
+                    del tenant.send_times_by_holder[holder]
                     tenant.lost_at_by_holder.pop(holder, None)
 
 
-def _whole(limit: RequestLimit) -> float:
+def _window_limit(limit: RequestLimit) -> float:
     """Return how many requests one window may see."""
     return limit.per_s * WINDOW_S + limit.burst
 
 
-def _count(times: Iterable[float], until: float) -> int:
+def _count_in_window(times: Iterable[float], until: float) -> int:
     """Return how many of some times lie in the window that ends at a time."""
     return sum(until - WINDOW_S < at <= until for at in times)
 
 
-def _busiest(times: Iterable[float], until: float) -> int:
+def _max_in_window(times: Iterable[float], until: float) -> int:
     """Return the most times in any window that ends within the window before a time."""
     recent = [at for at in times if until - 2 * WINDOW_S < at <= until]
     most = first = 0
@@ -398,16 +405,18 @@
             first += 1
         if at > until - WINDOW_S:
             most = max(most, last - first + 1)
-    return max(most, _count(recent, until - WINDOW_S))
+    return max(most, _count_in_window(recent, until - WINDOW_S))
 
 
-def _replayed_level(tenant: _Tenant, rate: float, burst: float, now: float) -> float:
+def _replay_tokens(tenant: _TenantState, rate: float, burst: float, now: float) -> float:
     """Return the tokens left of a bucket that was full a window ago.
 
     With that many tokens no span that begins later sees more than ``rate * span + burst``.
     """
     began = now - WINDOW_S
-    times = sorted(at for times in tenant.times_by_holder.values() for at in times if at > began)
+    times = sorted(
+        at for times in tenant.send_times_by_holder.values() for at in times if at > began
+    )
     level = burst
     last = began
     for at in times:
--- a/src/wharfcart/experiments/limits.py
+++ b/src/wharfcart/experiments/limits.py
@@ -22,7 +22,12 @@
 from typing import Any
 
 from wharfcart.admission.limits import BucketCoordinator, GrantedTokens, TokenBucket, grant_size
-from wharfcart.admission.tenant_limits import WINDOW_S, TenantLimits, TenantSends, TenantUsage
+from wharfcart.admission.tenant_limits import (
+    WINDOW_S,
+    SendHistory,
+    TenantLimitCoordinator,
+    TenantUsage,
+)
 from wharfcart.configuration.serving import RequestLimit
 
 PICTURE_S = 0.25
@@ -113,7 +118,7 @@
 
     def __init__(self, load: LimitLoad) -> None:
         super().__init__(load)
-        self._sends = [TenantSends() for _ in range(load.gateways)]
+        self._sends = [SendHistory() for _ in range(load.gateways)]
         self._usage: dict[str, int] = {}
         self._heard_at = 0.0
         self._next_picture = 0.0
@@ -126,28 +131,30 @@
         if self.load.home_is_lost(at):
             limit = self.load.limit_of(tenant)
             usage = self._usage.get(tenant, 0)
-            permitted = sends.may_send_alone(tenant, limit, self._heard_at, usage, at)
+            permitted = sends.may_send_disconnected(tenant, limit, self._heard_at, usage, at)
         else:
             self._tell(at)
-            permitted = self._home.take(str(gateway), tenant, at) == 0.0
+            permitted = self._home.acquire(str(gateway), tenant, at) == 0.0
         if permitted:
-            sends.sent(tenant, at)
+            sends.record(tenant, at)
         return permitted
 
     def _tell(self, at: float) -> None:
         if self._heard_at < self.load.home_lost[0] <= at:
             self._home = self._new_home(at)
         if at >= self._next_picture:
-            self._usage = self._home.usage(at)
+            self._usage = self._home.usage_by_tenant(at)
             self._next_picture = at + PICTURE_S
         self._heard_at = at
 
-    def _new_home(self, at: float) -> TenantLimits:
-        home = TenantLimits(self.load.limit_of, at)
+    def _new_home(self, at: float) -> TenantLimitCoordinator:
+        home = TenantLimitCoordinator(self.load.limit_of, at)
         usage = [TenantUsage(tenant, count) for tenant, count in self._usage.items()]
         age_s = at - self._heard_at
         for gateway, sends in enumerate(self._sends):
-            home.holder_opened(str(gateway), sends.recent(at), usage, age_s, self.load.gateways, at)
+            home.holder_connected(
+                str(gateway), sends.recent(at), usage, age_s, self.load.gateways, at
+            )
         return home
 
 
--- a/src/wharfcart/slots/messages.py
+++ b/src/wharfcart/slots/messages.py
@@ -3,7 +3,7 @@
 Times travel as spans, since clocks of two nodes have nothing in common.
 """
 
-from wharfcart.admission.tenant_limits import TenantSend, TenantUsage
+from wharfcart.admission.tenant_limits import PermittedSend, TenantUsage
 from wharfcart.cluster import messages_pb2 as pb
 from wharfcart.configuration.residence import residence_from_message, residence_to_message
 from wharfcart.slots.events import (
@@ -112,14 +112,14 @@
     )
 
 
-def send_to_message(send: TenantSend) -> pb.TenantSend:
+def send_to_message(send: PermittedSend) -> pb.TenantSend:
     """Write a request that was permitted."""
     return pb.TenantSend(tenant=send.tenant, age_ms=_milliseconds(send.age_s))
 
 
-def send_from_message(message: pb.TenantSend) -> TenantSend:
+def send_from_message(message: pb.TenantSend) -> PermittedSend:
     """Read a request that was permitted."""
-    return TenantSend(message.tenant, message.age_ms / 1000)
+    return PermittedSend(message.tenant, message.age_ms / 1000)
 
 
 def usage_from_message(message: pb.TenantUsage) -> TenantUsage:
--- a/src/wharfcart/slots/permits.py
+++ b/src/wharfcart/slots/permits.py
@@ -59,7 +59,7 @@
     def taken(self) -> None:
         """Note that it came with a slot."""
         if self.needed:
-            self._sessions.sends.sent(self._tenant, monotonic())
+            self._sessions.sends.record(self._tenant, monotonic())
             self._limit = None
 
     async def obtain(self) -> None:
@@ -156,4 +156,6 @@
         contact_at = None if home is None else home.heard_at
         usage = 0 if home is None else home.picture.usage.get(self._tenant, 0)
         sends = self._sessions.sends
-        return sends.may_send_alone(self._tenant, self._limit, contact_at, usage, monotonic())
+        return sends.may_send_disconnected(
+            self._tenant, self._limit, contact_at, usage, monotonic()
+        )
--- a/src/wharfcart/slots/service.py
+++ b/src/wharfcart/slots/service.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field, replace
 from random import sample
 
-from wharfcart.admission.tenant_limits import TenantLimits
+from wharfcart.admission.tenant_limits import TenantLimitCoordinator
 from wharfcart.clock import monotonic
 from wharfcart.cluster.messages_pb2 import (
     Frame,
@@ -135,7 +135,7 @@
         self._requests_waiting = requests_waiting
         self._limit_of = limit_of
         self._leads_freshly = leads_freshly
-        self._limits = TenantLimits(limit_of, monotonic())
+        self._limits = TenantLimitCoordinator(limit_of, monotonic())
         self._permit_sessions: dict[SessionKey, float] = {}  # without slots; when heard last
         self._granter: SlotGranter | None = None
         self._outboxes: dict[SessionKey, _Outbox] = {}
@@ -230,7 +230,9 @@
         try:
             while self._limits is limits:
                 now = monotonic()
-                picture = SlotPicture(usage=limits.usage(now), gateways=limits.gateways(now))
+                picture = SlotPicture(
+                    usage=limits.usage_by_tenant(now), gateways=limits.gateway_count(now)
+                )
                 await respond(Frame(slot_news=SlotNews(picture=picture_to_message(picture))))
                 await asyncio.sleep(PICTURE_S)
             await respond(Frame(slot_news=SlotNews(refused=True), last=True))
@@ -267,7 +269,7 @@
         finally:
             del self._answers[key, asked.number]
             if message.tenant and not (told and isinstance(answer.result(), Granted)):
-                limits.give_back(key.holder, message.tenant, monotonic())
+                limits.release(key.holder, message.tenant, monotonic())
             if not told and self._granter is granter:
                 self._apply(granter, SlotReleased(key, asked.number))
 
@@ -296,18 +298,18 @@
         for event in message.events:
             told = event_from_message(key, event)
             if isinstance(told, SentUnasked):
-                self._limits.count_unasked(key.holder, told.tenant, monotonic())
+                self._limits.count_unpermitted(key.holder, told.tenant, monotonic())
             else:
                 self._apply(granter, told)
 
     # ---- inner ----
 
     def _begin_limits(self) -> None:
-        self._limits = TenantLimits(self._limit_of, monotonic())
+        self._limits = TenantLimitCoordinator(self._limit_of, monotonic())
 
-    def _open_limits(self, message: OpenSlotSession) -> TenantLimits:
+    def _open_limits(self, message: OpenSlotSession) -> TenantLimitCoordinator:
         """Take what a gateway tells of tenants' requests."""
-        self._limits.holder_opened(
+        self._limits.holder_connected(
             message.holder,
             [send_from_message(send) for send in message.sends],
             [usage_from_message(usage) for usage in message.usage],
@@ -331,7 +333,7 @@
     def _permit(self, key: SessionKey, tenant: str, request_id: str) -> SlotGrant | None:
         """Permit a tenant's request; else return what its gateway is told."""
         now = monotonic()
-        retry_after_s = self._limits.take(key.holder, tenant, now)
+        retry_after_s = self._limits.acquire(key.holder, tenant, now)
         if not retry_after_s:
             return None
         limit = self._limit_of(tenant)
@@ -342,7 +344,7 @@
             group=self.group,
             per_s=None if limit is None else limit.per_s,
             burst=None if limit is None else limit.burst,
-            used=self._limits.used(tenant, now),
+            used=self._limits.window_usage(tenant, now),
             retry_after_s=round(retry_after_s, 2),
         )
         return SlotGrant(limited=True, retry_after_ms=int(retry_after_s * 1000) + 1)
@@ -389,7 +391,9 @@
             self._avoided = avoided
         limits = self._limits
         picture = replace(
-            granter.picture(now), usage=limits.usage(now), gateways=limits.gateways(now)
+            granter.picture(now),
+            usage=limits.usage_by_tenant(now),
+            gateways=limits.gateway_count(now),
         )
         if near_due:
             self._near_told_at = now
--- a/src/wharfcart/slots/session.py
+++ b/src/wharfcart/slots/session.py
@@ -11,7 +11,7 @@
 from random import getrandbits, random
 from typing import Protocol
 
-from wharfcart.admission.tenant_limits import TenantSend
+from wharfcart.admission.tenant_limits import PermittedSend
 from wharfcart.clock import monotonic
 from wharfcart.cluster.address import Address
 from wharfcart.cluster.messages_pb2 import (
@@ -90,7 +90,7 @@
 class LimitFacts(Protocol):
     """What a holder tells a node that keeps tenants' limits."""
 
-    def sends_of(self, group: int) -> list[TenantSend]:
+    def sends_of(self, group: int) -> list[PermittedSend]:
         """Return the holder's last requests of the tenants whose home a group is."""
         ...
 
--- a/src/wharfcart/slots/sessions.py
+++ b/src/wharfcart/slots/sessions.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
-from wharfcart.admission.tenant_limits import TenantSend, TenantSends
+from wharfcart.admission.tenant_limits import PermittedSend, SendHistory
 from wharfcart.clock import monotonic
 from wharfcart.cluster.address import Address
 from wharfcart.cluster.transport import Transport
@@ -74,7 +74,7 @@
         self._silent: set[str] = set()
         self._silence_told_in: dict[int, int] = {}  # session by group
         self.by_group: dict[int, SlotSession] = {}
-        self.sends = TenantSends()
+        self.sends = SendHistory()
 
     async def run(self) -> None:
         """Keep all sessions open until cancelled."""
@@ -152,7 +152,7 @@
 
     # ---- facts for those who keep limits ----
 
-    def sends_of(self, group: int) -> list[TenantSend]:
+    def sends_of(self, group: int) -> list[PermittedSend]:
         """Return the holder's last requests of the tenants whose home a group is."""
         recent = self.sends.recent(monotonic())
         return [send for send in recent if self._home_group(send.tenant) == group]
--- a/tests/admission/limit_fleet.py
+++ b/tests/admission/limit_fleet.py
@@ -3,28 +3,33 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from wharfcart.admission.tenant_limits import WINDOW_S, TenantLimits, TenantSends, TenantUsage
+from wharfcart.admission.tenant_limits import (
+    WINDOW_S,
+    SendHistory,
+    TenantLimitCoordinator,
+    TenantUsage,
+)
 from wharfcart.configuration.serving import RequestLimit
 
 LIMIT = RequestLimit(5.0, 5.0)
-PICTURE_S = 0.25
+SNAPSHOT_INTERVAL_S = 0.25
 
 
 @dataclass
-class Gateway:
+class LimitGateway:
     """A gateway: what it sent, whether a home hears it, and what it heard."""
 
     name: str
-    sends: TenantSends = field(default_factory=TenantSends)
+    sends: SendHistory = field(default_factory=SendHistory)
     connected: bool = False
     contact_at: float | None = None
-    heard: dict[str, int] = field(default_factory=dict)
-    heard_at: float = 100.0
-    gateways_heard: int = 0
-    silent_since: float | None = None  # while the home has not noticed it
+    received_usage: dict[str, int] = field(default_factory=dict)
+    usage_received_at: float = 100.0
+    received_gateway_count: int = 0
+    unresponsive_since: float | None = None  # while the home has not noticed it
 
 
-class Fleet:
+class LimitFleet:
     """Gateways and one home, in a time of their own; every request that was sent is kept."""
 
     def __init__(self, gateways: int, limit: RequestLimit = LIMIT, tenant: str = "t") -> None:
@@ -34,88 +39,92 @@
         self.sent: list[float] = []
         self.sent_unnoticed: list[float] = []  # while the home took their gateway for connected
         self.refused = 0
-        self.gateways = [Gateway(f"g{n}") for n in range(gateways)]
-        self.home = self.new_home()
+        self.gateways = [LimitGateway(f"g{n}") for n in range(gateways)]
+        self.coordinator = self.new_coordinator()
         for gateway in self.gateways:
             self.connect(gateway)
 
-    def new_home(self) -> TenantLimits:
-        return TenantLimits(lambda name: self.limit if name == self.tenant else None, self.now)
+    def new_coordinator(self) -> TenantLimitCoordinator:
+        return TenantLimitCoordinator(
+            lambda name: self.limit if name == self.tenant else None, self.now
+        )
 
-    def connect(self, gateway: Gateway) -> None:
-        usage = [TenantUsage(name, count) for name, count in gateway.heard.items()]
-        self.home.holder_opened(
+    def connect(self, gateway: LimitGateway) -> None:
+        usage = [TenantUsage(name, count) for name, count in gateway.received_usage.items()]
+        self.coordinator.holder_connected(
             gateway.name,
             gateway.sends.recent(self.now),
             usage,
-            self.now - gateway.heard_at,
-            gateway.gateways_heard,
+            self.now - gateway.usage_received_at,
+            gateway.received_gateway_count,
             self.now,
         )
         gateway.connected = True
-        gateway.silent_since = None
+        gateway.unresponsive_since = None
         gateway.contact_at = self.now
 
-    def cut(self, gateway: Gateway, silent_s: float = 0.0) -> None:
+    def disconnect(self, gateway: LimitGateway, unresponsive_s: float = 0.0) -> None:
         """End a gateway's contact; the home notices it at once."""
         if gateway.connected:
             gateway.connected = False
-            self.home.holder_lost(gateway.name, silent_s, self.now)
+            self.coordinator.holder_lost(gateway.name, unresponsive_s, self.now)
 
-    def fall_silent(self, gateway: Gateway) -> None:
+    def become_unresponsive(self, gateway: LimitGateway) -> None:
         """End a gateway's contact; the home has not noticed yet."""
         gateway.connected = False
-        gateway.silent_since = self.now
+        gateway.unresponsive_since = self.now
 
-    def notice(self, gateway: Gateway) -> None:
+    def detect_unresponsive(self, gateway: LimitGateway) -> None:
         """Have the home notice that a gateway is silent."""
-        if gateway.silent_since is not None:
-            self.home.holder_lost(gateway.name, self.now - gateway.silent_since, self.now)
-            gateway.silent_since = None
+        if gateway.unresponsive_since is not None:
+            self.coordinator.holder_lost(
+                gateway.name, self.now - gateway.unresponsive_since, self.now
+            )
+            gateway.unresponsive_since = None
 
-    def kill(self, n: int) -> None:
+    def restart_gateway(self, n: int) -> None:
         """End a gateway and begin it anew, without contact."""
-        self.cut(self.gateways[n])
-        self.gateways[n] = Gateway(f"g{n}")
+        self.disconnect(self.gateways[n])
+        self.gateways[n] = LimitGateway(f"g{n}")
 
-    def change_home(self) -> None:
+    def replace_coordinator(self) -> None:
         """Another node, which knows nothing, keeps the limit; nobody has reached it yet."""
-        self.home = self.new_home()
+        self.coordinator = self.new_coordinator()
         for gateway in self.gateways:
             gateway.connected = False
-            gateway.silent_since = None
+            gateway.unresponsive_since = None
 
-    def tell_pictures(self) -> None:
-        usage = self.home.usage(self.now)
+    def publish_snapshots(self) -> None:
+        usage = self.coordinator.usage_by_tenant(self.now)
         connected = [gateway for gateway in self.gateways if gateway.connected]
         for gateway in connected:
-            gateway.heard, gateway.heard_at = usage, self.now
-            gateway.gateways_heard = self.home.gateways(self.now)
+            gateway.received_usage, gateway.usage_received_at = usage, self.now
+            gateway.received_gateway_count = self.coordinator.gateway_count(self.now)
             gateway.contact_at = self.now
 
-    def request(self, gateway: Gateway) -> bool:
+    def request(self, gateway: LimitGateway) -> bool:
         """Send a request if that is permitted; returns whether it was."""
         if gateway.connected:
             gateway.contact_at = self.now
-            permitted = self.home.take(gateway.name, self.tenant, self.now) == 0.0
+            permitted = self.coordinator.acquire(gateway.name, self.tenant, self.now) == 0.0
         else:
-            permitted = gateway.sends.may_send_alone(
+            permitted = gateway.sends.may_send_disconnected(
                 self.tenant,
                 self.limit,
                 gateway.contact_at,
-                gateway.heard.get(self.tenant, 0),
+                gateway.received_usage.get(self.tenant, 0),
                 self.now,
             )
         if permitted:
-            gateway.sends.sent(self.tenant, self.now)
+            gateway.sends.record(self.tenant, self.now)
             self.sent.append(self.now)
-            if gateway.silent_since is not None:
+            if gateway.unresponsive_since is not None:
                 self.sent_unnoticed.append(self.now)
         else:
             self.refused += 1
         return permitted
 
-    def busiest_window(self) -> int:
+    def max_window_count(self) -> int:
         """Return the most requests that any window saw."""
         most = first = 0
         for last, at in enumerate(self.sent):
@@ -124,30 +133,30 @@
             most = max(most, last - first + 1)
         return most
 
-    def offer(self, seconds: float, per_s: float, rng: Random) -> None:
+    def send_random(self, seconds: float, per_s: float, rng: Random) -> None:
         """Have requests come, at gateways drawn by lot."""
         until = self.now + seconds
         next_picture = self.now
         while self.now < until:
             self.now += rng.expovariate(per_s)
             if self.now >= next_picture:
-                self.tell_pictures()
-                next_picture = self.now + PICTURE_S
+                self.publish_snapshots()
+                next_picture = self.now + SNAPSHOT_INTERVAL_S
             self.request(rng.choice(self.gateways))
 
 
-def whole(limit: RequestLimit) -> float:
+def window_limit(limit: RequestLimit) -> float:
     return limit.per_s * WINDOW_S + limit.burst
 
 
-class PicturingFleet(Fleet):
+class SnapshotFleet(LimitFleet):
     """A fleet whose home tells pictures while it lives, as it does in service.
 
     Setting the time forward has the home tell every picture that is due until then.
     """
 
     _now = 0.0
-    _next_picture = float("inf")
+    _next_snapshot_at = float("inf")
 
     @property
     def now(self) -> float:
@@ -155,13 +164,13 @@
 
     @now.setter
     def now(self, value: float) -> None:
-        while self._next_picture <= value:
-            self._now = self._next_picture
-            self.tell_pictures()
-            self._next_picture += PICTURE_S
+        while self._next_snapshot_at <= value:
+            self._now = self._next_snapshot_at
+            self.publish_snapshots()
+            self._next_snapshot_at += SNAPSHOT_INTERVAL_S
         self._now = value
 
-    def new_home(self) -> TenantLimits:
+    def new_coordinator(self) -> TenantLimitCoordinator:
         """A home tells its first picture one period after it began."""
-        self._next_picture = self.now + PICTURE_S
-        return super().new_home()
+        self._next_snapshot_at = self.now + SNAPSHOT_INTERVAL_S
+        return super().new_coordinator()
--- a/tests/admission/test_backend_gate.py
+++ b/tests/admission/test_backend_gate.py
@@ -20,7 +20,7 @@
     return BackendGate("engine", GateCapacity(online=4, batch=40), policy)
 
 
-def _measured(policy: YieldingPolicy) -> BackendGate:
+def _fitted_gate(policy: YieldingPolicy) -> BackendGate:
     gate = _gate(policy)
     for sequences in range(1, 41):
         gate.fit.add(sequences, BASE_S + SLOPE_S * sequences)
@@ -44,15 +44,15 @@
     assert len(gate.batch) == 40
 
 
-def test_online_is_admitted_whatever_batch_runs() -> None:
+def test_online_is_admitted_while_batch_fills_the_back_end() -> None:
     gate = _gate()
     now = _fill(gate, 2.0)
     assert gate.admit_online("o", now)
 
 
-def test_arrival_stops_batch_above_the_measured_bound() -> None:
+def test_online_arrival_preempts_batch_above_the_fitted_bound() -> None:
     for policy in YieldingPolicy:
-        gate = _measured(policy)
+        gate = _fitted_gate(policy)
         now = _fill(gate, 2.0)
         gate.admit_online("o", now)
         stopped = gate.preempt_batch()
@@ -63,14 +63,14 @@
 
 
 def test_no_batch_prompt_before_an_online_first_token() -> None:
-    gate = _measured(YieldingPolicy.THROUGHPUT)
+    gate = _fitted_gate(YieldingPolicy.THROUGHPUT)
     gate.admit_online("o", IDLE_S)
     assert gate.available_batch_slots(IDLE_S + 1) == 0
     gate.record_first_token("o", IDLE_S + 1)
     assert gate.available_batch_slots(IDLE_S + 1) == 1
 
 
-def test_leaving_back_end_takes_nothing() -> None:
+def test_draining_back_end_admits_nothing() -> None:
     gate = _gate()
     gate.state = BackendState.DRAINING
     assert not gate.admit_online("o", IDLE_S)
@@ -83,8 +83,8 @@
         max_size=60,
     )
 )
-def test_bounds_hold_whatever_happens(steps: list[tuple[str, float]]) -> None:
-    gate = _measured(YieldingPolicy.TAIL)
+def test_bounds_hold_for_random_event_sequences(steps: list[tuple[str, float]]) -> None:
+    gate = _fitted_gate(YieldingPolicy.TAIL)
     now = IDLE_S
     for number, (step, seconds) in enumerate(steps):
         now += seconds
--- a/tests/admission/test_hedging.py
+++ b/tests/admission/test_hedging.py
@@ -3,7 +3,7 @@
 from wharfcart.admission.hedging import HEDGES_PER_REQUEST, MAX_TOKENS, HedgeBudget
 
 
-def test_repeats_are_a_small_part_of_the_requests_in_the_long_run() -> None:
+def test_hedges_stay_a_small_share_of_requests() -> None:
     budget = HedgeBudget()
     repeats = 0
     for _ in range(1000):
--- a/tests/admission/test_limiter.py
+++ b/tests/admission/test_limiter.py
@@ -39,7 +39,7 @@
     assert all(error.retry_after_seconds for error in refused)
 
 
-def test_silent_home_falls_back_to_a_share() -> None:
+def test_unresponsive_coordinator_falls_back_to_a_local_share() -> None:
     async def check() -> int:
         nobody_listens = Address("127.0.0.1", 1)
         transport = Transport(_refuse_calls)
