--- a/src/wharfcart/admission/request_content.py
+++ b/src/wharfcart/admission/request_content.py
@@ -8,14 +8,16 @@
 from typing import NewType
 
 # Digest of host, method, target, tenant and body, in hex.
-ContentId = NewType("ContentId", str)
+RequestFingerprint = NewType("RequestFingerprint", str)
 
 # Long enough that nobody finds two contents with one digest, and so has another's request refused.
 DIGEST_BYTES = 16
-LENGTH_BYTES = 8
+LENGTH_PREFIX_BYTES = 8
 
 
-def content_of(host: str, method: str, target: str, tenant: str, body: bytes) -> ContentId:
+def fingerprint_of(
+    host: str, method: str, target: str, tenant: str, body: bytes
+) -> RequestFingerprint:
     """Return what a request is known by; a tenant's requests are never those of another.
 
     Args:
@@ -27,12 +29,12 @@
     """
     digest = blake2b(digest_size=DIGEST_BYTES)
     for text in (host, method, target, tenant):
-        _add(digest, text.encode("utf-8", "surrogateescape"))
-    _add(digest, body)
-    return ContentId(digest.hexdigest())
+        _update_with_length(digest, text.encode("utf-8", "surrogateescape"))
+    _update_with_length(digest, body)
+    return RequestFingerprint(digest.hexdigest())
 
 
-def _add(digest: blake2b, part: bytes) -> None:
+def _update_with_length(digest: blake2b, part: bytes) -> None:
     """Add a part with its length: two parts never run into each other."""
-    digest.update(len(part).to_bytes(LENGTH_BYTES, "big"))
+    digest.update(len(part).to_bytes(LENGTH_PREFIX_BYTES, "big"))
     digest.update(part)
--- a/src/wharfcart/batch/item_run.py
+++ b/src/wharfcart/batch/item_run.py
@@ -6,7 +6,7 @@
 from enum import StrEnum
 from time import time
 
-from wharfcart.admission.request_content import ContentId, content_of
+from wharfcart.admission.request_content import RequestFingerprint, fingerprint_of
 from wharfcart.backends.connection_pool import ConnectionLimitError, ConnectionPool
 from wharfcart.clock import monotonic
 from wharfcart.cluster.messages_pb2 import RequestItem
@@ -18,7 +18,7 @@
 )
 from wharfcart.platform import exchanges
 from wharfcart.routing.backend_choice import BackendChoice, InstanceState
-from wharfcart.routing.broken_runs import BrokenRun, BrokenRuns
+from wharfcart.routing.broken_runs import CrashDetector, InterruptedRun
 from wharfcart.routing.event_stream import EventSplitter
 from wharfcart.storage.partial_texts import RunningText
 
@@ -59,9 +59,9 @@
     last_backend: str = ""
     sends: int = 0
     ran_s: float = 0.0
-    _content: ContentId | None = None
+    _content: RequestFingerprint | None = None
 
-    def content_of(self, item: RequestItem, host: str, tenant: str) -> ContentId:
+    def content_of(self, item: RequestItem, host: str, tenant: str) -> RequestFingerprint:
         """Return what the item is known by: the same as a request of its tenant.
 
         Args:
@@ -70,7 +70,7 @@
             tenant: whose job it is, or ''.
         """
         if self._content is None:
-            self._content = content_of(host, ITEM_METHOD, item.path, tenant, item.body)
+            self._content = fingerprint_of(host, ITEM_METHOD, item.path, tenant, item.body)
         return self._content
 
     @property
@@ -104,7 +104,7 @@
     progress: ItemProgress
     give_up_at: float
 
-    def content(self) -> ContentId:
+    def content(self) -> RequestFingerprint:
         """Return what the item is known by beyond this send."""
         return self.progress.content_of(self.item, self.host, self.tenant)
 
@@ -117,7 +117,7 @@
         choice: BackendChoice,
         pool: ConnectionPool,
         connection_limit: Callable[[str], int],
-        broken_runs: BrokenRuns,
+        broken_runs: CrashDetector,
     ) -> None:
         self._choice = choice
         self._pool = pool
@@ -126,7 +126,7 @@
 
     def _is_held_back(self, send: ItemSend) -> bool:
         """Whether back ends have ended while they ran the item."""
-        return self._broken_runs.suspects.held_for_s(send.content, time()) > 0
+        return self._broken_runs.poison_requests.quarantine_left_s(send.content, time()) > 0
 
     async def run(self, send: ItemSend) -> RunOutcome:
         """Send an item once and read its events into its progress.
@@ -162,8 +162,8 @@
         except ConnectionBrokenError as error:
             self._pool.discard(instance, connection)
             answer_begun = len(send.progress.text.texts) > events_before
-            await self._broken_runs.look_into(
-                BrokenRun(
+            await self._broken_runs.inspect(
+                InterruptedRun(
                     send.item.item_id,
                     send.content(),
                     instance,
@@ -178,7 +178,7 @@
             raise
         self._pool.give_back(instance, connection)
         if outcome in _RAN:
-            self._broken_runs.suspects.note_answer(send.content)
+            self._broken_runs.poison_requests.record_answer(send.content)
         return outcome
 
     async def _exchange(self, connection: HttpConnection, send: ItemSend) -> RunOutcome:
--- a/src/wharfcart/batch/job_execution.py
+++ b/src/wharfcart/batch/job_execution.py
@@ -11,7 +11,7 @@
 from itertools import islice
 from time import time
 
-from wharfcart.admission.suspects import Suspects
+from wharfcart.admission.suspects import PoisonRequests
 from wharfcart.batch.item_run import ItemProgress, ItemRunner, ItemSend, RunOutcome
 from wharfcart.batch.job_scheduler import JobScheduler, ScheduledJob
 from wharfcart.batch.placed_items import PlacedItem, PlacedItems
@@ -74,7 +74,7 @@
         keep_jobs_s: float,
         log: DecisionLog,
         metrics: ServingMetrics,
-        suspects: Suspects,
+        suspects: PoisonRequests,
     ) -> None:
         self._group = group
         self._runner = runner
@@ -172,7 +172,7 @@
         for item in self._scheduler.startable(scheduled, now):
             progress = scheduled.progress_of(item.item_id)
             content = partial(progress.content_of, item, job.host, job.tenant)
-            if not self._suspects.held_for_s(content, time()):
+            if not self._suspects.quarantine_left_s(content, time()):
                 yield item
 
     def _jobs_in_order(self, service: str) -> list[ScheduledJob]:
--- a/src/wharfcart/experiments/simulated_slots.py
+++ b/src/wharfcart/experiments/simulated_slots.py
@@ -12,7 +12,7 @@
 from types import SimpleNamespace
 from typing import Any, cast
 
-from wharfcart.admission.suspects import Suspects
+from wharfcart.admission.suspects import PoisonRequests
 from wharfcart.batch.item_run import ItemRunner, ItemSend, RunOutcome
 from wharfcart.batch.job_execution import JobExecution
 from wharfcart.cluster.address import Address
@@ -340,7 +340,7 @@
             3600.0,
             self._log,
             self._metrics,
-            Suspects(),
+            PoisonRequests(),
         )
 
     def _make_gateway(self, number: int) -> tuple[BackendChoice, GrantedPlacement, SlotSessions]:
--- a/src/wharfcart/node/led_group.py
+++ b/src/wharfcart/node/led_group.py
@@ -73,7 +73,7 @@
             parts.keep_jobs_s,
             node.log,
             node.metrics,
-            node.broken_runs.suspects,
+            node.broken_runs.poison_requests,
         )
         self.service = JobService(
             self.replica,
--- a/src/wharfcart/node/serving_node.py
+++ b/src/wharfcart/node/serving_node.py
@@ -9,7 +9,7 @@
 from random import Random
 from time import time
 
-from wharfcart.admission.suspects import SPREAD_S, Suspects
+from wharfcart.admission.suspects import RELEASE_JITTER_S, PoisonRequests
 from wharfcart.backends.connection_pool import ConnectionPool
 from wharfcart.clock import Suspensions, monotonic
 from wharfcart.cluster.address import Address
@@ -48,7 +48,7 @@
 from wharfcart.platform import documents, names
 from wharfcart.platform.metadata_store import MetadataStore
 from wharfcart.routing.backend_choice import BackendChoice
-from wharfcart.routing.broken_runs import BrokenRuns
+from wharfcart.routing.broken_runs import CrashDetector
 from wharfcart.routing.eligibility import Eligibility
 from wharfcart.settings.base import split_endpoint
 from wharfcart.settings.serving import ServingSettings
@@ -108,12 +108,12 @@
         self._evacuations = Evacuations(self.choice, log, self.metrics, lambda: self.link.age_s)
         self.suspensions = Suspensions()
         self.suspension_watch = SuspensionWatch(self.suspensions, log)
-        suspects = Suspects(holds_longer_s=self.random.uniform(0.0, SPREAD_S))
-        self.broken_runs = BrokenRuns(suspects, log)
+        suspects = PoisonRequests(release_jitter_s=self.random.uniform(0.0, RELEASE_JITTER_S))
+        self.broken_runs = CrashDetector(suspects, log)
         self._suspect_news = SuspectNews(
             suspects, self.coordination, self.mirror, self.random, self._relay_ends
         )
-        self.metrics.contents_held.set_function(lambda: suspects.held(time()))
+        self.metrics.contents_held.set_function(lambda: suspects.quarantined_count(time()))
         self.metrics.cold_backends.set_function(lambda: len(self.choice.cold_states(monotonic())))
         self.metrics.mirror_age.set_function(lambda: min(self.link.age_s, MOST_AGE_S))
         self.handle_other: Handler = _ignore
--- a/src/wharfcart/node/suspect_news.py
+++ b/src/wharfcart/node/suspect_news.py
@@ -12,8 +12,8 @@
 from contextlib import suppress
 from time import time
 
-from wharfcart.admission.request_content import ContentId
-from wharfcart.admission.suspects import BackendEnd, SuspectRecord, Suspects
+from wharfcart.admission.request_content import RequestFingerprint
+from wharfcart.admission.suspects import BackendCrash, PoisonEvidence, PoisonRequests
 from wharfcart.cluster.coordination import (
     Change,
     ConditionFailedError,
@@ -53,7 +53,7 @@
 
     def __init__(
         self,
-        suspects: Suspects,
+        suspects: PoisonRequests,
         service: CoordinationService,
         mirror: Mirror,
         random: RandomSource,
@@ -66,20 +66,20 @@
         self._random = random
         self._failures = 0
         self._news = asyncio.Event()
-        suspects.on_news = self._news.set
+        suspects.on_update = self._news.set
 
     def take(self, change: Change) -> None:
         """Take what was shared of a content."""
-        content = ContentId(change.key.removeprefix(SUSPECT_PREFIX))
+        content = RequestFingerprint(change.key.removeprefix(SUSPECT_PREFIX))
         record = record_from(change.value)
-        self._suspects.take(content, None if record is None else record.not_after(time()))
+        self._suspects.apply_shared(content, None if record is None else record.clamped_to(time()))
 
     def take_relayed(self, message: BackendEnds) -> None:
         """Take what another node could not tell the service."""
         for told in message.contents:
-            ends = {end.instance_id: BackendEnd(end.at, end.weight) for end in told.ends}
-            record = SuspectRecord(ends).not_after(time())
-            self._suspects.note_heard(ContentId(told.content), record)
+            ends = {end.instance_id: BackendCrash(end.at, end.weight) for end in told.ends}
+            record = PoisonEvidence(ends).clamped_to(time())
+            self._suspects.record_peer_evidence(RequestFingerprint(told.content), record)
 
     async def run(self) -> None:
         """Tell what there is to tell, until cancelled."""
@@ -94,15 +94,15 @@
 
     async def _tell(self) -> bool:
         """Tell what is untold; False if there is more, or it has to be tried again."""
-        untold = self._suspects.untold(MOST_WRITTEN)
+        untold = self._suspects.unpublished(MOST_WRITTEN)
         over = [
             content
-            for content in self._suspects.no_longer_suspect(time(), MOST_REMOVED)
+            for content in self._suspects.removable(time(), MOST_REMOVED)
             if content not in untold
         ]
         there = [content for content in over if self._mirror.get(_key(content)) is not None]
         if not untold and not there:
-            self._suspects.forgotten(over)
+            self._suspects.mark_removed(over)
             return True
         transaction = Transaction(
             {_key(content): self._revision(content) for content in (*untold, *there)},
@@ -121,11 +121,11 @@
             await self._pause(RETRY_UNAVAILABLE_S)
             return False
         self._failures = 0
-        self._suspects.told(untold)
-        self._suspects.forgotten(over)
+        self._suspects.mark_published(untold)
+        self._suspects.mark_removed(over)
         return False
 
-    def _revision(self, content: ContentId) -> int:
+    def _revision(self, content: RequestFingerprint) -> int:
         known = self._mirror.get(_key(content))
         return 0 if known is None else known.revision
 
@@ -138,7 +138,7 @@
         return 0.5 + self._random.random()
 
 
-def ends_to_message(record_by_content: dict[ContentId, SuspectRecord]) -> BackendEnds:
+def ends_to_message(record_by_content: dict[RequestFingerprint, PoisonEvidence]) -> BackendEnds:
     """Write what is known of some contents, for another node."""
     return BackendEnds(
         contents=[
@@ -146,7 +146,7 @@
                 content=content,
                 ends=[
                     InstanceEnd(instance_id=instance_id, at=end.at, weight=end.weight)
-                    for instance_id, end in record.ends_by_instance.items()
+                    for instance_id, end in record.crashes_by_key.items()
                 ],
             )
             for content, record in record_by_content.items()
@@ -154,25 +154,25 @@
     )
 
 
-def record_to_bytes(record: SuspectRecord) -> bytes:
+def record_to_bytes(record: PoisonEvidence) -> bytes:
     """Write what is known of a content."""
-    ends = {key: [round(end.at, 3), end.weight] for key, end in record.ends_by_instance.items()}
+    ends = {key: [round(end.at, 3), end.weight] for key, end in record.crashes_by_key.items()}
     return json.dumps(ends, sort_keys=True).encode()
 
 
-def record_from(value: bytes | None) -> SuspectRecord | None:
+def record_from(value: bytes | None) -> PoisonEvidence | None:
     """Read what is known of a content; None if nothing is, or it is of another form."""
     if value is None:
         return None
     try:
         ends = {
-            str(key): BackendEnd(float(at), float(weight))
+            str(key): BackendCrash(float(at), float(weight))
             for key, (at, weight) in json.loads(value).items()
         }
     except (ValueError, TypeError, AttributeError):
         return None
-    return SuspectRecord(ends)
+    return PoisonEvidence(ends)
 
 
-def _key(content: ContentId) -> str:
+def _key(content: RequestFingerprint) -> str:
     return SUSPECT_PREFIX + content
--- a/src/wharfcart/routing/broken_runs.py
+++ b/src/wharfcart/routing/broken_runs.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from time import time
 
-from wharfcart.admission.request_content import ContentId
-from wharfcart.admission.suspects import Suspects, weight_of
+from wharfcart.admission.request_content import RequestFingerprint
+from wharfcart.admission.suspects import PoisonRequests, crash_weight
 from wharfcart.clock import monotonic
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.http.connection import BreakCause, ConnectFailedError, HttpConnection
@@ -22,19 +22,19 @@
 CHECK_TIMEOUT_S = 0.3
 # A process that ends resets its connections one after the other: one that came up meanwhile is
 # reset within this time.
-LINGER_S = 0.02
+RESET_DELAY_S = 0.02
 # A request that may be repeated waits for the verdict for no longer than this.
-MOST_WAIT_S = 0.1
-MOST_CHECKS = 2
+MAX_INSPECTION_WAIT_S = 0.1
+MAX_CONNECTION_CHECKS = 2
 # All runs of a back end break off within this time when it ends. A run that breaks off later may
 # have been at its next life under the same id, which takes 3 s to start: it is asked for anew.
-ENDED_KEPT_S = 1.0
+CRASH_TTL_S = 1.0
 # More back ends than this are not remembered to have ended.
-MOST_ENDED = 256
+MAX_REMEMBERED_CRASHES = 256
 
 
 @dataclass(frozen=True, slots=True)
-class BrokenRun:
+class InterruptedRun:
     """A run that broke off.
 
     Attributes:
@@ -47,14 +47,14 @@
     """
 
     request_id: str
-    content: ContentId
+    fingerprint: RequestFingerprint
     instance: BackendInstance
     cause: BreakCause
     answer_begun: bool
     ran_s: float
 
 
-class BrokenRuns:
+class CrashDetector:
     """Looks into the broken runs of one node.
 
     Args:
@@ -62,45 +62,45 @@
         log: takes a line for each end that this node sees, and for each request that had a part.
     """
 
-    def __init__(self, suspects: Suspects, log: DecisionLog) -> None:
-        self.suspects = suspects
+    def __init__(self, poison_requests: PoisonRequests, log: DecisionLog) -> None:
+        self.poison_requests = poison_requests
         self._log = log
         self._tasks = BackgroundTasks()
         self._checks_by_instance: dict[str, asyncio.Task[None]] = {}
-        self._ended_at: OrderedDict[str, float] = OrderedDict()
+        self._crashed_at: OrderedDict[str, float] = OrderedDict()
 
-    def note(self, run: BrokenRun) -> asyncio.Task[None]:
+    def start_inspection(self, run: InterruptedRun) -> asyncio.Task[None]:
         """Look into a run; the task ends once it is known what became of its back end."""
-        return self._tasks.spawn(self._look_into(run))
+        return self._tasks.spawn(self._inspect(run))
 
-    async def look_into(self, run: BrokenRun) -> None:
+    async def inspect(self, run: InterruptedRun) -> None:
         """Look into a run and wait for the verdict, for a moment at most."""
-        await asyncio.wait((self.note(run),), timeout=MOST_WAIT_S)
+        await asyncio.wait((self.start_inspection(run),), timeout=MAX_INSPECTION_WAIT_S)
 
-    async def _look_into(self, run: BrokenRun) -> None:
-        if run.cause is not BreakCause.CLOSED or not await self._has_ended(run.instance):
+    async def _inspect(self, run: InterruptedRun) -> None:
+        if run.cause is not BreakCause.CLOSED or not await self._has_crashed(run.instance):
             return
-        weight = weight_of(run.answer_begun, run.ran_s)
+        weight = crash_weight(run.answer_begun, run.ran_s)
         if not weight:
             return
         now = time()
         instance_id = run.instance.instance_id
-        record = self.suspects.note_end(run.content, instance_id, weight, now)
+        record = self.poison_requests.record_crash(run.fingerprint, instance_id, weight, now)
         self._log.write(
             Event.REQUEST_SUSPECTED,
             request=run.request_id,
-            content=run.content,
+            content=run.fingerprint,
             backend=instance_id,
             answer_begun=run.answer_begun,
             ran_s=round(run.ran_s, 3),
-            ends=len(record.ends_by_instance),
-            weight=record.weight(),
-            held_s=round(record.held_for_s(now), 1),
+            ends=len(record.crashes_by_key),
+            weight=record.total_weight(),
+            held_s=round(record.quarantine_left_s(now), 1),
         )
 
-    async def _has_ended(self, instance: BackendInstance) -> bool:
+    async def _has_crashed(self, instance: BackendInstance) -> bool:
         instance_id = instance.instance_id
-        if self._ended_lately(instance_id):
+        if self._crashed_recently(instance_id):
             return True
         check = self._checks_by_instance.get(instance_id)
         if check is None:
@@ -108,30 +108,30 @@
             self._checks_by_instance[instance_id] = check
             check.add_done_callback(lambda _task: self._checks_by_instance.pop(instance_id, None))
         await asyncio.shield(check)
-        return self._ended_lately(instance_id)
+        return self._crashed_recently(instance_id)
 
-    def _ended_lately(self, instance_id: str) -> bool:
-        ended_at = self._ended_at.get(instance_id)
-        return ended_at is not None and monotonic() - ended_at < ENDED_KEPT_S
+    def _crashed_recently(self, instance_id: str) -> bool:
+        ended_at = self._crashed_at.get(instance_id)
+        return ended_at is not None and monotonic() - ended_at < CRASH_TTL_S
 
     async def _check(self, instance: BackendInstance) -> None:
-        if not await _refuses(instance):
+        if not await _refuses_connections(instance):
             return
-        self._ended_at[instance.instance_id] = monotonic()
-        self._ended_at.move_to_end(instance.instance_id)
-        if len(self._ended_at) > MOST_ENDED:
-            self._ended_at.popitem(last=False)
+        self._crashed_at[instance.instance_id] = monotonic()
+        self._crashed_at.move_to_end(instance.instance_id)
+        if len(self._crashed_at) > MAX_REMEMBERED_CRASHES:
+            self._crashed_at.popitem(last=False)
         self._log.write(Event.BACKEND_ENDED, backend=instance.instance_id, service=instance.service)
 
 
-async def _refuses(instance: BackendInstance) -> bool:
+async def _refuses_connections(instance: BackendInstance) -> bool:
     """Whether nobody listens where a back end did."""
-    for _ in range(MOST_CHECKS):
+    for _ in range(MAX_CONNECTION_CHECKS):
         try:
             connection = await HttpConnection.open(instance.host, instance.port, CHECK_TIMEOUT_S)
         except ConnectFailedError as error:
             return error.refused
-        await asyncio.sleep(LINGER_S)
+        await asyncio.sleep(RESET_DELAY_S)
         was_reset = connection.closed
         connection.close()
         if not was_reset:
--- a/src/wharfcart/routing/caller_request.py
+++ b/src/wharfcart/routing/caller_request.py
@@ -4,7 +4,7 @@
 from functools import cached_property
 from typing import Protocol
 
-from wharfcart.admission.request_content import ContentId, content_of
+from wharfcart.admission.request_content import RequestFingerprint, fingerprint_of
 from wharfcart.configuration.residence import Residence
 from wharfcart.configuration.serving import Route, ServedTenant
 from wharfcart.platform import exchanges
@@ -38,10 +38,10 @@
         return "" if self.tenant is None else self.tenant.name
 
     @cached_property
-    def content(self) -> ContentId:
+    def fingerprint(self) -> RequestFingerprint:
         """What it is known by beyond this attempt."""
         host = self.route.host
-        return content_of(host, self.method, self.target, self.tenant_name, self.body)
+        return fingerprint_of(host, self.method, self.target, self.tenant_name, self.body)
 
     @property
     def residence(self) -> Residence:
--- a/src/wharfcart/routing/forwarder.py
+++ b/src/wharfcart/routing/forwarder.py
@@ -18,7 +18,7 @@
 from wharfcart.observability.serving_metrics import ServingMetrics
 from wharfcart.platform import exchanges
 from wharfcart.routing.backend_choice import BackendChoice
-from wharfcart.routing.broken_runs import BrokenRuns
+from wharfcart.routing.broken_runs import CrashDetector
 from wharfcart.routing.caller_request import AnswerCutError, AnswerSink, CallerRequest
 from wharfcart.routing.deadlines import Deadlines
 from wharfcart.routing.eligibility import RuledOut
@@ -66,7 +66,7 @@
         connection_limit: Callable[[str], int],
         log: DecisionLog,
         metrics: ServingMetrics,
-        broken_runs: BrokenRuns,
+        broken_runs: CrashDetector,
     ) -> None:
         self._choice = choice
         self._placement = placement
--- a/src/wharfcart/routing/request_log.py
+++ b/src/wharfcart/routing/request_log.py
@@ -1,6 +1,6 @@
 """What is told of each request that is passed on: decision lines and metrics."""
 
-from wharfcart.admission.suspects import SUSPECTED
+from wharfcart.admission.suspects import POISON_CAUSE
 from wharfcart.clock import monotonic
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.observability.serving_metrics import ServingMetrics
@@ -97,8 +97,8 @@
         rarely: dict[str, object] = {}
         if progress.broke:
             rarely["broke"] = progress.broke
-        if progress.broke or progress.cause == SUSPECTED:
-            rarely["content"] = request.content
+        if progress.broke or progress.cause == POISON_CAUSE:
+            rarely["content"] = request.fingerprint
         if progress.cause == RuledOut.OUTSIDE_RESIDENCE.value:
             self._metrics.outside_residence.add("request")
         if request.residence.regions is not None:
--- a/src/wharfcart/routing/sender.py
+++ b/src/wharfcart/routing/sender.py
@@ -12,7 +12,7 @@
 from typing import TypeVar
 
 from wharfcart.admission.hedging import HedgeBudget
-from wharfcart.admission.suspects import SUSPECTED
+from wharfcart.admission.suspects import POISON_CAUSE
 from wharfcart.backends.connection_pool import ConnectionLimitError, ConnectionPool
 from wharfcart.clock import monotonic
 from wharfcart.cluster.topology import RegionName
@@ -26,7 +26,7 @@
 )
 from wharfcart.platform import exchanges
 from wharfcart.routing.backend_choice import BackendChoice, InstanceState
-from wharfcart.routing.broken_runs import BrokenRun, BrokenRuns
+from wharfcart.routing.broken_runs import CrashDetector, InterruptedRun
 from wharfcart.routing.caller_request import AnswerSink, CallerRequest
 from wharfcart.routing.event_stream import EventSplitter
 from wharfcart.routing.placement import Placed, Placement, SendVerdict
@@ -79,7 +79,7 @@
         pool: ConnectionPool,
         connection_limit: Callable[[str], int],
         told: RequestLog,
-        broken_runs: BrokenRuns,
+        broken_runs: CrashDetector,
         reach: RegionReach,
     ) -> None:
         self._choice = choice
@@ -100,10 +100,12 @@
 
         Asked before each send: what ends its back ends takes all others there with it.
         """
-        held_s = self._broken_runs.suspects.held_for_s(lambda: request.content, time())
+        held_s = self._broken_runs.poison_requests.quarantine_left_s(
+            lambda: request.fingerprint, time()
+        )
         if not held_s:
             return False
-        progress.cause = SUSPECTED
+        progress.cause = POISON_CAUSE
         progress.retry_after_s = math.ceil(held_s)
         return True
 
@@ -156,7 +158,7 @@
         if self.is_held_back(request, progress):
             # It was found out while this one waited for its slot and its connection.
             self._pool.give_back(instance, connection)
-            return NoAnswer(False, SUSPECTED)
+            return NoAnswer(False, POISON_CAUSE)
         began_at = monotonic()
         if began_at >= request.deadline:
             # The machine was suspended while it waited: nobody waits for the answer any more.
@@ -183,7 +185,7 @@
             raise
         self._pool.give_back(instance, connection)
         if verdict is None or verdict.ran:
-            self._broken_runs.suspects.note_answer(lambda: request.content)
+            self._broken_runs.poison_requests.record_answer(lambda: request.fingerprint)
             self._turned_out(state, progress, verdict is None and progress.well)
         return verdict
 
@@ -196,18 +198,18 @@
         ran_s: float,
     ) -> None:
         """Have it found out whether the back end ended; who may be repeated waits for that."""
-        run = BrokenRun(
+        run = InterruptedRun(
             request.facts.request_id,
-            request.content,
+            request.fingerprint,
             state.instance,
             cause,
             use not in state.waiting_since,
             ran_s,
         )
         if request.route.repeatable:
-            await self._broken_runs.look_into(run)
+            await self._broken_runs.inspect(run)
         else:
-            self._broken_runs.note(run)
+            self._broken_runs.start_inspection(run)
 
     def _turned_out(self, state: InstanceState, progress: RequestProgress, good: bool) -> None:
         progress.told = SendVerdict.GOOD if good else SendVerdict.BAD
--- a/tests/batch/test_job_execution.py
+++ b/tests/batch/test_job_execution.py
@@ -8,7 +8,7 @@
 from time import time
 from types import SimpleNamespace
 
-from wharfcart.admission.suspects import Suspects
+from wharfcart.admission.suspects import PoisonRequests
 from wharfcart.batch import job_execution
 from wharfcart.batch.item_run import ItemSend, RunOutcome
 from wharfcart.batch.job_execution import JobExecution
@@ -205,7 +205,7 @@
             60.0,
             DecisionLog("test"),
             ServingMetrics(),
-            Suspects(),
+            PoisonRequests(),
         )
         self.execution.begin()
 
--- a/tests/node/test_suspect_news.py
+++ b/tests/node/test_suspect_news.py
@@ -5,8 +5,8 @@
 from random import Random
 from time import time
 
-from wharfcart.admission.request_content import ContentId
-from wharfcart.admission.suspects import KEPT_S, Suspects
+from wharfcart.admission.request_content import RequestFingerprint
+from wharfcart.admission.suspects import EVIDENCE_TTL_S, PoisonRequests
 from wharfcart.cluster.coordination import (
     Change,
     Changes,
@@ -20,7 +20,7 @@
 from wharfcart.node.fleet_keys import SUSPECT_PREFIX
 from wharfcart.node.suspect_news import SuspectNews, record_from, record_to_bytes
 
-CONTENT = ContentId("c")
+CONTENT = RequestFingerprint("c")
 NEWS_S = 0.05
 
 
@@ -60,7 +60,7 @@
 
 class Node:
     def __init__(self, service: Service, seed: int) -> None:
-        self.suspects = Suspects()
+        self.suspects = PoisonRequests()
         self.mirror = Mirror()
         self._service = service
         self.number = seed
@@ -88,7 +88,7 @@
         self.hear(list(service.keys.values()), service.revision)
 
     def ends(self) -> set[str]:
-        return set(self.suspects.record(CONTENT).ends_by_instance)
+        return set(self.suspects.evidence(CONTENT).crashes_by_key)
 
 
 def play(scenario: Callable[[Service], Awaitable[None]]) -> None:
@@ -101,9 +101,9 @@
 def test_every_node_knows_soon_and_one_that_starts_later_too() -> None:
     async def scenario(service: Service) -> None:
         first, second = Node(service, 1), Node(service, 2)
-        first.suspects.note_end(CONTENT, "a", 1.0, time())
+        first.suspects.record_crash(CONTENT, "a", 1.0, time())
         await asyncio.sleep(0.5)
-        second.suspects.note_end(CONTENT, "b", 1.0, time())
+        second.suspects.record_crash(CONTENT, "b", 1.0, time())
         await asyncio.sleep(0.5)
         third = Node(service, 3)
         third.start_anew(service)
@@ -117,7 +117,7 @@
     async def scenario(service: Service) -> None:
         nodes = [Node(service, seed) for seed in range(5)]
         for number, node in enumerate(nodes):
-            node.suspects.note_end(CONTENT, f"b{number}", 1.0, time())
+            node.suspects.record_crash(CONTENT, f"b{number}", 1.0, time())
         await asyncio.sleep(30.0)
         assert all(len(node.ends()) == 5 for node in nodes)
 
@@ -128,7 +128,7 @@
     async def scenario(service: Service) -> None:
         first, second = Node(service, 1), Node(service, 2)
         service.down = True
-        first.suspects.note_end(CONTENT, "a", 1.0, time())
+        first.suspects.record_crash(CONTENT, "a", 1.0, time())
         await asyncio.sleep(20.0)
         assert service.calls < 15
         assert first.ends() == {"a"} and not second.ends()
@@ -146,7 +146,7 @@
         refused, refused_too, third, fourth = (Node(service, seed) for seed in range(4))
         refused.relays, refused_too.relays = [refused_too], [third]
         service.refused = {refused.number, refused_too.number}
-        refused.suspects.note_end(CONTENT, "a", 1.0, time())
+        refused.suspects.record_crash(CONTENT, "a", 1.0, time())
         await asyncio.sleep(1.0)
         assert fourth.ends() == {"a"}
         await asyncio.sleep(5.0)
@@ -159,12 +159,12 @@
     async def scenario(service: Service) -> None:
         first, second = Node(service, 1), Node(service, 2)
         service.loses_answers = True
-        first.suspects.note_end(CONTENT, "a", 1.0, time())
+        first.suspects.record_crash(CONTENT, "a", 1.0, time())
         await asyncio.sleep(5.0)
         service.loses_answers = False
         await asyncio.sleep(5.0)
         assert first.ends() == second.ends() == {"a"}
-        assert not first.suspects.untold(9)
+        assert not first.suspects.unpublished(9)
         assert service.calls == 1
 
     play(scenario)
@@ -173,9 +173,9 @@
 def test_an_answer_to_the_request_is_told_as_well() -> None:
     async def scenario(service: Service) -> None:
         first, second = Node(service, 1), Node(service, 2)
-        first.suspects.note_end(CONTENT, "a", 1.0, time())
+        first.suspects.record_crash(CONTENT, "a", 1.0, time())
         await asyncio.sleep(0.5)
-        second.suspects.note_answer(lambda: CONTENT)
+        second.suspects.record_answer(lambda: CONTENT)
         await asyncio.sleep(0.5)
         assert not first.ends() and not second.ends()
         assert not service.keys
@@ -186,7 +186,7 @@
 def test_old_evidence_is_taken_away_though_nothing_happens() -> None:
     async def scenario(service: Service) -> None:
         node = Node(service, 1)
-        node.suspects.note_end(CONTENT, "a", 1.0, time() - KEPT_S - 1.0)
+        node.suspects.record_crash(CONTENT, "a", 1.0, time() - EVIDENCE_TTL_S - 1.0)
         await asyncio.sleep(NEWS_S / 2)
         assert service.keys
         await asyncio.sleep(200.0)
@@ -196,8 +196,8 @@
 
 
 def test_records_are_read_as_they_were_written_and_others_count_as_none() -> None:
-    suspects = Suspects()
-    record = suspects.note_end(CONTENT, "a", 0.5, 100.25)
+    suspects = PoisonRequests()
+    record = suspects.record_crash(CONTENT, "a", 0.5, 100.25)
     assert record_from(record_to_bytes(record)) == record
     for value in (None, b"no", b"[]", b'{"a": 1}', b'{"a": ["x", 1]}'):
         assert record_from(value) is None
--- a/tests/routing/test_broken_runs.py
+++ b/tests/routing/test_broken_runs.py
@@ -3,14 +3,14 @@
 import asyncio
 from dataclasses import replace
 
-from wharfcart.admission.request_content import ContentId
-from wharfcart.admission.suspects import Suspects
+from wharfcart.admission.request_content import RequestFingerprint
+from wharfcart.admission.suspects import PoisonRequests
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.http.connection import BreakCause
 from wharfcart.observability.decisions import DecisionLog, Event
-from wharfcart.routing.broken_runs import ENDED_KEPT_S, BrokenRun, BrokenRuns
+from wharfcart.routing.broken_runs import CRASH_TTL_S, CrashDetector, InterruptedRun
 
-CONTENT = ContentId("c")
+FINGERPRINT = RequestFingerprint("c")
 
 
 class RecordingLog(DecisionLog):
@@ -27,7 +27,7 @@
 
     def __init__(self) -> None:
         self.accepted = 0
-        self.resets = False
+        self.resets_connections = False
         self._server: asyncio.Server
 
     async def start(self, port: int = 0) -> BackendInstance:
@@ -37,7 +37,7 @@
 
     async def _accept(self, _reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.accepted += 1
-        if self.resets:
+        if self.resets_connections:
             self.stop()
             writer.transport.abort()
 
@@ -45,101 +45,103 @@
         self._server.close()
 
 
-def run_of(instance: BackendInstance) -> BrokenRun:
-    return BrokenRun("r", CONTENT, instance, BreakCause.CLOSED, False, 0.1)
+def interrupted_run(instance: BackendInstance) -> InterruptedRun:
+    return InterruptedRun("r", FINGERPRINT, instance, BreakCause.CLOSED, False, 0.1)
 
 
-def ends_known(suspects: Suspects) -> int:
-    return len(suspects.record(CONTENT).ends_by_instance)
+def crash_count(poison_requests: PoisonRequests) -> int:
+    return len(poison_requests.evidence(FINGERPRINT).crashes_by_key)
 
 
-def test_a_back_end_that_listens_no_more_has_ended() -> None:
+def test_refused_connection_means_a_crash() -> None:
     async def scenario() -> None:
         log = RecordingLog()
-        suspects = Suspects()
-        broken = BrokenRuns(suspects, log)
+        suspects = PoisonRequests()
+        broken = CrashDetector(suspects, log)
         listener = Listener()
         instance = await listener.start()
         listener.stop()
-        await broken.look_into(run_of(instance))
-        assert ends_known(suspects) == 1
+        await broken.inspect(interrupted_run(instance))
+        assert crash_count(suspects) == 1
         assert log.events == [Event.BACKEND_ENDED, Event.REQUEST_SUSPECTED]
 
     asyncio.run(scenario())
 
 
-def test_one_that_listens_has_lost_an_answer_and_speaks_against_nobody() -> None:
+def test_listening_back_end_has_not_crashed() -> None:
     async def scenario() -> None:
-        suspects = Suspects()
-        broken = BrokenRuns(suspects, RecordingLog())
+        suspects = PoisonRequests()
+        broken = CrashDetector(suspects, RecordingLog())
         listener = Listener()
         instance = await listener.start()
-        await broken.look_into(run_of(instance))
+        await broken.inspect(interrupted_run(instance))
         assert listener.accepted == 1 and not len(suspects)
         listener.stop()
 
     asyncio.run(scenario())
 
 
-def test_one_that_ends_while_it_is_asked_has_ended() -> None:
+def test_reset_during_the_check_means_a_crash() -> None:
     async def scenario() -> None:
-        suspects = Suspects()
-        broken = BrokenRuns(suspects, RecordingLog())
+        suspects = PoisonRequests()
+        broken = CrashDetector(suspects, RecordingLog())
         listener = Listener()
-        listener.resets = True
+        listener.resets_connections = True
         instance = await listener.start()
-        await broken.note(run_of(instance))
-        assert ends_known(suspects) == 1
+        await broken.start_inspection(interrupted_run(instance))
+        assert crash_count(suspects) == 1
 
     asyncio.run(scenario())
 
 
-def test_many_runs_of_one_back_end_ask_once() -> None:
+def test_runs_of_one_back_end_share_a_check() -> None:
     async def scenario() -> None:
-        suspects = Suspects()
-        broken = BrokenRuns(suspects, RecordingLog())
+        suspects = PoisonRequests()
+        broken = CrashDetector(suspects, RecordingLog())
         listener = Listener()
         instance = await listener.start()
-        await asyncio.gather(*(broken.note(run_of(instance)) for _ in range(12)))
+        await asyncio.gather(
+            *(broken.start_inspection(interrupted_run(instance)) for _ in range(12))
+        )
         assert listener.accepted == 1
         listener.stop()
 
     asyncio.run(scenario())
 
 
-def test_only_the_peers_own_end_is_looked_into() -> None:
+def test_only_connections_closed_by_the_peer_are_inspected() -> None:
     async def scenario() -> None:
-        suspects = Suspects()
-        broken = BrokenRuns(suspects, RecordingLog())
+        suspects = PoisonRequests()
+        broken = CrashDetector(suspects, RecordingLog())
         listener = Listener()
         instance = await listener.start()
         listener.stop()
         for cause in (BreakCause.SLOW, BreakCause.MALFORMED):
-            await broken.look_into(replace(run_of(instance), cause=cause))
-        await broken.look_into(replace(run_of(instance), answer_begun=True, ran_s=3.0))
+            await broken.inspect(replace(interrupted_run(instance), cause=cause))
+        await broken.inspect(replace(interrupted_run(instance), answer_begun=True, ran_s=3.0))
         assert not len(suspects)
 
     asyncio.run(scenario())
 
 
-def test_a_back_end_that_has_started_again_is_asked_anew() -> None:
+def test_restarted_back_end_is_checked_again() -> None:
     """Its id had ended once; an answer lost at its next life was taken for another end."""
 
     async def scenario() -> None:
-        suspects = Suspects()
-        broken = BrokenRuns(suspects, RecordingLog())
+        suspects = PoisonRequests()
+        broken = CrashDetector(suspects, RecordingLog())
         listener = Listener()
         instance = await listener.start()
         listener.stop()
-        await broken.look_into(run_of(instance))
+        await broken.inspect(interrupted_run(instance))
         restarted = Listener()
         await restarted.start(instance.port)
-        await asyncio.sleep(ENDED_KEPT_S + 0.05)
-        innocent = replace(run_of(instance), content=ContentId("other"))
-        await broken.look_into(innocent)
+        await asyncio.sleep(CRASH_TTL_S + 0.05)
+        innocent = replace(interrupted_run(instance), fingerprint=RequestFingerprint("other"))
+        await broken.inspect(innocent)
         assert restarted.accepted == 1
-        assert not suspects.record(ContentId("other")).ends_by_instance
-        assert ends_known(suspects) == 1
+        assert not suspects.evidence(RequestFingerprint("other")).crashes_by_key
+        assert crash_count(suspects) == 1
         restarted.stop()
 
     asyncio.run(scenario())
--- a/tests/routing/test_forwarder_residence.py
+++ b/tests/routing/test_forwarder_residence.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from wharfcart.admission.suspects import Suspects
+from wharfcart.admission.suspects import PoisonRequests
 from wharfcart.backends.connection_pool import ConnectionPool
 from wharfcart.cluster.topology import RegionName, Topology
 from wharfcart.configuration.instances import BackendInstance
@@ -16,7 +16,7 @@
 from wharfcart.observability.serving_metrics import ServingMetrics
 from wharfcart.platform.exchanges import RequestFacts
 from wharfcart.routing.backend_choice import BackendChoice
-from wharfcart.routing.broken_runs import BrokenRuns
+from wharfcart.routing.broken_runs import CrashDetector
 from wharfcart.routing.caller_request import CallerRequest
 from wharfcart.routing.eligibility import Eligibility
 from wharfcart.routing.forwarder import Forwarder
@@ -96,7 +96,7 @@
             lambda _service: 4,
             self.log,
             self.metrics,
-            BrokenRuns(Suspects(), self.log),
+            CrashDetector(PoisonRequests(), self.log),
         )
 
     def put_many(self) -> None:
--- a/tests/routing/test_leaving_for_back_end.py
+++ b/tests/routing/test_leaving_for_back_end.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from wharfcart.admission.request_content import content_of
-from wharfcart.admission.suspects import FIRST_HOLD_S, Suspects
+from wharfcart.admission.request_content import fingerprint_of
+from wharfcart.admission.suspects import FIRST_QUARANTINE_S, PoisonRequests
 from wharfcart.backends.connection_pool import ConnectionPool
 from wharfcart.batch.item_run import ItemProgress, ItemRunner, ItemSend, RunOutcome
 from wharfcart.cluster.messages_pb2 import RequestItem
@@ -22,7 +22,7 @@
 from wharfcart.platform.exchanges import RequestFacts
 from wharfcart.routing import sender
 from wharfcart.routing.backend_choice import BackendChoice
-from wharfcart.routing.broken_runs import BrokenRuns
+from wharfcart.routing.broken_runs import CrashDetector
 from wharfcart.routing.caller_request import CallerRequest
 from wharfcart.routing.cold_rates import PERMIT_KEPT_S
 from wharfcart.routing.forwarder import RETRY_AFTER_EVACUATED_S, Forwarder
@@ -87,7 +87,7 @@
         self.on_connected: Callable[[BackendInstance], Awaitable[None]] = self._nothing
         self.pool = Pool(self._connected)
         self.placement = RecordingPlacement(self.choice)
-        self.broken_runs = BrokenRuns(Suspects(), DecisionLog("test"))
+        self.broken_runs = CrashDetector(PoisonRequests(), DecisionLog("test"))
         self.forwarder = Forwarder(
             self.choice,
             self.placement,
@@ -257,13 +257,13 @@
     play(scenario)
 
 
-CONTENT = content_of("h", "POST", "/x", "", b"")
+CONTENT = fingerprint_of("h", "POST", "/x", "", b"")
 
 
 def suspect(bench: Bench) -> None:
     """Have it become known that two back ends ended while they ran the request."""
     for instance_id in ("gone-1", "gone-2"):
-        bench.broken_runs.suspects.note_end(CONTENT, instance_id, 1.0, time())
+        bench.broken_runs.poison_requests.record_crash(CONTENT, instance_id, 1.0, time())
 
 
 def test_a_request_that_becomes_a_suspect_as_its_connection_comes_up_is_not_sent() -> None:
@@ -274,7 +274,7 @@
         bench.on_connected = suspect_it
         sink = await bench.forward(most_backends=3)
         assert sink.status == 503
-        assert FIRST_HOLD_S - 1.0 <= float(sink.headers["retry-after"]) <= FIRST_HOLD_S
+        assert FIRST_QUARANTINE_S - 1.0 <= float(sink.headers["retry-after"]) <= FIRST_QUARANTINE_S
         assert len(bench.connected) == 1 and not bench.runs()
 
     play(scenario)
@@ -294,13 +294,13 @@
 
 def test_an_answer_takes_the_suspicion_away() -> None:
     async def scenario(bench: Bench) -> None:
-        bench.broken_runs.suspects.note_end(CONTENT, "gone-1", 1.0, time())
+        bench.broken_runs.poison_requests.record_crash(CONTENT, "gone-1", 1.0, time())
         assert (await bench.forward()).status == 200
-        assert not len(bench.broken_runs.suspects)
-        bench.broken_runs.suspects.note_end(CONTENT, "gone-1", 1.0, time())
+        assert not len(bench.broken_runs.poison_requests)
+        bench.broken_runs.poison_requests.record_crash(CONTENT, "gone-1", 1.0, time())
         bench.servers["a"].fails_with = 422
         assert await bench.run_item("a") is RunOutcome.IMPOSSIBLE
-        assert not len(bench.broken_runs.suspects)
+        assert not len(bench.broken_runs.poison_requests)
 
     play(scenario)
 
