--- a/src/wharfcart/backends/application_client.py
+++ b/src/wharfcart/backends/application_client.py
@@ -5,7 +5,7 @@
 
 import aiohttp
 
-from wharfcart.backends.http_answers import CONTROL_TIMEOUT_S, open_answer, read_whole
+from wharfcart.backends.http_answers import CONTROL_TIMEOUT_S, open_response, read_response
 from wharfcart.backends.interface import BackendError, BackendPart, BackendRequest
 from wharfcart.errors import Outcome
 
@@ -19,8 +19,8 @@
 
     async def send(self, request: BackendRequest) -> AsyncGenerator[BackendPart, None]:
         """Send a request; the answer is one part."""
-        async with open_answer(self._session, self._address, request) as response:
-            part = await read_whole(response)
+        async with open_response(self._session, self._address, request) as response:
+            part = await read_response(response)
         yield part
 
     async def cancel(self, request_id: str) -> bool:
@@ -44,7 +44,7 @@
         data = json.dumps(body["response"]).encode()
         return BackendPart(0, data, True, 200, {"content-type": "application/json"})
 
-    async def alive(self) -> bool:
+    async def is_alive(self) -> bool:
         """Return whether the server answers."""
         timeout = aiohttp.ClientTimeout(total=CONTROL_TIMEOUT_S)
         try:
--- a/src/wharfcart/backends/engine_client.py
+++ b/src/wharfcart/backends/engine_client.py
@@ -5,24 +5,24 @@
 
 import aiohttp
 
-from wharfcart.backends.http_answers import CONTROL_TIMEOUT_S, open_answer, read_whole
-from wharfcart.backends.interface import BackendError, BackendPart, BackendRequest, Order
+from wharfcart.backends.http_answers import CONTROL_TIMEOUT_S, open_response, read_response
+from wharfcart.backends.interface import BackendError, BackendPart, BackendRequest, EngineCommand
 from wharfcart.errors import Outcome
 
-RESUMES = 2
-END_MARK = b"[DONE]"
-MOST_REORDERED = 64
+MAX_RESUMES = 2
+DONE_MARKER = b"[DONE]"
+MAX_REORDERED_EVENTS = 64
 
 
 @dataclass(frozen=True)
-class EngineReport:
+class EngineInventory:
     """What an engine says it holds."""
 
     model: str
     version: str
     adapters: frozenset[str]
     loading: bool
-    most_sequences: int
+    max_sequences: int
 
 
 class EngineClient:
@@ -37,17 +37,17 @@
         if not request.stream:
             yield await self._send_whole(request)
             return
-        reader = _StreamReader()
+        reader = _OrderedStreamReader()
         attempt = _resume_request(request, 0) if request.resume else request
-        for resume in range(RESUMES + 1):
+        for resume in range(MAX_RESUMES + 1):
             try:
-                async with open_answer(self._session, self._address, attempt) as response:
+                async with open_response(self._session, self._address, attempt) as response:
                     if response.status >= 400:
-                        yield await read_whole(response)
+                        yield await read_response(response)
                         return
                     async for part in reader.read(response):
                         yield part
-                if reader.ended:
+                if reader.finished:
                     return
             except BackendError as error:
                 if resume == 0 and request.resume and error.outcome is Outcome.NOT_RUN:
@@ -62,20 +62,20 @@
         resumed = _resume_request(request, 0)
         if request.resume:
             try:
-                return await self._read(resumed)
+                return await self._read_whole(resumed)
             except BackendError as error:
                 if error.outcome is not Outcome.NOT_RUN:
                     raise
         try:
-            return await self._read(request)
+            return await self._read_whole(request)
         except BackendError as error:
             if error.outcome is Outcome.NOT_RUN:
                 raise
-        return await self._read(resumed)
+        return await self._read_whole(resumed)
 
-    async def _read(self, request: BackendRequest) -> BackendPart:
-        async with open_answer(self._session, self._address, request) as response:
-            return await read_whole(response)
+    async def _read_whole(self, request: BackendRequest) -> BackendPart:
+        async with open_response(self._session, self._address, request) as response:
+            return await read_response(response)
 
     async def cancel(self, request_id: str) -> bool:
         """Stop a stream; the engine keeps its tokens for a resume."""
@@ -92,13 +92,13 @@
         """Resume the request by its id; None if the engine does not know it."""
         resumed = _resume_request(request, 0)
         try:
-            return await self._read(resumed)
+            return await self._read_whole(resumed)
         except BackendError as error:
             if error.outcome is Outcome.NOT_RUN:
                 return None
             raise
 
-    async def report(self) -> EngineReport:
+    async def fetch_inventory(self) -> EngineInventory:
         """Ask what the engine holds.
 
         Raises
@@ -114,7 +114,7 @@
                 body = await response.json()
         except (TimeoutError, aiohttp.ClientError, ValueError) as error:
             raise BackendError(f"no status: {error!r}", Outcome.NOT_RUN) from error
-        return EngineReport(
+        return EngineInventory(
             body["model"],
             body["version"],
             frozenset(body["adapters"]),
@@ -122,7 +122,7 @@
             body.get("most_sequences", 64),
         )
 
-    async def order(self, order: Order) -> bool:
+    async def send_command(self, command: EngineCommand) -> bool:
         """Give a fenced order; False if the engine obeyed a newer leader already.
 
         Raises
@@ -130,11 +130,11 @@
         BackendError
         """
         body = {
-            "order": order.kind.value,
-            "name": order.name,
-            "version": order.version,
-            "epoch": order.epoch,
-            "sequence": order.sequence,
+            "order": command.kind.value,
+            "name": command.name,
+            "version": command.version,
+            "epoch": command.epoch,
+            "sequence": command.sequence,
         }
         timeout = aiohttp.ClientTimeout(total=CONTROL_TIMEOUT_S)
         try:
@@ -153,13 +153,13 @@
     return BackendRequest(request.request_id, "GET", path, headers, b"", request.stream)
 
 
-class _StreamReader:
+class _OrderedStreamReader:
     """Numbered events of one stream over several connections, put in order, each once."""
 
     def __init__(self) -> None:
         self.next_sequence = 0
-        self.ended = False
-        self._early: dict[int, bytes] = {}
+        self.finished = False
+        self._reordered: dict[int, bytes] = {}
 
     async def read(self, response: aiohttp.ClientResponse) -> AsyncIterator[BackendPart]:
         buffer = b""
@@ -167,12 +167,12 @@
             buffer += chunk
             while b"\n\n" in buffer:
                 event, buffer = buffer.split(b"\n\n", 1)
-                for part in self._take(event):
+                for part in self._accept(event):
                     yield part
-            if self.ended:
+            if self.finished:
                 return
 
-    def _take(self, event: bytes) -> list[BackendPart]:
+    def _accept(self, event: bytes) -> list[BackendPart]:
         number = self.next_sequence
         data = b""
         for line in event.split(b"\n"):
@@ -180,17 +180,17 @@
                 number = int(line[3:])
             elif line.startswith(b"data:"):
                 data = line[5:].strip()
-        if number >= self.next_sequence and len(self._early) < MOST_REORDERED:
-            self._early[number] = data
-        return self._in_order()
+        if number >= self.next_sequence and len(self._reordered) < MAX_REORDERED_EVENTS:
+            self._reordered[number] = data
+        return self._pop_in_order()
 
-    def _in_order(self) -> list[BackendPart]:
+    def _pop_in_order(self) -> list[BackendPart]:
         parts: list[BackendPart] = []
-        while self.next_sequence in self._early:
-            data = self._early.pop(self.next_sequence)
-            self.ended = data == END_MARK
+        while self.next_sequence in self._reordered:
+            data = self._reordered.pop(self.next_sequence)
+            self.finished = data == DONE_MARKER
             framed = b"data: " + data + b"\n\n"
             headers = {"content-type": "text/event-stream"}
-            parts.append(BackendPart(self.next_sequence, framed, self.ended, 200, headers))
+            parts.append(BackendPart(self.next_sequence, framed, self.finished, 200, headers))
             self.next_sequence += 1
         return parts
--- a/src/wharfcart/backends/http_answers.py
+++ b/src/wharfcart/backends/http_answers.py
@@ -18,12 +18,12 @@
 
 CONNECT_TIMEOUT_S = 1.0
 CONTROL_TIMEOUT_S = 2.0
-PASSED_HEADERS = ("content-type", "retry-after")
+FORWARDED_HEADERS = ("content-type", "retry-after")
 STATUS_OVERLOADED = 503
 
 
 @asynccontextmanager
-async def open_answer(
+async def open_response(
     session: aiohttp.ClientSession, address: str, request: BackendRequest
 ) -> AsyncIterator[aiohttp.ClientResponse]:
     """Send a request and give its answer once the head is there and is the right one's.
@@ -40,7 +40,7 @@
         request.method, url, data=request.body or None, headers=headers, timeout=timeout
     )
     try:
-        async with await _uncancelled(call) as response:
+        async with await _shield_connect(call) as response:
             _check_head(response, request)
             yield response
     except aiohttp.ClientConnectorError as error:
@@ -49,7 +49,7 @@
         raise BackendError(f"connection broke: {error!r}", Outcome.UNKNOWN) from error
 
 
-async def _uncancelled(
+async def _shield_connect(
     call: Coroutine[Any, Any, aiohttp.ClientResponse],
 ) -> aiohttp.ClientResponse:
     """Await the head of an answer; when cancelled, let it come and close it then.
@@ -61,11 +61,11 @@
     try:
         return await asyncio.shield(opening)
     except asyncio.CancelledError:
-        opening.add_done_callback(_close_unwanted)
+        opening.add_done_callback(_close_late_response)
         raise
 
 
-def _close_unwanted(opening: asyncio.Future[aiohttp.ClientResponse]) -> None:
+def _close_late_response(opening: asyncio.Future[aiohttp.ClientResponse]) -> None:
     if not opening.cancelled() and opening.exception() is None:
         opening.result().close()
 
@@ -83,8 +83,10 @@
         raise BackendError("the answer is another request's", Outcome.UNKNOWN)
 
 
-async def read_whole(response: aiohttp.ClientResponse) -> BackendPart:
+async def read_response(response: aiohttp.ClientResponse) -> BackendPart:
     """Read a whole answer as one part."""
     data = await response.read()
-    headers = {name: response.headers[name] for name in PASSED_HEADERS if name in response.headers}
+    headers = {
+        name: response.headers[name] for name in FORWARDED_HEADERS if name in response.headers
+    }
     return BackendPart(0, data, True, response.status, headers)
--- a/src/wharfcart/backends/interface.py
+++ b/src/wharfcart/backends/interface.py
@@ -33,7 +33,7 @@
 
     sequence: int
     data: bytes
-    end: bool
+    is_last: bool
     status: int = 200
     headers: dict[str, str] = field(default_factory=dict)
 
@@ -47,7 +47,7 @@
         super().__init__("backend_failed", message, status, outcome, retry_after)
 
 
-class OrderKind(StrEnum):
+class EngineCommandKind(StrEnum):
     """Orders an engine takes."""
 
     LOAD_MODEL = "load_model"
@@ -56,11 +56,11 @@
 
 
 @dataclass(frozen=True)
-class Order:
+class EngineCommand:
     """One order to one engine, fenced by the leader's epoch and its sequence in it."""
 
     backend_id: str
-    kind: OrderKind
+    kind: EngineCommandKind
     name: str
     version: str
     epoch: int
--- a/src/wharfcart/backends/requests.py
+++ b/src/wharfcart/backends/requests.py
@@ -11,7 +11,7 @@
 COMPLETIONS_PATH = "/v1/completions"
 SERVICES_PREFIX = "/v1/services/"
 BATCH_PRIORITY = 100
-PASSED_FIELDS = (
+FORWARDED_FIELDS = (
     "messages",
     "prompt",
     "temperature",
@@ -28,11 +28,11 @@
 )
 
 
-def engine_request(
+def build_engine_request(
     service: Service, path: str, body: dict[str, Any], request_id: str, batch: bool
 ) -> BackendRequest:
     """Return the engine's request: model or adapter, system prompt, bounded tokens, priority."""
-    passed = {name: body[name] for name in PASSED_FIELDS if name in body}
+    passed = {name: body[name] for name in FORWARDED_FIELDS if name in body}
     if service.system_prompt and "messages" in passed:
         system = {"role": "system", "content": service.system_prompt}
         passed["messages"] = [system, *passed["messages"]]
@@ -52,7 +52,7 @@
     )
 
 
-def application_request(
+def build_application_request(
     service: Service,
     method: str,
     path: str,
@@ -65,13 +65,15 @@
     return BackendRequest(request_id, method, joined, headers, body, False)
 
 
-def batch_request(service: Service, line: bytes, request_id: str) -> BackendRequest:
+def build_batch_request(service: Service, line: bytes, request_id: str) -> BackendRequest:
     """Return the back-end request of one line of a batch file, which was checked when it came."""
     item = json.loads(line)
     body = item.get("body") or {}
     if service.kind is TemplateKind.MODEL:
-        return engine_request(service, item["url"], body, request_id, batch=True)
+        return build_engine_request(service, item["url"], body, request_id, batch=True)
     path = item["url"].removeprefix(SERVICES_PREFIX).partition("/")[2]
     data = json.dumps(body, separators=(",", ":")).encode()
     headers = {"Content-Type": "application/json"}
-    return application_request(service, item.get("method", "POST"), path, headers, data, request_id)
+    return build_application_request(
+        service, item.get("method", "POST"), path, headers, data, request_id
+    )
--- a/src/wharfcart/batch/item_run.py
+++ b/src/wharfcart/batch/item_run.py
@@ -147,10 +147,10 @@
     async def _connect_and_send(self, send: ItemSend) -> RunOutcome:
         instance = send.state.instance
         placed_at = monotonic()
-        connection = await self._pool.take(instance, self._connection_limit(instance.service))
+        connection = await self._pool.acquire(instance, self._connection_limit(instance.service))
         ruled_out = self._choice.held_back(send.state, placed_at, monotonic()) is not None
         if ruled_out or self._is_held_back(send):
-            self._pool.give_back(instance, connection)
+            self._pool.release(instance, connection)
             return RunOutcome.REFUSED
         began_at = monotonic()
         events_before = len(send.progress.text.texts)
@@ -176,7 +176,7 @@
         except BaseException:
             self._pool.discard(instance, connection)
             raise
-        self._pool.give_back(instance, connection)
+        self._pool.release(instance, connection)
         if outcome in _RAN:
             self._broken_runs.poison_requests.record_answer(send.content)
         return outcome
--- a/src/wharfcart/batch/runner.py
+++ b/src/wharfcart/batch/runner.py
@@ -14,7 +14,7 @@
 
 from wharfcart.admission.backend_gate import BackendState
 from wharfcart.backends.interface import BackendError, BackendPart, BackendRequest
-from wharfcart.backends.requests import batch_request
+from wharfcart.backends.requests import build_batch_request
 from wharfcart.batch.held_leases import HeldLease, HeldLeases
 from wharfcart.batch.lines import error_line, output_line, service_name_of
 from wharfcart.batch.scheduler import MOST_ITEMS_A_LEASE
@@ -204,7 +204,7 @@
     async def _run_item(self, item: _Item) -> None:
         if item.lease.revoked:
             return
-        request = batch_request(item.service, item.line, item.request_id)
+        request = build_batch_request(item.service, item.line, item.request_id)
         request = replace(request, resume=item.known_there)
         item.known_there = True
         try:
--- a/src/wharfcart/fleet/reconciler.py
+++ b/src/wharfcart/fleet/reconciler.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, field
 
-from wharfcart.backends.interface import Order, OrderKind
+from wharfcart.backends.interface import EngineCommand, EngineCommandKind
 from wharfcart.cluster.ownership import rendezvous_order
 
 REPORT_LAG_S = 10.0  # an order shows in the reports after this at the latest, drain included
@@ -44,11 +44,11 @@
 
     epoch: int
     _sequence: int = 0
-    _ordered_at: dict[tuple[str, OrderKind, str], float] = field(default_factory=dict)
+    _ordered_at: dict[tuple[str, EngineCommandKind, str], float] = field(default_factory=dict)
 
     def reconcile(
         self, models: list[TargetModel], engines: list[EngineStatus], now: float
-    ) -> list[Order]:
+    ) -> list[EngineCommand]:
         """Return the orders that bring the fleet one step closer to the target."""
         usable = {engine.backend_id: engine for engine in engines if not engine.leaving}
         orders = self._model_orders(models, usable, now)
@@ -63,12 +63,12 @@
 
     def _model_orders(
         self, models: list[TargetModel], engines: dict[str, EngineStatus], now: float
-    ) -> list[Order]:
+    ) -> list[EngineCommand]:
         assignment = assign_models(models, list(engines.values()))
         held: dict[str, int] = {}
         for engine in engines.values():
             held[engine.model] = held.get(engine.model, 0) + (not engine.loading)
-        orders: list[Order] = []
+        orders: list[EngineCommand] = []
         for model in models:
             if any(
                 e.loading and assignment.get(e.backend_id) == model.name for e in engines.values()
@@ -86,7 +86,7 @@
         assignment: dict[str, str],
         held: dict[str, int],
         now: float,
-    ) -> Order | None:
+    ) -> EngineCommand | None:
         for backend_id, name in sorted(assignment.items()):
             engine = engines[backend_id]
             current = (engine.model, engine.version)
@@ -96,30 +96,34 @@
             wanted_elsewhere = engine.model in assignment.values()
             if leaves_last_copy and wanted_elsewhere and engine.model != model.name:
                 continue
-            order = self._order(backend_id, OrderKind.LOAD_MODEL, model.name, model.version, now)
+            order = self._order(
+                backend_id, EngineCommandKind.LOAD_MODEL, model.name, model.version, now
+            )
             if order is not None:
                 return order
         return None
 
-    def _adapter_orders(self, target: TargetModel, engine: EngineStatus, now: float) -> list[Order]:
+    def _adapter_orders(
+        self, target: TargetModel, engine: EngineStatus, now: float
+    ) -> list[EngineCommand]:
         missing = [name for name in target.adapters if name not in engine.adapters]
         surplus = sorted(engine.adapters.difference(target.adapters))
-        wanted = [(OrderKind.LOAD_ADAPTER, name) for name in missing[:1]]
-        wanted.extend((OrderKind.UNLOAD_ADAPTER, name) for name in surplus)
+        wanted = [(EngineCommandKind.LOAD_ADAPTER, name) for name in missing[:1]]
+        wanted.extend((EngineCommandKind.UNLOAD_ADAPTER, name) for name in surplus)
         orders = [
             self._order(engine.backend_id, kind, name, target.version, now) for kind, name in wanted
         ]
         return [order for order in orders if order is not None]
 
     def _order(
-        self, backend_id: str, kind: OrderKind, name: str, version: str, now: float
-    ) -> Order | None:
+        self, backend_id: str, kind: EngineCommandKind, name: str, version: str, now: float
+    ) -> EngineCommand | None:
         key = (backend_id, kind, name)
         if now - self._ordered_at.get(key, -ORDER_TIMEOUT_S) < REPORT_LAG_S:
             return None  # reports lag: give the last order time to show
         self._ordered_at[key] = now
         self._sequence += 1
-        return Order(backend_id, kind, name, version, self.epoch, self._sequence)
+        return EngineCommand(backend_id, kind, name, version, self.epoch, self._sequence)
 
 
 def assign_models(models: list[TargetModel], engines: list[EngineStatus]) -> dict[str, str]:
--- a/src/wharfcart/gateway/idempotency.py
+++ b/src/wharfcart/gateway/idempotency.py
@@ -91,7 +91,7 @@
             if isinstance(item, ServingError):
                 raise item
             yield item
-            if item.end:
+            if item.is_last:
                 return
 
     async def look_up(self, tenant: str, key: str) -> KeyRecord:
@@ -141,7 +141,7 @@
             async with aclosing(dispatch) as parts:
                 async for part in parts:
                     collected.append(part)
-                    if not part.end:
+                    if not part.is_last:
                         queue.put_nowait(part)
         except _AlreadyKnownError:
             assert known is not None
--- a/src/wharfcart/gateway/online.py
+++ b/src/wharfcart/gateway/online.py
@@ -15,8 +15,8 @@
 from wharfcart.backends.requests import (
     CHAT_PATH,
     COMPLETIONS_PATH,
-    application_request,
-    engine_request,
+    build_application_request,
+    build_engine_request,
 )
 from wharfcart.clock import monotonic
 from wharfcart.configuration.schema import TemplateKind, Tenant
@@ -95,7 +95,9 @@
         except ValidationError as error:
             raise validation_error(error) from None
         service = self._find_service(request, str(body["model"]), TemplateKind.MODEL)
-        backend_request = engine_request(service, path, body, request_id_of(request), batch=False)
+        backend_request = build_engine_request(
+            service, path, body, request_id_of(request), batch=False
+        )
         prefix = xxhash.xxh3_64_hexdigest(backend_request.body[:PREFIX_CHARACTERS])
         return await self._serve(request, service, backend_request, prefix)
 
@@ -109,7 +111,7 @@
         }
         if request.query_string:
             path = f"{path}?{request.query_string}"
-        backend_request = application_request(
+        backend_request = build_application_request(
             found, request.method, path, headers, request.body, request_id_of(request)
         )
         return await self._serve(request, found, backend_request, "")
@@ -161,7 +163,7 @@
         async with aclosing(self._context.requests.run(keyed)) as parts:
             head = await anext(parts)
             self._context.metrics.first_byte_seconds.observe(monotonic() - started_at)
-            if head.end:
+            if head.is_last:
                 return raw(head.data, head.status, self._headers(head, request))
             response = await request.respond(
                 status=head.status, headers=self._headers(head, request)
--- a/src/wharfcart/node/calls.py
+++ b/src/wharfcart/node/calls.py
@@ -148,7 +148,7 @@
                 async with aclosing(self._owner.run_online(owned, request)) as parts:
                     async for part in parts:
                         message = part_message(part, sequence, len(owned.gate.online))
-                        await respond(Frame(dispatch_part=message, last=part.end))
+                        await respond(Frame(dispatch_part=message, last=part.is_last))
                         sequence += 1
         except TimeoutError:
             raise ServingError(
--- a/src/wharfcart/node/fleet.py
+++ b/src/wharfcart/node/fleet.py
@@ -11,8 +11,8 @@
 import aiohttp
 
 from wharfcart.backends.application_client import ApplicationClient
-from wharfcart.backends.engine_client import EngineClient, EngineReport
-from wharfcart.backends.interface import BackendError, Order, OrderKind
+from wharfcart.backends.engine_client import EngineClient, EngineInventory
+from wharfcart.backends.interface import BackendError, EngineCommand, EngineCommandKind
 from wharfcart.batch.runner import BatchRunner
 from wharfcart.clock import monotonic
 from wharfcart.cluster.messages_pb2 import BackendView, Entry
@@ -254,10 +254,10 @@
     async def _ask(self, machine: ListedMachine) -> BackendStatus | None:
         session = self._context.session
         if machine.kind == BackendKind.APPLICATION:
-            alive = await ApplicationClient(machine.address, session).alive()
+            alive = await ApplicationClient(machine.address, session).is_alive()
             return BackendStatus() if alive else None
         try:
-            report: EngineReport = await EngineClient(machine.address, session).report()
+            report: EngineInventory = await EngineClient(machine.address, session).fetch_inventory()
         except BackendError:
             return None
         adapters = tuple(sorted(report.adapters))
@@ -279,12 +279,12 @@
         now = monotonic()
         for order in self._reconciler.reconcile(models, self._engines(), now):
             status = self._known[order.backend_id].status
-            if order.kind is OrderKind.LOAD_MODEL and status is not None and status.model:
+            if order.kind is EngineCommandKind.LOAD_MODEL and status is not None and status.model:
                 self._tasks.spawn(self._drain_then_give(order))
             else:
                 await self._give(order)
 
-    async def _drain_then_give(self, order: Order) -> None:
+    async def _drain_then_give(self, order: EngineCommand) -> None:
         """Have a server finish what it runs before its model is taken away."""
         value = json.dumps({"until": time.time() + DRAIN_LIFE_S}).encode()
         self._context.publish(f"drain/{order.backend_id}", value)
@@ -292,13 +292,13 @@
         if self._context.leader_epoch() == order.epoch:
             await self._give(order)
 
-    async def _give(self, order: Order) -> None:
+    async def _give(self, order: EngineCommand) -> None:
         machine = self._known[order.backend_id].machine
         if machine is None:
             return
         logger.info("order", extra={"order": str(order)})
         try:
-            await EngineClient(machine.address, self._context.session).order(order)
+            await EngineClient(machine.address, self._context.session).send_command(order)
         except BackendError as error:
             logger.info("order not answered", extra={"cause": str(error)})
 
--- a/src/wharfcart/node/gateway_process.py
+++ b/src/wharfcart/node/gateway_process.py
@@ -71,7 +71,7 @@
             self._node.choice,
             self._sessions,
             self._node.distance_to_group,
-            self._node.pool.kept,
+            self._node.pool.idle_instances,
             self._node.metrics.placements,
             self._relays,
         )
--- a/src/wharfcart/routing/dispatcher.py
+++ b/src/wharfcart/routing/dispatcher.py
@@ -228,7 +228,7 @@
         status=part.status,
         headers=[Header(name=name, value=value) for name, value in part.headers.items()],
         data=part.data,
-        end=part.end,
+        end=part.is_last,
         online_in_flight=online_in_flight,
     )
 
--- a/src/wharfcart/routing/owner.py
+++ b/src/wharfcart/routing/owner.py
@@ -113,10 +113,10 @@
                     now = monotonic()
                     if last_at == 0.0:
                         gate.record_first_token(request.request_id, now)
-                    elif not part.end:
+                    elif not part.is_last:
                         gate.record_token_time(now - last_at)
                     last_at = now
-                    finished = part.end
+                    finished = part.is_last
                     yield part
             owned.completed += 1
         finally:
--- a/src/wharfcart/routing/sender.py
+++ b/src/wharfcart/routing/sender.py
@@ -140,7 +140,9 @@
     ) -> NoAnswer | None:
         instance = state.instance
         try:
-            connection = await self._pool.take(instance, self._connection_limit(instance.service))
+            connection = await self._pool.acquire(
+                instance, self._connection_limit(instance.service)
+            )
         except ConnectionLimitError:
             progress.refusals += 1
             return NoAnswer(False, "connection_limit")
@@ -153,16 +155,16 @@
         held_back = self._choice.held_back(state, placed_at, monotonic(), request.residence)
         if held_back is not None:
             # Costs no try: nothing was sent, and the back end had no part in it.
-            self._pool.give_back(instance, connection)
+            self._pool.release(instance, connection)
             return NoAnswer(False, held_back.value)
         if self.is_held_back(request, progress):
             # It was found out while this one waited for its slot and its connection.
-            self._pool.give_back(instance, connection)
+            self._pool.release(instance, connection)
             return NoAnswer(False, POISON_CAUSE)
         began_at = monotonic()
         if began_at >= request.deadline:
             # The machine was suspended while it waited: nobody waits for the answer any more.
-            self._pool.give_back(instance, connection)
+            self._pool.release(instance, connection)
             raise TimeoutError
         try:
             verdict = await self._exchange(request, sink, progress, state, connection, use)
@@ -183,7 +185,7 @@
             # The caller left or the time is over: closing ends the back end's work.
             self._pool.discard(instance, connection)
             raise
-        self._pool.give_back(instance, connection)
+        self._pool.release(instance, connection)
         if verdict is None or verdict.ran:
             self._broken_runs.poison_requests.record_answer(lambda: request.fingerprint)
             self._turned_out(state, progress, verdict is None and progress.well)
--- a/src/wharfcart/slots/leftover_runs.py
+++ b/src/wharfcart/slots/leftover_runs.py
@@ -98,7 +98,7 @@
         """Return how many requests a back end has; None if it does not tell."""
         limit = self._connection_limit(instance.service)
         try:
-            connection = await self._pool.take(instance, limit)
+            connection = await self._pool.acquire(instance, limit)
         except (ConnectFailedError, ConnectionLimitError):
             return None
         try:
@@ -113,5 +113,5 @@
         except BaseException:
             self._pool.discard(instance, connection)
             raise
-        self._pool.give_back(instance, connection)
+        self._pool.release(instance, connection)
         return exchanges.requests_present(report) if head.status == STATUS_OK else None
--- a/tests/backends/test_engine_client.py
+++ b/tests/backends/test_engine_client.py
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wharfcart.backends.engine_client import EngineClient, _StreamReader
+from wharfcart.backends.engine_client import EngineClient, _OrderedStreamReader
 from wharfcart.backends.interface import BackendError, BackendRequest
 from wharfcart.emulator.web_server import WebServer
 from wharfcart.errors import Outcome
@@ -34,34 +34,36 @@
             yield piece
 
 
-async def _read(reader: _StreamReader, pieces: list[bytes]) -> list[int]:
+async def _read(reader: _OrderedStreamReader, pieces: list[bytes]) -> list[int]:
     answer: Any = _Answer(pieces)
     return [part.sequence async for part in reader.read(answer)]
 
 
 @given(st.integers(1, 20), st.integers(0, 10**6), st.integers(1, 30))
-def test_parts_late_doubled_and_out_of_order(count: int, seed: int, piece_bytes: int) -> None:
+def test_late_duplicated_and_reordered_parts_are_put_in_order(
+    count: int, seed: int, piece_bytes: int
+) -> None:
     source = random.Random(seed)
     events = [_event(number, count) for number in range(count + 1)]
     events += source.choices(events, k=count // 2)
     source.shuffle(events)
     whole = b"".join(events)
     pieces = [whole[i : i + piece_bytes] for i in range(0, len(whole), piece_bytes)]
-    reader = _StreamReader()
+    reader = _OrderedStreamReader()
     assert asyncio.run(_read(reader, pieces)) == list(range(count + 1))
-    assert reader.ended
+    assert reader.finished
 
 
 def test_missing_part_is_never_skipped() -> None:
-    reader = _StreamReader()
+    reader = _OrderedStreamReader()
     pieces = [_event(0, 3), _event(2, 3), _event(3, 3)]
     assert asyncio.run(_read(reader, pieces)) == [0]
-    assert not reader.ended
+    assert not reader.finished
     assert asyncio.run(_read(reader, [_event(1, 3)])) == [1, 2, 3]
-    assert reader.ended
+    assert reader.finished
 
 
-def _ask(handler: Any) -> BackendError:
+def _stream_error(handler: Any) -> BackendError:
     """Stream from a server with one handler; return the error it must end with."""
 
     async def run() -> None:
@@ -83,24 +85,24 @@
     return caught.value
 
 
-def test_stream_without_its_end_is_an_error() -> None:
+def test_truncated_stream_is_an_error() -> None:
     async def short(request: web.Request) -> web.Response:
         return web.Response(body=_event(0, 5), headers={"X-Request-Id": "mine"})
 
-    assert _ask(short).outcome is Outcome.UNKNOWN
+    assert _stream_error(short).outcome is Outcome.UNKNOWN
 
 
-def test_another_requests_answer_is_not_taken() -> None:
+def test_response_to_another_request_is_rejected() -> None:
     async def stranger(request: web.Request) -> web.Response:
         return web.Response(body=_event(0, 0), headers={"X-Request-Id": "another"})
 
-    assert _ask(stranger).outcome is Outcome.UNKNOWN
+    assert _stream_error(stranger).outcome is Outcome.UNKNOWN
 
 
-def test_refusal_that_proves_itself_is_not_run() -> None:
+def test_signed_refusal_is_not_run() -> None:
     async def refuse(request: web.Request) -> web.Response:
         return web.Response(status=503, headers={"X-Outcome": "not_run", "Retry-After": "2"})
 
-    error = _ask(refuse)
+    error = _stream_error(refuse)
     assert error.outcome is Outcome.NOT_RUN
     assert error.retry_after_seconds == 2
--- a/tests/batch/test_runner.py
+++ b/tests/batch/test_runner.py
@@ -107,7 +107,7 @@
     kind: BackendKind = BackendKind.APPLICATION,
 ) -> BatchRunner:
     monkeypatch.setattr(
-        "wharfcart.batch.runner.batch_request",
+        "wharfcart.batch.runner.build_batch_request",
         lambda _service, _line, request_id: BackendRequest(request_id, "GET", "/", {}, b"", False),
     )
     backend = Backend("backend", kind, "127.0.0.1:1", "zone", frozenset({"t"}))
--- a/tests/fleet/test_reconciler.py
+++ b/tests/fleet/test_reconciler.py
@@ -1,6 +1,6 @@
 """Orders that bring engines to the configuration."""
 
-from wharfcart.backends.interface import Order, OrderKind
+from wharfcart.backends.interface import EngineCommand, EngineCommandKind
 from wharfcart.fleet.reconciler import (
     REPORT_LAG_S,
     EngineStatus,
@@ -18,7 +18,7 @@
     return EngineStatus(name, zone, model, **(values | fields))  # type: ignore[arg-type]
 
 
-def _orders(engines: list[EngineStatus], models: list[TargetModel]) -> list[Order]:
+def _orders(engines: list[EngineStatus], models: list[TargetModel]) -> list[EngineCommand]:
     return FleetReconciler(epoch=7).reconcile(models, engines, 100.0)
 
 
@@ -31,7 +31,7 @@
         now += REPORT_LAG_S + 1
         for order in reconciler.reconcile(models, list(state.values()), now):
             before = state[order.backend_id]
-            if order.kind is OrderKind.LOAD_MODEL:
+            if order.kind is EngineCommandKind.LOAD_MODEL:
                 held = [e for e in state.values() if e.model == before.model]
                 in_use = before.model in {model.name for model in models}
                 assert not in_use or len(held) > 1 or before.model == order.name
@@ -42,7 +42,7 @@
                     before.model,
                     before.zone,
                     adapters=before.adapters | {order.name}
-                    if order.kind is OrderKind.LOAD_ADAPTER
+                    if order.kind is EngineCommandKind.LOAD_ADAPTER
                     else before.adapters - {order.name},
                 )
     return list(state.values())
@@ -89,4 +89,4 @@
 def test_new_version_goes_one_server_at_a_time() -> None:
     engines = [_engine(f"e{n}", "big", adapters=frozenset({"law"})) for n in range(3)]
     orders = _orders(engines, [TargetModel("big", "2", 3, ("law",))])
-    assert [order.kind for order in orders] == [OrderKind.LOAD_MODEL]
+    assert [order.kind for order in orders] == [EngineCommandKind.LOAD_MODEL]
--- a/tests/routing/test_forwarder_residence.py
+++ b/tests/routing/test_forwarder_residence.py
@@ -42,7 +42,9 @@
         super().__init__()
         self.asked: list[str] = []
 
-    async def take(self, instance: BackendInstance, limit: int, fresh: bool = False) -> object:
+    async def acquire(
+        self, instance: BackendInstance, limit: int, force_new: bool = False
+    ) -> object:
         self.asked.append(instance.instance_id)
         raise ConnectFailedError
 
@@ -65,7 +67,9 @@
 class DeadPool(RecordingPool):
     """Has kept a connection to every back end since before a region was cut off."""
 
-    async def take(self, instance: BackendInstance, limit: int, fresh: bool = False) -> object:
+    async def acquire(
+        self, instance: BackendInstance, limit: int, force_new: bool = False
+    ) -> object:
         self.asked.append(instance.instance_id)
         return DeadConnection()
 
--- a/tests/routing/test_leaving_for_back_end.py
+++ b/tests/routing/test_leaving_for_back_end.py
@@ -40,10 +40,10 @@
         super().__init__()
         self._meanwhile = meanwhile
 
-    async def take(
-        self, instance: BackendInstance, limit: int, fresh: bool = False
+    async def acquire(
+        self, instance: BackendInstance, limit: int, force_new: bool = False
     ) -> HttpConnection:
-        connection = await super().take(instance, limit, fresh)
+        connection = await super().acquire(instance, limit, force_new)
         await self._meanwhile(instance)
         return connection
 
