--- a/src/wharfcart/batch/job_execution.py
+++ b/src/wharfcart/batch/job_execution.py
@@ -153,7 +153,7 @@
         instance_id = state.instance.instance_id
         for scheduled in self._jobs_in_order(service):
             residence = self._residence_of(scheduled.job)
-            if self._choice.eligibility.ruled_out(state.instance, residence) is not None:
+            if self._choice.eligibility.exclusion_reason(state.instance, residence) is not None:
                 continue
             for item in self._startable(scheduled, now):
                 if instance_id not in self._excluded(scheduled, item, service, now):
--- a/src/wharfcart/experiments/cold_shares.py
+++ b/src/wharfcart/experiments/cold_shares.py
@@ -18,10 +18,10 @@
 
 from wharfcart.configuration.serving import ColdLimit
 from wharfcart.routing.cold_rates import (
-    OWN_CHOICE_SHARE,
-    OWN_MOST_SAVED,
+    LOCAL_CHOICE_SHARE,
+    LOCAL_MAX_TOKENS,
     ColdBuckets,
-    OwnColdShares,
+    LocalColdShares,
     granted_rate,
 )
 
@@ -72,8 +72,8 @@
         self._limit = ColdLimit(rate, SECONDS)
         self._rng = Random(seed)
         names = [f"g{n}" for n in range(gateways)]
-        self._shares = [OwnColdShares(name, lambda: gateways) for name in names]
-        self._buckets = [ColdBuckets(OWN_MOST_SAVED) for _ in names]
+        self._shares = [LocalColdShares(name, lambda: gateways) for name in names]
+        self._buckets = [ColdBuckets(LOCAL_MAX_TOKENS) for _ in names]
         self._granters = [ColdBuckets(), ColdBuckets()]
         self._arrivals: dict[str, deque[float]] = {name: deque() for name in BACKENDS}
         self.outcome = Outcome()
@@ -126,16 +126,16 @@
             shares = self._shares[gateway]
             allowed = [name for name in BACKENDS if shares.allows(name, self._limit, now)]
             return self._drawn(allowed, shares)
-        per_s = self._limit.requests_per_s * OWN_CHOICE_SHARE / len(self._shares)
+        per_s = self._limit.requests_per_s * LOCAL_CHOICE_SHARE / len(self._shares)
         buckets = self._buckets[gateway]
         allowed = [name for name in BACKENDS if buckets.allows(name, per_s, now)]
         return self._drawn(allowed, buckets)
 
-    def _drawn(self, allowed: list[str], kept: ColdBuckets | OwnColdShares) -> str | None:
+    def _drawn(self, allowed: list[str], kept: ColdBuckets | LocalColdShares) -> str | None:
         if not allowed:
             return None
         chosen = self._rng.choice(allowed)
-        kept.take(chosen)
+        kept.spend(chosen)
         return chosen
 
     def _send(self, name: str, now: float) -> None:
--- a/src/wharfcart/node/evacuations.py
+++ b/src/wharfcart/node/evacuations.py
@@ -79,7 +79,7 @@
         self._quiet.discard(zone)
         self._set_evacuated()
         # Its back ends may have turned cold just before, which their entries tell only later.
-        self._choice.cold.given_back(zone, monotonic(), revision)
+        self._choice.cold.zone_restored(zone, monotonic(), revision)
         self._metrics.evacuated.set(zone, 0)
         self._metrics.evacuated_in_flight.set(zone, 0)
         self._write(Event.EVACUATION_ENDED, zone, revision)
--- a/src/wharfcart/node/gateway_process.py
+++ b/src/wharfcart/node/gateway_process.py
@@ -12,7 +12,7 @@
 from wharfcart.node.early_listening import EarlySockets
 from wharfcart.node.serving_node import ServingNode
 from wharfcart.observability.decisions import DecisionLog, Event
-from wharfcart.routing.cold_rates import OwnColdShares
+from wharfcart.routing.cold_rates import LocalColdShares
 from wharfcart.routing.forwarder import Forwarder
 from wharfcart.settings.base import split_endpoint
 from wharfcart.settings.serving import GatewaySettings, ServingSettings
@@ -64,7 +64,9 @@
             self._node.grants_in,
         )
         self._node.fleet_size = self._sessions.holders
-        self._node.choice.own_cold_shares = OwnColdShares(settings.node_id, self._sessions.holders)
+        self._node.choice.own_cold_shares = LocalColdShares(
+            settings.node_id, self._sessions.holders
+        )
         self._relays = PermitRelays(self._node.transport, self._sessions.relays)
         self._node.handle_other = self._handle
         placement = GrantedPlacement(
--- a/src/wharfcart/routing/backend_choice.py
+++ b/src/wharfcart/routing/backend_choice.py
@@ -20,8 +20,8 @@
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.residence import ANYWHERE, Residence
 from wharfcart.configuration.serving import ColdLimit
-from wharfcart.routing.cold_rates import PERMIT_KEPT_S, ColdBackends, ColdTime, OwnColdShares
-from wharfcart.routing.eligibility import Eligibility, RuledOut
+from wharfcart.routing.cold_rates import PERMIT_TTL_S, ColdBackends, ColdPeriod, LocalColdShares
+from wharfcart.routing.eligibility import Eligibility, ExclusionReason
 from wharfcart.routing.outcome_record import OutcomeRecord, is_suspect
 from wharfcart.routing.send_rates import SendRates
 from wharfcart.routing.spreading import draw_below, fill_level
@@ -90,7 +90,7 @@
     others_avoid: bool = False
     others_at: float = -1e9
     outcomes: OutcomeRecord = field(default_factory=OutcomeRecord)
-    cold: ColdTime = field(default_factory=ColdTime)
+    cold: ColdPeriod = field(default_factory=ColdPeriod)
 
     def load(self, now: float) -> float:
         """Return the estimated share of slots that are taken; above 1 requests wait."""
@@ -145,7 +145,7 @@
     random: RandomSource
     eligibility: Eligibility = field(default_factory=Eligibility)
     cold: ColdBackends = field(default_factory=ColdBackends)
-    own_cold_shares: OwnColdShares | None = None
+    own_cold_shares: LocalColdShares | None = None
     _states: dict[str, InstanceState] = field(default_factory=dict)
     _by_service: dict[str, dict[str, InstanceState]] = field(default_factory=dict)
     _vanished: dict[str, tuple[float, InstanceState]] = field(default_factory=dict)  # until when
@@ -181,7 +181,7 @@
                 instance = replace(instance, born_ms=state.instance.born_ms)
             state.instance = instance
         self._by_service.setdefault(instance.service, {})[instance.instance_id] = state
-        self.cold.told(state.cold, instance.cold_for_s, now, revision)
+        self.cold.report_received(state.cold, instance.cold_for_s, now, revision)
 
     def remove(
         self, instance_id: str, now: float, in_outage: bool = False, drained: bool = False
@@ -206,7 +206,7 @@
         del self._states[instance_id]
         self._by_service.get(state.instance.service, {}).pop(instance_id, None)
         if self.own_cold_shares is not None:
-            self.own_cold_shares.forget(instance_id)
+            self.own_cold_shares.discard(instance_id)
 
     def state(self, instance_id: str) -> InstanceState | None:
         """Return what is known of an incarnation."""
@@ -233,9 +233,11 @@
         ]
         return listed + vanished if len(vanished) > len(listed) else listed
 
-    def ruled_out(self, state: InstanceState, residence: Residence = ANYWHERE) -> RuledOut | None:
+    def ruled_out(
+        self, state: InstanceState, residence: Residence = ANYWHERE
+    ) -> ExclusionReason | None:
         """Return why a request does not go to an incarnation, or None if it may."""
-        return self.eligibility.ruled_out(state.instance, residence)
+        return self.eligibility.exclusion_reason(state.instance, residence)
 
     def held_back(
         self,
@@ -243,7 +245,7 @@
         placed_at: float,
         now: float,
         residence: Residence = ANYWHERE,
-    ) -> RuledOut | None:
+    ) -> ExclusionReason | None:
         """Return why a request does not leave now that its connection is up; None if it does.
 
         Args:
@@ -253,8 +255,8 @@
             residence: of the request.
         """
         ruled_out = self.ruled_out(state, residence)
-        if ruled_out is None and now - placed_at > PERMIT_KEPT_S and self.is_cold(state, now):
-            return RuledOut.COLD
+        if ruled_out is None and now - placed_at > PERMIT_TTL_S and self.is_cold(state, now):
+            return ExclusionReason.COLD
         return ruled_out
 
     def is_cold(self, state: InstanceState, now: float) -> bool:
@@ -268,7 +270,7 @@
 
     def cold_states(self, now: float) -> list[InstanceState]:
         """Return the incarnations that count as cold."""
-        if not self.cold.any_cold(now):
+        if not self.cold.may_have_cold(now):
             return []
         return [state for state in self._states.values() if self.is_cold(state, now)]
 
@@ -284,8 +286,8 @@
     def is_all_evacuated(self, service: str) -> bool:
         """Whether a service has back ends, and the operator asks that nothing goes to any."""
         states = self._by_service.get(service, {}).values()
-        reasons = {self.ruled_out(state) for state in states} - {RuledOut.LEAVING}
-        return reasons == {RuledOut.EVACUATED}
+        reasons = {self.ruled_out(state) for state in states} - {ExclusionReason.DRAINING}
+        return reasons == {ExclusionReason.EVACUATED}
 
     def _vanished_of(self, service: str, now: float) -> list[InstanceState]:
         old = [key for key, (until, _) in self._vanished.items() if now > until]
@@ -315,7 +317,7 @@
             return None
         chosen = self._choose_among(service, candidates, affinity_key, now)
         if self.own_cold_shares is not None and self.is_cold(chosen, now):
-            self.own_cold_shares.take(chosen.instance.instance_id)
+            self.own_cold_shares.spend(chosen.instance.instance_id)
         return chosen
 
     def _warm_first(self, candidates: list[InstanceState], now: float) -> list[InstanceState]:
@@ -323,7 +325,7 @@
 
         Empty if all are cold and this node has no share left.
         """
-        if not self.cold.any_cold(now):
+        if not self.cold.may_have_cold(now):
             return candidates
         warm = [state for state in candidates if not self.is_cold(state, now)]
         if any(state.load(now) < 1.0 for state in warm):
--- a/src/wharfcart/routing/cold_rates.py
+++ b/src/wharfcart/routing/cold_rates.py
@@ -27,27 +27,27 @@
 
 # Parts of the rate; the sum is explained above.
 GRANTED_SHARE = 0.85
-UNSURE_SHARE = 0.15
-OWN_CHOICE_SHARE = 0.1
+UNCONFIRMED_SHARE = 0.15
+LOCAL_CHOICE_SHARE = 0.1
 # Gateways that may choose one cold back end by themselves, on the mean.
-GATEWAYS_A_BACKEND = 1
+GATEWAYS_PER_BACKEND = 1
 # A fleet is taken for this large while it is not known how many gateways it has.
-MOST_GATEWAYS = 512
+MAX_GATEWAYS = 512
 HASH_RANGE = 1 << 64
 # A bucket saves no more than this: so many more may meet in a second. What a granting node saves
 # beyond one token makes up for its buckets being looked at only as requests and ticks come.
-GRANTED_MOST_SAVED = 1.5
-OWN_MOST_SAVED = 1.0
+GRANTED_MAX_TOKENS = 1.5
+LOCAL_MAX_TOKENS = 1.0
 # A permitted request whose connection comes up later than this is placed anew.
-PERMIT_KEPT_S = 0.2
+PERMIT_TTL_S = 0.2
 # Back ends tell every 1.2 s how they are. In a zone that was emptied they may have turned cold just
 # before it is given back: until two reports were due, and some time to hear of them, those that
 # have told nothing since count as cold.
-UNHEARD_KEPT_S = 3.0
+UNREPORTED_COLD_S = 3.0
 
 
 @dataclass(slots=True)
-class ColdTime:
+class ColdPeriod:
     """What one back end told of its being cold.
 
     Attributes:
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _GivenBack:
+class _RestoredZone:
     """A zone that was emptied and is in use again.
 
     Attributes:
@@ -81,43 +81,45 @@
 
     def __init__(self) -> None:
         self.limits: Mapping[str, ColdLimit] = {}
-        self._given_back_by_zone: dict[str, _GivenBack] = {}
+        self._restored_by_zone: dict[str, _RestoredZone] = {}
         self._latest_until = -1e9
 
-    def told(self, time: ColdTime, cold_for_s: float, now: float, revision: int) -> None:
+    def report_received(
+        self, period: ColdPeriod, cold_for_s: float, now: float, revision: int
+    ) -> None:
         """Take what a back end's entry tells.
 
         The time counts from when the entry came: it was written before, so that no back end is
         taken for warm too early.
         """
-        time.until = now + cold_for_s if cold_for_s > 0 else -1e9
-        time.revision = revision
-        self._latest_until = max(self._latest_until, time.until)
+        period.until = now + cold_for_s if cold_for_s > 0 else -1e9
+        period.revision = revision
+        self._latest_until = max(self._latest_until, period.until)
 
-    def given_back(self, zone: str, now: float, revision: int) -> None:
+    def zone_restored(self, zone: str, now: float, revision: int) -> None:
         """Note that an emptied zone is in use again."""
-        self._given_back_by_zone[zone] = _GivenBack(now + UNHEARD_KEPT_S, revision)
-        self._latest_until = max(self._latest_until, now + UNHEARD_KEPT_S)
+        self._restored_by_zone[zone] = _RestoredZone(now + UNREPORTED_COLD_S, revision)
+        self._latest_until = max(self._latest_until, now + UNREPORTED_COLD_S)
 
-    def any_cold(self, now: float) -> bool:
+    def may_have_cold(self, now: float) -> bool:
         """Whether any back end may be cold."""
         return now < self._latest_until and bool(self.limits)
 
-    def is_cold(self, service: str, zone: str, time: ColdTime, now: float) -> bool:
+    def is_cold(self, service: str, zone: str, period: ColdPeriod, now: float) -> bool:
         """Whether a back end counts as cold."""
         if now >= self._latest_until or service not in self.limits:
             return False
-        until = time.until
-        given_back = self._given_back_by_zone.get(zone)
-        if given_back is not None and time.revision <= given_back.revision:
+        until = period.until
+        given_back = self._restored_by_zone.get(zone)
+        if given_back is not None and period.revision <= given_back.revision:
             until = max(until, given_back.until)
         return now < until
 
 
 @dataclass(slots=True)
 class _Bucket:
-    saved: float
-    at: float
+    tokens: float
+    refilled_at: float
 
 
 @dataclass
@@ -131,38 +133,40 @@
         most_saved: requests that may be sent at once after a rest.
     """
 
-    most_saved: float = GRANTED_MOST_SAVED
+    max_tokens: float = GRANTED_MAX_TOKENS
     _buckets: dict[str, _Bucket] = field(default_factory=dict)  # by instance
 
     def allows(self, instance_id: str, per_s: float, now: float) -> bool:
         """Whether a cold back end may get a request now."""
-        return self._filled(instance_id, per_s, now).saved >= 1.0
+        return self._refilled(instance_id, per_s, now).tokens >= 1.0
 
-    def take(self, instance_id: str) -> None:
+    def spend(self, instance_id: str) -> None:
         """Note that a cold back end gets a request."""
         bucket = self._buckets.get(instance_id)
         if bucket is not None:
-            bucket.saved -= 1.0
+            bucket.tokens -= 1.0
 
-    def keep_only(self, cold: Collection[str]) -> None:
+    def retain(self, cold: Collection[str]) -> None:
         """Forget back ends that are not cold any more: their next bucket begins empty."""
         for instance_id in [key for key in self._buckets if key not in cold]:
             del self._buckets[instance_id]
 
-    def forget(self, instance_id: str) -> None:
+    def discard(self, instance_id: str) -> None:
         """Drop what is kept of one back end."""
         self._buckets.pop(instance_id, None)
 
-    def _filled(self, instance_id: str, per_s: float, now: float) -> _Bucket:
+    def _refilled(self, instance_id: str, per_s: float, now: float) -> _Bucket:
         bucket = self._buckets.get(instance_id)
         if bucket is None:
             bucket = self._buckets[instance_id] = _Bucket(0.0, now)
-        bucket.saved = min(self.most_saved, bucket.saved + max(0.0, now - bucket.at) * per_s)
-        bucket.at = now
+        bucket.tokens = min(
+            self.max_tokens, bucket.tokens + max(0.0, now - bucket.refilled_at) * per_s
+        )
+        bucket.refilled_at = now
         return bucket
 
 
-class OwnColdShares:
+class LocalColdShares:
     """At which cold back ends a gateway that chooses by itself has a share.
 
     Args:
@@ -170,40 +174,40 @@
         gateways: how many there are; 0 while that is not known.
     """
 
-    def __init__(self, own_id: str, gateways: Callable[[], int]) -> None:
-        self._own_id = own_id
-        self._gateways = gateways
-        self._buckets = ColdBuckets(OWN_MOST_SAVED)
+    def __init__(self, gateway_id: str, gateway_count: Callable[[], int]) -> None:
+        self._gateway_id = gateway_id
+        self._gateway_count = gateway_count
+        self._buckets = ColdBuckets(LOCAL_MAX_TOKENS)
 
     def allows(self, instance_id: str, limit: ColdLimit, now: float) -> bool:
         """Whether this gateway may send a request to a cold back end by its own choice."""
         if not self._has_share(instance_id):
             return False
-        return self._buckets.allows(instance_id, _own_rate(limit), now)
+        return self._buckets.allows(instance_id, _local_rate(limit), now)
 
-    def take(self, instance_id: str) -> None:
+    def spend(self, instance_id: str) -> None:
         """Note a request that is sent so."""
-        self._buckets.take(instance_id)
+        self._buckets.spend(instance_id)
 
-    def forget(self, instance_id: str) -> None:
+    def discard(self, instance_id: str) -> None:
         """Drop what is kept of a back end that has gone."""
-        self._buckets.forget(instance_id)
+        self._buckets.discard(instance_id)
 
     def _has_share(self, instance_id: str) -> bool:
         """Whether this gateway is one of the few that may choose a back end while it is cold."""
-        drawn = xxhash.xxh64_intdigest(f"{self._own_id}/{instance_id}".encode())
-        return drawn * (self._gateways() or MOST_GATEWAYS) < GATEWAYS_A_BACKEND * HASH_RANGE
+        drawn = xxhash.xxh64_intdigest(f"{self._gateway_id}/{instance_id}".encode())
+        return drawn * (self._gateway_count() or MAX_GATEWAYS) < GATEWAYS_PER_BACKEND * HASH_RANGE
 
 
-def granted_rate(limit: ColdLimit, surely: bool) -> float:
+def granted_rate(limit: ColdLimit, is_confirmed: bool) -> float:
     """Return the requests a second that a granting node sends to one cold back end.
 
     Args:
         limit: of the service.
         surely: no other node can grant yet.
     """
-    return limit.requests_per_s * (GRANTED_SHARE if surely else UNSURE_SHARE)
+    return limit.requests_per_s * (GRANTED_SHARE if is_confirmed else UNCONFIRMED_SHARE)
 
 
-def _own_rate(limit: ColdLimit) -> float:
-    return limit.requests_per_s * OWN_CHOICE_SHARE
+def _local_rate(limit: ColdLimit) -> float:
+    return limit.requests_per_s * LOCAL_CHOICE_SHARE
--- a/src/wharfcart/routing/eligibility.py
+++ b/src/wharfcart/routing/eligibility.py
@@ -14,7 +14,7 @@
 from wharfcart.configuration.residence import ANYWHERE, Residence
 
 
-class RuledOut(Enum):
+class ExclusionReason(Enum):
     """Why a request does not go to a back end.
 
     Attributes:
@@ -24,7 +24,7 @@
         COLD: it is cold, and the permit to send to it is old.
     """
 
-    LEAVING = "leaving"
+    DRAINING = "leaving"
     EVACUATED = "evacuated"
     OUTSIDE_RESIDENCE = "outside_residence"
     COLD = "cold"
@@ -44,9 +44,9 @@
         self.topology = topology or Topology()
         self.evacuated_zones: frozenset[str] = frozenset()
 
-    def ruled_out(
+    def exclusion_reason(
         self, instance: BackendInstance, residence: Residence = ANYWHERE
-    ) -> RuledOut | None:
+    ) -> ExclusionReason | None:
         """Return why a request does not go to a back end, or None if it may.
 
         Args:
@@ -54,9 +54,9 @@
             residence: of the request.
         """
         if not instance.accepting:
-            return RuledOut.LEAVING
+            return ExclusionReason.DRAINING
         if instance.zone in self.evacuated_zones:
-            return RuledOut.EVACUATED
+            return ExclusionReason.EVACUATED
         if not residence.allows(self.topology.region(instance.zone)):
-            return RuledOut.OUTSIDE_RESIDENCE
+            return ExclusionReason.OUTSIDE_RESIDENCE
         return None
--- a/src/wharfcart/routing/forwarder.py
+++ b/src/wharfcart/routing/forwarder.py
@@ -21,14 +21,14 @@
 from wharfcart.routing.broken_runs import CrashDetector
 from wharfcart.routing.caller_request import AnswerCutError, AnswerSink, CallerRequest
 from wharfcart.routing.deadlines import Deadlines
-from wharfcart.routing.eligibility import RuledOut
+from wharfcart.routing.eligibility import ExclusionReason
 from wharfcart.routing.placement import (
     NoSlotError,
     OverLimitError,
     Placement,
     PlacementRequest,
 )
-from wharfcart.routing.region_reach import RegionReach
+from wharfcart.routing.region_reach import RegionReachability
 from wharfcart.routing.request_log import RequestLog
 from wharfcart.routing.request_progress import RequestProgress
 from wharfcart.routing.sender import NoAnswer, Sender
@@ -37,7 +37,7 @@
 MOST_CONNECT_FAILURES = 4
 RETRY_AFTER_NO_BACKEND_S = 0.4
 # There are back ends, but all of them are in regions where the request's data may not be.
-OUTSIDE_RESIDENCE = RuledOut.OUTSIDE_RESIDENCE.value
+OUTSIDE_RESIDENCE = ExclusionReason.OUTSIDE_RESIDENCE.value
 # Back ends in the only regions where it may be are not reached.
 REGION_UNREACHABLE = "region_unreachable"
 NO_BACKEND_CAUSES = ("no_backend", OUTSIDE_RESIDENCE, REGION_UNREACHABLE)
@@ -71,7 +71,7 @@
         self._choice = choice
         self._placement = placement
         self._told = RequestLog(choice, log, metrics)
-        self._reach = RegionReach()
+        self._reach = RegionReachability()
         self._sender = Sender(
             choice, placement, pool, connection_limit, self._told, broken_runs, self._reach
         )
@@ -139,11 +139,11 @@
         regions = request.residence.regions
         if not regions or self._placement.reaches(request.service, request.residence):
             return False
-        return self._reach.are_lost(regions, monotonic())
+        return self._reach.are_unreachable(regions, monotonic())
 
     def _cause_of_no_backend(self, request: CallerRequest, progress: RequestProgress) -> str:
         if self._choice.is_all_evacuated(request.service):
-            return RuledOut.EVACUATED.value
+            return ExclusionReason.EVACUATED.value
         if progress.cause:
             return progress.cause
         elsewhere = request.residence.is_bound and self._choice.accepting(
@@ -177,7 +177,7 @@
         retry_after_s = progress.retry_after_s
         if progress.cause in NO_BACKEND_CAUSES:
             retry_after_s = RETRY_AFTER_NO_BACKEND_S
-        elif progress.cause == RuledOut.EVACUATED.value:
+        elif progress.cause == ExclusionReason.EVACUATED.value:
             retry_after_s = RETRY_AFTER_EVACUATED_S
         self._told.ended(request, progress, "refused", STATUS_UNAVAILABLE)
         retry_after = (exchanges.RETRY_AFTER_HEADER, f"{retry_after_s:g}")
--- a/src/wharfcart/routing/request_log.py
+++ b/src/wharfcart/routing/request_log.py
@@ -6,7 +6,7 @@
 from wharfcart.observability.serving_metrics import ServingMetrics
 from wharfcart.routing.backend_choice import BackendChoice, InstanceState
 from wharfcart.routing.caller_request import CallerRequest
-from wharfcart.routing.eligibility import RuledOut
+from wharfcart.routing.eligibility import ExclusionReason
 from wharfcart.routing.placement import Placed
 from wharfcart.routing.request_progress import RequestProgress
 
@@ -99,7 +99,7 @@
             rarely["broke"] = progress.broke
         if progress.broke or progress.cause == POISON_CAUSE:
             rarely["content"] = request.fingerprint
-        if progress.cause == RuledOut.OUTSIDE_RESIDENCE.value:
+        if progress.cause == ExclusionReason.OUTSIDE_RESIDENCE.value:
             self._metrics.outside_residence.add("request")
         if request.residence.regions is not None:
             rarely["regions"] = sorted(request.residence.regions)
--- a/src/wharfcart/routing/sender.py
+++ b/src/wharfcart/routing/sender.py
@@ -30,7 +30,7 @@
 from wharfcart.routing.caller_request import AnswerSink, CallerRequest
 from wharfcart.routing.event_stream import EventSplitter
 from wharfcart.routing.placement import Placed, Placement, SendVerdict
-from wharfcart.routing.region_reach import RegionReach
+from wharfcart.routing.region_reach import RegionReachability
 from wharfcart.routing.request_log import RequestLog
 from wharfcart.routing.request_progress import RequestProgress
 
@@ -80,7 +80,7 @@
         connection_limit: Callable[[str], int],
         told: RequestLog,
         broken_runs: CrashDetector,
-        reach: RegionReach,
+        reach: RegionReachability,
     ) -> None:
         self._choice = choice
         self._placement = placement
@@ -149,7 +149,7 @@
         except ConnectFailedError:
             progress.connect_failures += 1
             progress.told = SendVerdict.BAD
-            self._reach.failed(self._region_of(state), instance.instance_id, monotonic())
+            self._reach.record_failure(self._region_of(state), instance.instance_id, monotonic())
             self._avoid(state, "connect")
             return NoAnswer(False, "connect")
         held_back = self._choice.held_back(state, placed_at, monotonic(), request.residence)
@@ -176,7 +176,9 @@
             self._turned_out(state, progress, False)
             if use in state.waiting_since:
                 # Nothing came of it: a kept connection into a region that was cut off since.
-                self._reach.failed(self._region_of(state), instance.instance_id, monotonic())
+                self._reach.record_failure(
+                    self._region_of(state), instance.instance_id, monotonic()
+                )
             if connection.answered == 0:
                 self._avoid(state, "broken")
             await self._look_into(request, state, use, error.cause, monotonic() - began_at)
@@ -247,7 +249,7 @@
         sent_at = monotonic()
         head = await self._patiently(request, progress, connection.read_head())
         self._choice.answered(state, use)
-        self._reach.reached(self._region_of(state))
+        self._reach.record_success(self._region_of(state))
         self._placement.answer_begun(request.route.name, monotonic() - sent_at)
         load = exchanges.reported_load(head)
         if load is not None:
--- a/src/wharfcart/slots/slot_room.py
+++ b/src/wharfcart/slots/slot_room.py
@@ -73,7 +73,7 @@
 
     def granted(self, instance_id: str) -> None:
         """Note that a back end gets a request."""
-        self._cold_buckets.take(instance_id)
+        self._cold_buckets.spend(instance_id)
 
     # ---- items ----
 
@@ -98,7 +98,7 @@
 
     def bearing(self, candidates: list[InstanceState], now: float) -> list[InstanceState]:
         """Return the back ends that bear one more request now: of cold ones, by their rate."""
-        if not self.choice.cold.any_cold(now):
+        if not self.choice.cold.may_have_cold(now):
             return candidates
         return [state for state in candidates if self._bears_one_more(state, now)]
 
@@ -115,7 +115,7 @@
 
     def warm_with_room(self, candidates: list[InstanceState], now: float) -> list[InstanceState]:
         """Return the back ends that are warm and have a slot; all while none is cold."""
-        if not self.choice.cold.any_cold(now):
+        if not self.choice.cold.may_have_cold(now):
             return candidates
         return [
             state
@@ -126,7 +126,7 @@
     def fill_cold_buckets(self, now: float) -> None:
         """Have the buckets of cold back ends fill from the time on at which they turned cold."""
         cold = [state for state in self.choice.cold_states(now) if self.owns(state.instance)]
-        self._cold_buckets.keep_only({state.instance.instance_id for state in cold})
+        self._cold_buckets.retain({state.instance.instance_id for state in cold})
         for state in cold:
             self._bears_one_more(state, now)
 
--- a/tests/routing/test_leaving_for_back_end.py
+++ b/tests/routing/test_leaving_for_back_end.py
@@ -24,7 +24,7 @@
 from wharfcart.routing.backend_choice import BackendChoice
 from wharfcart.routing.broken_runs import CrashDetector
 from wharfcart.routing.caller_request import CallerRequest
-from wharfcart.routing.cold_rates import PERMIT_KEPT_S
+from wharfcart.routing.cold_rates import PERMIT_TTL_S
 from wharfcart.routing.forwarder import RETRY_AFTER_EVACUATED_S, Forwarder
 from wharfcart.routing.placement import LocalPlacement, Placed, SendVerdict
 from wharfcart.storage.partial_texts import RunningText
@@ -242,13 +242,13 @@
     async def scenario(bench: Bench) -> None:
         async def slowly(_instance: BackendInstance) -> None:
             if len(bench.connected) == 1:
-                await asyncio.sleep(PERMIT_KEPT_S * 1.2)
+                await asyncio.sleep(PERMIT_TTL_S * 1.2)
 
         bench.choice.cold.limits = {"s": ColdLimit(4.0, 3.0)}
         bench.on_connected = slowly
         state = bench.choice.state("a")
         assert state is not None
-        bench.choice.cold.told(state.cold, 60.0, monotonic(), 1)
+        bench.choice.cold.report_received(state.cold, 60.0, monotonic(), 1)
         assert await bench.run_item("a") is RunOutcome.REFUSED
         assert not bench.runs()
         assert await bench.run_item("a") is not RunOutcome.REFUSED
--- a/tests/routing/test_region_reach.py
+++ b/tests/routing/test_region_reach.py
@@ -1,48 +1,52 @@
 """When a gateway takes a region for cut off, and when it tries again."""
 
 from wharfcart.cluster.topology import RegionName
-from wharfcart.routing.region_reach import FAILURES_IN_A_ROW, PROBE_PERIOD_S, RegionReach
+from wharfcart.routing.region_reach import (
+    MIN_CONSECUTIVE_FAILURES,
+    PROBE_PERIOD_S,
+    RegionReachability,
+)
 
 WEST, EAST = RegionName("west"), RegionName("east")
 
 
-def lost_west() -> RegionReach:
-    reach = RegionReach()
-    for n in range(FAILURES_IN_A_ROW):
-        assert not reach.are_lost([WEST], 0.0)
-        reach.failed(WEST, f"i{n}", 0.0)
+def with_unreachable_west() -> RegionReachability:
+    reach = RegionReachability()
+    for n in range(MIN_CONSECUTIVE_FAILURES):
+        assert not reach.are_unreachable([WEST], 0.0)
+        reach.record_failure(WEST, f"i{n}", 0.0)
     return reach
 
 
-def test_a_region_is_lost_once_several_back_ends_in_a_row_were_not_reached() -> None:
-    reach = lost_west()
-    assert reach.are_lost([WEST], 0.1)
-    assert not reach.are_lost([EAST], 0.1)
-    assert not reach.are_lost([WEST, EAST], 0.1)
+def test_region_is_unreachable_after_consecutive_failures() -> None:
+    reach = with_unreachable_west()
+    assert reach.are_unreachable([WEST], 0.1)
+    assert not reach.are_unreachable([EAST], 0.1)
+    assert not reach.are_unreachable([WEST, EAST], 0.1)
 
 
-def test_one_back_end_that_fails_again_and_again_is_no_region() -> None:
-    reach = RegionReach()
+def test_repeated_failures_of_one_back_end_do_not_count_for_its_region() -> None:
+    reach = RegionReachability()
     for _ in range(10):
-        reach.failed(WEST, "i", 0.0)
-    assert not reach.are_lost([WEST], 0.1)
+        reach.record_failure(WEST, "i", 0.0)
+    assert not reach.are_unreachable([WEST], 0.1)
 
 
-def test_one_request_tries_again_now_and_then() -> None:
-    reach = lost_west()
-    assert not reach.are_lost([WEST], PROBE_PERIOD_S)
-    assert reach.are_lost([WEST], PROBE_PERIOD_S + 0.01)
-    assert not reach.are_lost([WEST], 2 * PROBE_PERIOD_S)
+def test_one_request_per_period_probes_the_region() -> None:
+    reach = with_unreachable_west()
+    assert not reach.are_unreachable([WEST], PROBE_PERIOD_S)
+    assert reach.are_unreachable([WEST], PROBE_PERIOD_S + 0.01)
+    assert not reach.are_unreachable([WEST], 2 * PROBE_PERIOD_S)
 
 
-def test_an_answer_brings_a_region_back() -> None:
-    reach = lost_west()
-    reach.reached(WEST)
-    assert not reach.are_lost([WEST], 0.1)
+def test_answer_makes_the_region_reachable() -> None:
+    reach = with_unreachable_west()
+    reach.record_success(WEST)
+    assert not reach.are_unreachable([WEST], 0.1)
 
 
-def test_back_ends_of_no_known_region_count_for_none() -> None:
-    reach = lost_west()
-    reach.reached(None)
-    reach.failed(None, "i", 0.0)
-    assert reach.are_lost([WEST], 0.1)
+def test_back_ends_without_a_region_are_ignored() -> None:
+    reach = with_unreachable_west()
+    reach.record_success(None)
+    reach.record_failure(None, "i", 0.0)
+    assert reach.are_unreachable([WEST], 0.1)
--- a/tests/slots/test_cold_granting.py
+++ b/tests/slots/test_cold_granting.py
@@ -5,7 +5,7 @@
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.serving import ColdLimit
 from wharfcart.routing.backend_choice import BackendChoice
-from wharfcart.routing.cold_rates import GRANTED_SHARE, UNSURE_SHARE
+from wharfcart.routing.cold_rates import GRANTED_SHARE, UNCONFIRMED_SHARE
 from wharfcart.slots.events import (
     Granted,
     HolderId,
@@ -116,7 +116,7 @@
     for _ in range(30):
         bench.ask()
     served = sum(len(granted(bench.tick(0.05))) for _ in range(40))
-    assert 0 < served <= 2.0 * RATE * UNSURE_SHARE + 1
+    assert 0 < served <= 2.0 * RATE * UNCONFIRMED_SHARE + 1
 
 
 def test_a_refusal_at_cold_back_ends_tells_the_time_that_their_rate_takes() -> None:
--- a/tests/slots/test_cold_property.py
+++ b/tests/slots/test_cold_property.py
@@ -11,7 +11,7 @@
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.serving import ColdLimit
 from wharfcart.routing.backend_choice import BackendChoice
-from wharfcart.routing.cold_rates import PERMIT_KEPT_S, OwnColdShares
+from wharfcart.routing.cold_rates import PERMIT_TTL_S, LocalColdShares
 from wharfcart.slots.events import (
     Granted,
     HolderId,
@@ -86,7 +86,7 @@
 
     def _choice(self, name: str, names: list[str]) -> BackendChoice:
         choice = BackendChoice("z", Random(1))
-        choice.own_cold_shares = OwnColdShares(name, lambda: len(names)) if name else None
+        choice.own_cold_shares = LocalColdShares(name, lambda: len(names)) if name else None
         choice.cold.limits = {"s": ColdLimit(self.rate, 3.0)}
         return choice
 
@@ -155,7 +155,7 @@
 
     def _arrives(self, name: str, segment: Segment) -> None:
         if name in segment.cold:
-            self.arrivals[name].append(self.now + segment.late * PERMIT_KEPT_S)
+            self.arrivals[name].append(self.now + segment.late * PERMIT_TTL_S)
 
     def worst_second(self) -> int:
         """Return the most arrivals at one back end within a second."""
--- a/tests/slots/test_emptied_zones.py
+++ b/tests/slots/test_emptied_zones.py
@@ -9,7 +9,7 @@
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.serving import ColdLimit
 from wharfcart.routing.backend_choice import BackendChoice
-from wharfcart.routing.cold_rates import OwnColdShares
+from wharfcart.routing.cold_rates import LocalColdShares
 from wharfcart.routing.placement import NoSlotError, Placed, SendVerdict
 from wharfcart.slots.events import LeaveCause
 from wharfcart.slots.item_slots import ItemDemand, ItemSlot
@@ -209,7 +209,7 @@
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
         bear_cold(fleet, 4.0)
-        gateway.choice.own_cold_shares = OwnColdShares("g1", lambda: 1)
+        gateway.choice.own_cold_shares = LocalColdShares("g1", lambda: 1)
         put_in_zones(fleet, cold_for_s=60.0)
         fleet.network.dark.add(fleet.leader.address)
         sent = 0
@@ -239,7 +239,7 @@
         now = asyncio.get_running_loop().time()
         for choice in choices(fleet):
             for zone in ZONES.values():
-                choice.cold.given_back(zone, now, revision=50)
+                choice.cold.zone_restored(zone, now, revision=50)
             for name, zone in ZONES.items():
                 entry = BackendInstance(name, "s", "127.0.0.1", 1, zone, 8, True)
                 choice.put(entry, now, revision=51 if heard else 49)
