--- a/benchmarks/granting.py
+++ b/benchmarks/granting.py
@@ -34,7 +34,7 @@
 
 def _play(share_taken: float, items: int, waiting: int) -> float:
     from wharfcart.configuration.instances import BackendInstance
-    from wharfcart.routing.backend_choice import BackendChoice
+    from wharfcart.routing.backend_choice import BackendSelector
     from wharfcart.slots.events import (
         Granted,
         HolderId,
@@ -52,7 +52,7 @@
     from wharfcart.slots.urgency import Urgency
 
     rng = Random(1)
-    choice = BackendChoice("z0", rng)
+    choice = BackendSelector("z0", rng)
     for n in range(SERVERS):
         choice.put(BackendInstance(f"i{n}", SERVICE, "127.0.0.1", 1, f"z{n % 3}", SLOTS, True))
     granter = SlotGranter(choice, lambda _instance: True)
--- a/src/wharfcart/batch/item_run.py
+++ b/src/wharfcart/batch/item_run.py
@@ -17,7 +17,7 @@
     HttpConnection,
 )
 from wharfcart.platform import exchanges
-from wharfcart.routing.backend_choice import BackendChoice, InstanceState
+from wharfcart.routing.backend_choice import BackendSelector, InstanceState
 from wharfcart.routing.broken_runs import CrashDetector, InterruptedRun
 from wharfcart.routing.event_stream import EventSplitter
 from wharfcart.storage.partial_texts import RunningText
@@ -114,7 +114,7 @@
 
     def __init__(
         self,
-        choice: BackendChoice,
+        choice: BackendSelector,
         pool: ConnectionPool,
         connection_limit: Callable[[str], int],
         broken_runs: CrashDetector,
@@ -137,18 +137,20 @@
         try:
             return await self._connect_and_send(send)
         except ConnectFailedError:
-            self._choice.failed(send.state, monotonic())
+            self._choice.record_failure(send.state, monotonic())
             return RunOutcome.REFUSED
         except ConnectionLimitError:
             return RunOutcome.REFUSED
         finally:
-            self._choice.ended(send.state, send.use)
+            self._choice.record_finished(send.state, send.use)
 
     async def _connect_and_send(self, send: ItemSend) -> RunOutcome:
         instance = send.state.instance
         placed_at = monotonic()
         connection = await self._pool.acquire(instance, self._connection_limit(instance.service))
-        ruled_out = self._choice.held_back(send.state, placed_at, monotonic()) is not None
+        ruled_out = (
+            self._choice.exclusion_before_send(send.state, placed_at, monotonic()) is not None
+        )
         if ruled_out or self._is_held_back(send):
             self._pool.release(instance, connection)
             return RunOutcome.REFUSED
@@ -185,10 +187,10 @@
         self._write(connection, send)
         async with asyncio.timeout(SILENCE_LIMIT_S):
             head = await connection.read_head()
-        self._choice.answered(send.state, send.use)
+        self._choice.record_first_byte(send.state, send.use)
         load = exchanges.reported_load(head)
         if load is not None:
-            self._choice.reported(send.state, load.running, load.waiting, monotonic())
+            self._choice.record_reported_load(send.state, load.running, load.waiting, monotonic())
         if head.status >= 300:
             await connection.read_body()
             return self._failure(head, send.state)
@@ -221,7 +223,7 @@
     def _failure(self, head: AnswerHead, state: InstanceState) -> RunOutcome:
         if exchanges.was_not_run(head):
             if head.status == STATUS_UNAVAILABLE:
-                self._choice.full(state, monotonic())
+                self._choice.record_full(state, monotonic())
             return RunOutcome.REFUSED
         if head.status == STATUS_IMPOSSIBLE:
             return RunOutcome.IMPOSSIBLE
--- a/src/wharfcart/batch/job_execution.py
+++ b/src/wharfcart/batch/job_execution.py
@@ -24,7 +24,7 @@
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.observability.serving_metrics import ServingMetrics
 from wharfcart.observability.tasks import BackgroundTasks
-from wharfcart.routing.backend_choice import BackendChoice, InstanceState
+from wharfcart.routing.backend_choice import BackendSelector, InstanceState
 from wharfcart.slots.events import LeaveCause, Verdict
 from wharfcart.slots.item_slots import ItemDemand, ItemSlot, ItemSlots
 from wharfcart.slots.session import HeldSlot
@@ -68,7 +68,7 @@
         self,
         group: JobGroup,
         runner: ItemRunner,
-        choice: BackendChoice,
+        choice: BackendSelector,
         configuration: Callable[[], ServingConfiguration | None],
         slots: ItemSlots,
         keep_jobs_s: float,
@@ -120,7 +120,7 @@
         """Run the item that goes first in a slot that is offered, or give the slot back."""
         state = self._choice.state(slot.instance_id)
         found = None if state is None else self._next_item(slot.service, state)
-        if state is None or self._choice.ruled_out(state) or found is None:
+        if state is None or self._choice.exclusion_reason(state) or found is None:
             self._slots.release(slot)
             return
         scheduled, item = found
@@ -198,7 +198,7 @@
         if not excluded:
             return excluded
         residence = self._residence_of(scheduled.job)
-        usable = self._choice.usable(service, now, excluded, residence=residence)
+        usable = self._choice.usable_instances(service, now, excluded, residence=residence)
         return excluded if usable else set()
 
     def _tell_demand(self) -> None:
@@ -271,7 +271,7 @@
         self._with_demand = set()
         for placed in self._placed.clear():
             if not placed.begun:
-                self._choice.ended(placed.state, placed.use)
+                self._choice.record_finished(placed.state, placed.use)
 
     def _add(self, job: RequestJob, done: set[str]) -> None:
         age_s = max(0.0, time() - job.accepted_ms / 1000)
@@ -327,7 +327,9 @@
     ) -> None:
         urgency = self._urgency(scheduled, item, slot.service)
         self._scheduler.take(scheduled, item)
-        placed = PlacedItem(scheduled, item, state, self._choice.sent(state, monotonic()), slot)
+        placed = PlacedItem(
+            scheduled, item, state, self._choice.record_sent(state, monotonic()), slot
+        )
         self._placed.add(placed)
         self._slots.begun(slot, urgency)
         placed.task = self._tasks.spawn(self._run_item(placed))
@@ -370,7 +372,7 @@
 
     async def _run_once(self, placed: PlacedItem, progress: ItemProgress) -> RunOutcome:
         if placed.stopped:
-            self._choice.ended(placed.state, placed.use)
+            self._choice.record_finished(placed.state, placed.use)
             raise asyncio.CancelledError
         placed.begun = True
         job = placed.scheduled.job
--- a/src/wharfcart/experiments/simulated_slots.py
+++ b/src/wharfcart/experiments/simulated_slots.py
@@ -35,7 +35,7 @@
 from wharfcart.experiments.virtual_time import virtual_monotonic
 from wharfcart.observability.decisions import DecisionLog
 from wharfcart.observability.serving_metrics import ServingMetrics
-from wharfcart.routing.backend_choice import BackendChoice, InstanceState
+from wharfcart.routing.backend_choice import BackendSelector, InstanceState
 from wharfcart.routing.placement import NoSlotError, PlacementRequest, SendVerdict
 from wharfcart.slots.asking_order import Step
 from wharfcart.slots.events import HolderId
@@ -93,7 +93,7 @@
 class ServerItemRunner:
     """Runs batch items at the servers, each one from where it was cut."""
 
-    def __init__(self, choice: BackendChoice, servers: dict[str, SlotServer]) -> None:
+    def __init__(self, choice: BackendSelector, servers: dict[str, SlotServer]) -> None:
         self._choice = choice
         self._servers = servers
         self.events_by_item: dict[str, int] = {}
@@ -106,13 +106,13 @@
         prompt_tokens = send.item.tokens + 5 * len(text.texts)
 
         def on_event() -> None:
-            self._choice.answered(send.state, send.use)
+            self._choice.record_first_byte(send.state, send.use)
             text.add(len(text.texts), "")
 
         try:
             await server.run(prompt_tokens, left, on_event)
         finally:
-            self._choice.ended(send.state, send.use)
+            self._choice.record_finished(send.state, send.use)
         return RunOutcome.SUCCEEDED
 
 
@@ -274,19 +274,19 @@
             return None
         assert placed is not None
         state = placed.state
-        use = choice.sent(state, virtual_monotonic(), prompt_tokens)
+        use = choice.record_sent(state, virtual_monotonic(), prompt_tokens)
         sent_at = virtual_monotonic()
         first_s: list[float] = []
 
         def on_event() -> None:
             if not first_s:
-                choice.answered(state, use)
+                choice.record_first_byte(state, use)
                 placement.answer_begun("online", virtual_monotonic() - sent_at)
                 first_s.append(virtual_monotonic() - began_at)
 
         await asyncio.sleep(ONE_WAY_S)
         await self._servers[state.instance.instance_id].run(prompt_tokens, events, on_event)
-        choice.ended(state, use)
+        choice.record_finished(state, use)
         placement.ended(placed, SendVerdict.GOOD)
         return first_s[0]
 
@@ -313,8 +313,8 @@
         self.records.jobs[job_id] = record
         self._execution.job_accepted(job)
 
-    def _choice(self) -> BackendChoice:
-        choice = BackendChoice(ZONE, Random(self._rng.random()))
+    def _choice(self) -> BackendSelector:
+        choice = BackendSelector(ZONE, Random(self._rng.random()))
         for instance in self._instances:
             choice.put(instance)
         return choice
@@ -343,7 +343,7 @@
             PoisonRequests(),
         )
 
-    def _make_gateway(self, number: int) -> tuple[BackendChoice, GrantedPlacement, SlotSessions]:
+    def _make_gateway(self, number: int) -> tuple[BackendSelector, GrantedPlacement, SlotSessions]:
         choice = self._choice()
         sessions = self._sessions(f"gateway-{number}", choice, FleetLoad(choice))
         kind = GrantedPlacement if self._grants else OwnChoicePlacement
@@ -357,7 +357,7 @@
         )
         return choice, placement, sessions
 
-    def _sessions(self, holder: str, choice: BackendChoice, taker: SlotNewsTaker) -> SlotSessions:
+    def _sessions(self, holder: str, choice: BackendSelector, taker: SlotNewsTaker) -> SlotSessions:
         return SlotSessions(
             HolderId(holder),
             choice,
--- a/src/wharfcart/node/evacuations.py
+++ b/src/wharfcart/node/evacuations.py
@@ -12,7 +12,7 @@
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.observability.serving_metrics import ServingMetrics
 from wharfcart.platform import names
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_choice import BackendSelector
 
 PERIOD_S = 0.25
 
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        choice: BackendChoice,
+        choice: BackendSelector,
         log: DecisionLog,
         metrics: ServingMetrics,
         age_s: Callable[[], float],
@@ -52,7 +52,7 @@
     def look(self, now: float) -> None:
         """Show what still runs in emptied zones, and tell which have become quiet."""
         for zone, begun_at in self._begun_at.items():
-            in_flight = self._choice.in_flight_in(zone)
+            in_flight = self._choice.in_flight_in_zone(zone)
             self._metrics.evacuated_in_flight.set(zone, in_flight)
             if in_flight:
                 self._quiet.discard(zone)
@@ -92,6 +92,6 @@
             event,
             zone=zone,
             revision=revision,
-            in_flight=self._choice.in_flight_in(zone),
+            in_flight=self._choice.in_flight_in_zone(zone),
             age_s=round(self._age_s(), 2),
         )
--- a/src/wharfcart/node/gateway_process.py
+++ b/src/wharfcart/node/gateway_process.py
@@ -64,7 +64,7 @@
             self._node.grants_in,
         )
         self._node.fleet_size = self._sessions.holders
-        self._node.choice.own_cold_shares = LocalColdShares(
+        self._node.choice.local_cold_shares = LocalColdShares(
             settings.node_id, self._sessions.holders
         )
         self._relays = PermitRelays(self._node.transport, self._sessions.relays)
--- a/src/wharfcart/node/serving_node.py
+++ b/src/wharfcart/node/serving_node.py
@@ -47,7 +47,7 @@
 from wharfcart.observability.tasks import BackgroundTasks
 from wharfcart.platform import documents, names
 from wharfcart.platform.metadata_store import MetadataStore
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_choice import BackendSelector
 from wharfcart.routing.broken_runs import CrashDetector
 from wharfcart.routing.eligibility import Eligibility
 from wharfcart.settings.base import split_endpoint
@@ -80,7 +80,7 @@
         self.topology = Topology(
             {zone: RegionName(region) for zone, region in settings.regions_by_zone.items()}
         )
-        self.choice = BackendChoice(settings.zone, self.random, Eligibility(self.topology))
+        self.choice = BackendSelector(settings.zone, self.random, Eligibility(self.topology))
         self.configuration: ServingConfiguration | None = None
         self.nodes: dict[str, NodeEntry] = {}
         self.storage_by_identity: dict[str, NodeEntry] = {}
@@ -114,7 +114,9 @@
             suspects, self.coordination, self.mirror, self.random, self._relay_ends
         )
         self.metrics.contents_held.set_function(lambda: suspects.quarantined_count(time()))
-        self.metrics.cold_backends.set_function(lambda: len(self.choice.cold_states(monotonic())))
+        self.metrics.cold_backends.set_function(
+            lambda: len(self.choice.cold_instances(monotonic()))
+        )
         self.metrics.mirror_age.set_function(lambda: min(self.link.age_s, MOST_AGE_S))
         self.handle_other: Handler = _ignore
         self.fleet_size: Callable[[], int] = lambda: len(self.nodes)
--- a/src/wharfcart/routing/caller_request.py
+++ b/src/wharfcart/routing/caller_request.py
@@ -8,7 +8,7 @@
 from wharfcart.configuration.residence import Residence
 from wharfcart.configuration.serving import Route, ServedTenant
 from wharfcart.platform import exchanges
-from wharfcart.routing.backend_choice import AFFINITY_TOKENS
+from wharfcart.routing.backend_choice import MIN_AFFINITY_TOKENS
 
 
 @dataclass(frozen=True)
@@ -68,7 +68,7 @@
     def affinity_key(self) -> str:
         """Name of the long shared prompt that decides where to go first, or ''."""
         shared = self.facts.prompt[:-1]
-        if sum(part.tokens for part in shared) < AFFINITY_TOKENS:
+        if sum(part.tokens for part in shared) < MIN_AFFINITY_TOKENS:
             return ""
         return ",".join(part.part_id for part in shared)
 
--- a/src/wharfcart/routing/forwarder.py
+++ b/src/wharfcart/routing/forwarder.py
@@ -17,7 +17,7 @@
 from wharfcart.observability.decisions import DecisionLog
 from wharfcart.observability.serving_metrics import ServingMetrics
 from wharfcart.platform import exchanges
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_choice import BackendSelector
 from wharfcart.routing.broken_runs import CrashDetector
 from wharfcart.routing.caller_request import AnswerCutError, AnswerSink, CallerRequest
 from wharfcart.routing.deadlines import Deadlines
@@ -60,7 +60,7 @@
 
     def __init__(
         self,
-        choice: BackendChoice,
+        choice: BackendSelector,
         placement: Placement,
         pool: ConnectionPool,
         connection_limit: Callable[[str], int],
@@ -142,11 +142,11 @@
         return self._reach.are_unreachable(regions, monotonic())
 
     def _cause_of_no_backend(self, request: CallerRequest, progress: RequestProgress) -> str:
-        if self._choice.is_all_evacuated(request.service):
+        if self._choice.is_fully_evacuated(request.service):
             return ExclusionReason.EVACUATED.value
         if progress.cause:
             return progress.cause
-        elsewhere = request.residence.is_bound and self._choice.accepting(
+        elsewhere = request.residence.is_bound and self._choice.accepting_instances(
             request.service, monotonic()
         )
         return OUTSIDE_RESIDENCE if elsewhere else "no_backend"
--- a/src/wharfcart/routing/outcome_record.py
+++ b/src/wharfcart/routing/outcome_record.py
@@ -10,35 +10,35 @@
 import math
 from dataclasses import dataclass
 
-FADE_S = 3.0
+DECAY_S = 3.0
 # So many failures, and such a share of all answers, speak against a back end.
-FEWEST_FAILURES = 1.5
-SUSPECT_SHARE = 0.3
+MIN_FAILURES = 1.5
+FAILING_SHARE = 0.3
 
 
 @dataclass
 class OutcomeRecord:
     """Faded counts of one back end at one node."""
 
-    _good: float = 0.0
-    _bad: float = 0.0
-    _at: float = 0.0
+    _successes: float = 0.0
+    _failures: float = 0.0
+    _updated_at: float = 0.0
 
-    def add(self, good: bool, now: float) -> None:
+    def add(self, succeeded: bool, now: float) -> None:
         """Count one answer."""
-        self._good, self._bad = self.counts(now)
-        self._at = now
-        if good:
-            self._good += 1
+        self._successes, self._failures = self.counts(now)
+        self._updated_at = now
+        if succeeded:
+            self._successes += 1
         else:
-            self._bad += 1
+            self._failures += 1
 
     def counts(self, now: float) -> tuple[float, float]:
         """Return the faded numbers of good and of failed answers."""
-        fade = math.exp(-(now - self._at) / FADE_S)
-        return self._good * fade, self._bad * fade
+        fade = math.exp(-(now - self._updated_at) / DECAY_S)
+        return self._successes * fade, self._failures * fade
 
 
-def is_suspect(good: float, bad: float) -> bool:
+def counts_as_failing(successes: float, failures: float) -> bool:
     """Whether counts, summed over nodes, speak against a back end."""
-    return bad >= FEWEST_FAILURES and bad / (good + bad) >= SUSPECT_SHARE
+    return failures >= MIN_FAILURES and failures / (successes + failures) >= FAILING_SHARE
--- a/src/wharfcart/routing/placement.py
+++ b/src/wharfcart/routing/placement.py
@@ -7,7 +7,7 @@
 from wharfcart.clock import monotonic
 from wharfcart.configuration.residence import ANYWHERE, Residence
 from wharfcart.configuration.serving import RequestLimit
-from wharfcart.routing.backend_choice import BackendChoice, InstanceState
+from wharfcart.routing.backend_choice import BackendSelector, InstanceState
 
 # Told where a gateway that chooses by itself may not send to cold back ends: a cold back end warms
 # up within seconds, and a granting node is found again within tenths of one.
@@ -124,7 +124,7 @@
 class LocalPlacement(Placement):
     """Chooses by this node's own picture of the load."""
 
-    def __init__(self, choice: BackendChoice) -> None:
+    def __init__(self, choice: BackendSelector) -> None:
         self._choice = choice
 
     async def place(self, request: PlacementRequest) -> Placed | None:
@@ -134,7 +134,7 @@
             NoSlotError: all back ends are cold, and this gateway may send nothing there now.
         """
         now = monotonic()
-        state = self._choice.choose(
+        state = self._choice.select(
             request.service,
             now,
             request.excluded,
@@ -143,7 +143,9 @@
         )
         if state is not None:
             return Placed(state, granted=False)
-        if self._choice.usable(request.service, now, request.excluded, residence=request.residence):
+        if self._choice.usable_instances(
+            request.service, now, request.excluded, residence=request.residence
+        ):
             raise NoSlotError(RETRY_AFTER_COLD_S)
         return None
 
--- a/src/wharfcart/routing/request_log.py
+++ b/src/wharfcart/routing/request_log.py
@@ -4,7 +4,7 @@
 from wharfcart.clock import monotonic
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.observability.serving_metrics import ServingMetrics
-from wharfcart.routing.backend_choice import BackendChoice, InstanceState
+from wharfcart.routing.backend_choice import BackendSelector, InstanceState
 from wharfcart.routing.caller_request import CallerRequest
 from wharfcart.routing.eligibility import ExclusionReason
 from wharfcart.routing.placement import Placed
@@ -23,7 +23,7 @@
         metrics: count what becomes of requests.
     """
 
-    def __init__(self, choice: BackendChoice, log: DecisionLog, metrics: ServingMetrics) -> None:
+    def __init__(self, choice: BackendSelector, log: DecisionLog, metrics: ServingMetrics) -> None:
         self._choice = choice
         self._log = log
         self._metrics = metrics
@@ -41,7 +41,7 @@
             sends=progress.sends,
             cold=self._choice.is_cold(state, now),
             load=round(state.load(now), 2),
-            load_age_s=round(min(now - state.others_at, MOST_AGE_S), 2),
+            load_age_s=round(min(now - state.snapshot_at, MOST_AGE_S), 2),
             deadline_left_s=round(request.deadline - now, 3),
         )
 
--- a/src/wharfcart/routing/running_quantile.py
+++ b/src/wharfcart/routing/running_quantile.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 # Each value moves the estimate by at most this part of it.
-STEP = 0.05
+STEP_FRACTION = 0.05
 
 
 @dataclass
@@ -15,14 +15,14 @@
         value: the estimate; the first value observed begins it.
     """
 
-    share: float
-    value: float = 0.0
+    quantile: float
+    estimate: float = 0.0
 
     def observe(self, value: float) -> None:
         """Learn from a value above 0."""
-        if not self.value:
-            self.value = value
-        elif value > self.value:
-            self.value *= 1 + STEP * self.share
+        if not self.estimate:
+            self.estimate = value
+        elif value > self.estimate:
+            self.estimate *= 1 + STEP_FRACTION * self.quantile
         else:
-            self.value *= 1 - STEP * (1 - self.share)
+            self.estimate *= 1 - STEP_FRACTION * (1 - self.quantile)
--- a/src/wharfcart/routing/send_rates.py
+++ b/src/wharfcart/routing/send_rates.py
@@ -8,7 +8,7 @@
 
 DECAY_S = 2.0
 # Rates below this are not worth telling.
-LEAST_RATE = 0.05
+MIN_REPORTED_RATE_PER_S = 0.05
 
 
 @dataclass
@@ -17,7 +17,7 @@
 
     _rates: dict[str, tuple[float, float]] = field(default_factory=dict)  # rate, at
 
-    def sent(self, service: str, now: float) -> None:
+    def record(self, service: str, now: float) -> None:
         """Count one request."""
         self._rates[service] = (self.rate(service, now) + 1 / DECAY_S, now)
 
@@ -29,4 +29,4 @@
     def rates(self, now: float) -> dict[str, float]:
         """Return the rates of all services that are sent to."""
         rates = {service: self.rate(service, now) for service in self._rates}
-        return {service: rate for service, rate in rates.items() if rate >= LEAST_RATE}
+        return {service: rate for service, rate in rates.items() if rate >= MIN_REPORTED_RATE_PER_S}
--- a/src/wharfcart/routing/sender.py
+++ b/src/wharfcart/routing/sender.py
@@ -25,7 +25,7 @@
     HttpConnection,
 )
 from wharfcart.platform import exchanges
-from wharfcart.routing.backend_choice import BackendChoice, InstanceState
+from wharfcart.routing.backend_choice import BackendSelector, InstanceState
 from wharfcart.routing.broken_runs import CrashDetector, InterruptedRun
 from wharfcart.routing.caller_request import AnswerSink, CallerRequest
 from wharfcart.routing.event_stream import EventSplitter
@@ -74,7 +74,7 @@
 
     def __init__(
         self,
-        choice: BackendChoice,
+        choice: BackendSelector,
         placement: Placement,
         pool: ConnectionPool,
         connection_limit: Callable[[str], int],
@@ -122,11 +122,11 @@
         progress.well = True
         progress.told = SendVerdict.UNKNOWN
         # Counted before the connection is made, so that a slot that was granted is seen as taken.
-        use = self._choice.sent(state, monotonic(), request.unread_tokens)
+        use = self._choice.record_sent(state, monotonic(), request.unread_tokens)
         try:
             return await self._connect_and_send(request, sink, progress, state, use, monotonic())
         finally:
-            self._choice.ended(state, use)
+            self._choice.record_finished(state, use)
             self._placement.ended(placed, progress.told)
 
     async def _connect_and_send(
@@ -152,7 +152,9 @@
             self._reach.record_failure(self._region_of(state), instance.instance_id, monotonic())
             self._avoid(state, "connect")
             return NoAnswer(False, "connect")
-        held_back = self._choice.held_back(state, placed_at, monotonic(), request.residence)
+        held_back = self._choice.exclusion_before_send(
+            state, placed_at, monotonic(), request.residence
+        )
         if held_back is not None:
             # Costs no try: nothing was sent, and the back end had no part in it.
             self._pool.release(instance, connection)
@@ -174,7 +176,7 @@
                 return NoAnswer(False, "closed_before_send")
             progress.broke = error.cause.value
             self._turned_out(state, progress, False)
-            if use in state.waiting_since:
+            if use in state.unanswered_since:
                 # Nothing came of it: a kept connection into a region that was cut off since.
                 self._reach.record_failure(
                     self._region_of(state), instance.instance_id, monotonic()
@@ -207,7 +209,7 @@
             request.fingerprint,
             state.instance,
             cause,
-            use not in state.waiting_since,
+            use not in state.unanswered_since,
             ran_s,
         )
         if request.route.repeatable:
@@ -217,7 +219,7 @@
 
     def _turned_out(self, state: InstanceState, progress: RequestProgress, good: bool) -> None:
         progress.told = SendVerdict.GOOD if good else SendVerdict.BAD
-        self._choice.turned_out(state, good, monotonic())
+        self._choice.record_outcome(state, good, monotonic())
 
     async def _exchange(
         self,
@@ -248,18 +250,18 @@
         progress.sends += 1
         sent_at = monotonic()
         head = await self._patiently(request, progress, connection.read_head())
-        self._choice.answered(state, use)
+        self._choice.record_first_byte(state, use)
         self._reach.record_success(self._region_of(state))
         self._placement.answer_begun(request.route.name, monotonic() - sent_at)
         load = exchanges.reported_load(head)
         if load is not None:
-            self._choice.reported(state, load.running, load.waiting, monotonic())
+            self._choice.record_reported_load(state, load.running, load.waiting, monotonic())
         if exchanges.was_not_run(head):
             await connection.read_body()
             progress.sends -= 1
             progress.refusals += 1
             if head.status == STATUS_UNAVAILABLE:
-                self._choice.full(state, monotonic())
+                self._choice.record_full(state, monotonic())
             return NoAnswer(False, f"refused_{head.status}")
         if not exchanges.is_signed(head) and head.status < 300:
             raise ConnectionBrokenError("answer is not signed")
@@ -339,7 +341,9 @@
         route = request.route
         if not route.repeatable or progress.sends >= route.most_backends:
             return None
-        accepting = self._choice.accepting(request.service, monotonic(), request.residence)
+        accepting = self._choice.accepting_instances(
+            request.service, monotonic(), request.residence
+        )
         others = len(accepting) - len(progress.tried)
         if others < 2:
             return None
@@ -362,7 +366,7 @@
         return self._choice.eligibility.topology.region(state.instance.zone)
 
     def _avoid(self, state: InstanceState, cause: str) -> None:
-        seconds = self._choice.failed(state, monotonic())
+        seconds = self._choice.record_failure(state, monotonic())
         self._told.avoided(state, cause, seconds)
 
 
--- a/src/wharfcart/routing/spreading.py
+++ b/src/wharfcart/routing/spreading.py
@@ -34,7 +34,7 @@
     return level + (amount - room) / width
 
 
-def draw_below(
+def pick_below(
     loads: Sequence[float], slots: Sequence[int], level: float, rng: RandomSource
 ) -> int:
     """Return the index of a back end, drawn by the room that each has below a level.
--- a/src/wharfcart/slots/fleet_load.py
+++ b/src/wharfcart/slots/fleet_load.py
@@ -1,7 +1,7 @@
 """The load of all back ends as the granting nodes tell it, for a gateway's own choices."""
 
 from wharfcart.clock import monotonic
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_choice import BackendSelector
 from wharfcart.slots.picture import BackendLoad, SlotPicture
 from wharfcart.slots.session import SlotNewsTaker
 
@@ -9,7 +9,7 @@
 class FleetLoad(SlotNewsTaker):
     """Hands pictures of the load to a choice."""
 
-    def __init__(self, choice: BackendChoice) -> None:
+    def __init__(self, choice: BackendSelector) -> None:
         self._choice = choice
         self._rates_by_group: dict[int, dict[str, float]] = {}
         self._named_by_group: dict[int, set[str]] = {}
@@ -24,10 +24,12 @@
             self._take(load, now)
         self._named_by_group[group] = named
         self._rates_by_group[group] = picture.sends_per_s
-        self._choice.rates_told(self._total_rates(), now)
+        self._choice.rates_received(self._total_rates(), now)
 
     def _take(self, load: BackendLoad, now: float) -> None:
-        self._choice.load_told(load.instance_id, load.in_use, load.unread_tokens, load.avoided, now)
+        self._choice.load_received(
+            load.instance_id, load.in_use, load.unread_tokens, load.avoided, now
+        )
 
     def _total_rates(self) -> dict[str, float]:
         total: dict[str, float] = {}
--- a/src/wharfcart/slots/granted_placement.py
+++ b/src/wharfcart/slots/granted_placement.py
@@ -8,7 +8,7 @@
 from wharfcart.cluster.topology import Distance
 from wharfcart.configuration.residence import Residence
 from wharfcart.observability.decisions import Counter
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_choice import BackendSelector
 from wharfcart.routing.placement import (
     LocalPlacement,
     NoSlotError,
@@ -57,7 +57,7 @@
 
     def __init__(
         self,
-        choice: BackendChoice,
+        choice: BackendSelector,
         sessions: SlotSessions,
         distance: Callable[[int], Distance],
         connected: Callable[[], Collection[str]],
@@ -134,7 +134,7 @@
             session=session.key,
             number=session.new_number(),
             service=request.service,
-            in_time_until=request.in_time_until - self._first_byte_s(request.route_name).value,
+            in_time_until=request.in_time_until - self._first_byte_s(request.route_name).estimate,
             leave_at=request.leave_at,
             manner=manner,
             affinity_key=request.affinity_key,
@@ -170,8 +170,8 @@
         state = self._choice.state(grant.instance_id)
         if (
             state is None
-            or self._choice.ruled_out(state, asked.residence)
-            or state.failed_lately(monotonic())
+            or self._choice.exclusion_reason(state, asked.residence)
+            or state.has_failed_recently(monotonic())
         ):
             session.release(slot.number)
             return None
--- a/src/wharfcart/slots/granter.py
+++ b/src/wharfcart/slots/granter.py
@@ -13,7 +13,7 @@
 
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.residence import ANYWHERE, Residence
-from wharfcart.routing.backend_choice import BackendChoice, InstanceState, by_affinity
+from wharfcart.routing.backend_choice import BackendSelector, InstanceState, select_by_affinity
 from wharfcart.routing.send_rates import SendRates
 from wharfcart.slots.events import (
     BackendBlamed,
@@ -99,7 +99,7 @@
         leads_surely: whether no other node can grant yet.
     """
 
-    choice: BackendChoice
+    choice: BackendSelector
     owns: Callable[[BackendInstance], bool]
     leads_surely: Callable[[], bool] = lambda: True
     _ledger: SlotLedger = field(default_factory=SlotLedger)
@@ -226,7 +226,7 @@
     def _take(self, event: SlotTaken, now: float) -> None:
         state = self.choice.state(event.use.instance_id)
         if state is not None:
-            self._rates.sent(state.instance.service, now)
+            self._rates.record(state.instance.service, now)
         self._ledger.take(event.session, event.use, now)
 
     def _release(self, event: SlotReleased, now: float) -> None:
@@ -244,7 +244,7 @@
         if verdict is Verdict.BAD:
             self._room.look_anew()
         if state is not None and verdict is not Verdict.UNKNOWN:
-            self.choice.turned_out(state, verdict is Verdict.GOOD, now)
+            self.choice.record_outcome(state, verdict is Verdict.GOOD, now)
 
     # ---- online requests ----
 
@@ -287,14 +287,14 @@
         use = SlotUse(asked.number, state.instance.instance_id, asked.unread_tokens)
         self._room.granted(use.instance_id)
         self._ledger.take(asked.session, use, now)
-        self._rates.sent(asked.service, now)
+        self._rates.record(asked.service, now)
         instructions.append(Granted(asked.session, asked.number, use.instance_id))
         return instructions
 
     def _best(self, asked: SlotAsked, candidates: list[InstanceState], now: float) -> InstanceState:
         """Return where a request goes: a free slot, then one that an item gives up, then any."""
         if asked.affinity_key:
-            return by_affinity(
+            return select_by_affinity(
                 self._room.warm_with_room(candidates, now) or candidates,
                 asked.affinity_key,
                 lambda state: self._room.load_without_items(state, now),
--- a/src/wharfcart/slots/service.py
+++ b/src/wharfcart/slots/service.py
@@ -29,7 +29,7 @@
 from wharfcart.configuration.serving import RequestLimit
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.observability.serving_metrics import Gauge
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_choice import BackendSelector
 from wharfcart.slots.events import (
     Granted,
     HolderId,
@@ -119,7 +119,7 @@
     def __init__(
         self,
         group: int,
-        choice: BackendChoice,
+        choice: BackendSelector,
         owns: Callable[[BackendInstance], bool],
         distance: Callable[[str], Distance],
         log: DecisionLog,
--- a/src/wharfcart/slots/sessions.py
+++ b/src/wharfcart/slots/sessions.py
@@ -10,7 +10,7 @@
 from wharfcart.configuration.residence import ANYWHERE, Residence
 from wharfcart.observability.decisions import DecisionLog
 from wharfcart.observability.tasks import BackgroundTasks
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_choice import BackendSelector
 from wharfcart.slots.events import HolderId, SilenceChanged
 from wharfcart.slots.picture import ServiceRoom
 from wharfcart.slots.session import HeardUsage, SlotNewsTaker, SlotSession
@@ -46,7 +46,7 @@
     def __init__(
         self,
         holder: HolderId,
-        choice: BackendChoice,
+        choice: BackendSelector,
         transport: Transport,
         groups: Callable[[], int],
         address: Callable[[int], Address | None],
@@ -222,7 +222,7 @@
 
     def _tell_silence(self) -> None:
         """Tell of back ends that keep a request waiting too long, and of those that spoke again."""
-        silent = self._choice.silent_instances(monotonic())
+        silent = self._choice.unresponsive_instances(monotonic())
         for instance_id in silent ^ self._silent:
             self._tell_silence_of(instance_id, instance_id in silent)
         for group, session in self.by_group.items():
--- a/src/wharfcart/slots/slot_room.py
+++ b/src/wharfcart/slots/slot_room.py
@@ -11,7 +11,7 @@
 
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.residence import Residence
-from wharfcart.routing.backend_choice import TOKENS_A_FULL_LOAD, BackendChoice, InstanceState
+from wharfcart.routing.backend_choice import UNREAD_TOKENS_PER_LOAD, BackendSelector, InstanceState
 from wharfcart.routing.cold_rates import ColdBuckets, granted_rate
 from wharfcart.slots.ledger import SlotLedger, TakenSlot
 from wharfcart.slots.picture import BackendLoad
@@ -36,7 +36,7 @@
         ledger: what is taken.
     """
 
-    choice: BackendChoice
+    choice: BackendSelector
     owns: Callable[[BackendInstance], bool]
     leads_surely: Callable[[], bool]
     ledger: SlotLedger
@@ -58,12 +58,16 @@
         left = [state for state in usable if state.instance.instance_id not in excluded]
         if left:
             return left
-        return self.choice.usable(service, now, excluded, self.owns, self._is_silent, residence)
+        return self.choice.usable_instances(
+            service, now, excluded, self.owns, self._is_silent, residence
+        )
 
     def _usable_in(self, service: str, residence: Residence, now: float) -> list[InstanceState]:
         looked_at, usable = self._usable.get((service, residence), (-USABLE_KEPT_S, []))
         if now - looked_at >= USABLE_KEPT_S:
-            usable = self.choice.usable(service, now, (), self.owns, self._is_silent, residence)
+            usable = self.choice.usable_instances(
+                service, now, (), self.owns, self._is_silent, residence
+            )
             self._usable[service, residence] = (now, usable)
         return usable
 
@@ -125,7 +129,7 @@
 
     def fill_cold_buckets(self, now: float) -> None:
         """Have the buckets of cold back ends fill from the time on at which they turned cold."""
-        cold = [state for state in self.choice.cold_states(now) if self.owns(state.instance)]
+        cold = [state for state in self.choice.cold_instances(now) if self.owns(state.instance)]
         self._cold_buckets.retain({state.instance.instance_id for state in cold})
         for state in cold:
             self._bears_one_more(state, now)
@@ -168,7 +172,7 @@
         distance = self.choice.distance_cost(zone, state.instance.zone) if zone else 0.0
         unread = self.ledger.unread_tokens(state.instance.instance_id, now)
         cold = COLD_COST if self.choice.is_cold(state, now) else 0.0
-        return self._load(state) + distance + unread / TOKENS_A_FULL_LOAD + cold
+        return self._load(state) + distance + unread / UNREAD_TOKENS_PER_LOAD + cold
 
     def load_of(self, state: InstanceState, now: float) -> BackendLoad:
         """Return what holders are told of a back end."""
@@ -182,7 +186,7 @@
 
     def is_avoided(self, state: InstanceState, now: float) -> bool:
         """Whether failures or silence speak against a back end, as far as anybody told."""
-        return state.avoided(now) or self._is_silent(state.instance.instance_id)
+        return state.should_avoid(now) or self._is_silent(state.instance.instance_id)
 
     def _is_silent(self, instance_id: str) -> bool:
         """Whether a back end answers nobody although it has a slot free.
--- a/tests/batch/test_job_execution.py
+++ b/tests/batch/test_job_execution.py
@@ -30,7 +30,7 @@
 )
 from wharfcart.observability.decisions import DecisionLog
 from wharfcart.observability.serving_metrics import ServingMetrics
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_choice import BackendSelector
 from wharfcart.routing.eligibility import Eligibility
 from wharfcart.slots.events import (
     HolderId,
@@ -62,7 +62,7 @@
 class Runner:
     """Items run until they are cancelled or fail."""
 
-    def __init__(self, choice: BackendChoice) -> None:
+    def __init__(self, choice: BackendSelector) -> None:
         self._choice = choice
         self.running: dict[str, str] = {}  # item to back end
         self._failed: dict[str, asyncio.Event] = {}
@@ -74,7 +74,7 @@
         finally:
             del self.running[send.item.item_id]
             del self._failed[send.item.item_id]
-            self._choice.ended(send.state, send.use)
+            self._choice.record_finished(send.state, send.use)
         return RunOutcome.FAILED
 
     def fail(self, item_id: str) -> None:
@@ -85,7 +85,7 @@
 class GrantedSlots(ItemSlots):
     """Slots of a granter in the same process."""
 
-    def __init__(self, choice: BackendChoice) -> None:
+    def __init__(self, choice: BackendSelector) -> None:
         super().__init__()
         self.granter = SlotGranter(choice, lambda _instance: True)
         self._offers: Counter[Residence] = Counter()
@@ -171,7 +171,7 @@
     """A job execution before back ends that run items for ever."""
 
     def __init__(self, servers: int = 1, slots: int = 4, zones: str = "") -> None:
-        self.choice = BackendChoice("z", Random(1), Eligibility(TOPOLOGY))
+        self.choice = BackendSelector("z", Random(1), Eligibility(TOPOLOGY))
         for n in range(servers):
             zone = zones[n] if zones else "z"
             self.choice.put(BackendInstance(f"i{n}", "s", "127.0.0.1", 1, zone, slots, True))
--- a/tests/node/test_backend_news.py
+++ b/tests/node/test_backend_news.py
@@ -7,14 +7,14 @@
 from wharfcart.cluster.coordination import Change
 from wharfcart.node.backend_news import BackendNews
 from wharfcart.observability.decisions import DecisionLog, Event
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_choice import BackendSelector
 
 
 class Node:
     """What one node knows of back ends."""
 
     def __init__(self) -> None:
-        self.choice = BackendChoice("z", Random(1))
+        self.choice = BackendSelector("z", Random(1))
         self.pool = mock.Mock()
         self.log = mock.Mock(spec=DecisionLog)
         self.news = BackendNews(self.choice, self.pool, lambda: False, lambda: 0.0, self.log)
@@ -31,7 +31,7 @@
         return [call.args[0] for call in self.log.write.call_args_list]
 
     def chosen(self) -> str | None:
-        state = self.choice.choose("s", 0.0)
+        state = self.choice.select("s", 0.0)
         return None if state is None else state.instance.instance_id
 
 
@@ -40,12 +40,12 @@
     node.take(born=1_000)
     before = node.choice.state("a")
     assert before is not None
-    node.choice.sent(before, 0.0)
-    node.choice.failed(before, 0.0)
+    node.choice.record_sent(before, 0.0)
+    node.choice.record_failure(before, 0.0)
     node.take(born=5_000)
     state = node.choice.state("a")
     assert state is not None and state is not before
-    assert (state.in_flight, state.failures, state.waiting_since) == (0, 0, {})
+    assert (state.in_flight, state.failures, state.unanswered_since) == (0, 0, {})
     node.pool.drop_instance.assert_called_once_with("a")
     assert Event.BACKEND_RESTARTED in node.logged()
     assert node.chosen() == "a"
--- a/tests/node/test_serving_node.py
+++ b/tests/node/test_serving_node.py
@@ -114,7 +114,9 @@
 
 
 def accepting(node: ServingNode) -> list[str]:
-    return [state.instance.instance_id for state in node.choice.accepting("lm", monotonic())]
+    return [
+        state.instance.instance_id for state in node.choice.accepting_instances("lm", monotonic())
+    ]
 
 
 def test_a_zone_is_emptied_in_the_step_in_which_the_order_comes_until_it_is_taken_back() -> None:
@@ -145,9 +147,9 @@
     node._on_changes(node.mirror.apply(listing))
     assert accepting(node) == ["i-a"]
     # It may have turned cold before: its entry is older than the order's end.
-    assert len(node.choice.cold_states(monotonic())) == 1
+    assert len(node.choice.cold_instances(monotonic())) == 1
     node._on_changes([in_zone(10, "a", "i-a")])
-    assert not node.choice.cold_states(monotonic())
+    assert not node.choice.cold_instances(monotonic())
 
 
 def test_an_emptied_zone_is_told_to_be_quiet_once_nothing_of_this_node_runs_there() -> None:
@@ -155,11 +157,11 @@
     node._on_changes([in_zone(1, "a", "i-a")])
     state = node.choice.state("i-a")
     assert state is not None
-    use = node.choice.sent(state, monotonic())
+    use = node.choice.record_sent(state, monotonic())
     node._on_changes([order("a", 2)])
     node._evacuations.look(monotonic())
     assert b'in_flight{zone="a"} 1.0' in node.metrics.render()
-    node.choice.ended(state, use)
+    node.choice.record_finished(state, use)
     for _ in range(2):
         node._evacuations.look(monotonic())
     assert [event for event, _ in log.lines].count(Event.EVACUATION_QUIET) == 1
@@ -171,6 +173,6 @@
     node.choice.cold.limits = {"lm": ColdLimit(4.0, 3.0)}
     node._on_changes([in_zone(1, "a", "i-a", cold_ms=60_000)])
     assert log.lines[-1][0] is Event.BACKEND_COLD
-    assert len(node.choice.cold_states(monotonic())) == 1
+    assert len(node.choice.cold_instances(monotonic())) == 1
     node._on_changes([in_zone(2, "a", "i-a")])
-    assert not node.choice.cold_states(monotonic())
+    assert not node.choice.cold_instances(monotonic())
--- a/tests/routing/test_cold_rates.py
+++ b/tests/routing/test_cold_rates.py
@@ -4,39 +4,39 @@
 
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.serving import ColdLimit
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_choice import BackendSelector
 from wharfcart.routing.cold_rates import GATEWAYS_PER_BACKEND, LocalColdShares
 
 LIMIT = ColdLimit(20.0, 3.0)
 
 
-def cold_selector(cold_for_s: float = 60.0, warm_slots: int = 2) -> BackendChoice:
-    choice = BackendChoice("z", Random(1))
+def cold_selector(cold_for_s: float = 60.0, warm_slots: int = 2) -> BackendSelector:
+    choice = BackendSelector("z", Random(1))
     choice.cold.limits = {"s": LIMIT}
-    choice.own_cold_shares = LocalColdShares("g", lambda: 1)
+    choice.local_cold_shares = LocalColdShares("g", lambda: 1)
     choice.put(BackendInstance("warm", "s", "h", 1, "z", warm_slots, True))
     choice.put(BackendInstance("cold", "s", "h", 1, "z", 8, True, cold_for_s))
     return choice
 
 
-def select_and_send(choice: BackendChoice, now: float) -> str:
-    state = choice.choose("s", now)
+def select_and_send(choice: BackendSelector, now: float) -> str:
+    state = choice.select("s", now)
     if state is None:
         return ""
-    choice.answered(state, choice.sent(state, now))
+    choice.record_first_byte(state, choice.record_sent(state, now))
     return state.instance.instance_id
 
 
 def test_cold_period_starts_when_the_report_arrives() -> None:
     choice = cold_selector(cold_for_s=3.0)
-    assert [state.instance.instance_id for state in choice.cold_states(2.9)] == ["cold"]
-    assert not choice.cold_states(3.0)
+    assert [state.instance.instance_id for state in choice.cold_instances(2.9)] == ["cold"]
+    assert not choice.cold_instances(3.0)
 
 
 def test_nothing_is_cold_in_a_service_without_a_limit() -> None:
     choice = cold_selector()
     choice.cold.limits = {}
-    assert not choice.cold_states(1.0)
+    assert not choice.cold_instances(1.0)
 
 
 def test_local_choice_uses_a_cold_back_end_when_warm_ones_are_full() -> None:
--- a/tests/routing/test_forwarder_residence.py
+++ b/tests/routing/test_forwarder_residence.py
@@ -15,7 +15,7 @@
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.observability.serving_metrics import ServingMetrics
 from wharfcart.platform.exchanges import RequestFacts
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_choice import BackendSelector
 from wharfcart.routing.broken_runs import CrashDetector
 from wharfcart.routing.caller_request import CallerRequest
 from wharfcart.routing.eligibility import Eligibility
@@ -86,7 +86,7 @@
     """A forwarder before one back end in the west."""
 
     def __init__(self, pool: RecordingPool | None = None) -> None:
-        self.choice = BackendChoice("w1", Random(1), Eligibility(TOPOLOGY))
+        self.choice = BackendSelector("w1", Random(1), Eligibility(TOPOLOGY))
         self.choice.put(BackendInstance("i", "s", "127.0.0.1", 1, "w1", 4, True))
         self.pool = pool or RecordingPool()
         self.log = RecordingLog()
--- a/tests/routing/test_leaving_for_back_end.py
+++ b/tests/routing/test_leaving_for_back_end.py
@@ -21,7 +21,7 @@
 from wharfcart.platform import exchanges
 from wharfcart.platform.exchanges import RequestFacts
 from wharfcart.routing import sender
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_choice import BackendSelector
 from wharfcart.routing.broken_runs import CrashDetector
 from wharfcart.routing.caller_request import CallerRequest
 from wharfcart.routing.cold_rates import PERMIT_TTL_S
@@ -69,7 +69,7 @@
 class RecordingPlacement(LocalPlacement):
     """Notes which places were given back, and what was told of them."""
 
-    def __init__(self, choice: BackendChoice) -> None:
+    def __init__(self, choice: BackendSelector) -> None:
         super().__init__(choice)
         self.ends: list[tuple[str, SendVerdict]] = []
 
@@ -81,7 +81,7 @@
     """A forwarder before three servers, each in a zone of its own."""
 
     def __init__(self) -> None:
-        self.choice = BackendChoice("a", Random(1))
+        self.choice = BackendSelector("a", Random(1))
         self.servers = {zone: ModelServer(zone, 0, 0.0) for zone in ZONES}
         self.connected: list[str] = []
         self.on_connected: Callable[[BackendInstance], Awaitable[None]] = self._nothing
@@ -151,7 +151,7 @@
         state = self.choice.state(zone)
         assert state is not None
         runner = ItemRunner(self.choice, self.pool, lambda _service: 8, self.broken_runs)
-        use = self.choice.sent(state, monotonic())
+        use = self.choice.record_sent(state, monotonic())
         progress = ItemProgress(RunningText("j"))
         item = RequestItem(item_id="q", path="/x")
         return await runner.run(ItemSend(item, "h", "", state, use, progress, monotonic() + 9.0))
--- a/tests/slots/network.py
+++ b/tests/slots/network.py
@@ -17,7 +17,7 @@
 from wharfcart.experiments.virtual_time import run_virtually, virtual_clock
 from wharfcart.observability.decisions import DecisionLog
 from wharfcart.observability.serving_metrics import ServingMetrics
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_choice import BackendSelector
 from wharfcart.routing.placement import PlacementRequest
 from wharfcart.slots.events import HolderId
 from wharfcart.slots.fleet_load import FleetLoad
@@ -44,7 +44,9 @@
 class Node:
     """A node that may grant slots of groups."""
 
-    def __init__(self, number: int, choice: BackendChoice, limits: dict[str, RequestLimit]) -> None:
+    def __init__(
+        self, number: int, choice: BackendSelector, limits: dict[str, RequestLimit]
+    ) -> None:
         self.address = Address("node", number)
         self.unsure = False  # another one may lead by now
         self.choice = choice
@@ -231,8 +233,8 @@
         self.tasks = [asyncio.create_task(node.service.run()) for node in self.nodes]
         self.holders: dict[str, Holder] = {}
 
-    def new_choice(self, zone: str = "z") -> BackendChoice:
-        choice = BackendChoice(zone, self.rng)
+    def new_choice(self, zone: str = "z") -> BackendSelector:
+        choice = BackendSelector(zone, self.rng)
         for n in range(self.servers):
             choice.put(BackendInstance(f"i{n}", "s", "127.0.0.1", 1, "z", self.slots, True))
         return choice
--- a/tests/slots/test_cold_granting.py
+++ b/tests/slots/test_cold_granting.py
@@ -4,7 +4,7 @@
 
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.serving import ColdLimit
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_choice import BackendSelector
 from wharfcart.routing.cold_rates import GRANTED_SHARE, UNCONFIRMED_SHARE
 from wharfcart.slots.events import (
     Granted,
@@ -39,7 +39,7 @@
         self.sure = True
         self.number = 0
         self.offers = 0
-        self.choice = BackendChoice("z", Random(1))
+        self.choice = BackendSelector("z", Random(1))
         self.choice.cold.limits = {"s": ColdLimit(RATE, 60.0)}
         for n in range(warm):
             self.choice.put(BackendInstance(f"w{n}", "s", "h", 1, "z", slots, True))
--- a/tests/slots/test_cold_property.py
+++ b/tests/slots/test_cold_property.py
@@ -10,7 +10,7 @@
 
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.serving import ColdLimit
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_choice import BackendSelector
 from wharfcart.routing.cold_rates import PERMIT_TTL_S, LocalColdShares
 from wharfcart.slots.events import (
     Granted,
@@ -84,9 +84,9 @@
         self.sessions = {name: SessionKey(HolderId(name), 1) for name in names}
         self.lead_anew()
 
-    def _choice(self, name: str, names: list[str]) -> BackendChoice:
-        choice = BackendChoice("z", Random(1))
-        choice.own_cold_shares = LocalColdShares(name, lambda: len(names)) if name else None
+    def _choice(self, name: str, names: list[str]) -> BackendSelector:
+        choice = BackendSelector("z", Random(1))
+        choice.local_cold_shares = LocalColdShares(name, lambda: len(names)) if name else None
         choice.cold.limits = {"s": ColdLimit(self.rate, 3.0)}
         return choice
 
@@ -147,10 +147,10 @@
                     self._arrives(told.instance_id, segment)
             granter.handle(SlotReleased(session, number), self.now)
 
-    def _choose_all(self, choice: BackendChoice, segment: Segment) -> None:
+    def _choose_all(self, choice: BackendSelector, segment: Segment) -> None:
         for name in segment.cold:
             others = frozenset(SERVERS) - {name}
-            while (state := choice.choose("s", self.now, others)) is not None:
+            while (state := choice.select("s", self.now, others)) is not None:
                 self._arrives(state.instance.instance_id, segment)
 
     def _arrives(self, name: str, segment: Segment) -> None:
--- a/tests/slots/test_emptied_zones.py
+++ b/tests/slots/test_emptied_zones.py
@@ -8,7 +8,7 @@
 from tests.slots.network import SETTLE_S, Fleet, play, request
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.serving import ColdLimit
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_choice import BackendSelector
 from wharfcart.routing.cold_rates import LocalColdShares
 from wharfcart.routing.placement import NoSlotError, Placed, SendVerdict
 from wharfcart.slots.events import LeaveCause
@@ -20,7 +20,7 @@
 ZONES = {"i0": "a", "i1": "b", "i2": "c"}
 
 
-def choices(fleet: Fleet) -> list[BackendChoice]:
+def choices(fleet: Fleet) -> list[BackendSelector]:
     return [
         *(node.choice for node in fleet.nodes),
         *(holder.choice for holder in fleet.holders.values()),
@@ -35,7 +35,7 @@
             choice.put(entry, now)
 
 
-def empty(known_to: Iterable[BackendChoice], *zones: str) -> None:
+def empty(known_to: Iterable[BackendSelector], *zones: str) -> None:
     for choice in known_to:
         choice.eligibility.evacuated_zones = frozenset(zones)
 
@@ -123,7 +123,7 @@
         began_at = asyncio.get_running_loop().time()
         assert await gateway.placement.place(request(9.0)) is None
         assert asyncio.get_running_loop().time() - began_at < 0.1
-        assert gateway.choice.is_all_evacuated("s")
+        assert gateway.choice.is_fully_evacuated("s")
 
     play(scenario, servers=3, slots=4)
 
@@ -209,7 +209,7 @@
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
         bear_cold(fleet, 4.0)
-        gateway.choice.own_cold_shares = LocalColdShares("g1", lambda: 1)
+        gateway.choice.local_cold_shares = LocalColdShares("g1", lambda: 1)
         put_in_zones(fleet, cold_for_s=60.0)
         fleet.network.dark.add(fleet.leader.address)
         sent = 0
@@ -243,7 +243,7 @@
             for name, zone in ZONES.items():
                 entry = BackendInstance(name, "s", "127.0.0.1", 1, zone, 8, True)
                 choice.put(entry, now, revision=51 if heard else 49)
-        assert len(gateway.choice.cold_states(now)) == (0 if heard else 3)
-        assert not gateway.choice.cold_states(now + 3.0)
+        assert len(gateway.choice.cold_instances(now)) == (0 if heard else 3)
+        assert not gateway.choice.cold_instances(now + 3.0)
 
     play(scenario, servers=3, slots=8)
--- a/tests/slots/test_far_regions.py
+++ b/tests/slots/test_far_regions.py
@@ -39,7 +39,7 @@
         for n in range(5):
             state = fleet.leader.choice.state(f"i{n % 2}")
             assert state is not None
-            fleet.leader.choice.failed(state, asyncio.get_running_loop().time())
+            fleet.leader.choice.record_failure(state, asyncio.get_running_loop().time())
             await asyncio.sleep(2 * PICTURE_ABROAD_S / 5)
         told = fleet.network.pictures_by_holder - before
         assert told["far"] <= 3
@@ -79,9 +79,9 @@
         now = asyncio.get_running_loop().time()
         chosen = []
         for _ in range(6):
-            state = choice.choose("t", now)
+            state = choice.select("t", now)
             assert state is not None
-            choice.sent(state, now)
+            choice.record_sent(state, now)
             chosen.append(state.instance.instance_id)
         assert chosen[:4] == ["near-2"] * 4
         assert "far" in chosen[4:]
--- a/tests/slots/test_granter.py
+++ b/tests/slots/test_granter.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from wharfcart.configuration.instances import BackendInstance
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_choice import BackendSelector
 from wharfcart.slots.events import (
     BackendBlamed,
     Granted,
@@ -50,7 +50,7 @@
     """A granter, time and numbers."""
 
     def __init__(self, *names: str, slots: int = 2, zones: str = "", owns: str = "") -> None:
-        self.choice = BackendChoice("z", Random(1))
+        self.choice = BackendSelector("z", Random(1))
         for n, name in enumerate(names):
             zone = zones[n] if zones else "z"
             self.choice.put(BackendInstance(name, "s", "127.0.0.1", 1, zone, slots, True))
--- a/tests/slots/test_granter_residence.py
+++ b/tests/slots/test_granter_residence.py
@@ -5,7 +5,7 @@
 from wharfcart.cluster.topology import RegionName, Topology
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.residence import ANYWHERE, Residence, residence_in
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_choice import BackendSelector
 from wharfcart.routing.eligibility import Eligibility
 from wharfcart.slots.events import (
     Granted,
@@ -44,7 +44,7 @@
     """A granter before one back end in each of two regions."""
 
     def __init__(self, slots: int = 1) -> None:
-        choice = BackendChoice("n1", Random(1), Eligibility(TOPOLOGY))
+        choice = BackendSelector("n1", Random(1), Eligibility(TOPOLOGY))
         for zone in TOPOLOGY.region_by_zone:
             choice.put(BackendInstance(f"in-{zone}", "s", "127.0.0.1", 1, zone, slots, True))
         self.granter = SlotGranter(choice, lambda _instance: True)
--- a/tests/slots/test_sessions.py
+++ b/tests/slots/test_sessions.py
@@ -241,13 +241,13 @@
     async def scenario(fleet: Fleet) -> None:
         first, second = await fleet.gateway("g1"), await fleet.gateway("g2")
         loop = asyncio.get_running_loop()
-        first.choice.sent(first.choice.state("i0"), loop.time() - 1.0)
+        first.choice.record_sent(first.choice.state("i0"), loop.time() - 1.0)
         await asyncio.sleep(0.1)
         placed = [await second.placement.place(request()) for _ in range(2)]
         assert list(map(name_of, placed)) == ["i1", "i1"]
         # Told with the next picture, which an avoided back end brings about.
         await asyncio.sleep(0.1)
-        assert second.choice.state("i0").avoided(loop.time())
+        assert second.choice.state("i0").should_avoid(loop.time())
 
     play(scenario)
 
@@ -259,7 +259,7 @@
             placed = await first.placement.place(request(excluded=frozenset({"i1"})))
             first.placement.ended(placed, SendVerdict.BAD)
         await asyncio.sleep(0.1)
-        assert second.choice.state("i0").avoided(asyncio.get_running_loop().time())
+        assert second.choice.state("i0").should_avoid(asyncio.get_running_loop().time())
 
     play(scenario)
 
@@ -443,8 +443,8 @@
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
         for state in gateway.choice.states():
-            gateway.choice.load_told(state.instance.instance_id, 0, 0, True, state.others_at)
-            state.others_at = asyncio.get_running_loop().time()
+            gateway.choice.load_received(state.instance.instance_id, 0, 0, True, state.snapshot_at)
+            state.snapshot_at = asyncio.get_running_loop().time()
         placed = await gateway.placement.place(request())
         assert placed is not None and placed.granted
 
@@ -455,7 +455,7 @@
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
         for state in gateway.choice.states():
-            gateway.choice.failed(state, asyncio.get_running_loop().time())
+            gateway.choice.record_failure(state, asyncio.get_running_loop().time())
         placed = await gateway.placement.place(request())
         assert placed is not None and not placed.granted
         await asyncio.sleep(SETTLE_S)
