--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -85,26 +85,26 @@
     Ablation(
         "affinity",
         "routing/backend_choice.py",
-        "AFFINITY_TOKENS = 1000",
-        "AFFINITY_TOKENS = 10**9",
+        "MIN_AFFINITY_TOKENS = 1000",
+        "MIN_AFFINITY_TOKENS = 10**9",
     ),
     Ablation(
         "hedges",
         "routing/sender.py",
-        "if not self._hedges.available:",
+        "if not self._hedge_budget.can_hedge:",
         "if True:",
     ),
     Ablation(
         "outcome record",
         "routing/outcome_record.py",
-        "return bad >= FEWEST_FAILURES and bad / (good + bad) >= SUSPECT_SHARE",
+        "return failures >= MIN_FAILURES and failures / (successes + failures) >= FAILING_SHARE",
         "return False",
     ),
     Ablation(
         "silence",
         "routing/backend_choice.py",
-        "SILENT_AFTER_S = 0.35",
-        "SILENT_AFTER_S = 1e9",
+        "FIRST_BYTE_TIMEOUT_S = 0.35",
+        "FIRST_BYTE_TIMEOUT_S = 1e9",
     ),
     Ablation(
         "short silence of a leader",
--- a/src/wharfcart/batch/item_run.py
+++ b/src/wharfcart/batch/item_run.py
@@ -245,4 +245,4 @@
                 if last_event is not None and event.number > last_event + 1:
                     return RunOutcome.BROKEN
                 progress.text.add(event.number, event.data)
-        return RunOutcome.BROKEN if splitter.rest else RunOutcome.SUCCEEDED
+        return RunOutcome.BROKEN if splitter.remainder else RunOutcome.SUCCEEDED
--- a/src/wharfcart/experiments/simulated_slots.py
+++ b/src/wharfcart/experiments/simulated_slots.py
@@ -36,7 +36,7 @@
 from wharfcart.observability.decisions import DecisionLog
 from wharfcart.observability.serving_metrics import ServingMetrics
 from wharfcart.routing.backend_choice import BackendSelector, InstanceState
-from wharfcart.routing.placement import NoSlotError, PlacementRequest, SendVerdict
+from wharfcart.routing.placement import NoSlotError, PlacementRequest, SendResult
 from wharfcart.slots.asking_order import Step
 from wharfcart.slots.events import HolderId
 from wharfcart.slots.fleet_load import FleetLoad
@@ -264,8 +264,8 @@
             unread_tokens=prompt_tokens,
             request_id=request_id,
             route_name="online",
-            in_time_until=began_at + objective_s,
-            leave_at=began_at + 1.0,
+            start_deadline=began_at + objective_s,
+            queue_deadline=began_at + 1.0,
             priority=0,
         )
         try:
@@ -281,13 +281,13 @@
         def on_event() -> None:
             if not first_s:
                 choice.record_first_byte(state, use)
-                placement.answer_begun("online", virtual_monotonic() - sent_at)
+                placement.first_byte_received("online", virtual_monotonic() - sent_at)
                 first_s.append(virtual_monotonic() - began_at)
 
         await asyncio.sleep(ONE_WAY_S)
         await self._servers[state.instance.instance_id].run(prompt_tokens, events, on_event)
         choice.record_finished(state, use)
-        placement.ended(placed, SendVerdict.GOOD)
+        placement.send_finished(placed, SendResult.BACKEND_OK)
         return first_s[0]
 
     def submit(
--- a/src/wharfcart/gateway/ingress.py
+++ b/src/wharfcart/gateway/ingress.py
@@ -18,7 +18,7 @@
 from wharfcart.gateway.traffic_shares import TrafficSplitter
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.platform import exchanges, names
-from wharfcart.routing.caller_request import AnswerCutError, CallerRequest
+from wharfcart.routing.caller_request import AnswerTruncatedError, CallerRequest
 from wharfcart.routing.forwarder import Forwarder
 
 METHODS = ("GET", "POST", "PUT", "DELETE", "PATCH", "HEAD", "OPTIONS")
@@ -64,7 +64,7 @@
         self._response: Any = None
         self.answer: HTTPResponse | None = None
 
-    async def whole(self, status: int, headers: list[tuple[str, str]], body: bytes) -> None:
+    async def send_whole(self, status: int, headers: list[tuple[str, str]], body: bytes) -> None:
         self.answer = plain_answer(status, headers, body)
 
     async def start(self, status: int, headers: list[tuple[str, str]]) -> None:
@@ -73,7 +73,7 @@
             response=HTTPResponse(status=status, headers=Header(headers), content_type=None)
         )
 
-    async def send(self, data: bytes) -> None:
+    async def send_part(self, data: bytes) -> None:
         await self._response.send(data)
 
     async def finish(self) -> HTTPResponse | None:
@@ -293,7 +293,7 @@
         sink = _SanicSink(request)
         try:
             await self._forwarder.forward(caller_request, sink)
-        except AnswerCutError:
+        except AnswerTruncatedError:
             sink.cut()
             return None
         if self.draining:
--- a/src/wharfcart/node/gateway_process.py
+++ b/src/wharfcart/node/gateway_process.py
@@ -86,7 +86,7 @@
             self._node.metrics,
             self._node.broken_runs,
         )
-        self._node.suspension_watch.on_resumed = forwarder.deadlines.resumed
+        self._node.suspension_watch.on_resumed = forwarder.deadlines.reschedule_all
         jobs = JobCalls(
             JobClient(
                 self._node.transport,
--- a/src/wharfcart/routing/caller_request.py
+++ b/src/wharfcart/routing/caller_request.py
@@ -83,7 +83,7 @@
 class AnswerSink(Protocol):
     """Where an answer goes. After an error that is raised, the caller's connection is cut."""
 
-    async def whole(self, status: int, headers: list[tuple[str, str]], body: bytes) -> None:
+    async def send_whole(self, status: int, headers: list[tuple[str, str]], body: bytes) -> None:
         """Give a whole answer."""
         ...
 
@@ -91,10 +91,10 @@
         """Begin an answer of unknown length."""
         ...
 
-    async def send(self, data: bytes) -> None:
+    async def send_part(self, data: bytes) -> None:
         """Pass bytes of a begun answer on."""
         ...
 
 
-class AnswerCutError(Exception):
+class AnswerTruncatedError(Exception):
     """A begun answer can't be finished: the caller must see it broken off."""
--- a/src/wharfcart/routing/deadlines.py
+++ b/src/wharfcart/routing/deadlines.py
@@ -15,10 +15,10 @@
     """Limits of the requests of one process."""
 
     def __init__(self) -> None:
-        self._deadline_by_limit: dict[asyncio.Timeout, float] = {}
+        self._deadline_by_timeout: dict[asyncio.Timeout, float] = {}
 
     @asynccontextmanager
-    async def limit(self, deadline: float) -> AsyncIterator[None]:
+    async def enforce(self, deadline: float) -> AsyncIterator[None]:
         """End what runs inside at a deadline.
 
         Args:
@@ -28,15 +28,15 @@
             TimeoutError: it has passed.
         """
         async with asyncio.timeout(deadline - monotonic()) as limit:
-            self._deadline_by_limit[limit] = deadline
+            self._deadline_by_timeout[limit] = deadline
             try:
                 yield
             finally:
-                del self._deadline_by_limit[limit]
+                del self._deadline_by_timeout[limit]
 
-    def resumed(self) -> None:
+    def reschedule_all(self) -> None:
         """Set all timers anew: the machine was suspended."""
         now = asyncio.get_running_loop().time()
-        for limit, deadline in self._deadline_by_limit.items():
+        for limit, deadline in self._deadline_by_timeout.items():
             if not limit.expired():
                 limit.reschedule(now + max(0.0, deadline - monotonic()))
--- a/src/wharfcart/routing/event_stream.py
+++ b/src/wharfcart/routing/event_stream.py
@@ -23,27 +23,27 @@
     """Cuts a byte stream into events; what is not yet whole is kept back."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """Bytes after the last whole event."""
-        return self._rest
+        return self._buffer
 
     def feed(self, data: bytes) -> list[StreamEvent]:
         """Add bytes and return the events that are whole now."""
-        self._rest += data
+        self._buffer += data
         events: list[StreamEvent] = []
         while True:
-            end = self._end()
+            end = self._find_event_end()
             if end < 0:
                 return events
-            raw, self._rest = self._rest[:end], self._rest[end:]
+            raw, self._buffer = self._buffer[:end], self._buffer[end:]
             events.append(_parse(raw))
 
-    def _end(self) -> int:
-        plain = self._rest.find(_EVENT_END)
-        crlf = self._rest.find(_EVENT_END_CRLF)
+    def _find_event_end(self) -> int:
+        plain = self._buffer.find(_EVENT_END)
+        crlf = self._buffer.find(_EVENT_END_CRLF)
         if crlf >= 0 and (plain < 0 or crlf < plain):
             return crlf + len(_EVENT_END_CRLF)
         return plain + len(_EVENT_END) if plain >= 0 else -1
--- a/src/wharfcart/routing/forwarder.py
+++ b/src/wharfcart/routing/forwarder.py
@@ -19,7 +19,7 @@
 from wharfcart.platform import exchanges
 from wharfcart.routing.backend_choice import BackendSelector
 from wharfcart.routing.broken_runs import CrashDetector
-from wharfcart.routing.caller_request import AnswerCutError, AnswerSink, CallerRequest
+from wharfcart.routing.caller_request import AnswerSink, AnswerTruncatedError, CallerRequest
 from wharfcart.routing.deadlines import Deadlines
 from wharfcart.routing.eligibility import ExclusionReason
 from wharfcart.routing.placement import (
@@ -31,10 +31,10 @@
 from wharfcart.routing.region_reach import RegionReachability
 from wharfcart.routing.request_log import RequestLog
 from wharfcart.routing.request_progress import RequestProgress
-from wharfcart.routing.sender import NoAnswer, Sender
+from wharfcart.routing.sender import Sender, SendFailure
 
-MOST_REFUSED_SENDS = 3
-MOST_CONNECT_FAILURES = 4
+MAX_REFUSED_SENDS = 3
+MAX_CONNECT_FAILURES = 4
 RETRY_AFTER_NO_BACKEND_S = 0.4
 # There are back ends, but all of them are in regions where the request's data may not be.
 OUTSIDE_RESIDENCE = ExclusionReason.OUTSIDE_RESIDENCE.value
@@ -44,8 +44,8 @@
 # An operator takes an order to empty a zone back after seconds at the soonest.
 RETRY_AFTER_EVACUATED_S = 2.0
 # A slot is waited for until this part of the caller's patience is over.
-WAIT_SHARE_OF_PATIENCE = 0.5
-STATUS_TOO_MANY = 429
+SLOT_WAIT_SHARE = 0.5
+STATUS_TOO_MANY_REQUESTS = 429
 STATUS_BAD_GATEWAY = 502
 STATUS_UNAVAILABLE = 503
 STATUS_TIMEOUT = 504
@@ -60,20 +60,26 @@
 
     def __init__(
         self,
-        choice: BackendSelector,
+        selector: BackendSelector,
         placement: Placement,
         pool: ConnectionPool,
         connection_limit: Callable[[str], int],
         log: DecisionLog,
         metrics: ServingMetrics,
-        broken_runs: CrashDetector,
+        crash_detector: CrashDetector,
     ) -> None:
-        self._choice = choice
+        self._selector = selector
         self._placement = placement
-        self._told = RequestLog(choice, log, metrics)
-        self._reach = RegionReachability()
+        self._request_log = RequestLog(selector, log, metrics)
+        self._reachability = RegionReachability()
         self._sender = Sender(
-            choice, placement, pool, connection_limit, self._told, broken_runs, self._reach
+            selector,
+            placement,
+            pool,
+            connection_limit,
+            self._request_log,
+            crash_detector,
+            self._reachability,
         )
         self.deadlines = Deadlines()
 
@@ -85,136 +91,136 @@
         AnswerCutError: a begun answer can't be finished.
         """
         progress = RequestProgress()
-        self._sender.request_came()
+        self._sender.record_request()
         try:
-            async with self.deadlines.limit(request.deadline):
+            async with self.deadlines.enforce(request.deadline):
                 await self._try_backends(request, sink, progress)
         except TimeoutError:
             progress.cause = "deadline"
-            await self._give_up(request, sink, progress, STATUS_TIMEOUT)
+            await self._fail_request(request, sink, progress, STATUS_TIMEOUT)
         except asyncio.CancelledError:
-            self._told.ended(request, progress, "caller_left", 0)
+            self._request_log.finished(request, progress, "caller_left", 0)
             raise
 
     async def _try_backends(
         self, request: CallerRequest, sink: AnswerSink, progress: RequestProgress
     ) -> None:
         while True:
-            if self._sender.is_held_back(request, progress):
-                await self._give_up(request, sink, progress, STATUS_BAD_GATEWAY)
+            if self._sender.is_quarantined(request, progress):
+                await self._fail_request(request, sink, progress, STATUS_BAD_GATEWAY)
                 return
-            if self._regions_lost(request):
+            if self._are_regions_unreachable(request):
                 progress.cause = REGION_UNREACHABLE
-                await self._give_up(request, sink, progress, STATUS_BAD_GATEWAY)
+                await self._fail_request(request, sink, progress, STATUS_BAD_GATEWAY)
                 return
             try:
                 placed = await self._placement.place(_placement_request(request, progress))
             except NoSlotError as error:
                 progress.cause = "no_slot"
                 progress.retry_after_s = error.retry_after_s
-                await self._give_up(request, sink, progress, STATUS_BAD_GATEWAY)
+                await self._fail_request(request, sink, progress, STATUS_BAD_GATEWAY)
                 return
             except OverLimitError as error:
-                await self._refuse_over_limit(request, sink, progress, error)
+                await self._reject_over_limit(request, sink, progress, error)
                 return
             if placed is None:
-                progress.cause = self._cause_of_no_backend(request, progress)
-                await self._give_up(request, sink, progress, STATUS_BAD_GATEWAY)
+                progress.cause = self._no_backend_cause(request, progress)
+                await self._fail_request(request, sink, progress, STATUS_BAD_GATEWAY)
                 return
             state = placed.state
             progress.placed = True
-            self._told.placed(request, progress, placed)
+            self._request_log.placed(request, progress, placed)
             verdict = await self._sender.send(request, sink, progress, placed)
             if verdict is None:
                 return
             progress.cause = verdict.cause
-            progress.tried.add(state.instance.instance_id)
-            if not self._may_repeat(request, progress, verdict):
-                await self._give_up(request, sink, progress, STATUS_BAD_GATEWAY)
+            progress.tried_instances.add(state.instance.instance_id)
+            if not self._may_retry(request, progress, verdict):
+                await self._fail_request(request, sink, progress, STATUS_BAD_GATEWAY)
                 return
-            self._told.retried(request, progress)
+            self._request_log.retried(request, progress)
 
-    def _regions_lost(self, request: CallerRequest) -> bool:
+    def _are_regions_unreachable(self, request: CallerRequest) -> bool:
         """Whether a request is bound to regions that this gateway does not reach now."""
         regions = request.residence.regions
-        if not regions or self._placement.reaches(request.service, request.residence):
+        if not regions or self._placement.is_granter_reachable(request.service, request.residence):
             return False
-        return self._reach.are_unreachable(regions, monotonic())
+        return self._reachability.are_unreachable(regions, monotonic())
 
-    def _cause_of_no_backend(self, request: CallerRequest, progress: RequestProgress) -> str:
-        if self._choice.is_fully_evacuated(request.service):
+    def _no_backend_cause(self, request: CallerRequest, progress: RequestProgress) -> str:
+        if self._selector.is_fully_evacuated(request.service):
             return ExclusionReason.EVACUATED.value
         if progress.cause:
             return progress.cause
-        elsewhere = request.residence.is_bound and self._choice.accepting_instances(
+        elsewhere = request.residence.is_bound and self._selector.accepting_instances(
             request.service, monotonic()
         )
         return OUTSIDE_RESIDENCE if elsewhere else "no_backend"
 
-    def _may_repeat(
-        self, request: CallerRequest, progress: RequestProgress, verdict: NoAnswer
+    def _may_retry(
+        self, request: CallerRequest, progress: RequestProgress, failure: SendFailure
     ) -> bool:
-        if not verdict.ran:
-            few_refusals = progress.refusals < MOST_REFUSED_SENDS
-            return few_refusals and progress.connect_failures < MOST_CONNECT_FAILURES
+        if not failure.possibly_ran:
+            few_refusals = progress.refusals < MAX_REFUSED_SENDS
+            return few_refusals and progress.connect_failures < MAX_CONNECT_FAILURES
         progress.may_have_run = True
-        if progress.started and progress.last_event is None:
+        if progress.answer_started and progress.last_event is None:
             return False
         return request.route.repeatable and progress.sends < request.route.most_backends
 
-    async def _give_up(
+    async def _fail_request(
         self, request: CallerRequest, sink: AnswerSink, progress: RequestProgress, status: int
     ) -> None:
         """Give the final answer: a refusal if nothing can have run, else that it is not known."""
-        if progress.started:
-            self._told.ended(request, progress, "cut", 0)
-            raise AnswerCutError(progress.cause)
+        if progress.answer_started:
+            self._request_log.finished(request, progress, "cut", 0)
+            raise AnswerTruncatedError(progress.cause)
         in_doubt = progress.may_have_run or (progress.cause == "deadline" and progress.last_backend)
         if in_doubt:
-            self._told.ended(request, progress, "given_up", status)
-            await sink.whole(status, [], b"")
+            self._request_log.finished(request, progress, "given_up", status)
+            await sink.send_whole(status, [], b"")
             return
         retry_after_s = progress.retry_after_s
         if progress.cause in NO_BACKEND_CAUSES:
             retry_after_s = RETRY_AFTER_NO_BACKEND_S
         elif progress.cause == ExclusionReason.EVACUATED.value:
             retry_after_s = RETRY_AFTER_EVACUATED_S
-        self._told.ended(request, progress, "refused", STATUS_UNAVAILABLE)
+        self._request_log.finished(request, progress, "refused", STATUS_UNAVAILABLE)
         retry_after = (exchanges.RETRY_AFTER_HEADER, f"{retry_after_s:g}")
-        await sink.whole(STATUS_UNAVAILABLE, [retry_after], b"")
+        await sink.send_whole(STATUS_UNAVAILABLE, [retry_after], b"")
 
-    async def _refuse_over_limit(
+    async def _reject_over_limit(
         self,
         request: CallerRequest,
         sink: AnswerSink,
         progress: RequestProgress,
         error: OverLimitError,
     ) -> None:
-        progress.cause = "over_limit" if error.surely else "limit_not_known"
-        status = STATUS_TOO_MANY if error.surely else STATUS_UNAVAILABLE
-        self._told.limited(request, progress, status)
+        progress.cause = "over_limit" if error.is_confirmed else "limit_not_known"
+        status = STATUS_TOO_MANY_REQUESTS if error.is_confirmed else STATUS_UNAVAILABLE
+        self._request_log.limited(request, progress, status)
         retry_after_s = f"{error.retry_after_s:g}"
-        await sink.whole(status, [(exchanges.RETRY_AFTER_HEADER, retry_after_s)], b"")
+        await sink.send_whole(status, [(exchanges.RETRY_AFTER_HEADER, retry_after_s)], b"")
 
 
 def _placement_request(request: CallerRequest, progress: RequestProgress) -> PlacementRequest:
     route = request.route
     patience_s = min(route.patience_s, request.deadline - request.received_at)
     in_time_until = request.received_at + route.objective_s
-    leave_at = request.received_at + patience_s * WAIT_SHARE_OF_PATIENCE
-    if progress.started:
+    leave_at = request.received_at + patience_s * SLOT_WAIT_SHARE
+    if progress.answer_started:
         # Its caller has the beginning: it goes before those that can wait, and is not given up.
         in_time_until = monotonic() + route.objective_s / 2
         leave_at = request.deadline
     return PlacementRequest(
         service=request.service,
-        excluded=frozenset(progress.tried),
+        excluded=frozenset(progress.tried_instances),
         affinity_key=request.affinity_key,
         unread_tokens=request.unread_tokens,
         request_id=request.facts.request_id,
         route_name=route.name,
-        in_time_until=in_time_until,
-        leave_at=leave_at,
+        start_deadline=in_time_until,
+        queue_deadline=leave_at,
         priority=request.priority,
         tenant=request.tenant_name,
         limit=None if request.tenant is None or progress.placed else request.tenant.limit,
--- a/src/wharfcart/routing/placement.py
+++ b/src/wharfcart/routing/placement.py
@@ -40,24 +40,24 @@
     unread_tokens: int
     request_id: str
     route_name: str
-    in_time_until: float
-    leave_at: float
+    start_deadline: float
+    queue_deadline: float
     priority: int
     tenant: str = ""
     limit: RequestLimit | None = None
     residence: Residence = ANYWHERE
 
 
-class SendVerdict(Enum):
+class SendResult(Enum):
     """What a send told about its back end."""
 
     UNKNOWN = "unknown"
-    GOOD = "good"
-    BAD = "bad"
+    BACKEND_OK = "good"
+    BACKEND_FAILED = "bad"
 
 
 @dataclass(frozen=True, eq=False)
-class Placed:
+class PlacementDecision:
     """Where a request goes.
 
     Attributes:
@@ -90,17 +90,17 @@
             does not answer.
     """
 
-    def __init__(self, retry_after_s: float, surely: bool) -> None:
+    def __init__(self, retry_after_s: float, is_confirmed: bool) -> None:
         super().__init__("over limit")
         self.retry_after_s = retry_after_s
-        self.surely = surely
+        self.is_confirmed = is_confirmed
 
 
 class Placement(ABC):
     """Chooses back ends for the requests of one gateway."""
 
     @abstractmethod
-    async def place(self, request: PlacementRequest) -> Placed | None:
+    async def place(self, request: PlacementRequest) -> PlacementDecision | None:
         """Return where to send a request, or None where there is no back end.
 
         Raises:
@@ -109,32 +109,32 @@
         """
 
     @abstractmethod
-    def reaches(self, service: str, residence: Residence) -> bool:
+    def is_granter_reachable(self, service: str, residence: Residence) -> bool:
         """Whether a node that grants slots of a service in some regions is heard from there."""
 
     @abstractmethod
-    def ended(self, placed: Placed, verdict: SendVerdict) -> None:
+    def send_finished(self, decision: PlacementDecision, result: SendResult) -> None:
         """Note that a request is no longer at its back end, and what the send told of that."""
 
     @abstractmethod
-    def answer_begun(self, route_name: str, seconds: float) -> None:
+    def first_byte_received(self, route_name: str, seconds: float) -> None:
         """Note how long after it was sent a request's answer began."""
 
 
 class LocalPlacement(Placement):
     """Chooses by this node's own picture of the load."""
 
-    def __init__(self, choice: BackendSelector) -> None:
-        self._choice = choice
+    def __init__(self, selector: BackendSelector) -> None:
+        self._selector = selector
 
-    async def place(self, request: PlacementRequest) -> Placed | None:
+    async def place(self, request: PlacementRequest) -> PlacementDecision | None:
         """Return where to send a request, or None where there is no back end.
 
         Raises:
             NoSlotError: all back ends are cold, and this gateway may send nothing there now.
         """
         now = monotonic()
-        state = self._choice.select(
+        state = self._selector.select(
             request.service,
             now,
             request.excluded,
@@ -142,19 +142,19 @@
             request.residence,
         )
         if state is not None:
-            return Placed(state, granted=False)
-        if self._choice.usable_instances(
+            return PlacementDecision(state, granted=False)
+        if self._selector.usable_instances(
             request.service, now, request.excluded, residence=request.residence
         ):
             raise NoSlotError(RETRY_AFTER_COLD_S)
         return None
 
-    def reaches(self, service: str, residence: Residence) -> bool:
+    def is_granter_reachable(self, service: str, residence: Residence) -> bool:
         """Whether a node that grants is heard from: none is here."""
         return False
 
-    def ended(self, placed: Placed, verdict: SendVerdict) -> None:
+    def send_finished(self, decision: PlacementDecision, result: SendResult) -> None:
         """Note that a request is no longer at its back end: the choice knows already."""
 
-    def answer_begun(self, route_name: str, seconds: float) -> None:
+    def first_byte_received(self, route_name: str, seconds: float) -> None:
         """Note how long after it was sent a request's answer began: nothing here depends on it."""
--- a/src/wharfcart/routing/request_log.py
+++ b/src/wharfcart/routing/request_log.py
@@ -7,11 +7,11 @@
 from wharfcart.routing.backend_choice import BackendSelector, InstanceState
 from wharfcart.routing.caller_request import CallerRequest
 from wharfcart.routing.eligibility import ExclusionReason
-from wharfcart.routing.placement import Placed
+from wharfcart.routing.placement import PlacementDecision
 from wharfcart.routing.request_progress import RequestProgress
 
 # Ages above this are told as this.
-MOST_AGE_S = 999.0
+MAX_LOGGED_AGE_S = 999.0
 
 
 class RequestLog:
@@ -23,32 +23,36 @@
         metrics: count what becomes of requests.
     """
 
-    def __init__(self, choice: BackendSelector, log: DecisionLog, metrics: ServingMetrics) -> None:
-        self._choice = choice
+    def __init__(
+        self, selector: BackendSelector, log: DecisionLog, metrics: ServingMetrics
+    ) -> None:
+        self._selector = selector
         self._log = log
         self._metrics = metrics
 
-    def placed(self, request: CallerRequest, progress: RequestProgress, placed: Placed) -> None:
+    def placed(
+        self, request: CallerRequest, progress: RequestProgress, decision: PlacementDecision
+    ) -> None:
         """Tell where a request goes before it is sent: a process that is killed tells no end."""
         now = monotonic()
-        state = placed.state
+        state = decision.state
         self._log.write(
             Event.REQUEST_PLACED,
             request=request.facts.request_id,
             backend=state.instance.instance_id,
-            granted=placed.granted,
+            granted=decision.granted,
             waited_s=round(now - request.received_at, 4),
             sends=progress.sends,
-            cold=self._choice.is_cold(state, now),
+            cold=self._selector.is_cold(state, now),
             load=round(state.load(now), 2),
-            load_age_s=round(min(now - state.snapshot_at, MOST_AGE_S), 2),
+            load_age_s=round(min(now - state.snapshot_at, MAX_LOGGED_AGE_S), 2),
             deadline_left_s=round(request.deadline - now, 3),
         )
 
     def limited(self, request: CallerRequest, progress: RequestProgress, status: int) -> None:
         """Tell that a request was refused under its tenant's limit."""
         self._metrics.limited.add(request.tenant_name)
-        self.ended(request, progress, "limited", status)
+        self.finished(request, progress, "limited", status)
 
     def retried(self, request: CallerRequest, progress: RequestProgress) -> None:
         """Tell that a request is sent once more, and why."""
@@ -58,7 +62,7 @@
             request=request.facts.request_id,
             backend=progress.last_backend,
             cause=progress.cause,
-            broke=progress.broke,
+            broke=progress.break_cause,
             sends=progress.sends,
             after_event=progress.last_event,
             left_s=round(request.deadline - monotonic(), 3),
@@ -89,21 +93,21 @@
             progress.first_byte_s = monotonic() - request.received_at
             self._metrics.first_byte.labels(request.route.kind.value).observe(progress.first_byte_s)
 
-    def ended(
+    def finished(
         self, request: CallerRequest, progress: RequestProgress, outcome: str, status: int
     ) -> None:
         """Tell what a request came to."""
         self._metrics.requests.add(outcome)
         rarely: dict[str, object] = {}
-        if progress.broke:
-            rarely["broke"] = progress.broke
-        if progress.broke or progress.cause == POISON_CAUSE:
+        if progress.break_cause:
+            rarely["broke"] = progress.break_cause
+        if progress.break_cause or progress.cause == POISON_CAUSE:
             rarely["content"] = request.fingerprint
         if progress.cause == ExclusionReason.OUTSIDE_RESIDENCE.value:
             self._metrics.outside_residence.add("request")
         if request.residence.regions is not None:
             rarely["regions"] = sorted(request.residence.regions)
-        state = self._choice.state(progress.last_backend)
+        state = self._selector.state(progress.last_backend)
         now = monotonic()
         self._log.write(
             Event.REQUEST_ENDED,
@@ -121,7 +125,7 @@
             load=None if state is None else round(state.load(now), 2),
             load_age_s=None
             if state is None
-            else round(min(now - state.reported_at, MOST_AGE_S), 2),
+            else round(min(now - state.reported_at, MAX_LOGGED_AGE_S), 2),
             first_byte_s=progress.first_byte_s and round(progress.first_byte_s, 4),
             seconds=round(now - request.received_at, 4),
             **rarely,
--- a/src/wharfcart/routing/request_progress.py
+++ b/src/wharfcart/routing/request_progress.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from wharfcart.routing.placement import SendVerdict
+from wharfcart.routing.placement import SendResult
 
 RETRY_AFTER_FULL_S = 0.2
 
@@ -25,18 +25,18 @@
         told: what the last send told of its back end.
     """
 
-    tried: set[str] = field(default_factory=set)
+    tried_instances: set[str] = field(default_factory=set)
     placed: bool = False
     sends: int = 0
     refusals: int = 0
     connect_failures: int = 0
     may_have_run: bool = False
-    started: bool = False
+    answer_started: bool = False
     last_event: int | None = None
     last_backend: str = ""
     first_byte_s: float | None = None
     cause: str = ""
-    broke: str = ""
+    break_cause: str = ""
     retry_after_s: float = RETRY_AFTER_FULL_S
-    well: bool = True
-    told: SendVerdict = SendVerdict.UNKNOWN
+    answer_ok: bool = True
+    send_result: SendResult = SendResult.UNKNOWN
--- a/src/wharfcart/routing/sender.py
+++ b/src/wharfcart/routing/sender.py
@@ -29,16 +29,16 @@
 from wharfcart.routing.broken_runs import CrashDetector, InterruptedRun
 from wharfcart.routing.caller_request import AnswerSink, CallerRequest
 from wharfcart.routing.event_stream import EventSplitter
-from wharfcart.routing.placement import Placed, Placement, SendVerdict
+from wharfcart.routing.placement import Placement, PlacementDecision, SendResult
 from wharfcart.routing.region_reach import RegionReachability
 from wharfcart.routing.request_log import RequestLog
 from wharfcart.routing.request_progress import RequestProgress
 
 # A repeatable request is sent elsewhere when no answer has begun after this part of its objective.
-PATIENCE_OF_OBJECTIVE = 0.55
-FEWEST_PATIENCE_S = 0.06
+HEDGE_DELAY_SHARE = 0.55
+MIN_HEDGE_DELAY_S = 0.06
 # A resumable stream is taken up elsewhere when nothing has come for so long.
-STREAM_PATIENCE_S = 1.6
+STREAM_STALL_TIMEOUT_S = 1.6
 STATUS_UNAVAILABLE = 503
 STATUS_TIMEOUT = 504
 STATUS_SERVER_ERROR = 500
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NoAnswer:
+class SendFailure:
     """What a send came to that brought no final answer.
 
     Attributes:
@@ -55,7 +55,7 @@
         cause: why there is no answer.
     """
 
-    ran: bool
+    possibly_ran: bool
     cause: str
 
 
@@ -74,33 +74,33 @@
 
     def __init__(
         self,
-        choice: BackendSelector,
+        selector: BackendSelector,
         placement: Placement,
         pool: ConnectionPool,
         connection_limit: Callable[[str], int],
-        told: RequestLog,
-        broken_runs: CrashDetector,
-        reach: RegionReachability,
+        request_log: RequestLog,
+        crash_detector: CrashDetector,
+        reachability: RegionReachability,
     ) -> None:
-        self._choice = choice
+        self._selector = selector
         self._placement = placement
         self._pool = pool
         self._connection_limit = connection_limit
-        self._told = told
-        self._broken_runs = broken_runs
-        self._reach = reach
-        self._hedges = HedgeBudget()
+        self._request_log = request_log
+        self._crash_detector = crash_detector
+        self._reachability = reachability
+        self._hedge_budget = HedgeBudget()
 
-    def request_came(self) -> None:
+    def record_request(self) -> None:
         """Note that a request came: a share of them may be hedged."""
-        self._hedges.deposit()
+        self._hedge_budget.deposit()
 
-    def is_held_back(self, request: CallerRequest, progress: RequestProgress) -> bool:
+    def is_quarantined(self, request: CallerRequest, progress: RequestProgress) -> bool:
         """Whether back ends have ended under requests of the same content, here or elsewhere.
 
         Asked before each send: what ends its back ends takes all others there with it.
         """
-        held_s = self._broken_runs.poison_requests.quarantine_left_s(
+        held_s = self._crash_detector.poison_requests.quarantine_left_s(
             lambda: request.fingerprint, time()
         )
         if not held_s:
@@ -114,20 +114,20 @@
         request: CallerRequest,
         sink: AnswerSink,
         progress: RequestProgress,
-        placed: Placed,
-    ) -> NoAnswer | None:
+        decision: PlacementDecision,
+    ) -> SendFailure | None:
         """Send once; None when the request has its final answer."""
-        state = placed.state
+        state = decision.state
         progress.last_backend = state.instance.instance_id
-        progress.well = True
-        progress.told = SendVerdict.UNKNOWN
+        progress.answer_ok = True
+        progress.send_result = SendResult.UNKNOWN
         # Counted before the connection is made, so that a slot that was granted is seen as taken.
-        use = self._choice.record_sent(state, monotonic(), request.unread_tokens)
+        use = self._selector.record_sent(state, monotonic(), request.unread_tokens)
         try:
             return await self._connect_and_send(request, sink, progress, state, use, monotonic())
         finally:
-            self._choice.record_finished(state, use)
-            self._placement.ended(placed, progress.told)
+            self._selector.record_finished(state, use)
+            self._placement.send_finished(decision, progress.send_result)
 
     async def _connect_and_send(
         self,
@@ -135,9 +135,9 @@
         sink: AnswerSink,
         progress: RequestProgress,
         state: InstanceState,
-        use: int,
+        send_id: int,
         placed_at: float,
-    ) -> NoAnswer | None:
+    ) -> SendFailure | None:
         instance = state.instance
         try:
             connection = await self._pool.acquire(
@@ -145,61 +145,65 @@
             )
         except ConnectionLimitError:
             progress.refusals += 1
-            return NoAnswer(False, "connection_limit")
+            return SendFailure(False, "connection_limit")
         except ConnectFailedError:
             progress.connect_failures += 1
-            progress.told = SendVerdict.BAD
-            self._reach.record_failure(self._region_of(state), instance.instance_id, monotonic())
+            progress.send_result = SendResult.BACKEND_FAILED
+            self._reachability.record_failure(
+                self._region_of(state), instance.instance_id, monotonic()
+            )
             self._avoid(state, "connect")
-            return NoAnswer(False, "connect")
-        held_back = self._choice.exclusion_before_send(
+            return SendFailure(False, "connect")
+        held_back = self._selector.exclusion_before_send(
             state, placed_at, monotonic(), request.residence
         )
         if held_back is not None:
             # Costs no try: nothing was sent, and the back end had no part in it.
             self._pool.release(instance, connection)
-            return NoAnswer(False, held_back.value)
-        if self.is_held_back(request, progress):
+            return SendFailure(False, held_back.value)
+        if self.is_quarantined(request, progress):
             # It was found out while this one waited for its slot and its connection.
             self._pool.release(instance, connection)
-            return NoAnswer(False, POISON_CAUSE)
+            return SendFailure(False, POISON_CAUSE)
         began_at = monotonic()
         if began_at >= request.deadline:
             # The machine was suspended while it waited: nobody waits for the answer any more.
             self._pool.release(instance, connection)
             raise TimeoutError
         try:
-            verdict = await self._exchange(request, sink, progress, state, connection, use)
+            verdict = await self._exchange(request, sink, progress, state, connection, send_id)
         except ConnectionBrokenError as error:
             self._pool.discard(instance, connection)
             if not error.sent:
-                return NoAnswer(False, "closed_before_send")
-            progress.broke = error.cause.value
-            self._turned_out(state, progress, False)
-            if use in state.unanswered_since:
+                return SendFailure(False, "closed_before_send")
+            progress.break_cause = error.cause.value
+            self._record_outcome(state, progress, False)
+            if send_id in state.unanswered_since:
                 # Nothing came of it: a kept connection into a region that was cut off since.
-                self._reach.record_failure(
+                self._reachability.record_failure(
                     self._region_of(state), instance.instance_id, monotonic()
                 )
             if connection.answered == 0:
                 self._avoid(state, "broken")
-            await self._look_into(request, state, use, error.cause, monotonic() - began_at)
-            return NoAnswer(True, "broken")
+            await self._inspect_interruption(
+                request, state, send_id, error.cause, monotonic() - began_at
+            )
+            return SendFailure(True, "broken")
         except BaseException:
             # The caller left or the time is over: closing ends the back end's work.
             self._pool.discard(instance, connection)
             raise
         self._pool.release(instance, connection)
-        if verdict is None or verdict.ran:
-            self._broken_runs.poison_requests.record_answer(lambda: request.fingerprint)
-            self._turned_out(state, progress, verdict is None and progress.well)
+        if verdict is None or verdict.possibly_ran:
+            self._crash_detector.poison_requests.record_answer(lambda: request.fingerprint)
+            self._record_outcome(state, progress, verdict is None and progress.answer_ok)
         return verdict
 
-    async def _look_into(
+    async def _inspect_interruption(
         self,
         request: CallerRequest,
         state: InstanceState,
-        use: int,
+        send_id: int,
         cause: BreakCause,
         ran_s: float,
     ) -> None:
@@ -209,17 +213,19 @@
             request.fingerprint,
             state.instance,
             cause,
-            use not in state.unanswered_since,
+            send_id not in state.unanswered_since,
             ran_s,
         )
         if request.route.repeatable:
-            await self._broken_runs.inspect(run)
+            await self._crash_detector.inspect(run)
         else:
-            self._broken_runs.start_inspection(run)
+            self._crash_detector.start_inspection(run)
 
-    def _turned_out(self, state: InstanceState, progress: RequestProgress, good: bool) -> None:
-        progress.told = SendVerdict.GOOD if good else SendVerdict.BAD
-        self._choice.record_outcome(state, good, monotonic())
+    def _record_outcome(
+        self, state: InstanceState, progress: RequestProgress, succeeded: bool
+    ) -> None:
+        progress.send_result = SendResult.BACKEND_OK if succeeded else SendResult.BACKEND_FAILED
+        self._selector.record_outcome(state, succeeded, monotonic())
 
     async def _exchange(
         self,
@@ -228,8 +234,8 @@
         progress: RequestProgress,
         state: InstanceState,
         connection: HttpConnection,
-        use: int,
-    ) -> NoAnswer | None:
+        send_id: int,
+    ) -> SendFailure | None:
         resume_after = progress.last_event
         if resume_after is None:
             resume_after = request.facts.resume_after
@@ -249,50 +255,50 @@
         )
         progress.sends += 1
         sent_at = monotonic()
-        head = await self._patiently(request, progress, connection.read_head())
-        self._choice.record_first_byte(state, use)
-        self._reach.record_success(self._region_of(state))
-        self._placement.answer_begun(request.route.name, monotonic() - sent_at)
+        head = await self._with_timeout(request, progress, connection.read_head())
+        self._selector.record_first_byte(state, send_id)
+        self._reachability.record_success(self._region_of(state))
+        self._placement.first_byte_received(request.route.name, monotonic() - sent_at)
         load = exchanges.reported_load(head)
         if load is not None:
-            self._choice.record_reported_load(state, load.running, load.waiting, monotonic())
+            self._selector.record_reported_load(state, load.running, load.waiting, monotonic())
         if exchanges.was_not_run(head):
             await connection.read_body()
             progress.sends -= 1
             progress.refusals += 1
             if head.status == STATUS_UNAVAILABLE:
-                self._choice.record_full(state, monotonic())
-            return NoAnswer(False, f"refused_{head.status}")
+                self._selector.record_full(state, monotonic())
+            return SendFailure(False, f"refused_{head.status}")
         if not exchanges.is_signed(head) and head.status < 300:
             raise ConnectionBrokenError("answer is not signed")
         if request.route.kind is RouteKind.STREAM and head.status < 300:
-            await self._pass_stream(request, sink, progress, connection, head)
+            await self._forward_stream(request, sink, progress, connection, head)
             return None
-        return await self._pass_whole(request, sink, progress, connection, head)
+        return await self._forward_whole(request, sink, progress, connection, head)
 
-    async def _pass_whole(
+    async def _forward_whole(
         self,
         request: CallerRequest,
         sink: AnswerSink,
         progress: RequestProgress,
         connection: HttpConnection,
         head: AnswerHead,
-    ) -> NoAnswer | None:
+    ) -> SendFailure | None:
         body = await connection.read_body()
         failed = head.status >= STATUS_SERVER_ERROR
-        progress.well = not failed or head.status == STATUS_TIMEOUT
-        if failed and progress.started:
+        progress.answer_ok = not failed or head.status == STATUS_TIMEOUT
+        if failed and progress.answer_started:
             raise ConnectionBrokenError("resumption failed")
         if failed and request.route.repeatable and progress.sends < request.route.most_backends:
-            return NoAnswer(True, f"status_{head.status}")
-        self._told.first_byte(request, progress)
-        if progress.started:
+            return SendFailure(True, f"status_{head.status}")
+        self._request_log.first_byte(request, progress)
+        if progress.answer_started:
             raise ConnectionBrokenError("resumption refused")
-        await sink.whole(head.status, exchanges.headers_for_client(head), body)
-        self._told.ended(request, progress, "answered", head.status)
+        await sink.send_whole(head.status, exchanges.headers_for_client(head), body)
+        self._request_log.finished(request, progress, "answered", head.status)
         return None
 
-    async def _pass_stream(
+    async def _forward_stream(
         self,
         request: CallerRequest,
         sink: AnswerSink,
@@ -300,25 +306,25 @@
         connection: HttpConnection,
         head: AnswerHead,
     ) -> None:
-        if progress.started:
-            self._told.resumed(request, progress)
+        if progress.answer_started:
+            self._request_log.resumed(request, progress)
         splitter = EventSplitter() if request.route.resumable else None
         while True:
-            part = await self._patiently(request, progress, connection.read_part())
+            part = await self._with_timeout(request, progress, connection.read_part())
             if part is None:
                 break
             if splitter is not None:
-                part = _whole_new_events(splitter, part, progress)
+                part = _complete_new_events(splitter, part, progress)
             if not part:
                 continue
             await self._ensure_started(request, sink, progress, head)
-            await sink.send(part)
-        if splitter is not None and splitter.rest:
+            await sink.send_part(part)
+        if splitter is not None and splitter.remainder:
             raise ConnectionBrokenError("ended inside an event")
         await self._ensure_started(request, sink, progress, head)
-        self._told.ended(request, progress, "answered", head.status)
+        self._request_log.finished(request, progress, "answered", head.status)
 
-    async def _patiently(
+    async def _with_timeout(
         self, request: CallerRequest, progress: RequestProgress, answer: Awaitable[Answer]
     ) -> Answer:
         """Wait for a back end, but not for ever where the request may go on elsewhere.
@@ -327,50 +333,50 @@
         ------
         ConnectionBrokenError: it was too slow.
         """
-        patience_s = self._patience_s(request, progress)
+        patience_s = self._timeout_s(request, progress)
         if patience_s is None:
             return await answer
         try:
             async with asyncio.timeout(patience_s):
                 return await answer
         except TimeoutError as error:
-            self._hedges.withdraw()
+            self._hedge_budget.withdraw()
             raise ConnectionBrokenError("too slow", cause=BreakCause.SLOW) from error
 
-    def _patience_s(self, request: CallerRequest, progress: RequestProgress) -> float | None:
+    def _timeout_s(self, request: CallerRequest, progress: RequestProgress) -> float | None:
         route = request.route
         if not route.repeatable or progress.sends >= route.most_backends:
             return None
-        accepting = self._choice.accepting_instances(
+        accepting = self._selector.accepting_instances(
             request.service, monotonic(), request.residence
         )
-        others = len(accepting) - len(progress.tried)
+        others = len(accepting) - len(progress.tried_instances)
         if others < 2:
             return None
         if route.kind is RouteKind.STREAM:
-            return STREAM_PATIENCE_S
-        if not self._hedges.can_hedge:
+            return STREAM_STALL_TIMEOUT_S
+        if not self._hedge_budget.can_hedge:
             return None
-        return max(FEWEST_PATIENCE_S, route.objective_s * PATIENCE_OF_OBJECTIVE)
+        return max(MIN_HEDGE_DELAY_S, route.objective_s * HEDGE_DELAY_SHARE)
 
     async def _ensure_started(
         self, request: CallerRequest, sink: AnswerSink, progress: RequestProgress, head: AnswerHead
     ) -> None:
-        if progress.started:
+        if progress.answer_started:
             return
-        self._told.first_byte(request, progress)
-        progress.started = True
+        self._request_log.first_byte(request, progress)
+        progress.answer_started = True
         await sink.start(head.status, exchanges.headers_for_client(head))
 
     def _region_of(self, state: InstanceState) -> RegionName | None:
-        return self._choice.eligibility.topology.region(state.instance.zone)
+        return self._selector.eligibility.topology.region(state.instance.zone)
 
     def _avoid(self, state: InstanceState, cause: str) -> None:
-        seconds = self._choice.record_failure(state, monotonic())
-        self._told.avoided(state, cause, seconds)
+        seconds = self._selector.record_failure(state, monotonic())
+        self._request_log.avoided(state, cause, seconds)
 
 
-def _whole_new_events(splitter: EventSplitter, data: bytes, progress: RequestProgress) -> bytes:
+def _complete_new_events(splitter: EventSplitter, data: bytes, progress: RequestProgress) -> bytes:
     passed = []
     for event in splitter.feed(data):
         if event.number is not None:
--- a/src/wharfcart/slots/granted_placement.py
+++ b/src/wharfcart/slots/granted_placement.py
@@ -13,10 +13,10 @@
     LocalPlacement,
     NoSlotError,
     OverLimitError,
-    Placed,
     Placement,
+    PlacementDecision,
     PlacementRequest,
-    SendVerdict,
+    SendResult,
 )
 from wharfcart.routing.running_quantile import RunningQuantile
 from wharfcart.slots.asking_order import Step, asking_order, asking_order_by_affinity
@@ -30,14 +30,14 @@
 FIRST_BYTE_SHARE = 0.8
 
 _VERDICTS = {
-    SendVerdict.UNKNOWN: Verdict.UNKNOWN,
-    SendVerdict.GOOD: Verdict.GOOD,
-    SendVerdict.BAD: Verdict.BAD,
+    SendResult.UNKNOWN: Verdict.UNKNOWN,
+    SendResult.BACKEND_OK: Verdict.GOOD,
+    SendResult.BACKEND_FAILED: Verdict.BAD,
 }
 
 
 @dataclass(frozen=True, eq=False)
-class PlacedInSlot(Placed):
+class PlacedInSlot(PlacementDecision):
     """A request in a slot that counts at the node that grants it."""
 
     slot: HeldSlot
@@ -73,7 +73,7 @@
         self._local = LocalPlacement(choice)
         self._first_byte_by_route: dict[str, RunningQuantile] = {}
 
-    async def place(self, request: PlacementRequest) -> Placed | None:
+    async def place(self, request: PlacementRequest) -> PlacementDecision | None:
         """Return where to send a request, or None where there is no back end.
 
         Raises:
@@ -93,17 +93,17 @@
         await permit.obtain()
         return await self._place_by_own_choice(request)
 
-    def reaches(self, service: str, residence: Residence) -> bool:
+    def is_granter_reachable(self, service: str, residence: Residence) -> bool:
         """Whether a node that grants slots of a service in some regions is heard from there."""
         return bool(self._sessions.rooms(service, residence))
 
-    def ended(self, placed: Placed, verdict: SendVerdict) -> None:
+    def send_finished(self, decision: PlacementDecision, result: SendResult) -> None:
         """Note that a request is no longer at its back end, and what the send told of that."""
-        if isinstance(placed, PlacedInSlot):
-            session = self._sessions.by_group[placed.slot.group]
-            session.release(placed.slot.number, _VERDICTS[verdict])
+        if isinstance(decision, PlacedInSlot):
+            session = self._sessions.by_group[decision.slot.group]
+            session.release(decision.slot.number, _VERDICTS[result])
 
-    def answer_begun(self, route_name: str, seconds: float) -> None:
+    def first_byte_received(self, route_name: str, seconds: float) -> None:
         """Note how long after it was sent a request's answer began."""
         self._first_byte_s(route_name).observe(seconds)
 
@@ -118,7 +118,7 @@
 
     async def _ask(
         self, session: SlotSession, request: PlacementRequest, manner: Manner, permit: Permit
-    ) -> Placed | None:
+    ) -> PlacementDecision | None:
         if not permit.comes_with_slot(session):
             await permit.obtain()
         asked = self._asked(session, request, manner)
@@ -134,8 +134,8 @@
             session=session.key,
             number=session.new_number(),
             service=request.service,
-            in_time_until=request.in_time_until - self._first_byte_s(request.route_name).estimate,
-            leave_at=request.leave_at,
+            in_time_until=request.start_deadline - self._first_byte_s(request.route_name).estimate,
+            leave_at=request.queue_deadline,
             manner=manner,
             affinity_key=request.affinity_key,
             excluded=request.excluded,
@@ -158,9 +158,9 @@
 
     def _take(
         self, session: SlotSession, asked: SlotAsked, grant: SlotGrant, permit: Permit
-    ) -> Placed | None:
+    ) -> PlacementDecision | None:
         if grant.limited:
-            raise OverLimitError(grant.retry_after_ms / 1000, surely=True)
+            raise OverLimitError(grant.retry_after_ms / 1000, is_confirmed=True)
         if grant.refused:
             raise NoSlotError(grant.retry_after_ms / 1000)
         if not grant.instance_id:
@@ -177,7 +177,7 @@
             return None
         return PlacedInSlot(state, True, slot)
 
-    async def _place_by_own_choice(self, request: PlacementRequest) -> Placed | None:
+    async def _place_by_own_choice(self, request: PlacementRequest) -> PlacementDecision | None:
         placed = await self._local.place(request)
         if placed is None:
             return None
--- a/src/wharfcart/slots/permits.py
+++ b/src/wharfcart/slots/permits.py
@@ -86,7 +86,7 @@
             return
         await self._wait_for_stand_in()
         if not await self._ask(self._sessions.stand_in(self._tenant)):
-            raise OverLimitError(RETRY_AFTER_ALONE_S, surely=False)
+            raise OverLimitError(RETRY_AFTER_ALONE_S, is_confirmed=False)
 
     async def answer_for_other(self) -> PermitAnswer:
         """Ask in place of another gateway; the request counts as this one's."""
@@ -107,7 +107,7 @@
         if answer is None:
             return False
         if not answer.permitted:
-            raise OverLimitError(answer.retry_after_ms / 1000, surely=True)
+            raise OverLimitError(answer.retry_after_ms / 1000, is_confirmed=True)
         self._limit = None  # counted as the other gateway's
         return True
 
@@ -135,7 +135,7 @@
         if answer is None or answer.unsure:
             return False
         if not answer.permitted:
-            raise OverLimitError(answer.retry_after_ms / 1000, surely=True)
+            raise OverLimitError(answer.retry_after_ms / 1000, is_confirmed=True)
         self.taken()
         return True
 
--- a/tests/gateway/test_ingress.py
+++ b/tests/gateway/test_ingress.py
@@ -22,7 +22,7 @@
 
     async def forward(self, request: CallerRequest, sink: AnswerSink) -> None:
         self.requests.append(request)
-        await sink.whole(200, [], b"")
+        await sink.send_whole(200, [], b"")
 
 
 def listening() -> socket.socket:
--- a/tests/routing/test_event_stream.py
+++ b/tests/routing/test_event_stream.py
@@ -11,7 +11,7 @@
 
 
 @given(st.lists(st.integers(0, len(STREAM)), max_size=8))
-def test_events_do_not_depend_on_how_the_bytes_come(cuts: list[int]) -> None:
+def test_events_do_not_depend_on_chunk_boundaries(cuts: list[int]) -> None:
     splitter = EventSplitter()
     edges = [0, *sorted(cuts), len(STREAM)]
     events = [
@@ -21,20 +21,20 @@
     ]
     assert [event.number for event in events] == list(range(6))
     assert b"".join(event.raw for event in events) == STREAM
-    assert splitter.rest == b""
+    assert splitter.remainder == b""
 
 
-def test_half_an_event_is_kept_back() -> None:
+def test_incomplete_event_is_buffered() -> None:
     splitter = EventSplitter()
     assert splitter.feed(b"id: 1\ndata: x\n") == []
-    assert splitter.rest
+    assert splitter.remainder
 
 
-def test_lines_of_an_event() -> None:
+def test_event_fields_are_parsed() -> None:
     (event,) = EventSplitter().feed(b"x-weight-versions: 3\nid: 7\ndata: a\ndata: b\n\n")
     assert (event.number, event.data) == (7, "a\nb")
 
 
-def test_line_ends_of_both_kinds() -> None:
+def test_both_line_endings_are_accepted() -> None:
     events = EventSplitter().feed(b"id: 1\r\ndata: a\r\n\r\nid: 2\ndata: b\n\n")
     assert [event.number for event in events] == [1, 2]
--- a/tests/routing/test_forwarder_residence.py
+++ b/tests/routing/test_forwarder_residence.py
@@ -40,16 +40,16 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.asked: list[str] = []
+        self.requested: list[str] = []
 
     async def acquire(
         self, instance: BackendInstance, limit: int, force_new: bool = False
     ) -> object:
-        self.asked.append(instance.instance_id)
+        self.requested.append(instance.instance_id)
         raise ConnectFailedError
 
 
-class DeadConnection:
+class UnresponsiveConnection:
     """A kept connection over which nothing comes any more."""
 
     answered = 3
@@ -64,37 +64,37 @@
         return
 
 
-class DeadPool(RecordingPool):
+class UnresponsivePool(RecordingPool):
     """Has kept a connection to every back end since before a region was cut off."""
 
     async def acquire(
         self, instance: BackendInstance, limit: int, force_new: bool = False
     ) -> object:
-        self.asked.append(instance.instance_id)
-        return DeadConnection()
+        self.requested.append(instance.instance_id)
+        return UnresponsiveConnection()
 
 
 class Sink:
     def __init__(self) -> None:
         self.answers: list[tuple[int, list[tuple[str, str]]]] = []
 
-    async def whole(self, status: int, headers: list[tuple[str, str]], body: bytes) -> None:
+    async def send_whole(self, status: int, headers: list[tuple[str, str]], body: bytes) -> None:
         self.answers.append((status, headers))
 
 
-class Gateway:
+class ResidenceHarness:
     """A forwarder before one back end in the west."""
 
     def __init__(self, pool: RecordingPool | None = None) -> None:
-        self.choice = BackendSelector("w1", Random(1), Eligibility(TOPOLOGY))
-        self.choice.put(BackendInstance("i", "s", "127.0.0.1", 1, "w1", 4, True))
+        self.selector = BackendSelector("w1", Random(1), Eligibility(TOPOLOGY))
+        self.selector.put(BackendInstance("i", "s", "127.0.0.1", 1, "w1", 4, True))
         self.pool = pool or RecordingPool()
         self.log = RecordingLog()
         self.metrics = ServingMetrics()
         self.sink = Sink()
-        self.placement = LocalPlacement(self.choice)
+        self.placement = LocalPlacement(self.selector)
         self.forwarder = Forwarder(
-            self.choice,
+            self.selector,
             self.placement,
             self.pool,
             lambda _service: 4,
@@ -103,11 +103,11 @@
             CrashDetector(PoisonRequests(), self.log),
         )
 
-    def put_many(self) -> None:
+    def add_back_ends(self) -> None:
         """Have eight more back ends in the west, and one in the east."""
         for n in range(8):
-            self.choice.put(BackendInstance(f"i{n}", "s", "127.0.0.1", 1, "w1", 4, True))
-        self.choice.put(BackendInstance("far", "s", "127.0.0.1", 1, "e1", 4, True))
+            self.selector.put(BackendInstance(f"i{n}", "s", "127.0.0.1", 1, "w1", 4, True))
+        self.selector.put(BackendInstance("far", "s", "127.0.0.1", 1, "e1", 4, True))
 
     def send(self, route: Residence, tenant: Residence) -> None:
         kind = RouteKind.REPEATABLE
@@ -135,12 +135,12 @@
         (residence_in(["west"]), residence_in(["east", "south"])),
     ],
 )
-def test_without_a_back_end_in_its_regions_it_is_refused_at_once(
+def test_refused_at_once_without_a_back_end_in_its_regions(
     route: Residence, tenant: Residence
 ) -> None:
-    gateway = Gateway()
+    gateway = ResidenceHarness()
     gateway.send(route, tenant)
-    assert gateway.pool.asked == []
+    assert gateway.pool.requested == []
     [(status, headers)] = gateway.sink.answers
     assert status == 503
     assert "retry-after" in {name.lower() for name, _ in headers}
@@ -149,41 +149,41 @@
     assert b'wharfcart_outside_residence_total{what="request"} 1.0' in gateway.metrics.render()
 
 
-def test_a_retry_stays_in_the_regions_too() -> None:
-    gateway = Gateway()
-    gateway.choice.put(BackendInstance("far", "s", "127.0.0.1", 1, "e1", 4, True))
+def test_retry_respects_residence() -> None:
+    gateway = ResidenceHarness()
+    gateway.selector.put(BackendInstance("far", "s", "127.0.0.1", 1, "e1", 4, True))
     gateway.send(residence_in(["west"]), residence_in([]))
-    assert set(gateway.pool.asked) == {"i"}
+    assert set(gateway.pool.requested) == {"i"}
 
 
-def test_a_region_that_is_cut_off_has_its_requests_refused_without_trying() -> None:
-    gateway = Gateway()
-    gateway.put_many()
+def test_requests_to_an_unreachable_region_are_refused_without_a_connect() -> None:
+    gateway = ResidenceHarness()
+    gateway.add_back_ends()
     gateway.send(residence_in(["west"]), residence_in([]))
-    tried = list(gateway.pool.asked)
+    tried = list(gateway.pool.requested)
     assert len(set(tried)) == 3
     gateway.send(residence_in(["west"]), residence_in([]))
-    assert gateway.pool.asked == tried
+    assert gateway.pool.requested == tried
     assert [status for status, _ in gateway.sink.answers] == [503, 503]
     _, fields = gateway.log.lines[-1]
     assert (fields["cause"], fields["regions"]) == ("region_unreachable", ["west"])
 
 
-def test_kept_connections_that_are_dead_tell_of_a_region_that_is_cut_off_too() -> None:
-    gateway = Gateway(DeadPool())
-    gateway.put_many()
+def test_unresponsive_idle_connections_count_as_region_failures() -> None:
+    gateway = ResidenceHarness(UnresponsivePool())
+    gateway.add_back_ends()
     for _ in range(3):
         gateway.send(residence_in(["west"]), residence_in([]))
-    assert len(gateway.pool.asked) == 3
+    assert len(gateway.pool.requested) == 3
     # What may have run is not refused as if it had not.
     assert [status for status, _ in gateway.sink.answers] == [502, 503, 503]
 
 
-def test_a_region_whose_granting_node_is_heard_from_is_not_cut_off() -> None:
-    gateway = Gateway()
-    gateway.put_many()
+def test_region_with_a_reachable_granting_node_is_reachable() -> None:
+    gateway = ResidenceHarness()
+    gateway.add_back_ends()
     gateway.send(residence_in(["west"]), residence_in([]))
-    tried = len(gateway.pool.asked)
-    gateway.placement.reaches = lambda _service, _residence: True
+    tried = len(gateway.pool.requested)
+    gateway.placement.is_granter_reachable = lambda _service, _residence: True
     gateway.send(residence_in(["west"]), residence_in([]))
-    assert len(gateway.pool.asked) > tried
+    assert len(gateway.pool.requested) > tried
--- a/tests/routing/test_leaving_for_back_end.py
+++ b/tests/routing/test_leaving_for_back_end.py
@@ -26,25 +26,25 @@
 from wharfcart.routing.caller_request import CallerRequest
 from wharfcart.routing.cold_rates import PERMIT_TTL_S
 from wharfcart.routing.forwarder import RETRY_AFTER_EVACUATED_S, Forwarder
-from wharfcart.routing.placement import LocalPlacement, Placed, SendVerdict
+from wharfcart.routing.placement import LocalPlacement, PlacementDecision, SendResult
 from wharfcart.storage.partial_texts import RunningText
 
 ZONES = ("a", "b", "c")
 HEADERS = [("host", "h"), (exchanges.REQUEST_ID_HEADER, "q")]
 
 
-class Pool(ConnectionPool):
+class DelayedPool(ConnectionPool):
     """Connections that come up after something has happened."""
 
-    def __init__(self, meanwhile: Callable[[BackendInstance], Awaitable[None]]) -> None:
+    def __init__(self, on_connect: Callable[[BackendInstance], Awaitable[None]]) -> None:
         super().__init__()
-        self._meanwhile = meanwhile
+        self._on_connect = on_connect
 
     async def acquire(
         self, instance: BackendInstance, limit: int, force_new: bool = False
     ) -> HttpConnection:
         connection = await super().acquire(instance, limit, force_new)
-        await self._meanwhile(instance)
+        await self._on_connect(instance)
         return connection
 
 
@@ -56,13 +56,13 @@
         self.headers: dict[str, str] = {}
         self.body = b""
 
-    async def whole(self, status: int, headers: list[tuple[str, str]], body: bytes) -> None:
+    async def send_whole(self, status: int, headers: list[tuple[str, str]], body: bytes) -> None:
         self.status, self.headers, self.body = status, dict(headers), body
 
     async def start(self, status: int, _headers: list[tuple[str, str]]) -> None:
         self.status = status
 
-    async def send(self, data: bytes) -> None:
+    async def send_part(self, data: bytes) -> None:
         self.body += data
 
 
@@ -71,31 +71,31 @@
 
     def __init__(self, choice: BackendSelector) -> None:
         super().__init__(choice)
-        self.ends: list[tuple[str, SendVerdict]] = []
+        self.finished_sends: list[tuple[str, SendResult]] = []
 
-    def ended(self, placed: Placed, verdict: SendVerdict) -> None:
-        self.ends.append((placed.state.instance.instance_id, verdict))
+    def send_finished(self, decision: PlacementDecision, result: SendResult) -> None:
+        self.finished_sends.append((decision.state.instance.instance_id, result))
 
 
-class Bench:
+class ForwarderHarness:
     """A forwarder before three servers, each in a zone of its own."""
 
     def __init__(self) -> None:
-        self.choice = BackendSelector("a", Random(1))
+        self.selector = BackendSelector("a", Random(1))
         self.servers = {zone: ModelServer(zone, 0, 0.0) for zone in ZONES}
         self.connected: list[str] = []
         self.on_connected: Callable[[BackendInstance], Awaitable[None]] = self._nothing
-        self.pool = Pool(self._connected)
-        self.placement = RecordingPlacement(self.choice)
-        self.broken_runs = CrashDetector(PoisonRequests(), DecisionLog("test"))
+        self.pool = DelayedPool(self._connected)
+        self.placement = RecordingPlacement(self.selector)
+        self.crash_detector = CrashDetector(PoisonRequests(), DecisionLog("test"))
         self.forwarder = Forwarder(
-            self.choice,
+            self.selector,
             self.placement,
             self.pool,
             lambda _service: 8,
             DecisionLog("test"),
             ServingMetrics(),
-            self.broken_runs,
+            self.crash_detector,
         )
 
     async def _nothing(self, _instance: BackendInstance) -> None:
@@ -109,17 +109,17 @@
         for zone, server in self.servers.items():
             await server.server.start("127.0.0.1", 0)
             host, _, port = server.server.address.rpartition(":")
-            self.choice.put(BackendInstance(zone, "s", host, int(port), zone, 8, True))
+            self.selector.put(BackendInstance(zone, "s", host, int(port), zone, 8, True))
 
     async def stop(self) -> None:
         self.pool.close()
         for server in self.servers.values():
             await server.server.stop()
 
-    def empty(self, *zones: str) -> None:
-        self.choice.eligibility.evacuated_zones = frozenset(zones)
+    def evacuate(self, *zones: str) -> None:
+        self.selector.eligibility.evacuated_zones = frozenset(zones)
 
-    def runs(self) -> list[str]:
+    def run_zones(self) -> list[str]:
         return [zone for zone, server in self.servers.items() for _ in server.runs]
 
     async def forward(self, most_backends: int = 1) -> Sink:
@@ -148,18 +148,18 @@
         return sink
 
     async def run_item(self, zone: str) -> RunOutcome:
-        state = self.choice.state(zone)
+        state = self.selector.state(zone)
         assert state is not None
-        runner = ItemRunner(self.choice, self.pool, lambda _service: 8, self.broken_runs)
-        use = self.choice.record_sent(state, monotonic())
+        runner = ItemRunner(self.selector, self.pool, lambda _service: 8, self.crash_detector)
+        use = self.selector.record_sent(state, monotonic())
         progress = ItemProgress(RunningText("j"))
         item = RequestItem(item_id="q", path="/x")
         return await runner.run(ItemSend(item, "h", "", state, use, progress, monotonic() + 9.0))
 
 
-def play(scenario: Callable[[Bench], Awaitable[None]]) -> None:
+def play(scenario: Callable[[ForwarderHarness], Awaitable[None]]) -> None:
     async def run() -> None:
-        bench = Bench()
+        bench = ForwarderHarness()
         await bench.start()
         try:
             await scenario(bench)
@@ -169,153 +169,153 @@
     asyncio.run(asyncio.wait_for(run(), 20))
 
 
-def test_a_request_whose_zone_was_emptied_as_its_connection_came_up_is_placed_anew() -> None:
-    async def scenario(bench: Bench) -> None:
+def test_request_is_placed_again_if_its_zone_is_evacuated_during_connect() -> None:
+    async def scenario(bench: ForwarderHarness) -> None:
         async def empty_once(instance: BackendInstance) -> None:
             if len(bench.connected) == 1:
-                bench.empty(instance.zone)
+                bench.evacuate(instance.zone)
 
         bench.on_connected = empty_once
         sink = await bench.forward()
         assert sink.status == 200
         first, second = bench.connected
-        assert bench.runs() == [second] != [first]
-        assert bench.placement.ends[0] == (first, SendVerdict.UNKNOWN)
+        assert bench.run_zones() == [second] != [first]
+        assert bench.placement.finished_sends[0] == (first, SendResult.UNKNOWN)
 
     play(scenario)
 
 
-def test_zones_that_are_emptied_one_after_the_other_cost_a_request_none_of_its_tries() -> None:
-    async def scenario(bench: Bench) -> None:
+def test_successive_evacuations_use_up_no_attempts() -> None:
+    async def scenario(bench: ForwarderHarness) -> None:
         async def empty_all_but_c(instance: BackendInstance) -> None:
             if len(bench.connected) < 3:
-                bench.empty(*bench.connected)
+                bench.evacuate(*bench.connected)
 
         bench.on_connected = empty_all_but_c
         sink = await bench.forward(most_backends=1)
         assert sink.status == 200
-        assert bench.runs() == [bench.connected[2]]
+        assert bench.run_zones() == [bench.connected[2]]
 
     play(scenario)
 
 
-def test_with_all_zones_emptied_nothing_is_sent_and_the_refusal_tells_when_to_come_back() -> None:
-    async def scenario(bench: Bench) -> None:
+def test_refused_with_retry_after_if_all_zones_are_evacuated() -> None:
+    async def scenario(bench: ForwarderHarness) -> None:
         async def empty_all(_instance: BackendInstance) -> None:
-            bench.empty(*ZONES)
+            bench.evacuate(*ZONES)
 
         bench.on_connected = empty_all
         sink = await bench.forward()
         assert sink.status == 503
         assert float(sink.headers["retry-after"]) == RETRY_AFTER_EVACUATED_S
-        assert not bench.runs()
+        assert not bench.run_zones()
 
     play(scenario)
 
 
-def test_a_zone_that_is_given_back_while_another_is_emptied_is_served_in_again() -> None:
-    async def scenario(bench: Bench) -> None:
-        bench.empty("a", "b")
+def test_restored_zone_is_used_while_another_is_evacuated() -> None:
+    async def scenario(bench: ForwarderHarness) -> None:
+        bench.evacuate("a", "b")
         assert (await bench.forward()).status == 200
-        bench.empty("b", "c")
+        bench.evacuate("b", "c")
         assert (await bench.forward()).status == 200
-        assert bench.runs() == ["a", "c"]
+        assert bench.run_zones() == ["a", "c"]
 
     play(scenario)
 
 
-def test_an_item_whose_zone_was_emptied_as_its_connection_came_up_is_not_sent() -> None:
-    async def scenario(bench: Bench) -> None:
+def test_item_is_not_sent_if_its_zone_is_evacuated_during_connect() -> None:
+    async def scenario(bench: ForwarderHarness) -> None:
         async def empty_it(instance: BackendInstance) -> None:
-            bench.empty(instance.zone)
+            bench.evacuate(instance.zone)
 
         bench.on_connected = empty_it
         assert await bench.run_item("a") is RunOutcome.REFUSED
-        assert not bench.runs()
-        state = bench.choice.state("a")
+        assert not bench.run_zones()
+        state = bench.selector.state("a")
         assert state is not None and state.in_flight == 0
 
     play(scenario)
 
 
-def test_a_permit_for_a_cold_back_end_that_has_grown_old_is_not_used() -> None:
-    async def scenario(bench: Bench) -> None:
+def test_expired_permit_for_a_cold_back_end_is_not_used() -> None:
+    async def scenario(bench: ForwarderHarness) -> None:
         async def slowly(_instance: BackendInstance) -> None:
             if len(bench.connected) == 1:
                 await asyncio.sleep(PERMIT_TTL_S * 1.2)
 
-        bench.choice.cold.limits = {"s": ColdLimit(4.0, 3.0)}
+        bench.selector.cold.limits = {"s": ColdLimit(4.0, 3.0)}
         bench.on_connected = slowly
-        state = bench.choice.state("a")
+        state = bench.selector.state("a")
         assert state is not None
-        bench.choice.cold.report_received(state.cold, 60.0, monotonic(), 1)
+        bench.selector.cold.report_received(state.cold, 60.0, monotonic(), 1)
         assert await bench.run_item("a") is RunOutcome.REFUSED
-        assert not bench.runs()
+        assert not bench.run_zones()
         assert await bench.run_item("a") is not RunOutcome.REFUSED
-        assert bench.runs() == ["a"]
+        assert bench.run_zones() == ["a"]
 
     play(scenario)
 
 
-CONTENT = fingerprint_of("h", "POST", "/x", "", b"")
+FINGERPRINT = fingerprint_of("h", "POST", "/x", "", b"")
 
 
-def suspect(bench: Bench) -> None:
+def quarantine(bench: ForwarderHarness) -> None:
     """Have it become known that two back ends ended while they ran the request."""
     for instance_id in ("gone-1", "gone-2"):
-        bench.broken_runs.poison_requests.record_crash(CONTENT, instance_id, 1.0, time())
+        bench.crash_detector.poison_requests.record_crash(FINGERPRINT, instance_id, 1.0, time())
 
 
-def test_a_request_that_becomes_a_suspect_as_its_connection_comes_up_is_not_sent() -> None:
-    async def scenario(bench: Bench) -> None:
+def test_request_is_not_sent_if_quarantined_during_connect() -> None:
+    async def scenario(bench: ForwarderHarness) -> None:
         async def suspect_it(_instance: BackendInstance) -> None:
-            suspect(bench)
+            quarantine(bench)
 
         bench.on_connected = suspect_it
         sink = await bench.forward(most_backends=3)
         assert sink.status == 503
         assert FIRST_QUARANTINE_S - 1.0 <= float(sink.headers["retry-after"]) <= FIRST_QUARANTINE_S
-        assert len(bench.connected) == 1 and not bench.runs()
+        assert len(bench.connected) == 1 and not bench.run_zones()
 
     play(scenario)
 
 
-def test_an_item_that_becomes_a_suspect_as_its_connection_comes_up_is_not_sent() -> None:
-    async def scenario(bench: Bench) -> None:
+def test_item_is_not_sent_if_quarantined_during_connect() -> None:
+    async def scenario(bench: ForwarderHarness) -> None:
         async def suspect_it(_instance: BackendInstance) -> None:
-            suspect(bench)
+            quarantine(bench)
 
         bench.on_connected = suspect_it
         assert await bench.run_item("a") is RunOutcome.REFUSED
-        assert not bench.runs()
+        assert not bench.run_zones()
 
     play(scenario)
 
 
-def test_an_answer_takes_the_suspicion_away() -> None:
-    async def scenario(bench: Bench) -> None:
-        bench.broken_runs.poison_requests.record_crash(CONTENT, "gone-1", 1.0, time())
+def test_answer_clears_poison_evidence() -> None:
+    async def scenario(bench: ForwarderHarness) -> None:
+        bench.crash_detector.poison_requests.record_crash(FINGERPRINT, "gone-1", 1.0, time())
         assert (await bench.forward()).status == 200
-        assert not len(bench.broken_runs.poison_requests)
-        bench.broken_runs.poison_requests.record_crash(CONTENT, "gone-1", 1.0, time())
+        assert not len(bench.crash_detector.poison_requests)
+        bench.crash_detector.poison_requests.record_crash(FINGERPRINT, "gone-1", 1.0, time())
         bench.servers["a"].fails_with = 422
         assert await bench.run_item("a") is RunOutcome.IMPOSSIBLE
-        assert not len(bench.broken_runs.poison_requests)
+        assert not len(bench.crash_detector.poison_requests)
 
     play(scenario)
 
 
-def test_a_request_whose_time_is_over_as_its_connection_comes_up_is_not_sent(
+def test_request_is_not_sent_if_its_deadline_passes_during_connect(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Its machine was suspended meanwhile, and no timer ran."""
 
-    async def scenario(bench: Bench) -> None:
+    async def scenario(bench: ForwarderHarness) -> None:
         async def suspend(_instance: BackendInstance) -> None:
             monkeypatch.setattr(sender, "monotonic", lambda: monotonic() + 60.0)
 
         bench.on_connected = suspend
         assert (await bench.forward()).status == 504
-        assert not bench.runs()
+        assert not bench.run_zones()
 
     play(scenario)
--- a/tests/slots/test_emptied_zones.py
+++ b/tests/slots/test_emptied_zones.py
@@ -10,7 +10,7 @@
 from wharfcart.configuration.serving import ColdLimit
 from wharfcart.routing.backend_choice import BackendSelector
 from wharfcart.routing.cold_rates import LocalColdShares
-from wharfcart.routing.placement import NoSlotError, Placed, SendVerdict
+from wharfcart.routing.placement import NoSlotError, PlacementDecision, SendResult
 from wharfcart.slots.events import LeaveCause
 from wharfcart.slots.item_slots import ItemDemand, ItemSlot
 from wharfcart.slots.session import HeldSlot
@@ -40,7 +40,7 @@
         choice.eligibility.evacuated_zones = frozenset(zones)
 
 
-def name_of(placed: Placed | None) -> str:
+def name_of(placed: PlacementDecision | None) -> str:
     return "" if placed is None else placed.state.instance.instance_id
 
 
@@ -220,7 +220,7 @@
                 assert error.retry_after_s > 0
             else:
                 assert placed is not None
-                gateway.placement.ended(placed, SendVerdict.GOOD)
+                gateway.placement.send_finished(placed, SendResult.BACKEND_OK)
                 sent += 1
             await asyncio.sleep(0.05)
         assert 0 < sent <= 3 * (5.0 * 0.4 + 1)
--- a/tests/slots/test_sessions.py
+++ b/tests/slots/test_sessions.py
@@ -6,7 +6,7 @@
 import pytest
 
 from tests.slots.network import ONE_WAY_S, SETTLE_S, Fleet, Holder, play, request
-from wharfcart.routing.placement import NoSlotError, Placed, SendVerdict
+from wharfcart.routing.placement import NoSlotError, PlacementDecision, SendResult
 from wharfcart.slots.events import LeaveCause
 from wharfcart.slots.item_slots import ItemDemand, ItemSlot, ItemSlots
 from wharfcart.slots.service import MOST_PICTURES_A_SECOND
@@ -16,7 +16,7 @@
 PATIENT = Urgency(left_s=15.0, remaining_s=4.0)
 
 
-def name_of(placed: Placed | None) -> str:
+def name_of(placed: PlacementDecision | None) -> str:
     assert placed is not None
     return placed.state.instance.instance_id
 
@@ -28,7 +28,7 @@
         assert sorted(map(name_of, placed)) == ["i0", "i0", "i1", "i1"]
         assert fleet.in_use() == 4
         for one in placed:
-            gateway.placement.ended(one, SendVerdict.GOOD)
+            gateway.placement.send_finished(one, SendResult.BACKEND_OK)
         await asyncio.sleep(2 * ONE_WAY_S)
         assert fleet.in_use() == 0
 
@@ -52,7 +52,7 @@
         waiting = asyncio.create_task(gateway.placement.place(request()))
         await asyncio.sleep(1.0)
         assert not waiting.done()
-        gateway.placement.ended(first, SendVerdict.GOOD)
+        gateway.placement.send_finished(first, SendResult.BACKEND_OK)
         assert name_of(await waiting) == "i0"
         assert fleet.in_use() == 1
 
@@ -79,7 +79,7 @@
         await asyncio.sleep(0.5)
         leaver.cancel()
         await asyncio.sleep(0.1)
-        gateway.placement.ended(first, SendVerdict.GOOD)
+        gateway.placement.send_finished(first, SendResult.BACKEND_OK)
         await asyncio.sleep(0.1)
         assert fleet.in_use() == 0
 
@@ -146,7 +146,7 @@
         fleet.network.dark.clear()
         await asyncio.sleep(1.0)
         assert fleet.in_use() == 1
-        gateway.placement.ended(placed, SendVerdict.GOOD)
+        gateway.placement.send_finished(placed, SendResult.BACKEND_OK)
         await asyncio.sleep(0.1)
         assert fleet.in_use() == 0
 
@@ -173,7 +173,7 @@
         gateway = await fleet.gateway("g1")
         placed = [await gateway.placement.place(request()) for _ in range(3)]
         fleet.network.break_connection("g1", fleet.leader)
-        gateway.placement.ended(placed[0], SendVerdict.GOOD)
+        gateway.placement.send_finished(placed[0], SendResult.BACKEND_OK)
         await asyncio.sleep(SETTLE_S)
         assert fleet.in_use() == 2
 
@@ -215,7 +215,7 @@
         placed = await gateway.placement.place(request())
         assert fleet.in_use() == 1
         assert old.service.granter.picture(0.0).holders == 0
-        gateway.placement.ended(placed, SendVerdict.GOOD)
+        gateway.placement.send_finished(placed, SendResult.BACKEND_OK)
 
     play(scenario)
 
@@ -230,7 +230,7 @@
         fleet.network.dark.clear()
         await asyncio.sleep(SETTLE_S)
         assert fleet.in_use() == 1, "its own choice, not the grant that came later"
-        gateway.placement.ended(placed, SendVerdict.GOOD)
+        gateway.placement.send_finished(placed, SendResult.BACKEND_OK)
         await asyncio.sleep(SETTLE_S)
         assert fleet.in_use() == 0
 
@@ -257,7 +257,7 @@
         first, second = await fleet.gateway("g1"), await fleet.gateway("g2")
         for _ in range(2):
             placed = await first.placement.place(request(excluded=frozenset({"i1"})))
-            first.placement.ended(placed, SendVerdict.BAD)
+            first.placement.send_finished(placed, SendResult.BACKEND_FAILED)
         await asyncio.sleep(0.1)
         assert second.choice.state("i0").should_avoid(asyncio.get_running_loop().time())
 
@@ -384,14 +384,16 @@
 def test_after_any_faults_the_granting_node_knows_exactly_what_is_taken(seed: int) -> None:
     rng = Random(seed)
 
-    async def gateway_at_work(fleet: Fleet, name: str, held: list[Placed], until: float) -> None:
+    async def gateway_at_work(
+        fleet: Fleet, name: str, held: list[PlacementDecision], until: float
+    ) -> None:
         holder = fleet.holders[name]
         loop = asyncio.get_running_loop()
         while loop.time() < until:
             await asyncio.sleep(rng.uniform(0.001, 0.05))
             if held and rng.random() < 0.5:
                 held.remove(gone := rng.choice(held))
-                holder.placement.ended(gone, rng.choice(list(SendVerdict)[:2]))
+                holder.placement.send_finished(gone, rng.choice(list(SendResult)[:2]))
                 continue
             try:
                 placed = await holder.placement.place(request(waits_s=0.2))
@@ -418,7 +420,7 @@
                     fleet.network.dark.clear()
 
     async def scenario(fleet: Fleet) -> None:
-        held: dict[str, list[Placed]] = {}
+        held: dict[str, list[PlacementDecision]] = {}
         for n in range(4):
             await fleet.gateway(f"g{n}")
             held[f"g{n}"] = []
--- a/tests/slots/test_tenant_permits.py
+++ b/tests/slots/test_tenant_permits.py
@@ -7,7 +7,7 @@
 from tests.slots.network import SETTLE_S, Fleet, Holder, play, request
 from wharfcart.admission.tenant_limits import WINDOW_S
 from wharfcart.configuration.serving import RequestLimit
-from wharfcart.routing.placement import OverLimitError, SendVerdict
+from wharfcart.routing.placement import OverLimitError, SendResult
 from wharfcart.slots.permits import STAND_IN_WAIT_S
 from wharfcart.slots.service import RELAYS_S
 from wharfcart.slots.session import GRANT_TIMEOUT_S
@@ -19,7 +19,7 @@
     """Have one request placed, answered at once."""
     placed = await holder.placement.place(request(tenant=tenant, limit=limit))
     assert placed is not None
-    holder.placement.ended(placed, SendVerdict.GOOD)
+    holder.placement.send_finished(placed, SendResult.BACKEND_OK)
 
 
 async def sent(holder: Holder, most: int = 50) -> int:
@@ -39,7 +39,7 @@
         assert await sent(first) == 4
         with pytest.raises(OverLimitError) as refused:
             await send(second)
-        assert refused.value.surely
+        assert refused.value.is_confirmed
         assert 0.0 < refused.value.retry_after_s < 1.0
         await send(second, limit=RequestLimit(9.0, 9.0), tenant="u")
         await asyncio.sleep(SETTLE_S)
@@ -57,7 +57,7 @@
             with pytest.raises(Exception, match="no slot"):
                 await gateway.placement.place(request(waits_s=0.0, tenant="t", limit=LIMIT))
         for placed in taken:
-            gateway.placement.ended(placed, SendVerdict.GOOD)
+            gateway.placement.send_finished(placed, SendResult.BACKEND_OK)
         assert await sent(gateway) == 4
 
     play(scenario)
@@ -88,7 +88,7 @@
         assert await sent(second) == 0
         with pytest.raises(OverLimitError) as refused:
             await send(second)
-        assert not refused.value.surely
+        assert not refused.value.is_confirmed
 
     play(scenario)
 
@@ -120,7 +120,7 @@
         assert await sent(second) >= 4  # of its own it would have none
         with pytest.raises(OverLimitError) as refused:
             await send(second)
-        assert refused.value.surely
+        assert refused.value.is_confirmed
 
     play(scenario)
 
@@ -169,7 +169,7 @@
         assert await sent(cut_off) == 4  # of its own it would have none
         with pytest.raises(OverLimitError) as refused:
             await send(other)
-        assert refused.value.surely
+        assert refused.value.is_confirmed
         await asyncio.sleep(0.5)
         assert await sent(cut_off) == 2
 
@@ -184,6 +184,6 @@
         fleet.network.dark.add(fleet.leader.address)
         with pytest.raises(OverLimitError) as refused:
             await send(first)
-        assert not refused.value.surely
+        assert not refused.value.is_confirmed
 
     play(scenario)
