--- a/src/wharfcart/experiments/simulated_serving.py
+++ b/src/wharfcart/experiments/simulated_serving.py
@@ -168,7 +168,7 @@
         if engine is None or not engine.gate.admit_online(request_id, self.now):
             self.outcome.online_refused += 1
             return
-        self._router.started(engine.name)
+        self._router.record_started(engine.name)
         self._online[request_id] = arrival
         if self.mode in (Mode.WHARFCART, Mode.ORACLE):
             for batch_id in engine.gate.preempt_batch():
@@ -296,7 +296,7 @@
         request_id = request.request_id
         engine.gate.finish_online(request_id, self.now)
         engine.last_token_at.pop(request_id, None)
-        self._router.hint(engine.name, len(engine.gate.online), self.now)
-        self._router.ended(engine.name, self.now, self._online_at.pop(request_id), False)
+        self._router.record_owner_load(engine.name, len(engine.gate.online), self.now)
+        self._router.record_finished(engine.name, self.now, self._online_at.pop(request_id), False)
         del self._online[request_id]
         self.outcome.online_completed += 1
--- a/src/wharfcart/node/calls.py
+++ b/src/wharfcart/node/calls.py
@@ -21,7 +21,7 @@
 from wharfcart.errors import Outcome, ServingError
 from wharfcart.node.fleet import FleetDriver
 from wharfcart.node.spreading import SpreadingDriver
-from wharfcart.routing.dispatcher import part_message, request_of
+from wharfcart.routing.dispatcher import message_from_part, request_from_message
 from wharfcart.routing.owner import BackendOwner
 from wharfcart.routing.router import Router
 from wharfcart.storage.journal import Journal, not_leader
@@ -140,14 +140,14 @@
         owned = self._owner.backends.get(dispatch.backend_id) or self._owner.create_temporary(
             backend
         )
-        request = request_of(dispatch)
+        request = request_from_message(dispatch)
         self.dispatches += 1
         try:
             async with asyncio.timeout(dispatch.deadline_ms / 1000):
                 sequence = 0
                 async with aclosing(self._owner.run_online(owned, request)) as parts:
                     async for part in parts:
-                        message = part_message(part, sequence, len(owned.gate.online))
+                        message = message_from_part(part, sequence, len(owned.gate.online))
                         await respond(Frame(dispatch_part=message, last=part.is_last))
                         sequence += 1
         except TimeoutError:
--- a/src/wharfcart/node/fleet.py
+++ b/src/wharfcart/node/fleet.py
@@ -169,9 +169,9 @@
             runner = self._context.make_runner(owned)
             task = asyncio.get_running_loop().create_task(runner.run())
             self._running[backend.backend_id] = _Running(runner, task)
-        elif backend.leaving and running.stopping is None:
+        elif backend.draining and running.stopping is None:
             running.stopping = asyncio.get_running_loop().create_task(running.runner.stop())
-        elif not backend.leaving and running.stopping is not None and running.stopping.done():
+        elif not backend.draining and running.stopping is not None and running.stopping.done():
             self._disown(backend.backend_id)
 
     def _end_old_drain(self, backend_id: str) -> None:
--- a/src/wharfcart/node/node.py
+++ b/src/wharfcart/node/node.py
@@ -47,7 +47,7 @@
 from wharfcart.platform.etcd_json import EtcdJsonStore
 from wharfcart.platform.key_value import KeyValueUnavailableError
 from wharfcart.platform.machine_list import PrometheusDiscovery
-from wharfcart.routing.dispatcher import Dispatcher, NodeView
+from wharfcart.routing.dispatcher import ClusterView, Dispatcher
 from wharfcart.routing.owner import BackendOwner, OwnedBackend
 from wharfcart.routing.router import Router
 from wharfcart.settings.base import split_endpoint
@@ -153,7 +153,7 @@
         settings = self.settings
         self.router = Router(settings.zone, random.Random())
         self.owner = BackendOwner(self._session, self.metrics.batch_yields.inc)
-        view = NodeView(settings.node_id, self._live_in_zone, self._gossip.address_of)
+        view = ClusterView(settings.node_id, self._live_in_zone, self._gossip.address_of)
         self._dispatcher = Dispatcher(view, self.router, self.owner, self._transport, self.metrics)
         self._journal_client = JournalClient(
             self._spreading.placement, self._transport, self._gossip.address_of_storage
--- a/src/wharfcart/routing/dispatcher.py
+++ b/src/wharfcart/routing/dispatcher.py
@@ -24,16 +24,16 @@
 from wharfcart.routing.owner import BackendOwner
 from wharfcart.routing.router import Backend, Router
 
-MOST_TRIES = 3
-OWNER_TRIES = 2
+MAX_ATTEMPTS = 3
+MAX_OWNER_ATTEMPTS = 2
 
 logger = logging.getLogger(__name__)
 
-BeforeTry = Callable[[Backend], Awaitable[None]]
+BeforeAttempt = Callable[[Backend], Awaitable[None]]
 
 
 @dataclass(frozen=True)
-class NodeView:
+class ClusterView:
     """What the dispatcher asks of the cluster."""
 
     node_id: str
@@ -46,7 +46,7 @@
 
     def __init__(
         self,
-        view: NodeView,
+        view: ClusterView,
         router: Router,
         owner: BackendOwner,
         transport: Transport,
@@ -57,7 +57,7 @@
         self._owner = owner
         self._transport = transport
         self._metrics = metrics
-        self._budgets: dict[tuple[str, str], RetryBudget] = {}
+        self._retry_budgets: dict[tuple[str, str], RetryBudget] = {}
 
     async def dispatch(
         self,
@@ -65,7 +65,7 @@
         request: BackendRequest,
         deadline: float,
         prefix: str = "",
-        before_try: BeforeTry | None = None,
+        before_attempt: BeforeAttempt | None = None,
     ) -> AsyncGenerator[BackendPart, None]:
         """Run a request and yield the parts of its answer.
 
@@ -81,19 +81,19 @@
             With its outcome. Tried again only while nothing was yielded, and only if the request is
             repeatable or surely did not run.
         """
-        budget = self._budgets.setdefault((service.tenant, service.name), RetryBudget())
+        budget = self._retry_budgets.setdefault((service.tenant, service.name), RetryBudget())
         budget.deposit()
         excluded: set[str] = set()
-        for attempt in range(1, MOST_TRIES + 1):
+        for attempt in range(1, MAX_ATTEMPTS + 1):
             backend = self._choose(service, prefix, excluded)
             yielded = False
             try:
                 async with asyncio.timeout(deadline - monotonic()):
-                    if before_try is not None:
-                        await before_try(backend)
+                    if before_attempt is not None:
+                        await before_attempt(backend)
                     resume = backend.backend_id in excluded
                     tried = replace(request, resume=resume)
-                    async with aclosing(self._try(backend, tried, deadline)) as parts:
+                    async with aclosing(self._attempt(backend, tried, deadline)) as parts:
                         async for part in parts:
                             yielded = True
                             yield part
@@ -104,7 +104,7 @@
                 ) from None
             except ServingError as error:
                 repeatable = service.repeatable or error.outcome is Outcome.NOT_RUN
-                if yielded or not repeatable or attempt == MOST_TRIES or not budget.withdraw():
+                if yielded or not repeatable or attempt == MAX_ATTEMPTS or not budget.withdraw():
                     raise
                 self._metrics.retries.labels(error.code).inc()
                 excluded.add(backend.backend_id)
@@ -120,15 +120,15 @@
             )
         return backend
 
-    async def _try(
+    async def _attempt(
         self, backend: Backend, request: BackendRequest, deadline: float
     ) -> AsyncGenerator[BackendPart, None]:
         started_at = monotonic()
         latency: float | None = None
         failed = False
-        self._router.started(backend.backend_id)
+        self._router.record_started(backend.backend_id)
         try:
-            async with aclosing(self._through_owner(backend, request, deadline)) as parts:
+            async with aclosing(self._run_through_owner(backend, request, deadline)) as parts:
                 async for part in parts:
                     if latency is None:
                         latency = monotonic() - started_at
@@ -138,31 +138,33 @@
             failed = error.code != "overloaded"
             raise
         finally:
-            self._router.ended(backend.backend_id, monotonic(), latency, failed)
+            self._router.record_finished(backend.backend_id, monotonic(), latency, failed)
 
-    async def _through_owner(
+    async def _run_through_owner(
         self, backend: Backend, request: BackendRequest, deadline: float
     ) -> AsyncGenerator[BackendPart, None]:
         order = rendezvous_order(backend.backend_id, self._view.live_in_zone(backend.zone))
-        for node_id in order[:OWNER_TRIES]:
+        for node_id in order[:MAX_OWNER_ATTEMPTS]:
             if node_id == self._view.node_id:
                 break
             address = self._view.address_of(node_id)
             if address is None:
                 continue
             try:
-                async with aclosing(self._remote(address, backend, request, deadline)) as parts:
+                async with aclosing(
+                    self._run_remotely(address, backend, request, deadline)
+                ) as parts:
                     async for part in parts:
                         yield part
                 return
             except PeerUnreachableError as error:
                 if error.sent:
                     raise BackendError("the owner went away", Outcome.UNKNOWN) from error
-        async with aclosing(self._local(backend, request)) as parts:
+        async with aclosing(self._run_locally(backend, request)) as parts:
             async for part in parts:
                 yield part
 
-    async def _local(
+    async def _run_locally(
         self, backend: Backend, request: BackendRequest
     ) -> AsyncGenerator[BackendPart, None]:
         owned = self._owner.backends.get(backend.backend_id)
@@ -172,7 +174,7 @@
             async for part in parts:
                 yield part
 
-    async def _remote(
+    async def _run_remotely(
         self, address: Address, backend: Backend, request: BackendRequest, deadline: float
     ) -> AsyncGenerator[BackendPart, None]:
         call = dispatch_frame(backend, request, max(0.001, deadline - monotonic()))
@@ -186,8 +188,10 @@
                     raise BackendError("a part of the answer is missing", Outcome.UNKNOWN)
                 expected += 1
                 ended = part.end
-                self._router.hint(backend.backend_id, part.online_in_flight, monotonic())
-                yield part_of(part)
+                self._router.record_owner_load(
+                    backend.backend_id, part.online_in_flight, monotonic()
+                )
+                yield part_from_message(part)
         if not ended:
             raise BackendError("the answer's end is missing", Outcome.UNKNOWN)
 
@@ -208,7 +212,7 @@
     return Frame(dispatch=dispatch)
 
 
-def request_of(dispatch: Dispatch) -> BackendRequest:
+def request_from_message(dispatch: Dispatch) -> BackendRequest:
     """Return the request that a call carries."""
     return BackendRequest(
         dispatch.request_id,
@@ -221,7 +225,7 @@
     )
 
 
-def part_message(part: BackendPart, sequence: int, online_in_flight: int) -> DispatchPart:
+def message_from_part(part: BackendPart, sequence: int, online_in_flight: int) -> DispatchPart:
     """Return the message that carries a part."""
     return DispatchPart(
         sequence=sequence,
@@ -233,7 +237,7 @@
     )
 
 
-def part_of(message: DispatchPart) -> BackendPart:
+def part_from_message(message: DispatchPart) -> BackendPart:
     """Return the part that a message carries."""
     headers = {header.name: header.value for header in message.headers}
     return BackendPart(message.sequence, message.data, message.end, message.status, headers)
--- a/src/wharfcart/routing/owner.py
+++ b/src/wharfcart/routing/owner.py
@@ -64,7 +64,7 @@
             self.backends[backend.backend_id] = owned
         owned.backend = backend
         owned.gate.policy = policy
-        owned.gate.state = BackendState.DRAINING if backend.leaving else BackendState.LIVE
+        owned.gate.state = BackendState.DRAINING if backend.draining else BackendState.LIVE
         return owned
 
     def create_temporary(self, backend: Backend) -> OwnedBackend:
--- a/src/wharfcart/routing/router.py
+++ b/src/wharfcart/routing/router.py
@@ -15,14 +15,14 @@
 from wharfcart.cluster.randomness import RandomSource
 
 SHARD_SIZE = 4
-BOUNDED_LOAD = 1.25
-HINT_AGE_S = 1.0
+MAX_LOAD_RATIO = 1.25
+MAX_OWNER_LOAD_AGE_S = 1.0
 LATENCY_WEIGHT = 0.2
 SLOW_START_S = 10.0
-SLOW_START_LEAST = 0.1
+MIN_SLOW_START_FACTOR = 0.1
 FAILURES_TO_OPEN = 3
-CIRCUIT_LEAST_S = 1.0
-CIRCUIT_MOST_S = 30.0
+MIN_CIRCUIT_OPEN_S = 1.0
+MAX_CIRCUIT_OPEN_S = 30.0
 
 
 class BackendKind(StrEnum):
@@ -41,15 +41,15 @@
     address: str  # host:port
     zone: str
     targets: frozenset[str]  # models and adapters it holds, or its application's name
-    leaving: bool = False
+    draining: bool = False
 
 
 @dataclass
-class _Load:
-    joined_at: float
+class _BackendLoad:
+    added_at: float
     in_flight: int = 0
     owner_in_flight: int = 0
-    hinted_at: float = -1e9
+    owner_load_at: float = -1e9
     latency_s: float = 0.0
     failures: int = 0
     opened_at: float = 0.0
@@ -65,7 +65,7 @@
     random: RandomSource
     zone_distance: Callable[[str, str], int] = lambda mine, theirs: int(mine != theirs)
     backends: dict[str, Backend] = field(default_factory=dict)
-    _loads: dict[str, _Load] = field(default_factory=dict)
+    _loads: dict[str, _BackendLoad] = field(default_factory=dict)
     _by_target: dict[str, set[str]] = field(default_factory=dict)
 
     # ---- directory ----
@@ -78,7 +78,7 @@
         else:
             # The first directory of a fresh node is no reason to start everything slowly.
             old = now - SLOW_START_S if not self.backends else now
-            self._loads[backend.backend_id] = _Load(joined_at=old)
+            self._loads[backend.backend_id] = _BackendLoad(added_at=old)
         self.backends[backend.backend_id] = backend
         for target in backend.targets:
             self._by_target.setdefault(target, set()).add(backend.backend_id)
@@ -108,36 +108,36 @@
         usable = [
             name
             for name in self._by_target.get(target, ())
-            if name not in exclude and self._usable(name, now)
+            if name not in exclude and self._is_usable(name, now)
         ]
         if not usable:
             return None
         candidates = self._shard(routing_key, usable, now)
         if prefix:
             preferred = rendezvous_order(prefix, candidates)[0]
-            if self._within_bound(preferred, candidates, now):
+            if self._is_within_bound(preferred, candidates, now):
                 return self.backends[preferred]
         return self.backends[self._better_of_two(candidates, now)]
 
     def _shard(self, routing_key: str, usable: list[str], now: float) -> list[str]:
         near = [name for name in usable if self._distance(name) == 0]
         shard = shuffle_shard(routing_key, near or usable, SHARD_SIZE)
-        if near and len(near) < len(usable) and self._all_busy(shard, usable, now):
+        if near and len(near) < len(usable) and self._are_overloaded(shard, usable, now):
             shard = shard + shuffle_shard(routing_key, set(usable) - set(near), SHARD_SIZE)
         return shard
 
     def _distance(self, name: str) -> int:
         return self.zone_distance(self.zone, self.backends[name].zone)
 
-    def _all_busy(self, shard: Iterable[str], usable: list[str], now: float) -> bool:
+    def _are_overloaded(self, shard: Iterable[str], usable: list[str], now: float) -> bool:
         """Whether the near candidates carry clearly more than the rest: spill to other zones."""
         lowest = min(self._in_flight(name, now) for name in shard)
         mean = sum(self._in_flight(name, now) for name in usable) / len(usable)
-        return lowest > BOUNDED_LOAD * mean + 1
+        return lowest > MAX_LOAD_RATIO * mean + 1
 
-    def _within_bound(self, name: str, candidates: list[str], now: float) -> bool:
+    def _is_within_bound(self, name: str, candidates: list[str], now: float) -> bool:
         mean = sum(self._in_flight(other, now) for other in candidates) / len(candidates)
-        return self._in_flight(name, now) <= BOUNDED_LOAD * mean + 1
+        return self._in_flight(name, now) <= MAX_LOAD_RATIO * mean + 1
 
     def _better_of_two(self, candidates: list[str], now: float) -> str:
         first = candidates[int(self.random.random() * len(candidates))]
@@ -146,20 +146,20 @@
 
     def _score(self, name: str, now: float) -> float:
         load = self._loads[name]
-        ramp = min(1.0, max(SLOW_START_LEAST, (now - load.joined_at) / SLOW_START_S))
+        ramp = min(1.0, max(MIN_SLOW_START_FACTOR, (now - load.added_at) / SLOW_START_S))
         distance = 1 + self._distance(name)
         return (self._in_flight(name, now) + 1) * max(load.latency_s, 1e-3) * distance / ramp
 
     def _in_flight(self, name: str, now: float) -> float:
         load = self._loads[name]
-        if now - load.hinted_at > HINT_AGE_S:
+        if now - load.owner_load_at > MAX_OWNER_LOAD_AGE_S:
             return float(load.in_flight)
         return float(max(load.in_flight, load.owner_in_flight))
 
     # ---- circuit ----
 
-    def _usable(self, name: str, now: float) -> bool:
-        if self.backends[name].leaving:
+    def _is_usable(self, name: str, now: float) -> bool:
+        if self.backends[name].draining:
             return False
         load = self._loads[name]
         if load.open_for_s == 0:
@@ -168,21 +168,23 @@
 
     # ---- what happened ----
 
-    def started(self, backend_id: str) -> None:
+    def record_started(self, backend_id: str) -> None:
         """Note a dispatch."""
         load = self._loads.get(backend_id)
         if load is not None:
             load.in_flight += 1
             load.trial_running = load.open_for_s > 0
 
-    def hint(self, backend_id: str, owner_in_flight: int, now: float) -> None:
+    def record_owner_load(self, backend_id: str, owner_in_flight: int, now: float) -> None:
         """Take the owner's count from an answer."""
         load = self._loads.get(backend_id)
         if load is not None:
             load.owner_in_flight = owner_in_flight
-            load.hinted_at = now
+            load.owner_load_at = now
 
-    def ended(self, backend_id: str, now: float, latency_s: float | None, failed: bool) -> None:
+    def record_finished(
+        self, backend_id: str, now: float, latency_s: float | None, failed: bool
+    ) -> None:
         """Note the end of a dispatch; ``latency_s`` is to the first byte, None if none came."""
         load = self._loads.get(backend_id)
         if load is None:
@@ -190,15 +192,15 @@
         load.in_flight = max(0, load.in_flight - 1)
         load.trial_running = False
         if failed:
-            self._note_failure(load, now)
+            self._record_failure(load, now)
             return
         load.failures = 0
         load.open_for_s = 0.0
         if latency_s is not None:
             load.latency_s += LATENCY_WEIGHT * (latency_s - load.latency_s)
 
-    def _note_failure(self, load: _Load, now: float) -> None:
+    def _record_failure(self, load: _BackendLoad, now: float) -> None:
         load.failures += 1
         if load.failures >= FAILURES_TO_OPEN:
             load.opened_at = now
-            load.open_for_s = min(CIRCUIT_MOST_S, max(CIRCUIT_LEAST_S, load.open_for_s * 2))
+            load.open_for_s = min(MAX_CIRCUIT_OPEN_S, max(MIN_CIRCUIT_OPEN_S, load.open_for_s * 2))
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -34,26 +34,26 @@
     assert others == {f"e{n}" for n in range(12)}
 
 
-def test_same_prefix_goes_to_one_until_it_carries_too_much() -> None:
+def test_prefix_affinity_until_overload() -> None:
     router = _router()
     preferred = _choose(router, prefix="head")
     assert {_choose(router, prefix="head") for _ in range(50)} == {preferred}
     for _ in range(20):
-        router.started(preferred)
+        router.record_started(preferred)
     assert _choose(router, prefix="head") != preferred
 
 
-def test_near_zone_first_and_others_when_it_is_busy() -> None:
+def test_own_zone_is_preferred_until_overloaded() -> None:
     router = _router(zones=3)
     near = {f"e{n}" for n in range(0, 12, 3)}
     assert {_choose(router) for _ in range(100)} <= near
     for name in near:
         for _ in range(30):
-            router.started(name)
+            router.record_started(name)
     assert {_choose(router) for _ in range(100)} - near
 
 
-def test_leaving_and_missing_models_get_nothing() -> None:
+def test_draining_back_ends_and_unknown_models_are_not_chosen() -> None:
     router = _router(1)
     router.put_backend(_backend(0, leaving=True), 0.0)
     assert router.choose("model", "k", NOW) is None
@@ -63,20 +63,20 @@
 def test_circuit_opens_after_failures_and_lets_one_trial_through() -> None:
     router = _router(1)
     for _ in range(3):
-        router.started("e0")
-        router.ended("e0", NOW, None, failed=True)
+        router.record_started("e0")
+        router.record_finished("e0", NOW, None, failed=True)
     assert router.choose("model", "k", NOW + 0.5) is None
     assert router.choose("model", "k", NOW + 1.1) is not None
-    router.started("e0")
+    router.record_started("e0")
     assert router.choose("model", "k", NOW + 1.2) is None
-    router.ended("e0", NOW + 1.2, 0.01, failed=False)
+    router.record_finished("e0", NOW + 1.2, 0.01, failed=False)
     assert router.choose("model", "k", NOW + 1.3) is not None
 
 
-def test_stale_hints_are_forgotten() -> None:
+def test_stale_owner_load_is_ignored() -> None:
     router = _router(2)
-    router.hint("e0", 50, NOW)
+    router.record_owner_load("e0", 50, NOW)
     fresh = {router.choose("model", "k", NOW).backend_id for _ in range(50)}  # type: ignore[union-attr]
-    router.hint("e0", 50, NOW - 10)
+    router.record_owner_load("e0", 50, NOW - 10)
     stale = {router.choose("model", "k", NOW + 10).backend_id for _ in range(50)}  # type: ignore[union-attr]
     assert "e1" in fresh and stale == {"e0", "e1"}
