--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -84,7 +84,7 @@
     ),
     Ablation(
         "affinity",
-        "routing/backend_choice.py",
+        "routing/backend_selection.py",
         "MIN_AFFINITY_TOKENS = 1000",
         "MIN_AFFINITY_TOKENS = 10**9",
     ),
@@ -102,7 +102,7 @@
     ),
     Ablation(
         "silence",
-        "routing/backend_choice.py",
+        "routing/backend_selection.py",
         "FIRST_BYTE_TIMEOUT_S = 0.35",
         "FIRST_BYTE_TIMEOUT_S = 1e9",
     ),
--- a/benchmarks/granting.py
+++ b/benchmarks/granting.py
@@ -34,7 +34,7 @@
 
 def _play(share_taken: float, items: int, waiting: int) -> float:
     from wharfcart.configuration.instances import BackendInstance
-    from wharfcart.routing.backend_choice import BackendSelector
+    from wharfcart.routing.backend_selection import BackendSelector
     from wharfcart.slots.events import (
         Granted,
         HolderId,
--- a/src/wharfcart/admission/suspects.py
+++ b/src/wharfcart/admission/poison_requests.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field, replace
 
-from wharfcart.admission.request_content import RequestFingerprint
+from wharfcart.admission.request_fingerprint import RequestFingerprint
 
 # Why a request is refused, in the decision log.
 POISON_CAUSE = "suspected"
--- a/src/wharfcart/backends/application_client.py
+++ b/src/wharfcart/backends/application_client.py
@@ -5,7 +5,7 @@
 
 import aiohttp
 
-from wharfcart.backends.http_answers import CONTROL_TIMEOUT_S, open_response, read_response
+from wharfcart.backends.http_responses import CONTROL_TIMEOUT_S, open_response, read_response
 from wharfcart.backends.interface import BackendError, BackendPart, BackendRequest
 from wharfcart.errors import Outcome
 
--- a/src/wharfcart/batch/item_run.py
+++ b/src/wharfcart/batch/item_run.py
@@ -6,7 +6,7 @@
 from enum import StrEnum
 from time import time
 
-from wharfcart.admission.request_content import RequestFingerprint, fingerprint_of
+from wharfcart.admission.request_fingerprint import RequestFingerprint, fingerprint_of
 from wharfcart.backends.connection_pool import ConnectionLimitError, ConnectionPool
 from wharfcart.clock import monotonic
 from wharfcart.cluster.messages_pb2 import RequestItem
@@ -17,8 +17,8 @@
     HttpConnection,
 )
 from wharfcart.platform import exchanges
-from wharfcart.routing.backend_choice import BackendSelector, InstanceState
-from wharfcart.routing.broken_runs import CrashDetector, InterruptedRun
+from wharfcart.routing.backend_selection import BackendSelector, InstanceState
+from wharfcart.routing.crash_detection import CrashDetector, InterruptedRun
 from wharfcart.routing.event_stream import EventSplitter
 from wharfcart.storage.partial_texts import RunningText
 
--- a/src/wharfcart/batch/job_execution.py
+++ b/src/wharfcart/batch/job_execution.py
@@ -11,7 +11,7 @@
 from itertools import islice
 from time import time
 
-from wharfcart.admission.suspects import PoisonRequests
+from wharfcart.admission.poison_requests import PoisonRequests
 from wharfcart.batch.item_run import ItemProgress, ItemRunner, ItemSend, RunOutcome
 from wharfcart.batch.job_scheduler import JobScheduler, ScheduledJob
 from wharfcart.batch.placed_items import PlacedItem, PlacedItems
@@ -24,7 +24,7 @@
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.observability.serving_metrics import ServingMetrics
 from wharfcart.observability.tasks import BackgroundTasks
-from wharfcart.routing.backend_choice import BackendSelector, InstanceState
+from wharfcart.routing.backend_selection import BackendSelector, InstanceState
 from wharfcart.slots.events import LeaveCause, Verdict
 from wharfcart.slots.item_slots import ItemDemand, ItemSlot, ItemSlots
 from wharfcart.slots.session import HeldSlot
--- a/src/wharfcart/batch/placed_items.py
+++ b/src/wharfcart/batch/placed_items.py
@@ -5,7 +5,7 @@
 
 from wharfcart.batch.job_scheduler import ScheduledJob
 from wharfcart.cluster.messages_pb2 import RequestItem
-from wharfcart.routing.backend_choice import InstanceState
+from wharfcart.routing.backend_selection import InstanceState
 from wharfcart.slots.events import SlotNumber
 from wharfcart.slots.item_slots import ItemSlot
 from wharfcart.slots.session import HeldSlot
--- a/src/wharfcart/experiments/cold_shares.py
+++ b/src/wharfcart/experiments/cold_shares.py
@@ -1,7 +1,7 @@
 """Model of cold back ends: ways to keep their rate over all gateways, on the same arrivals.
 
 * ``product``: buckets at the granting node; gateways that choose by themselves have a share at a
-  few back ends each (:mod:`wharfcart.routing.cold_rates`);
+  few back ends each (:mod:`wharfcart.routing.cold_backends`);
 * ``divided``: the same, but each gateway has its part of the share at every back end;
 * ``free``: gateways that choose by themselves send as they like.
 
@@ -17,7 +17,7 @@
 from random import Random
 
 from wharfcart.configuration.serving import ColdLimit
-from wharfcart.routing.cold_rates import (
+from wharfcart.routing.cold_backends import (
     LOCAL_CHOICE_SHARE,
     LOCAL_MAX_TOKENS,
     ColdBuckets,
--- a/src/wharfcart/experiments/simulated_slots.py
+++ b/src/wharfcart/experiments/simulated_slots.py
@@ -12,7 +12,7 @@
 from types import SimpleNamespace
 from typing import Any, cast
 
-from wharfcart.admission.suspects import PoisonRequests
+from wharfcart.admission.poison_requests import PoisonRequests
 from wharfcart.batch.item_run import ItemRunner, ItemSend, RunOutcome
 from wharfcart.batch.job_execution import JobExecution
 from wharfcart.cluster.address import Address
@@ -35,7 +35,7 @@
 from wharfcart.experiments.virtual_time import virtual_monotonic
 from wharfcart.observability.decisions import DecisionLog
 from wharfcart.observability.serving_metrics import ServingMetrics
-from wharfcart.routing.backend_choice import BackendSelector, InstanceState
+from wharfcart.routing.backend_selection import BackendSelector, InstanceState
 from wharfcart.routing.placement import NoSlotError, PlacementRequest, SendResult
 from wharfcart.slots.asking_order import Step
 from wharfcart.slots.events import HolderId
--- a/src/wharfcart/node/backend_news.py
+++ b/src/wharfcart/node/backend_news.py
@@ -13,7 +13,7 @@
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.platform import documents, names, server_entry
-from wharfcart.routing.backend_choice import BackendSelector
+from wharfcart.routing.backend_selection import BackendSelector
 
 # So many back ends get a line each; more are told together.
 MOST_SINGLE_LINES = 2
--- a/src/wharfcart/node/evacuations.py
+++ b/src/wharfcart/node/evacuations.py
@@ -12,7 +12,7 @@
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.observability.serving_metrics import ServingMetrics
 from wharfcart.platform import names
-from wharfcart.routing.backend_choice import BackendSelector
+from wharfcart.routing.backend_selection import BackendSelector
 
 PERIOD_S = 0.25
 
--- a/src/wharfcart/node/gateway_process.py
+++ b/src/wharfcart/node/gateway_process.py
@@ -12,7 +12,7 @@
 from wharfcart.node.early_listening import EarlySockets
 from wharfcart.node.serving_node import ServingNode
 from wharfcart.observability.decisions import DecisionLog, Event
-from wharfcart.routing.cold_rates import LocalColdShares
+from wharfcart.routing.cold_backends import LocalColdShares
 from wharfcart.routing.forwarder import Forwarder
 from wharfcart.settings.base import split_endpoint
 from wharfcart.settings.serving import GatewaySettings, ServingSettings
--- a/src/wharfcart/node/serving_node.py
+++ b/src/wharfcart/node/serving_node.py
@@ -9,7 +9,7 @@
 from random import Random
 from time import time
 
-from wharfcart.admission.suspects import RELEASE_JITTER_S, PoisonRequests
+from wharfcart.admission.poison_requests import RELEASE_JITTER_S, PoisonRequests
 from wharfcart.backends.connection_pool import ConnectionPool
 from wharfcart.clock import Suspensions, monotonic
 from wharfcart.cluster.address import Address
@@ -47,8 +47,8 @@
 from wharfcart.observability.tasks import BackgroundTasks
 from wharfcart.platform import documents, names
 from wharfcart.platform.metadata_store import MetadataStore
-from wharfcart.routing.backend_choice import BackendSelector
-from wharfcart.routing.broken_runs import CrashDetector
+from wharfcart.routing.backend_selection import BackendSelector
+from wharfcart.routing.crash_detection import CrashDetector
 from wharfcart.routing.eligibility import Eligibility
 from wharfcart.settings.base import split_endpoint
 from wharfcart.settings.serving import ServingSettings
--- a/src/wharfcart/node/suspect_news.py
+++ b/src/wharfcart/node/suspect_news.py
@@ -12,8 +12,8 @@
 from contextlib import suppress
 from time import time
 
-from wharfcart.admission.request_content import RequestFingerprint
-from wharfcart.admission.suspects import BackendCrash, PoisonEvidence, PoisonRequests
+from wharfcart.admission.poison_requests import BackendCrash, PoisonEvidence, PoisonRequests
+from wharfcart.admission.request_fingerprint import RequestFingerprint
 from wharfcart.cluster.coordination import (
     Change,
     ConditionFailedError,
--- a/src/wharfcart/routing/backend_choice.py
+++ b/src/wharfcart/routing/backend_selection.py
@@ -20,11 +20,11 @@
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.residence import ANYWHERE, Residence
 from wharfcart.configuration.serving import ColdLimit
-from wharfcart.routing.cold_rates import PERMIT_TTL_S, ColdBackends, ColdPeriod, LocalColdShares
+from wharfcart.routing.cold_backends import PERMIT_TTL_S, ColdBackends, ColdPeriod, LocalColdShares
 from wharfcart.routing.eligibility import Eligibility, ExclusionReason
+from wharfcart.routing.load_balancing import fill_level, pick_below
 from wharfcart.routing.outcome_record import OutcomeRecord, counts_as_failing
 from wharfcart.routing.send_rates import SendRates
-from wharfcart.routing.spreading import fill_level, pick_below
 
 MAX_REPORT_AGE_S = 1.5
 MIN_AVOID_S = 0.5
--- a/src/wharfcart/routing/caller_request.py
+++ b/src/wharfcart/routing/caller_request.py
@@ -4,11 +4,11 @@
 from functools import cached_property
 from typing import Protocol
 
-from wharfcart.admission.request_content import RequestFingerprint, fingerprint_of
+from wharfcart.admission.request_fingerprint import RequestFingerprint, fingerprint_of
 from wharfcart.configuration.residence import Residence
 from wharfcart.configuration.serving import Route, ServedTenant
 from wharfcart.platform import exchanges
-from wharfcart.routing.backend_choice import MIN_AFFINITY_TOKENS
+from wharfcart.routing.backend_selection import MIN_AFFINITY_TOKENS
 
 
 @dataclass(frozen=True)
--- a/src/wharfcart/routing/broken_runs.py
+++ b/src/wharfcart/routing/crash_detection.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from time import time
 
-from wharfcart.admission.request_content import RequestFingerprint
-from wharfcart.admission.suspects import PoisonRequests, crash_weight
+from wharfcart.admission.poison_requests import PoisonRequests, crash_weight
+from wharfcart.admission.request_fingerprint import RequestFingerprint
 from wharfcart.clock import monotonic
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.http.connection import BreakCause, ConnectFailedError, HttpConnection
--- a/src/wharfcart/routing/forwarder.py
+++ b/src/wharfcart/routing/forwarder.py
@@ -17,9 +17,9 @@
 from wharfcart.observability.decisions import DecisionLog
 from wharfcart.observability.serving_metrics import ServingMetrics
 from wharfcart.platform import exchanges
-from wharfcart.routing.backend_choice import BackendSelector
-from wharfcart.routing.broken_runs import CrashDetector
+from wharfcart.routing.backend_selection import BackendSelector
 from wharfcart.routing.caller_request import AnswerSink, AnswerTruncatedError, CallerRequest
+from wharfcart.routing.crash_detection import CrashDetector
 from wharfcart.routing.deadlines import Deadlines
 from wharfcart.routing.eligibility import ExclusionReason
 from wharfcart.routing.placement import (
@@ -28,7 +28,7 @@
     Placement,
     PlacementRequest,
 )
-from wharfcart.routing.region_reach import RegionReachability
+from wharfcart.routing.region_reachability import RegionReachability
 from wharfcart.routing.request_log import RequestLog
 from wharfcart.routing.request_progress import RequestProgress
 from wharfcart.routing.sender import Sender, SendFailure
--- a/src/wharfcart/routing/placement.py
+++ b/src/wharfcart/routing/placement.py
@@ -7,7 +7,7 @@
 from wharfcart.clock import monotonic
 from wharfcart.configuration.residence import ANYWHERE, Residence
 from wharfcart.configuration.serving import RequestLimit
-from wharfcart.routing.backend_choice import BackendSelector, InstanceState
+from wharfcart.routing.backend_selection import BackendSelector, InstanceState
 
 # Told where a gateway that chooses by itself may not send to cold back ends: a cold back end warms
 # up within seconds, and a granting node is found again within tenths of one.
--- a/src/wharfcart/routing/request_log.py
+++ b/src/wharfcart/routing/request_log.py
@@ -1,10 +1,10 @@
 """What is told of each request that is passed on: decision lines and metrics."""
 
-from wharfcart.admission.suspects import POISON_CAUSE
+from wharfcart.admission.poison_requests import POISON_CAUSE
 from wharfcart.clock import monotonic
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.observability.serving_metrics import ServingMetrics
-from wharfcart.routing.backend_choice import BackendSelector, InstanceState
+from wharfcart.routing.backend_selection import BackendSelector, InstanceState
 from wharfcart.routing.caller_request import CallerRequest
 from wharfcart.routing.eligibility import ExclusionReason
 from wharfcart.routing.placement import PlacementDecision
--- a/src/wharfcart/routing/sender.py
+++ b/src/wharfcart/routing/sender.py
@@ -12,7 +12,7 @@
 from typing import TypeVar
 
 from wharfcart.admission.hedging import HedgeBudget
-from wharfcart.admission.suspects import POISON_CAUSE
+from wharfcart.admission.poison_requests import POISON_CAUSE
 from wharfcart.backends.connection_pool import ConnectionLimitError, ConnectionPool
 from wharfcart.clock import monotonic
 from wharfcart.cluster.topology import RegionName
@@ -25,12 +25,12 @@
     HttpConnection,
 )
 from wharfcart.platform import exchanges
-from wharfcart.routing.backend_choice import BackendSelector, InstanceState
-from wharfcart.routing.broken_runs import CrashDetector, InterruptedRun
+from wharfcart.routing.backend_selection import BackendSelector, InstanceState
 from wharfcart.routing.caller_request import AnswerSink, CallerRequest
+from wharfcart.routing.crash_detection import CrashDetector, InterruptedRun
 from wharfcart.routing.event_stream import EventSplitter
 from wharfcart.routing.placement import Placement, PlacementDecision, SendResult
-from wharfcart.routing.region_reach import RegionReachability
+from wharfcart.routing.region_reachability import RegionReachability
 from wharfcart.routing.request_log import RequestLog
 from wharfcart.routing.request_progress import RequestProgress
 
--- a/src/wharfcart/slots/fleet_load.py
+++ b/src/wharfcart/slots/fleet_load.py
@@ -1,7 +1,7 @@
 """The load of all back ends as the granting nodes tell it, for a gateway's own choices."""
 
 from wharfcart.clock import monotonic
-from wharfcart.routing.backend_choice import BackendSelector
+from wharfcart.routing.backend_selection import BackendSelector
 from wharfcart.slots.picture import BackendLoad, SlotPicture
 from wharfcart.slots.session import SlotNewsTaker
 
--- a/src/wharfcart/slots/granted_placement.py
+++ b/src/wharfcart/slots/granted_placement.py
@@ -8,7 +8,7 @@
 from wharfcart.cluster.topology import Distance
 from wharfcart.configuration.residence import Residence
 from wharfcart.observability.decisions import Counter
-from wharfcart.routing.backend_choice import BackendSelector
+from wharfcart.routing.backend_selection import BackendSelector
 from wharfcart.routing.placement import (
     LocalPlacement,
     NoSlotError,
--- a/src/wharfcart/slots/granter.py
+++ b/src/wharfcart/slots/granter.py
@@ -13,7 +13,7 @@
 
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.residence import ANYWHERE, Residence
-from wharfcart.routing.backend_choice import BackendSelector, InstanceState, select_by_affinity
+from wharfcart.routing.backend_selection import BackendSelector, InstanceState, select_by_affinity
 from wharfcart.routing.send_rates import SendRates
 from wharfcart.slots.events import (
     BackendBlamed,
--- a/src/wharfcart/slots/service.py
+++ b/src/wharfcart/slots/service.py
@@ -29,7 +29,7 @@
 from wharfcart.configuration.serving import RequestLimit
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.observability.serving_metrics import Gauge
-from wharfcart.routing.backend_choice import BackendSelector
+from wharfcart.routing.backend_selection import BackendSelector
 from wharfcart.slots.events import (
     Granted,
     HolderId,
--- a/src/wharfcart/slots/sessions.py
+++ b/src/wharfcart/slots/sessions.py
@@ -10,7 +10,7 @@
 from wharfcart.configuration.residence import ANYWHERE, Residence
 from wharfcart.observability.decisions import DecisionLog
 from wharfcart.observability.tasks import BackgroundTasks
-from wharfcart.routing.backend_choice import BackendSelector
+from wharfcart.routing.backend_selection import BackendSelector
 from wharfcart.slots.events import HolderId, SilenceChanged
 from wharfcart.slots.picture import ServiceRoom
 from wharfcart.slots.session import HeardUsage, SlotNewsTaker, SlotSession
--- a/src/wharfcart/slots/slot_room.py
+++ b/src/wharfcart/slots/slot_room.py
@@ -11,8 +11,12 @@
 
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.residence import Residence
-from wharfcart.routing.backend_choice import UNREAD_TOKENS_PER_LOAD, BackendSelector, InstanceState
-from wharfcart.routing.cold_rates import ColdBuckets, granted_rate
+from wharfcart.routing.backend_selection import (
+    UNREAD_TOKENS_PER_LOAD,
+    BackendSelector,
+    InstanceState,
+)
+from wharfcart.routing.cold_backends import ColdBuckets, granted_rate
 from wharfcart.slots.ledger import SlotLedger, TakenSlot
 from wharfcart.slots.picture import BackendLoad
 
--- a/tests/admission/test_suspects.py
+++ b/tests/admission/test_poison_requests.py
@@ -4,8 +4,7 @@
 
 import pytest
 
-from wharfcart.admission.request_content import RequestFingerprint, fingerprint_of
-from wharfcart.admission.suspects import (
+from wharfcart.admission.poison_requests import (
     EVIDENCE_TTL_S,
     FIRST_QUARANTINE_S,
     MAX_EARLY_CRASH_S,
@@ -17,6 +16,7 @@
     PoisonRequests,
     crash_weight,
 )
+from wharfcart.admission.request_fingerprint import RequestFingerprint, fingerprint_of
 
 FINGERPRINT = RequestFingerprint("c")
 OTHER_FINGERPRINT = RequestFingerprint("o")
--- a/tests/batch/test_job_execution.py
+++ b/tests/batch/test_job_execution.py
@@ -8,7 +8,7 @@
 from time import time
 from types import SimpleNamespace
 
-from wharfcart.admission.suspects import PoisonRequests
+from wharfcart.admission.poison_requests import PoisonRequests
 from wharfcart.batch import job_execution
 from wharfcart.batch.item_run import ItemSend, RunOutcome
 from wharfcart.batch.job_execution import JobExecution
@@ -30,7 +30,7 @@
 )
 from wharfcart.observability.decisions import DecisionLog
 from wharfcart.observability.serving_metrics import ServingMetrics
-from wharfcart.routing.backend_choice import BackendSelector
+from wharfcart.routing.backend_selection import BackendSelector
 from wharfcart.routing.eligibility import Eligibility
 from wharfcart.slots.events import (
     HolderId,
--- a/tests/node/test_backend_news.py
+++ b/tests/node/test_backend_news.py
@@ -7,7 +7,7 @@
 from wharfcart.cluster.coordination import Change
 from wharfcart.node.backend_news import BackendNews
 from wharfcart.observability.decisions import DecisionLog, Event
-from wharfcart.routing.backend_choice import BackendSelector
+from wharfcart.routing.backend_selection import BackendSelector
 
 
 class Node:
--- a/tests/node/test_suspect_news.py
+++ b/tests/node/test_suspect_news.py
@@ -5,8 +5,8 @@
 from random import Random
 from time import time
 
-from wharfcart.admission.request_content import RequestFingerprint
-from wharfcart.admission.suspects import EVIDENCE_TTL_S, PoisonRequests
+from wharfcart.admission.poison_requests import EVIDENCE_TTL_S, PoisonRequests
+from wharfcart.admission.request_fingerprint import RequestFingerprint
 from wharfcart.cluster.coordination import (
     Change,
     Changes,
--- a/tests/routing/test_backend_choice.py
+++ b/tests/routing/test_backend_selection.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from wharfcart.configuration.instances import BackendInstance
-from wharfcart.routing.backend_choice import SNAPSHOT_TTL_S, BackendSelector, InstanceState
+from wharfcart.routing.backend_selection import SNAPSHOT_TTL_S, BackendSelector, InstanceState
 
 
 def instance(
--- a/tests/routing/test_leaving_for_back_end.py
+++ b/tests/routing/test_changes_during_connect.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from wharfcart.admission.request_content import fingerprint_of
-from wharfcart.admission.suspects import FIRST_QUARANTINE_S, PoisonRequests
+from wharfcart.admission.poison_requests import FIRST_QUARANTINE_S, PoisonRequests
+from wharfcart.admission.request_fingerprint import fingerprint_of
 from wharfcart.backends.connection_pool import ConnectionPool
 from wharfcart.batch.item_run import ItemProgress, ItemRunner, ItemSend, RunOutcome
 from wharfcart.cluster.messages_pb2 import RequestItem
@@ -21,10 +21,10 @@
 from wharfcart.platform import exchanges
 from wharfcart.platform.exchanges import RequestFacts
 from wharfcart.routing import sender
-from wharfcart.routing.backend_choice import BackendSelector
-from wharfcart.routing.broken_runs import CrashDetector
+from wharfcart.routing.backend_selection import BackendSelector
 from wharfcart.routing.caller_request import CallerRequest
-from wharfcart.routing.cold_rates import PERMIT_TTL_S
+from wharfcart.routing.cold_backends import PERMIT_TTL_S
+from wharfcart.routing.crash_detection import CrashDetector
 from wharfcart.routing.forwarder import RETRY_AFTER_EVACUATED_S, Forwarder
 from wharfcart.routing.placement import LocalPlacement, PlacementDecision, SendResult
 from wharfcart.storage.partial_texts import RunningText
--- a/tests/routing/test_cold_rates.py
+++ b/tests/routing/test_cold_backends.py
@@ -4,8 +4,8 @@
 
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.serving import ColdLimit
-from wharfcart.routing.backend_choice import BackendSelector
-from wharfcart.routing.cold_rates import GATEWAYS_PER_BACKEND, LocalColdShares
+from wharfcart.routing.backend_selection import BackendSelector
+from wharfcart.routing.cold_backends import GATEWAYS_PER_BACKEND, LocalColdShares
 
 LIMIT = ColdLimit(20.0, 3.0)
 
--- a/tests/routing/test_broken_runs.py
+++ b/tests/routing/test_crash_detection.py
@@ -3,12 +3,12 @@
 import asyncio
 from dataclasses import replace
 
-from wharfcart.admission.request_content import RequestFingerprint
-from wharfcart.admission.suspects import PoisonRequests
+from wharfcart.admission.poison_requests import PoisonRequests
+from wharfcart.admission.request_fingerprint import RequestFingerprint
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.http.connection import BreakCause
 from wharfcart.observability.decisions import DecisionLog, Event
-from wharfcart.routing.broken_runs import CRASH_TTL_S, CrashDetector, InterruptedRun
+from wharfcart.routing.crash_detection import CRASH_TTL_S, CrashDetector, InterruptedRun
 
 FINGERPRINT = RequestFingerprint("c")
 
--- a/tests/routing/test_forwarder_residence.py
+++ b/tests/routing/test_forwarder_residence.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from wharfcart.admission.suspects import PoisonRequests
+from wharfcart.admission.poison_requests import PoisonRequests
 from wharfcart.backends.connection_pool import ConnectionPool
 from wharfcart.cluster.topology import RegionName, Topology
 from wharfcart.configuration.instances import BackendInstance
@@ -15,9 +15,9 @@
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.observability.serving_metrics import ServingMetrics
 from wharfcart.platform.exchanges import RequestFacts
-from wharfcart.routing.backend_choice import BackendSelector
-from wharfcart.routing.broken_runs import CrashDetector
+from wharfcart.routing.backend_selection import BackendSelector
 from wharfcart.routing.caller_request import CallerRequest
+from wharfcart.routing.crash_detection import CrashDetector
 from wharfcart.routing.eligibility import Eligibility
 from wharfcart.routing.forwarder import Forwarder
 from wharfcart.routing.placement import LocalPlacement
--- a/tests/routing/test_spreading.py
+++ b/tests/routing/test_load_balancing.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wharfcart.routing.spreading import fill_level, pick_below
+from wharfcart.routing.load_balancing import fill_level, pick_below
 
 LOADS = st.lists(st.floats(min_value=0, max_value=3), min_size=1, max_size=40)
 
--- a/tests/routing/test_region_reach.py
+++ b/tests/routing/test_region_reachability.py
@@ -1,7 +1,7 @@
 """When a gateway takes a region for cut off, and when it tries again."""
 
 from wharfcart.cluster.topology import RegionName
-from wharfcart.routing.region_reach import (
+from wharfcart.routing.region_reachability import (
     MIN_CONSECUTIVE_FAILURES,
     PROBE_PERIOD_S,
     RegionReachability,
--- a/tests/slots/network.py
+++ b/tests/slots/network.py
@@ -17,7 +17,7 @@
 from wharfcart.experiments.virtual_time import run_virtually, virtual_clock
 from wharfcart.observability.decisions import DecisionLog
 from wharfcart.observability.serving_metrics import ServingMetrics
-from wharfcart.routing.backend_choice import BackendSelector
+from wharfcart.routing.backend_selection import BackendSelector
 from wharfcart.routing.placement import PlacementRequest
 from wharfcart.slots.events import HolderId
 from wharfcart.slots.fleet_load import FleetLoad
--- a/tests/slots/test_cold_granting.py
+++ b/tests/slots/test_cold_granting.py
@@ -4,8 +4,8 @@
 
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.serving import ColdLimit
-from wharfcart.routing.backend_choice import BackendSelector
-from wharfcart.routing.cold_rates import GRANTED_SHARE, UNCONFIRMED_SHARE
+from wharfcart.routing.backend_selection import BackendSelector
+from wharfcart.routing.cold_backends import GRANTED_SHARE, UNCONFIRMED_SHARE
 from wharfcart.slots.events import (
     Granted,
     HolderId,
--- a/tests/slots/test_cold_property.py
+++ b/tests/slots/test_cold_property.py
@@ -10,8 +10,8 @@
 
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.serving import ColdLimit
-from wharfcart.routing.backend_choice import BackendSelector
-from wharfcart.routing.cold_rates import PERMIT_TTL_S, LocalColdShares
+from wharfcart.routing.backend_selection import BackendSelector
+from wharfcart.routing.cold_backends import PERMIT_TTL_S, LocalColdShares
 from wharfcart.slots.events import (
     Granted,
     HolderId,
--- a/tests/slots/test_emptied_zones.py
+++ b/tests/slots/test_emptied_zones.py
@@ -8,8 +8,8 @@
 from tests.slots.network import SETTLE_S, Fleet, play, request
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.serving import ColdLimit
-from wharfcart.routing.backend_choice import BackendSelector
-from wharfcart.routing.cold_rates import LocalColdShares
+from wharfcart.routing.backend_selection import BackendSelector
+from wharfcart.routing.cold_backends import LocalColdShares
 from wharfcart.routing.placement import NoSlotError, PlacementDecision, SendResult
 from wharfcart.slots.events import LeaveCause
 from wharfcart.slots.item_slots import ItemDemand, ItemSlot
--- a/tests/slots/test_granter.py
+++ b/tests/slots/test_granter.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from wharfcart.configuration.instances import BackendInstance
-from wharfcart.routing.backend_choice import BackendSelector
+from wharfcart.routing.backend_selection import BackendSelector
 from wharfcart.slots.events import (
     BackendBlamed,
     Granted,
--- a/tests/slots/test_granter_residence.py
+++ b/tests/slots/test_granter_residence.py
@@ -5,7 +5,7 @@
 from wharfcart.cluster.topology import RegionName, Topology
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.residence import ANYWHERE, Residence, residence_in
-from wharfcart.routing.backend_choice import BackendSelector
+from wharfcart.routing.backend_selection import BackendSelector
 from wharfcart.routing.eligibility import Eligibility
 from wharfcart.slots.events import (
     Granted,
