--- a/src/wharfcart/node/backend_updates.py
+++ b/src/wharfcart/node/backend_updates.py
@@ -13,7 +13,7 @@
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.platform import documents, names, server_entry
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_selection import BackendSelector
 
 # So many back ends get a line each; more are told together.
 MAX_UNGROUPED_LINES = 2
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        selector: BackendChoice,
+        selector: BackendSelector,
         pool: ConnectionPool,
         in_outage: Callable[[], bool],
         age_s: Callable[[], float],
--- a/src/wharfcart/node/evacuations.py
+++ b/src/wharfcart/node/evacuations.py
@@ -12,7 +12,7 @@
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.observability.serving_metrics import ServingMetrics
 from wharfcart.platform import names
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_selection import BackendSelector
 
 CHECK_INTERVAL_S = 0.25
 
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        selector: BackendChoice,
+        selector: BackendSelector,
         log: DecisionLog,
         metrics: ServingMetrics,
         age_s: Callable[[], float],
@@ -52,7 +52,7 @@
     def check_in_flight(self, now: float) -> None:
         """Show what still runs in emptied zones, and tell which have become quiet."""
         for zone, begun_at in self._started_at_by_zone.items():
-            in_flight = self._selector.in_flight_in(zone)
+            in_flight = self._selector.in_flight_in_zone(zone)
             self._metrics.evacuated_in_flight.set(zone, in_flight)
             if in_flight:
                 self._idle_zones.discard(zone)
@@ -79,7 +79,7 @@
         self._idle_zones.discard(zone)
         self._update_eligibility()
         # Its back ends may have turned cold just before, which their entries tell only later.
-        self._selector.cold.given_back(zone, monotonic(), revision)
+        self._selector.cold.zone_restored(zone, monotonic(), revision)
         self._metrics.evacuated.set(zone, 0)
         self._metrics.evacuated_in_flight.set(zone, 0)
         self._write(Event.EVACUATION_ENDED, zone, revision)
@@ -92,6 +92,6 @@
             event,
             zone=zone,
             revision=revision,
-            in_flight=self._selector.in_flight_in(zone),
+            in_flight=self._selector.in_flight_in_zone(zone),
             age_s=round(self._age_s(), 2),
         )
--- a/src/wharfcart/node/fleet.py
+++ b/src/wharfcart/node/fleet.py
@@ -11,8 +11,8 @@
 import aiohttp
 
 from wharfcart.backends.application_client import ApplicationClient
-from wharfcart.backends.engine_client import EngineClient, EngineReport
-from wharfcart.backends.interface import BackendError, Order, OrderKind
+from wharfcart.backends.engine_client import EngineClient, EngineInventory
+from wharfcart.backends.interface import BackendError, EngineCommand, EngineCommandKind
 from wharfcart.batch.runner import BatchRunner
 from wharfcart.clock import monotonic
 from wharfcart.cluster.messages_pb2 import BackendView, Entry
@@ -22,7 +22,7 @@
 from wharfcart.fleet.reconciler import EngineStatus, FleetReconciler, TargetModel
 from wharfcart.observability.tasks import BackgroundTasks
 from wharfcart.platform.machine_list import ListedMachine
-from wharfcart.routing.owner import OwnedBackend, Owner
+from wharfcart.routing.owner import BackendOwner, OwnedBackend
 from wharfcart.routing.router import Backend, BackendKind, Router
 
 OWNERSHIP_CHECK_INTERVAL_S = 0.5
@@ -77,7 +77,7 @@
     live_in_zone: Callable[[str], list[str]]
     services: ServiceIndex
     router: Router
-    owner: Owner
+    owner: BackendOwner
     session: aiohttp.ClientSession
     make_runner: Callable[[OwnedBackend], BatchRunner]
     publish: Callable[[str, bytes | None], None]
@@ -169,9 +169,9 @@
             runner = self._context.make_runner(owned)
             task = asyncio.get_running_loop().create_task(runner.run())
             self._running[backend.backend_id] = _RunningBackend(runner, task)
-        elif backend.leaving and running.stopping is None:
+        elif backend.draining and running.stopping is None:
             running.stopping = asyncio.get_running_loop().create_task(running.runner.stop())
-        elif not backend.leaving and running.stopping is not None and running.stopping.done():
+        elif not backend.draining and running.stopping is not None and running.stopping.done():
             self._release(backend.backend_id)
 
     def _remove_expired_drain(self, backend_id: str) -> None:
@@ -222,7 +222,7 @@
                 batch_in_flight=len(owned.gate.batch),
                 state=owned.gate.state.value,
                 completed=owned.completed,
-                batch_cancelled=owned.gate.stopped_batch,
+                batch_cancelled=owned.gate.preempted_count,
             )
             for backend_id, owned in self._context.owner.backends.items()
         ]
@@ -254,10 +254,10 @@
     async def _query_status(self, machine: ListedMachine) -> BackendStatus | None:
         session = self._context.session
         if machine.kind == BackendKind.APPLICATION:
-            alive = await ApplicationClient(machine.address, session).alive()
+            alive = await ApplicationClient(machine.address, session).is_alive()
             return BackendStatus() if alive else None
         try:
-            report: EngineReport = await EngineClient(machine.address, session).report()
+            report: EngineInventory = await EngineClient(machine.address, session).fetch_inventory()
         except BackendError:
             return None
         adapters = tuple(sorted(report.adapters))
@@ -279,12 +279,12 @@
         now = monotonic()
         for order in self._reconciler.reconcile(models, self._engine_statuses(), now):
             status = self._known[order.backend_id].status
-            if order.kind is OrderKind.LOAD_MODEL and status is not None and status.model:
+            if order.kind is EngineCommandKind.LOAD_MODEL and status is not None and status.model:
                 self._tasks.spawn(self._drain_then_send(order))
             else:
                 await self._send_order(order)
 
-    async def _drain_then_send(self, order: Order) -> None:
+    async def _drain_then_send(self, order: EngineCommand) -> None:
         """Have a server finish what it runs before its model is taken away."""
         value = json.dumps({"until": time.time() + DRAIN_TTL_S}).encode()
         self._context.publish(f"drain/{order.backend_id}", value)
@@ -292,13 +292,13 @@
         if self._context.leader_epoch() == order.epoch:
             await self._send_order(order)
 
-    async def _send_order(self, order: Order) -> None:
+    async def _send_order(self, order: EngineCommand) -> None:
         machine = self._known[order.backend_id].machine
         if machine is None:
             return
         logger.info("order", extra={"order": str(order)})
         try:
-            await EngineClient(machine.address, self._context.session).order(order)
+            await EngineClient(machine.address, self._context.session).send_command(order)
         except BackendError as error:
             logger.info("order not answered", extra={"cause": str(error)})
 
--- a/src/wharfcart/node/gateway_process.py
+++ b/src/wharfcart/node/gateway_process.py
@@ -12,7 +12,7 @@
 from wharfcart.node.early_listening import EarlySockets
 from wharfcart.node.serving_node import ServingNode
 from wharfcart.observability.decisions import DecisionLog, Event
-from wharfcart.routing.cold_rates import OwnColdShares
+from wharfcart.routing.cold_backends import LocalColdShares
 from wharfcart.routing.forwarder import Forwarder
 from wharfcart.settings.base import split_endpoint
 from wharfcart.settings.serving import GatewaySettings, ServingSettings
@@ -64,7 +64,7 @@
             self._node.grants_in,
         )
         self._node.count_nodes = self._sessions.holder_count
-        self._node.selector.own_cold_shares = OwnColdShares(
+        self._node.selector.local_cold_shares = LocalColdShares(
             settings.node_id, self._sessions.holder_count
         )
         self._relays = PermitRelays(self._node.transport, self._sessions.relays)
@@ -73,7 +73,7 @@
             self._node.selector,
             self._sessions,
             self._node.distance_to_group,
-            self._node.pool.kept,
+            self._node.pool.idle_instances,
             self._node.metrics.placements,
             self._relays,
         )
@@ -86,7 +86,7 @@
             self._node.metrics,
             self._node.crash_detector,
         )
-        self._node.suspension_watch.on_resumed = forwarder.deadlines.resumed
+        self._node.suspension_watch.on_resumed = forwarder.deadlines.reschedule_all
         jobs = JobCalls(
             JobClient(
                 self._node.transport,
--- a/src/wharfcart/node/hosted_group.py
+++ b/src/wharfcart/node/hosted_group.py
@@ -73,7 +73,7 @@
             parts.keep_jobs_s,
             node.log,
             node.metrics,
-            node.crash_detector.suspects,
+            node.crash_detector.poison_requests,
         )
         self.service = JobGroupService(
             self.replica,
--- a/src/wharfcart/node/node.py
+++ b/src/wharfcart/node/node.py
@@ -47,8 +47,8 @@
 from wharfcart.platform.etcd_json import EtcdJsonStore
 from wharfcart.platform.key_value import KeyValueUnavailableError
 from wharfcart.platform.machine_list import PrometheusDiscovery
-from wharfcart.routing.dispatcher import Dispatcher, NodeView
-from wharfcart.routing.owner import OwnedBackend, Owner
+from wharfcart.routing.dispatcher import ClusterView, Dispatcher
+from wharfcart.routing.owner import BackendOwner, OwnedBackend
 from wharfcart.routing.router import Router
 from wharfcart.settings.base import split_endpoint
 from wharfcart.settings.schema import NodeSettings
@@ -152,8 +152,8 @@
     def _build_serving(self) -> None:
         settings = self.settings
         self.router = Router(settings.zone, random.Random())
-        self.owner = Owner(self._session, self.metrics.batch_yields.inc)
-        view = NodeView(settings.node_id, self._live_in_zone, self._gossip.address_of)
+        self.owner = BackendOwner(self._session, self.metrics.batch_yields.inc)
+        view = ClusterView(settings.node_id, self._live_in_zone, self._gossip.address_of)
         self._dispatcher = Dispatcher(view, self.router, self.owner, self._transport, self.metrics)
         self._journal_client = JournalClient(
             self._propagation.placement, self._transport, self._gossip.address_of_storage
--- a/src/wharfcart/node/poison_evidence_sync.py
+++ b/src/wharfcart/node/poison_evidence_sync.py
@@ -12,8 +12,8 @@
 from contextlib import suppress
 from time import time
 
-from wharfcart.admission.request_content import ContentId
-from wharfcart.admission.suspects import BackendEnd, SuspectRecord, Suspects
+from wharfcart.admission.poison_requests import BackendCrash, PoisonEvidence, PoisonRequests
+from wharfcart.admission.request_fingerprint import RequestFingerprint
 from wharfcart.cluster.coordination import (
     ConditionFailedError,
     CoordinationService,
@@ -53,7 +53,7 @@
 
     def __init__(
         self,
-        poison_requests: Suspects,
+        poison_requests: PoisonRequests,
         service: CoordinationService,
         mirror: Mirror,
         random: RandomSource,
@@ -66,20 +66,22 @@
         self._random = random
         self._failures = 0
         self._pending = asyncio.Event()
-        poison_requests.on_news = self._pending.set
+        poison_requests.on_update = self._pending.set
 
     def apply_change(self, change: KeyChange) -> None:
         """Take what was shared of a content."""
-        content = ContentId(change.key.removeprefix(POISON_REQUEST_PREFIX))
+        content = RequestFingerprint(change.key.removeprefix(POISON_REQUEST_PREFIX))
         record = record_from(change.value)
-        self._poison_requests.take(content, None if record is None else record.not_after(time()))
+        self._poison_requests.apply_shared(
+            content, None if record is None else record.clamped_to(time())
+        )
 
     def apply_relayed(self, message: BackendEnds) -> None:
         """Take what another node could not tell the service."""
         for told in message.contents:
-            ends = {end.instance_id: BackendEnd(end.at, end.weight) for end in told.ends}
-            record = SuspectRecord(ends).not_after(time())
-            self._poison_requests.note_heard(ContentId(told.content), record)
+            ends = {end.instance_id: BackendCrash(end.at, end.weight) for end in told.ends}
+            record = PoisonEvidence(ends).clamped_to(time())
+            self._poison_requests.record_peer_evidence(RequestFingerprint(told.content), record)
 
     async def run(self) -> None:
         """Tell what there is to tell, until cancelled."""
@@ -94,15 +96,15 @@
 
     async def _write_pending(self) -> bool:
         """Tell what is untold; False if there is more, or it has to be tried again."""
-        untold = self._poison_requests.untold(MAX_KEYS_WRITTEN)
+        untold = self._poison_requests.unpublished(MAX_KEYS_WRITTEN)
         over = [
             content
-            for content in self._poison_requests.no_longer_suspect(time(), MAX_KEYS_REMOVED)
+            for content in self._poison_requests.removable(time(), MAX_KEYS_REMOVED)
             if content not in untold
         ]
         there = [content for content in over if self._mirror.get(_key(content)) is not None]
         if not untold and not there:
-            self._poison_requests.forgotten(over)
+            self._poison_requests.mark_removed(over)
             return True
         transaction = Transaction(
             {_key(content): self._revision(content) for content in (*untold, *there)},
@@ -121,11 +123,11 @@
             await self._back_off(UNAVAILABLE_RETRY_S)
             return False
         self._failures = 0
-        self._poison_requests.told(untold)
-        self._poison_requests.forgotten(over)
+        self._poison_requests.mark_published(untold)
+        self._poison_requests.mark_removed(over)
         return False
 
-    def _revision(self, fingerprint: ContentId) -> int:
+    def _revision(self, fingerprint: RequestFingerprint) -> int:
         known = self._mirror.get(_key(fingerprint))
         return 0 if known is None else known.revision
 
@@ -138,7 +140,9 @@
         return 0.5 + self._random.random()
 
 
-def crashes_to_message(record_by_fingerprint: dict[ContentId, SuspectRecord]) -> BackendEnds:
+def crashes_to_message(
+    record_by_fingerprint: dict[RequestFingerprint, PoisonEvidence],
+) -> BackendEnds:
     """Write what is known of some contents, for another node."""
     return BackendEnds(
         contents=[
@@ -146,7 +150,7 @@
                 content=content,
                 ends=[
                     InstanceEnd(instance_id=instance_id, at=end.at, weight=end.weight)
-                    for instance_id, end in record.ends_by_instance.items()
+                    for instance_id, end in record.crashes_by_key.items()
                 ],
             )
             for content, record in record_by_fingerprint.items()
@@ -154,25 +158,25 @@
     )
 
 
-def record_to_bytes(record: SuspectRecord) -> bytes:
+def record_to_bytes(record: PoisonEvidence) -> bytes:
     """Write what is known of a content."""
-    ends = {key: [round(end.at, 3), end.weight] for key, end in record.ends_by_instance.items()}
+    ends = {key: [round(end.at, 3), end.weight] for key, end in record.crashes_by_key.items()}
     return json.dumps(ends, sort_keys=True).encode()
 
 
-def record_from(value: bytes | None) -> SuspectRecord | None:
+def record_from(value: bytes | None) -> PoisonEvidence | None:
     """Read what is known of a content; None if nothing is, or it is of another form."""
     if value is None:
         return None
     try:
         ends = {
-            str(key): BackendEnd(float(at), float(weight))
+            str(key): BackendCrash(float(at), float(weight))
             for key, (at, weight) in json.loads(value).items()
         }
     except (ValueError, TypeError, AttributeError):
         return None
-    return SuspectRecord(ends)
+    return PoisonEvidence(ends)
 
 
-def _key(fingerprint: ContentId) -> str:
+def _key(fingerprint: RequestFingerprint) -> str:
     return POISON_REQUEST_PREFIX + fingerprint
--- a/src/wharfcart/node/serving_node.py
+++ b/src/wharfcart/node/serving_node.py
@@ -9,7 +9,7 @@
 from random import Random
 from time import time
 
-from wharfcart.admission.suspects import SPREAD_S, Suspects
+from wharfcart.admission.poison_requests import RELEASE_JITTER_S, PoisonRequests
 from wharfcart.backends.connection_pool import ConnectionPool
 from wharfcart.clock import SuspensionDetector, monotonic
 from wharfcart.cluster.address import Address
@@ -47,8 +47,8 @@
 from wharfcart.observability.tasks import BackgroundTasks
 from wharfcart.platform import documents, names
 from wharfcart.platform.metadata_store import MetadataStore
-from wharfcart.routing.backend_choice import BackendChoice
-from wharfcart.routing.broken_runs import BrokenRuns
+from wharfcart.routing.backend_selection import BackendSelector
+from wharfcart.routing.crash_detection import CrashDetector
 from wharfcart.routing.eligibility import Eligibility
 from wharfcart.settings.base import split_endpoint
 from wharfcart.settings.serving import ServingSettings
@@ -80,7 +80,7 @@
         self.topology = Topology(
             {zone: RegionName(region) for zone, region in settings.regions_by_zone.items()}
         )
-        self.selector = BackendChoice(settings.zone, self.random, Eligibility(self.topology))
+        self.selector = BackendSelector(settings.zone, self.random, Eligibility(self.topology))
         self.configuration: ServingConfiguration | None = None
         self.nodes: dict[str, NodeEntry] = {}
         self.storage_by_identity: dict[str, NodeEntry] = {}
@@ -114,13 +114,15 @@
         )
         self.suspension_detector = SuspensionDetector()
         self.suspension_watch = SuspensionWatch(self.suspension_detector, log)
-        suspects = Suspects(holds_longer_s=self.random.uniform(0.0, SPREAD_S))
-        self.crash_detector = BrokenRuns(suspects, log)
+        suspects = PoisonRequests(release_jitter_s=self.random.uniform(0.0, RELEASE_JITTER_S))
+        self.crash_detector = CrashDetector(suspects, log)
         self._poison_evidence_sync = PoisonEvidenceSync(
             suspects, self.coordination, self.mirror, self.random, self._relay_crashes
         )
-        self.metrics.contents_held.set_function(lambda: suspects.held(time()))
-        self.metrics.cold_backends.set_function(lambda: len(self.selector.cold_states(monotonic())))
+        self.metrics.contents_held.set_function(lambda: suspects.quarantined_count(time()))
+        self.metrics.cold_backends.set_function(
+            lambda: len(self.selector.cold_instances(monotonic()))
+        )
         self.metrics.mirror_age.set_function(lambda: min(self.mirror_sync.age_s, MAX_AGE_S))
         self.role_handler: Handler = _ignore
         self.count_nodes: Callable[[], int] = lambda: len(self.nodes)
--- a/src/wharfcart/slots/sessions.py
+++ b/src/wharfcart/slots/sessions.py
@@ -3,14 +3,14 @@
 import asyncio
 from collections.abc import Callable
 
-from wharfcart.admission.tenant_limits import TenantSend, TenantSends
+from wharfcart.admission.tenant_limits import PermittedSend, SendHistory
 from wharfcart.clock import monotonic
 from wharfcart.cluster.address import Address
 from wharfcart.cluster.transport import Transport
 from wharfcart.configuration.residence import ANYWHERE, Residence
 from wharfcart.observability.decisions import DecisionLog
 from wharfcart.observability.tasks import BackgroundTasks
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_selection import BackendSelector
 from wharfcart.slots.events import HolderId, ResponsivenessChanged
 from wharfcart.slots.session import ReportedUsage, SlotSession, SlotUpdateListener
 from wharfcart.slots.snapshot import ServiceCapacity
@@ -46,7 +46,7 @@
     def __init__(
         self,
         holder: HolderId,
-        selector: BackendChoice,
+        selector: BackendSelector,
         transport: Transport,
         group_count: Callable[[], int],
         address: Callable[[int], Address | None],
@@ -74,7 +74,7 @@
         self._unresponsive: set[str] = set()
         self._unresponsive_sent_in: dict[int, int] = {}  # session by group
         self.by_group: dict[int, SlotSession] = {}
-        self.sends = TenantSends()
+        self.sends = SendHistory()
 
     async def run(self) -> None:
         """Keep all sessions open until cancelled."""
@@ -156,7 +156,7 @@
 
     # ---- facts for those who keep limits ----
 
-    def sends_of(self, group: int) -> list[TenantSend]:
+    def sends_of(self, group: int) -> list[PermittedSend]:
         """Return the holder's last requests of the tenants whose home a group is."""
         recent = self.sends.recent(monotonic())
         return [send for send in recent if self._coordinator_group(send.tenant) == group]
@@ -226,7 +226,7 @@
 
     def _send_responsiveness(self) -> None:
         """Tell of back ends that keep a request waiting too long, and of those that spoke again."""
-        silent = self._selector.silent_instances(monotonic())
+        silent = self._selector.unresponsive_instances(monotonic())
         for instance_id in silent ^ self._unresponsive:
             self._send_responsiveness_of(instance_id, instance_id in silent)
         for group, session in self.by_group.items():
--- a/tests/admission/test_backend_gate.py
+++ b/tests/admission/test_backend_gate.py
@@ -7,7 +7,7 @@
     POLICY_PARAMETERS,
     BackendGate,
     BackendState,
-    Capacity,
+    GateCapacity,
 )
 from wharfcart.configuration.schema import PreemptionPolicy
 
@@ -17,10 +17,10 @@
 
 
 def _gate(policy: PreemptionPolicy = PreemptionPolicy.TAIL) -> BackendGate:
-    return BackendGate("engine", Capacity(online=4, batch=40), policy)
+    return BackendGate("engine", GateCapacity(online=4, batch=40), policy)
 
 
-def _measured(policy: PreemptionPolicy) -> BackendGate:
+def _fitted_gate(policy: PreemptionPolicy) -> BackendGate:
     gate = _gate(policy)
     for sequences in range(1, 41):
         gate.fit.add(sequences, BASE_S + SLOPE_S * sequences)
@@ -31,7 +31,7 @@
     """Start batch as slots are given, a step apart; return the time."""
     now = IDLE_S
     while now < IDLE_S + until:
-        for _ in range(gate.batch_slots(now)):
+        for _ in range(gate.available_batch_slots(now)):
             gate.start_batch(f"b{len(gate.batch)}-{now}", now)
         now += 0.02
     return now
@@ -39,42 +39,42 @@
 
 def test_batch_fills_an_idle_back_end_step_by_step() -> None:
     gate = _gate()
-    assert 0 < gate.batch_slots(IDLE_S) < 40
+    assert 0 < gate.available_batch_slots(IDLE_S) < 40
     _fill(gate, 2.0)
     assert len(gate.batch) == 40
 
 
-def test_online_is_admitted_whatever_batch_runs() -> None:
+def test_online_is_admitted_while_batch_fills_the_back_end() -> None:
     gate = _gate()
     now = _fill(gate, 2.0)
     assert gate.admit_online("o", now)
 
 
-def test_arrival_stops_batch_above_the_measured_bound() -> None:
+def test_online_arrival_preempts_batch_above_the_fitted_bound() -> None:
     for policy in PreemptionPolicy:
-        gate = _measured(policy)
+        gate = _fitted_gate(policy)
         now = _fill(gate, 2.0)
         gate.admit_online("o", now)
-        stopped = gate.batch_to_stop()
-        tolerance = POLICY_PARAMETERS[policy].tolerance
+        stopped = gate.preempt_batch()
+        tolerance = POLICY_PARAMETERS[policy].max_slowdown
         kept = 40 - len(stopped)
         assert kept == int(tolerance * (BASE_S + SLOPE_S) / SLOPE_S)
-        assert gate.batch_to_stop() == []  # told once
+        assert gate.preempt_batch() == []  # told once
 
 
 def test_no_batch_prompt_before_an_online_first_token() -> None:
-    gate = _measured(PreemptionPolicy.THROUGHPUT)
+    gate = _fitted_gate(PreemptionPolicy.THROUGHPUT)
     gate.admit_online("o", IDLE_S)
-    assert gate.batch_slots(IDLE_S + 1) == 0
-    gate.first_token("o", IDLE_S + 1)
-    assert gate.batch_slots(IDLE_S + 1) == 1
+    assert gate.available_batch_slots(IDLE_S + 1) == 0
+    gate.record_first_token("o", IDLE_S + 1)
+    assert gate.available_batch_slots(IDLE_S + 1) == 1
 
 
-def test_leaving_back_end_takes_nothing() -> None:
+def test_draining_back_end_admits_nothing() -> None:
     gate = _gate()
-    gate.state = BackendState.LEAVING
+    gate.state = BackendState.DRAINING
     assert not gate.admit_online("o", IDLE_S)
-    assert gate.batch_slots(IDLE_S) == 0
+    assert gate.available_batch_slots(IDLE_S) == 0
 
 
 @given(
@@ -83,21 +83,21 @@
         max_size=60,
     )
 )
-def test_bounds_hold_whatever_happens(steps: list[tuple[str, float]]) -> None:
-    gate = _measured(PreemptionPolicy.TAIL)
+def test_bounds_hold_for_random_event_sequences(steps: list[tuple[str, float]]) -> None:
+    gate = _fitted_gate(PreemptionPolicy.TAIL)
     now = IDLE_S
     for number, (step, seconds) in enumerate(steps):
         now += seconds
         if step == "online" and gate.admit_online(f"o{number}", now):
-            for request_id in gate.batch_to_stop():
-                gate.end_batch(request_id)
+            for request_id in gate.preempt_batch():
+                gate.finish_batch(request_id)
         elif step == "end" and gate.online:
-            gate.end_online(next(iter(gate.online)), now)
+            gate.finish_online(next(iter(gate.online)), now)
         elif step == "batch":
-            for slot in range(gate.batch_slots(now)):
+            for slot in range(gate.available_batch_slots(now)):
                 gate.start_batch(f"b{number}-{slot}", now)
         elif step == "token" and gate.online:
-            gate.first_token(next(iter(gate.online)), now)
+            gate.record_first_token(next(iter(gate.online)), now)
         assert len(gate.online) <= 4
         assert len(gate.batch) <= 40
         if gate.online:
--- a/tests/batch/test_runner.py
+++ b/tests/batch/test_runner.py
@@ -22,7 +22,7 @@
 from wharfcart.configuration.services import Service
 from wharfcart.experiments.virtual_time import run_virtually
 from wharfcart.observability.metrics import Metrics
-from wharfcart.routing.owner import APPLICATION_CAPACITY, OwnedBackend, Owner
+from wharfcart.routing.owner import APPLICATION_CAPACITY, BackendOwner, OwnedBackend
 from wharfcart.routing.router import Backend, BackendKind
 from wharfcart.storage.client import JournalClient
 
@@ -107,14 +107,14 @@
     kind: BackendKind = BackendKind.APPLICATION,
 ) -> BatchRunner:
     monkeypatch.setattr(
-        "wharfcart.batch.runner.batch_request",
+        "wharfcart.batch.runner.build_batch_request",
         lambda _service, _line, request_id: BackendRequest(request_id, "GET", "/", {}, b"", False),
     )
     backend = Backend("backend", kind, "127.0.0.1:1", "zone", frozenset({"t"}))
     gate = BackendGate("backend", APPLICATION_CAPACITY, PreemptionPolicy.TAIL)
     owned = OwnedBackend(backend, gate, cast(BackendClient, None))
     return BatchRunner(
-        "node", owned, cast(Owner, owner), cast(JournalClient, journal), _service, Metrics()
+        "node", owned, cast(BackendOwner, owner), cast(JournalClient, journal), _service, Metrics()
     )
 
 
--- a/tests/node/test_poison_evidence_sync.py
+++ b/tests/node/test_poison_evidence_sync.py
@@ -5,8 +5,8 @@
 from random import Random
 from time import time
 
-from wharfcart.admission.request_content import ContentId
-from wharfcart.admission.suspects import KEPT_S, Suspects
+from wharfcart.admission.poison_requests import EVIDENCE_TTL_S, PoisonRequests
+from wharfcart.admission.request_fingerprint import RequestFingerprint
 from wharfcart.cluster.coordination import (
     ChangeBatch,
     ConditionFailedError,
@@ -20,7 +20,7 @@
 from wharfcart.node.fleet_keys import POISON_REQUEST_PREFIX
 from wharfcart.node.poison_evidence_sync import PoisonEvidenceSync, record_from, record_to_bytes
 
-FINGERPRINT = ContentId("c")
+FINGERPRINT = RequestFingerprint("c")
 PROPAGATION_S = 0.05
 
 
@@ -62,7 +62,7 @@
 
 class Node:
     def __init__(self, service: Service, seed: int) -> None:
-        self.poison_requests = Suspects()
+        self.poison_requests = PoisonRequests()
         self.mirror = Mirror()
         self._service = service
         self.number = seed
@@ -92,7 +92,7 @@
         self.apply_changes(list(service.keys.values()), service.revision)
 
     def crashed_instances(self) -> set[str]:
-        return set(self.poison_requests.record(FINGERPRINT).ends_by_instance)
+        return set(self.poison_requests.evidence(FINGERPRINT).crashes_by_key)
 
 
 def run_scenario(scenario: Callable[[Service], Awaitable[None]]) -> None:
@@ -105,9 +105,9 @@
 def test_evidence_reaches_running_and_later_nodes() -> None:
     async def scenario(service: Service) -> None:
         first, second = Node(service, 1), Node(service, 2)
-        first.poison_requests.note_end(FINGERPRINT, "a", 1.0, time())
+        first.poison_requests.record_crash(FINGERPRINT, "a", 1.0, time())
         await asyncio.sleep(0.5)
-        second.poison_requests.note_end(FINGERPRINT, "b", 1.0, time())
+        second.poison_requests.record_crash(FINGERPRINT, "b", 1.0, time())
         await asyncio.sleep(0.5)
         third = Node(service, 3)
         third.load_all(service)
@@ -126,7 +126,7 @@
     async def scenario(service: Service) -> None:
         nodes = [Node(service, seed) for seed in range(5)]
         for number, node in enumerate(nodes):
-            node.poison_requests.note_end(FINGERPRINT, f"b{number}", 1.0, time())
+            node.poison_requests.record_crash(FINGERPRINT, f"b{number}", 1.0, time())
         await asyncio.sleep(30.0)
         assert all(len(node.crashed_instances()) == 5 for node in nodes)
 
@@ -137,7 +137,7 @@
     async def scenario(service: Service) -> None:
         first, second = Node(service, 1), Node(service, 2)
         service.is_down = True
-        first.poison_requests.note_end(FINGERPRINT, "a", 1.0, time())
+        first.poison_requests.record_crash(FINGERPRINT, "a", 1.0, time())
         await asyncio.sleep(20.0)
         assert service.calls < 15
         assert first.crashed_instances() == {"a"} and not second.crashed_instances()
@@ -155,7 +155,7 @@
         refused, refused_too, third, fourth = (Node(service, seed) for seed in range(4))
         refused.relays, refused_too.relays = [refused_too], [third]
         service.refused_nodes = {refused.number, refused_too.number}
-        refused.poison_requests.note_end(FINGERPRINT, "a", 1.0, time())
+        refused.poison_requests.record_crash(FINGERPRINT, "a", 1.0, time())
         await asyncio.sleep(1.0)
         assert fourth.crashed_instances() == {"a"}
         await asyncio.sleep(5.0)
@@ -168,12 +168,12 @@
     async def scenario(service: Service) -> None:
         first, second = Node(service, 1), Node(service, 2)
         service.loses_answers = True
-        first.poison_requests.note_end(FINGERPRINT, "a", 1.0, time())
+        first.poison_requests.record_crash(FINGERPRINT, "a", 1.0, time())
         await asyncio.sleep(5.0)
         service.loses_answers = False
         await asyncio.sleep(5.0)
         assert first.crashed_instances() == second.crashed_instances() == {"a"}
-        assert not first.poison_requests.untold(9)
+        assert not first.poison_requests.unpublished(9)
         assert service.calls == 1
 
     run_scenario(scenario)
@@ -182,9 +182,9 @@
 def test_answered_request_removes_shared_evidence() -> None:
     async def scenario(service: Service) -> None:
         first, second = Node(service, 1), Node(service, 2)
-        first.poison_requests.note_end(FINGERPRINT, "a", 1.0, time())
+        first.poison_requests.record_crash(FINGERPRINT, "a", 1.0, time())
         await asyncio.sleep(0.5)
-        second.poison_requests.note_answer(lambda: FINGERPRINT)
+        second.poison_requests.record_answer(lambda: FINGERPRINT)
         await asyncio.sleep(0.5)
         assert not first.crashed_instances() and not second.crashed_instances()
         assert not service.keys
@@ -195,7 +195,7 @@
 def test_old_evidence_is_removed_without_new_events() -> None:
     async def scenario(service: Service) -> None:
         node = Node(service, 1)
-        node.poison_requests.note_end(FINGERPRINT, "a", 1.0, time() - KEPT_S - 1.0)
+        node.poison_requests.record_crash(FINGERPRINT, "a", 1.0, time() - EVIDENCE_TTL_S - 1.0)
         await asyncio.sleep(PROPAGATION_S / 2)
         assert service.keys
         await asyncio.sleep(200.0)
@@ -205,8 +205,8 @@
 
 
 def test_records_survive_a_round_trip_and_malformed_ones_are_ignored() -> None:
-    suspects = Suspects()
-    record = suspects.note_end(FINGERPRINT, "a", 0.5, 100.25)
+    suspects = PoisonRequests()
+    record = suspects.record_crash(FINGERPRINT, "a", 0.5, 100.25)
     assert record_from(record_to_bytes(record)) == record
     for value in (None, b"no", b"[]", b'{"a": 1}', b'{"a": ["x", 1]}'):
         assert record_from(value) is None
