--- a/tests/storage/test_job_client.py
+++ b/tests/storage/test_job_client.py
@@ -41,7 +41,7 @@
     def round_trip_s(self, _address: Address) -> float:
         return 0.0
 
-    def disconnect(self, _address: Address) -> None:
+    def drop(self, _address: Address) -> None:
         return
 
 
