--- a/src/wharfcart/batch/job_service.py
+++ b/src/wharfcart/batch/job_service.py
@@ -39,7 +39,7 @@
 from wharfcart.storage.job_group import JobGroup
 from wharfcart.storage.job_leadership import JobLeadership
 from wharfcart.storage.job_records import JobRecord
-from wharfcart.storage.job_residence import RegionOf, all_in
+from wharfcart.storage.job_residence import RegionOf, all_in_residence
 
 WRITE_TIMEOUT_S = 3.0
 SURE_TIMEOUT_S = 0.8
@@ -201,7 +201,7 @@
 
     def _may_hold(self, job: RequestJob) -> bool:
         residence = residence_from_message(job)
-        return all_in(self._group.disks, residence, self._region_of)
+        return all_in_residence(self._group.disks, residence, self._region_of)
 
     def _refuse_outside(self, job: RequestJob) -> JobStatus:
         residence = residence_from_message(job)
--- a/src/wharfcart/gateway/job_calls.py
+++ b/src/wharfcart/gateway/job_calls.py
@@ -29,7 +29,7 @@
 from wharfcart.platform import batch_calls, names
 from wharfcart.storage.job_client import OUTSIDE_RESIDENCE as OUTSIDE_CAUSE
 from wharfcart.storage.job_client import JobCallFailure, JobClient
-from wharfcart.storage.job_moves import JobMoves
+from wharfcart.storage.job_moves import JobMoveTracker
 
 SUBMIT_TIMEOUT_S = 3.0
 SUBMIT_TRY_S = 2.0
@@ -65,7 +65,7 @@
         self._log = log
         self._configuration = configuration
         self._metrics = metrics
-        self._moves = JobMoves()
+        self._moves = JobMoveTracker()
 
     async def submit(self, request: Request, route: Route, tenant: str) -> HTTPResponse:
         """Take a tenant's batch job into keeping."""
@@ -97,7 +97,7 @@
             job_id, frame, "job_answer", SUBMIT_TIMEOUT_S, SUBMIT_TRY_S, residence
         )
         if isinstance(answer, JobCallFailure):
-            status = 504 if answer.sent else 503
+            status = 504 if answer.may_have_executed else 503
             return self._refused(job_id, "submit", status, answer.cause, residence)
         if answer.job_answer.status == OUTSIDE_RESIDENCE:
             return self._refused(job_id, "submit", 503, NO_GROUP_INSIDE, residence)
@@ -174,7 +174,7 @@
             self._residences(request, tenant),
         )
         if isinstance(answer, JobCallFailure):
-            status = 504 if answer.sent else 503
+            status = 504 if answer.may_have_executed else 503
             return self._refused(job_id, "end", status, answer.cause)
         if answer.job_answer.status == NOT_FOUND:
             return self._refused(job_id, "end", 404, "no such job")
@@ -182,8 +182,8 @@
 
     def _moved(self, route: Route, tenant: str, residence: Residence) -> bool:
         """Whether earlier submissions of a job may have gone to another group."""
-        groups = self._client.holding_groups(residence)
-        return self._moves.moved((route.name, tenant), groups, monotonic())
+        groups = self._client.eligible_groups(residence)
+        return self._moves.has_moved_recently((route.name, tenant), groups, monotonic())
 
     def _residences(self, request: Request, tenant: str) -> frozenset[Residence]:
         """Return where the data of a tenant's jobs of the host that is called may be."""
--- a/src/wharfcart/node/storage_process.py
+++ b/src/wharfcart/node/storage_process.py
@@ -27,7 +27,7 @@
 from wharfcart.storage.founding import Founder
 from wharfcart.storage.group_context import GroupContext
 from wharfcart.storage.job_client import JobClient
-from wharfcart.storage.job_residence import group_of
+from wharfcart.storage.job_residence import hash_to_group
 
 LAYOUT_POLL_S = 0.02
 OPEN_RETRY_S = 0.5
@@ -219,7 +219,7 @@
         Raises:
             ServingError: this node does not know the fleet's groups yet.
         """
-        number = call.group if call.HasField("group") else group_of(job_id, len(self._groups))
+        number = call.group if call.HasField("group") else hash_to_group(job_id, len(self._groups))
         return self._group(number).service
 
     # ---- emptied nodes ----
--- a/src/wharfcart/slots/sessions.py
+++ b/src/wharfcart/slots/sessions.py
@@ -14,7 +14,7 @@
 from wharfcart.slots.events import HolderId, SilenceChanged
 from wharfcart.slots.picture import ServiceRoom
 from wharfcart.slots.session import HeardUsage, SlotNewsTaker, SlotSession
-from wharfcart.storage.job_residence import group_of
+from wharfcart.storage.job_residence import hash_to_group
 
 # So often it is looked for groups that are new, and for back ends that have fallen silent.
 CHECK_S = 0.05
@@ -143,7 +143,7 @@
         return max(known, default=0)
 
     def _home_group(self, tenant: str) -> int:
-        return group_of(tenant, self._groups())
+        return hash_to_group(tenant, self._groups())
 
     def relays(self) -> list[Address]:
         """Return other gateways that may ask for permits in place of this one."""
--- a/src/wharfcart/storage/job_client.py
+++ b/src/wharfcart/storage/job_client.py
@@ -11,14 +11,14 @@
 from wharfcart.configuration.residence import ANYWHERE, Residence
 from wharfcart.errors import ServingError
 from wharfcart.storage.group_record import GroupRecord
-from wharfcart.storage.job_residence import RegionOf, all_in, pick_group
+from wharfcart.storage.job_residence import RegionOf, all_in_residence, pick_group
 
-RETRY_S = 0.1
-FEWEST_CALL_S = 0.05
+RETRY_DELAY_S = 0.1
+MIN_CALL_S = 0.05
 # Groups that have a job only if its residence was another once are asked for so long.
-OTHERS_TIMEOUT_S = 0.6
+FALLBACK_TIMEOUT_S = 0.6
 # While a node is waited for, this often is looked whether another one leads now.
-LEADER_CHECK_S = 0.05
+LEADER_CHECK_INTERVAL_S = 0.05
 # Cause of a failure: no group that may hold the data of a job is known.
 OUTSIDE_RESIDENCE = "outside_residence"
 
@@ -30,7 +30,7 @@
     ``sent`` tells whether some node may have acted on the call.
     """
 
-    sent: bool
+    may_have_executed: bool
     cause: str
 
 
@@ -47,27 +47,27 @@
     def __init__(
         self,
         transport: Transport,
-        groups: Callable[[], int],
+        group_count: Callable[[], int],
         record_of: Callable[[int], GroupRecord | None],
         address_of: Callable[[str], Address | None],
         region_of: RegionOf = lambda _identity: None,
     ) -> None:
         self._transport = transport
-        self._groups = groups
+        self._group_count = group_count
         self._record_of = record_of
         self._address_of = address_of
         self._region_of = region_of
 
-    def holding_groups(self, residence: Residence) -> tuple[int, ...]:
+    def eligible_groups(self, residence: Residence) -> tuple[int, ...]:
         """Return the groups that may hold a job's data: all of their disks are where it may be."""
-        groups = range(self._groups())
+        groups = range(self._group_count())
         if not residence.is_bound:
             return tuple(groups)
         return tuple(
             group
             for group in groups
             if (record := self._record_of(group)) is not None
-            and all_in(record.members, residence, self._region_of)
+            and all_in_residence(record.members, residence, self._region_of)
         )
 
     async def call(
@@ -76,7 +76,7 @@
         frame: Frame,
         answer_field: str,
         timeout_s: float,
-        try_s: float,
+        attempt_timeout_s: float,
         residence: Residence = ANYWHERE,
     ) -> Frame | JobCallFailure:
         """Ask the leader of the group that a job goes to until one answers surely or time is over.
@@ -86,18 +86,22 @@
         Parameters
         ----------
         answer_field: the field of the answer that holds a status.
-        try_s: the longest that one node is waited for, besides the round trip that was observed
-            to it.
+        attempt_timeout_s: timeout of one attempt, on top of the observed round trip to the node.
         residence: where the data of the call may be sent.
         """
         until = monotonic() + timeout_s
-        if not await self._groups_known(until):
+        if not await self._wait_for_groups(until):
             return JobCallFailure(False, "no_groups")
-        group = pick_group(job_id, self.holding_groups(residence))
+        group = pick_group(job_id, self.eligible_groups(residence))
         if group is None:
             return JobCallFailure(False, OUTSIDE_RESIDENCE)
         return await self.call_group(
-            group, _to_group(frame, group), answer_field, until - monotonic(), try_s, residence
+            group,
+            _with_group(frame, group),
+            answer_field,
+            until - monotonic(),
+            attempt_timeout_s,
+            residence,
         )
 
     async def find(
@@ -106,7 +110,7 @@
         frame: Frame,
         answer_field: str,
         timeout_s: float,
-        try_s: float,
+        attempt_timeout_s: float,
         residences: Iterable[Residence],
     ) -> Frame | JobCallFailure:
         """Ask for a job that some group may have.
@@ -121,28 +125,39 @@
             frame: the call.
             answer_field: the field of the answer that holds a status.
             timeout_s: time for the call at the groups that probably have it.
-            try_s: the longest that one node is waited for.
+            attempt_timeout_s: the longest that one node is waited for.
             residences: where the data of such a job may be by the configuration in force.
         """
         until = monotonic() + timeout_s
-        if not await self._groups_known(until):
+        if not await self._wait_for_groups(until):
             return JobCallFailure(False, "no_groups")
         known = set(residences) or {ANYWHERE}
-        picks = {pick_group(job_id, self.holding_groups(residence)) for residence in known}
+        picks = {pick_group(job_id, self.eligible_groups(residence)) for residence in known}
         likely = sorted(group for group in picks if group is not None)
-        answer = await self._first_to_have(likely, frame, answer_field, until - monotonic(), try_s)
-        others = [group for group in range(self._groups()) if group not in likely]
+        answer = await self._find_in_groups(
+            likely, frame, answer_field, until - monotonic(), attempt_timeout_s
+        )
+        others = [group for group in range(self._group_count()) if group not in likely]
         if not others or (likely and not _is_missing(answer, answer_field)):
             return answer
-        return await self._first_to_have(others, frame, answer_field, OTHERS_TIMEOUT_S, try_s)
+        return await self._find_in_groups(
+            others, frame, answer_field, FALLBACK_TIMEOUT_S, attempt_timeout_s
+        )
 
-    async def _first_to_have(
-        self, groups: Sequence[int], frame: Frame, answer_field: str, timeout_s: float, try_s: float
+    async def _find_in_groups(
+        self,
+        groups: Sequence[int],
+        frame: Frame,
+        answer_field: str,
+        timeout_s: float,
+        attempt_timeout_s: float,
     ) -> Frame | JobCallFailure:
         """Return the first answer of a group that has the job, a failure, or that none has it."""
         calls = [
             asyncio.create_task(
-                self.call_group(group, _to_group(frame, group), answer_field, timeout_s, try_s)
+                self.call_group(
+                    group, _with_group(frame, group), answer_field, timeout_s, attempt_timeout_s
+                )
             )
             for group in groups
         ]
@@ -162,12 +177,12 @@
                 task.cancel()
         return failure or missing
 
-    async def _groups_known(self, until: float) -> bool:
+    async def _wait_for_groups(self, deadline: float) -> bool:
         """Wait until it is known how many groups there are; whether it is in time."""
-        while not self._groups():
-            if monotonic() > until:
+        while not self._group_count():
+            if monotonic() > deadline:
                 return False
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_DELAY_S)
         return True
 
     async def call_group(
@@ -176,7 +191,7 @@
         frame: Frame,
         answer_field: str,
         timeout_s: float,
-        try_s: float,
+        attempt_timeout_s: float,
         residence: Residence = ANYWHERE,
     ) -> Frame | JobCallFailure:
         """Ask the leader of a group; the arguments are those of :meth:`call`.
@@ -187,15 +202,15 @@
         sent = False
         cause = "no_leader"
         hint = ""
-        while (left_s := until - monotonic()) > FEWEST_CALL_S:
-            leader = self._leader(group, hint)
+        while (left_s := until - monotonic()) > MIN_CALL_S:
+            leader = self._leader_of(group, hint)
             if leader and not residence.allows(self._region_of(leader)):
                 return JobCallFailure(sent, OUTSIDE_RESIDENCE)
             address = self._address_of(leader) if leader else None
             hint = ""
             if address is not None:
-                answer, cause, may_have_acted = await self._ask(
-                    group, address, frame, answer_field, min(left_s, try_s)
+                answer, cause, may_have_acted = await self._call_node(
+                    group, address, frame, answer_field, min(left_s, attempt_timeout_s)
                 )
                 sent = sent or may_have_acted
                 if answer is not None:
@@ -205,10 +220,10 @@
                     hint = getattr(answer, answer_field).leader
                     sent = sent or status == UNSURE
                     cause = "not_leading" if status == NOT_LEADING else "unsure"
-            await asyncio.sleep(min(RETRY_S, max(0.0, until - monotonic())))
+            await asyncio.sleep(min(RETRY_DELAY_S, max(0.0, until - monotonic())))
         return JobCallFailure(sent, cause)
 
-    async def _ask(
+    async def _call_node(
         self, group: int, address: Address, frame: Frame, answer_field: str, timeout_s: float
     ) -> tuple[Frame | None, str, bool]:
         """Ask one node; return its answer or None, the cause, and whether it may have acted.
@@ -217,16 +232,16 @@
         """
         request = Frame()
         request.CopyFrom(frame)
-        epoch = self._epoch(group)
+        epoch = self._epoch_of(group)
         until = monotonic() + timeout_s + self._transport.round_trip_s(address)
         call = asyncio.create_task(self._transport.call(address, request))
         try:
-            while not call.done() and self._epoch(group) == epoch:
+            while not call.done() and self._epoch_of(group) == epoch:
                 left_s = until - monotonic()
                 if left_s <= 0:
                     self._transport.drop(address)
                     return None, "timeout", True
-                await asyncio.wait((call,), timeout=min(LEADER_CHECK_S, left_s))
+                await asyncio.wait((call,), timeout=min(LEADER_CHECK_INTERVAL_S, left_s))
             if not call.done():
                 return None, "leader_changed", True
             answer = call.result()
@@ -240,16 +255,16 @@
             return None, "odd_answer", True
         return answer, "", False
 
-    def _epoch(self, group: int) -> int:
+    def _epoch_of(self, group: int) -> int:
         record = self._record_of(group)
         return 0 if record is None else record.epoch
 
-    def _leader(self, group: int, hint: str) -> str:
+    def _leader_of(self, group: int, hint: str) -> str:
         record = self._record_of(group)
         return hint or (record.leader if record is not None else "")
 
 
-def _to_group(frame: Frame, group: int) -> Frame:
+def _with_group(frame: Frame, group: int) -> Frame:
     """Return a call on a job that names the group which is asked."""
     call = Frame()
     call.CopyFrom(frame)
--- a/src/wharfcart/storage/job_group.py
+++ b/src/wharfcart/storage/job_group.py
@@ -30,7 +30,7 @@
 from wharfcart.storage.group_record_store import GroupRecordStore
 from wharfcart.storage.job_leadership import JobLeadership
 from wharfcart.storage.job_records import JobRecord, JobState
-from wharfcart.storage.job_residence import may_join
+from wharfcart.storage.job_residence import may_join_group
 from wharfcart.storage.partial_texts import PartialTexts, SentParts
 from wharfcart.storage.replica_links import (
     LocalReplicaLink,
@@ -152,7 +152,7 @@
         leadership = self.leadership
         if leadership is None:
             return False
-        return may_join(
+        return may_join_group(
             identity,
             leadership.members,
             leadership.residences,
--- a/src/wharfcart/storage/job_moves.py
+++ b/src/wharfcart/storage/job_moves.py
@@ -9,14 +9,14 @@
 from dataclasses import dataclass, field
 
 # Who does not learn what became of a submission sends it again for so long, with a margin.
-KEPT_S = 120.0
+RESUBMIT_WINDOW_S = 120.0
 
 # Name of a route, and of a tenant or ''.
 JobSource = tuple[str, str]
 
 
 @dataclass
-class _Seen:
+class _SeenGroups:
     """Groups that may hold the jobs of one source.
 
     Attributes:
@@ -28,15 +28,15 @@
 
 
 @dataclass
-class JobMoves:
+class JobMoveTracker:
     """What one gateway has seen of the groups that jobs go to."""
 
-    _seen_by_source: dict[JobSource, _Seen] = field(default_factory=dict)
+    _seen_by_source: dict[JobSource, _SeenGroups] = field(default_factory=dict)
 
-    def moved(self, source: JobSource, groups: tuple[int, ...], now: float) -> bool:
+    def has_moved_recently(self, source: JobSource, groups: tuple[int, ...], now: float) -> bool:
         """Note the groups that may hold the jobs of a source; whether they were others of late."""
-        seen = self._seen_by_source.setdefault(source, _Seen(groups))
+        seen = self._seen_by_source.setdefault(source, _SeenGroups(groups))
         if seen.groups != groups:
             seen.groups = groups
             seen.changed_at = now
-        return seen.changed_at is not None and now - seen.changed_at < KEPT_S
+        return seen.changed_at is not None and now - seen.changed_at < RESUBMIT_WINDOW_S
--- a/src/wharfcart/storage/job_residence.py
+++ b/src/wharfcart/storage/job_residence.py
@@ -18,7 +18,7 @@
 RegionOf = Callable[[str], RegionName | None]
 
 
-def group_of(key: str, groups: int) -> int:
+def hash_to_group(key: str, groups: int) -> int:
     """Return the group that a job or tenant belongs to, of one group or more."""
     return xxhash.xxh64_intdigest(key.encode()) % max(1, groups)
 
@@ -27,19 +27,19 @@
     """Return the group that a new job goes to, or None where none may hold it."""
     if not groups:
         return None
-    return groups[group_of(job_id, len(groups))]
+    return groups[hash_to_group(job_id, len(groups))]
 
 
-def all_in(disks: Iterable[str], residence: Residence, region_of: RegionOf) -> bool:
+def all_in_residence(disks: Iterable[str], residence: Residence, region_of: RegionOf) -> bool:
     """Whether all of some disks are in the regions of a residence."""
     return not residence.is_bound or all(residence.allows(region_of(disk)) for disk in disks)
 
 
-def may_join(
+def may_join_group(
     disk: str,
     members: Collection[str],
-    held: Iterable[Residence],
-    wanted: Iterable[Residence],
+    job_residences: Iterable[Residence],
+    configured_residences: Iterable[Residence],
     region_of: RegionOf,
 ) -> bool:
     """Whether a disk may join a group's replica set.
@@ -56,8 +56,10 @@
         region_of: region of each disk.
     """
     region = region_of(disk)
-    if not all(residence.allows(region) for residence in held):
+    if not all(residence.allows(region) for residence in job_residences):
         return False
     return all(
-        residence.allows(region) for residence in wanted if all_in(members, residence, region_of)
+        residence.allows(region)
+        for residence in configured_residences
+        if all_in_residence(members, residence, region_of)
     )
--- a/tests/gateway/test_job_calls_residence.py
+++ b/tests/gateway/test_job_calls_residence.py
@@ -60,7 +60,7 @@
         self.groups = (0,)
         self.sent: list[tuple[Frame, object]] = []
 
-    def holding_groups(self, _residence: Residence) -> tuple[int, ...]:
+    def eligible_groups(self, _residence: Residence) -> tuple[int, ...]:
         return self.groups
 
     async def call(self, _job_id: str, frame: Frame, *more: object) -> Frame | JobCallFailure:
--- a/tests/storage/test_job_client.py
+++ b/tests/storage/test_job_client.py
@@ -52,9 +52,11 @@
         self.record = GroupRecord(1, "a", frozenset(ADDRESSES))
         self.client = JobClient(peers, lambda: 1, lambda _group: self.record, ADDRESSES.get)
 
-    async def submit(self, timeout_s: float = 3.0, try_s: float = 2.0) -> Frame | JobCallFailure:
+    async def submit(
+        self, timeout_s: float = 3.0, attempt_timeout_s: float = 2.0
+    ) -> Frame | JobCallFailure:
         frame = Frame(submit_job=SubmitJob())
-        return await self.client.call("j", frame, "job_answer", timeout_s, try_s)
+        return await self.client.call("j", frame, "job_answer", timeout_s, attempt_timeout_s)
 
 
 def test_a_silent_leader_is_left_as_soon_as_another_one_leads() -> None:
--- a/tests/storage/test_job_client_residence.py
+++ b/tests/storage/test_job_client_residence.py
@@ -23,7 +23,7 @@
 from wharfcart.experiments.virtual_time import run_virtually, virtual_monotonic
 from wharfcart.storage.group_record import GroupRecord
 from wharfcart.storage.job_client import JobCallFailure, JobClient
-from wharfcart.storage.job_residence import group_of, pick_group
+from wharfcart.storage.job_residence import hash_to_group, pick_group
 
 WEST, EAST = residence_in(["west"]), residence_in(["east"])
 REGIONS = {"w": RegionName("west"), "e": RegionName("east")}
@@ -129,7 +129,7 @@
         leaders = Leaders(having=east)
         assert status(await leaders.read("a", EAST)) == DONE
         assert leaders.asked == [("e1", east)]
-        leaders = Leaders(having=group_of("a", 4))
+        leaders = Leaders(having=hash_to_group("a", 4))
         assert status(await leaders.read("a")) == DONE
         assert len(leaders.asked) == 1
 
--- a/tests/storage/test_job_residence.py
+++ b/tests/storage/test_job_residence.py
@@ -4,8 +4,13 @@
 
 from wharfcart.cluster.topology import RegionName, Topology
 from wharfcart.configuration.residence import ANYWHERE, Residence, residence_in
-from wharfcart.storage.job_moves import KEPT_S, JobMoves
-from wharfcart.storage.job_residence import all_in, group_of, may_join, pick_group
+from wharfcart.storage.job_moves import RESUBMIT_WINDOW_S, JobMoveTracker
+from wharfcart.storage.job_residence import (
+    all_in_residence,
+    hash_to_group,
+    may_join_group,
+    pick_group,
+)
 from wharfcart.storage.layout import Layout
 
 WEST, EAST = residence_in(["west"]), residence_in(["east"])
@@ -28,7 +33,7 @@
 
 def test_where_every_group_may_hold_it_the_id_alone_decides_as_it_did() -> None:
     for n in range(200):
-        assert pick_group(f"job-{n}", range(5)) == group_of(f"job-{n}", 5)
+        assert pick_group(f"job-{n}", range(5)) == hash_to_group(f"job-{n}", 5)
 
 
 @pytest.mark.parametrize(
@@ -43,23 +48,23 @@
     ],
 )
 def test_all_disks_of_a_group_must_be_where_the_data_may_be(disks, residence, expected) -> None:
-    assert all_in(disks, residence, region_of) is expected
+    assert all_in_residence(disks, residence, region_of) is expected
 
 
 def test_a_group_with_a_bound_job_takes_no_disk_elsewhere() -> None:
-    assert may_join("w-9", ["w-1", "e-1"], [ANYWHERE, BOTH], [], region_of)
-    assert may_join("e-9", ["w-1", "e-1"], [ANYWHERE, BOTH], [], region_of)
-    assert not may_join("?", ["w-1", "e-1"], [ANYWHERE, BOTH], [], region_of)
-    assert not may_join("e-9", ["w-1"], [WEST], [], region_of)
-    assert may_join("e-9", ["w-1"], [ANYWHERE], [], region_of)
+    assert may_join_group("w-9", ["w-1", "e-1"], [ANYWHERE, BOTH], [], region_of)
+    assert may_join_group("e-9", ["w-1", "e-1"], [ANYWHERE, BOTH], [], region_of)
+    assert not may_join_group("?", ["w-1", "e-1"], [ANYWHERE, BOTH], [], region_of)
+    assert not may_join_group("e-9", ["w-1"], [WEST], [], region_of)
+    assert may_join_group("e-9", ["w-1"], [ANYWHERE], [], region_of)
 
 
 def test_a_group_that_can_hold_jobs_of_a_configured_residence_stays_able_to() -> None:
-    assert not may_join("e-9", ["w-1", "w-2"], [], [ANYWHERE, WEST], region_of)
-    assert may_join("w-9", ["w-1", "w-2"], [], [ANYWHERE, WEST], region_of)
+    assert not may_join_group("e-9", ["w-1", "w-2"], [], [ANYWHERE, WEST], region_of)
+    assert may_join_group("w-9", ["w-1", "w-2"], [], [ANYWHERE, WEST], region_of)
     # It can't hold any as it is: nothing is lost.
-    assert may_join("e-9", ["w-1", "e-1"], [], [WEST], region_of)
-    assert may_join("e-9", ["w-1", "w-2"], [], [EAST], region_of)
+    assert may_join_group("e-9", ["w-1", "e-1"], [], [WEST], region_of)
+    assert may_join_group("e-9", ["w-1", "w-2"], [], [EAST], region_of)
 
 
 def test_a_group_is_asked_for_slots_where_it_may_have_some() -> None:
@@ -77,11 +82,11 @@
 
 
 def test_submissions_may_have_moved_for_a_while_after_the_groups_became_others() -> None:
-    moves = JobMoves()
+    moves = JobMoveTracker()
     source = ("route", "tenant")
-    assert not moves.moved(source, (0, 1), 0.0)
-    assert not moves.moved(source, (0, 1), 10.0)
-    assert moves.moved(source, (1,), 20.0)
-    assert moves.moved(source, (1,), 20.0 + KEPT_S - 1.0)
-    assert not moves.moved(source, (1,), 20.0 + KEPT_S)
-    assert not moves.moved(("other", "tenant"), (1,), 21.0)
+    assert not moves.has_moved_recently(source, (0, 1), 0.0)
+    assert not moves.has_moved_recently(source, (0, 1), 10.0)
+    assert moves.has_moved_recently(source, (1,), 20.0)
+    assert moves.has_moved_recently(source, (1,), 20.0 + RESUBMIT_WINDOW_S - 1.0)
+    assert not moves.has_moved_recently(source, (1,), 20.0 + RESUBMIT_WINDOW_S)
+    assert not moves.has_moved_recently(("other", "tenant"), (1,), 21.0)
