--- a/src/wharfcart/batch/item_run.py
+++ b/src/wharfcart/batch/item_run.py
@@ -20,7 +20,7 @@
 from wharfcart.routing.backend_choice import BackendChoice, InstanceState
 from wharfcart.routing.broken_runs import BrokenRun, BrokenRuns
 from wharfcart.routing.event_stream import EventSplitter
-from wharfcart.storage.partial_texts import RunningText
+from wharfcart.storage.partial_texts import ItemPartialText
 
 STATUS_IMPOSSIBLE = 422
 STATUS_FAILED = 500
@@ -54,7 +54,7 @@
     ran_s: sum of the times of its sends.
     """
 
-    text: RunningText
+    text: ItemPartialText
     not_before: float = 0.0
     last_backend: str = ""
     sends: int = 0
@@ -242,5 +242,5 @@
                     continue
                 if last_event is not None and event.number > last_event + 1:
                     return RunOutcome.BROKEN
-                progress.text.add(event.number, event.data)
+                progress.text.add_event(event.number, event.data)
         return RunOutcome.BROKEN if splitter.rest else RunOutcome.SUCCEEDED
--- a/src/wharfcart/batch/job_execution.py
+++ b/src/wharfcart/batch/job_execution.py
@@ -31,7 +31,7 @@
 from wharfcart.slots.urgency import Urgency
 from wharfcart.storage.job_group import JobGroup
 from wharfcart.storage.job_leadership import JobLeadership
-from wharfcart.storage.job_records import JobRecord
+from wharfcart.storage.job_records import ReplicatedJob
 
 # Waiting items are told anew so often, and at most so often when much happens.
 PERIOD_S = 0.1
@@ -106,7 +106,7 @@
     def job_ended(self, job_id: str) -> None:
         """Stop every item of a job at once."""
         scheduled = self._scheduler.remove(job_id)
-        self._group.partial_texts.drop_job(job_id)
+        self._group.partial_texts.remove_job(job_id)
         if scheduled is None:
             return
         for item_id in list(scheduled.running):
@@ -251,11 +251,11 @@
         assert leadership is not None
         for record in leadership.jobs.values():
             self._learn_sizes(record)
-            if not record.ended and not record.complete:
+            if not record.ended and not record.is_complete:
                 self._add(record.job, {result.item_id for result in record.results})
         self._tasks.spawn(self._run())
 
-    def _learn_sizes(self, record: JobRecord) -> None:
+    def _learn_sizes(self, record: ReplicatedJob) -> None:
         """Learn how large a job's items are from the results that earlier leaders took."""
         service = self._service_of(record.job)
         if service is None:
@@ -448,7 +448,7 @@
             return
         job_id = scheduled.job.job_id
         outcome = ItemOutcome(item_id=item.item_id, succeeded=succeeded, text=text.encode())
-        if not leadership.append(job_id, outcome):
+        if not leadership.append_result(job_id, outcome):
             return
         self._group.wake_sessions()
         record = leadership.jobs[job_id]
@@ -462,8 +462,8 @@
             due_in_s=round(scheduled.due_at - monotonic(), 2),
         )
         scheduled.progress.pop(item.item_id, None)
-        self._group.partial_texts.drop(item.item_id)
-        if record.complete:
+        self._group.partial_texts.remove_item(item.item_id)
+        if record.is_complete:
             self._scheduler.remove(job_id)
             self._log.write(Event.JOB_CLOSED, job=job_id, items=len(record.results))
 
@@ -479,7 +479,7 @@
             return
         self._forget_at = now + FORGET_PERIOD_S
         for job_id in _forgettable(leadership, time(), self._keep_jobs_s):
-            leadership.forget(job_id)
+            leadership.delete_job(job_id)
         self._group.wake_sessions()
 
 
@@ -487,5 +487,6 @@
     return [
         job_id
         for job_id, record in leadership.jobs.items()
-        if (record.ended or record.complete) and wall_clock - record.job.accepted_ms / 1000 > keep_s
+        if (record.ended or record.is_complete)
+        and wall_clock - record.job.accepted_ms / 1000 > keep_s
     ]
--- a/src/wharfcart/batch/job_scheduler.py
+++ b/src/wharfcart/batch/job_scheduler.py
@@ -34,7 +34,7 @@
         """Return what is known of an item."""
         known = self.progress.get(item_id)
         if known is None:
-            known = ItemProgress(self.partial_texts.of(self.job.job_id, item_id))
+            known = ItemProgress(self.partial_texts.get_or_create(self.job.job_id, item_id))
             self.progress[item_id] = known
         return known
 
@@ -52,7 +52,7 @@
         Items that ran under an earlier leader come first, those with the most events in front.
         """
         waiting = [item for item in job.items if item.item_id not in done]
-        waiting.sort(key=lambda item: self.partial_texts.events(item.item_id), reverse=True)
+        waiting.sort(key=lambda item: self.partial_texts.event_count(item.item_id), reverse=True)
         scheduled = ScheduledJob(
             job,
             accepted_at + job.objective_s,
--- a/src/wharfcart/batch/job_service.py
+++ b/src/wharfcart/batch/job_service.py
@@ -38,7 +38,7 @@
 from wharfcart.storage.job_client import JobCallFailure, JobClient
 from wharfcart.storage.job_group import JobGroup
 from wharfcart.storage.job_leadership import JobLeadership
-from wharfcart.storage.job_records import JobRecord
+from wharfcart.storage.job_records import ReplicatedJob
 from wharfcart.storage.job_residence import RegionOf, all_in_residence
 
 WRITE_TIMEOUT_S = 3.0
@@ -151,11 +151,11 @@
                 self._being_taken += Counter()
             if refusal is not None:
                 return JobAnswer(status=refusal, leader=self._leader())
-        record = leadership.accept(job)
+        record = leadership.accept_job(job)
         self._group.wake_sessions()
         if not await self._counted(leadership, job.job_id, 1):
             return JobAnswer(status=UNSURE)
-        if not record.ended and not record.complete:
+        if not record.ended and not record.is_complete:
             self._execution.job_accepted(record.job)
         if not known:
             self._log.write(
@@ -245,7 +245,7 @@
             if leadership is None or record is None:
                 status = self._missing_status(leadership, message.job_id, message.tenant)
                 return ResultPage(status=status, leader=self._leader())
-            results = leadership.counted_results(message.job_id, message.after)
+            results = leadership.committed_results(message.job_id, message.after)
             left_s = until - monotonic()
             if results or left_s <= 0 or record.ended or message.after >= len(record.job.items):
                 return _page(len(record.job.items), results)
@@ -277,7 +277,7 @@
             # One that is being taken is not denied: it would run although its end was asked for.
             status = self._missing_status(leadership, message.job_id, message.tenant)
             return JobAnswer(status=status, leader=self._leader())
-        record = leadership.end(message.job_id)
+        record = leadership.end_job(message.job_id)
         assert record is not None
         self._execution.job_ended(message.job_id)
         self._group.wake_sessions()
@@ -348,7 +348,7 @@
 
     async def _counted(self, leadership: JobLeadership, job_id: str, version: int) -> bool:
         until = monotonic() + WRITE_TIMEOUT_S
-        while leadership.counted_version(job_id) < version:
+        while leadership.committed_version(job_id) < version:
             left_s = until - monotonic()
             if left_s <= 0 or self._group.leadership is not leadership:
                 return False
@@ -375,9 +375,9 @@
 
     def _visible(
         self, leadership: JobLeadership | None, job_id: str, tenant: str
-    ) -> JobRecord | None:
+    ) -> ReplicatedJob | None:
         """Return a job that counts and that a caller may see, or None."""
-        if leadership is None or leadership.counted_version(job_id) == 0:
+        if leadership is None or leadership.committed_version(job_id) == 0:
             return None
         record = leadership.jobs[job_id]
         return record if _is_of(record.job, tenant) else None
--- a/src/wharfcart/experiments/job_group_simulation.py
+++ b/src/wharfcart/experiments/job_group_simulation.py
@@ -159,7 +159,7 @@
                 open_jobs = [
                     record
                     for record in leadership.jobs.values()
-                    if not record.complete and not record.ended
+                    if not record.is_complete and not record.ended
                 ]
                 if not open_jobs:
                     continue
@@ -171,7 +171,7 @@
                     succeeded=True,
                     text=f"{node.number}-{self.random.random()}".encode(),
                 )
-                leadership.append(record.job.job_id, outcome)
+                leadership.append_result(record.job.job_id, outcome)
                 node.group.wake_sessions()
 
     # ---- clients ----
--- a/src/wharfcart/experiments/simulated_slots.py
+++ b/src/wharfcart/experiments/simulated_slots.py
@@ -107,7 +107,7 @@
 
         def on_event() -> None:
             self._choice.answered(send.state, send.use)
-            text.add(len(text.texts), "")
+            text.add_event(len(text.texts), "")
 
         try:
             await server.run(prompt_tokens, left, on_event)
@@ -125,13 +125,13 @@
     jobs: dict[str, Any] = field(default_factory=dict)
     epoch: int = 1
 
-    def append(self, job_id: str, outcome: ItemOutcome) -> bool:
+    def append_result(self, job_id: str, outcome: ItemOutcome) -> bool:
         """Take a result."""
         self.done_at[outcome.item_id] = virtual_monotonic()
         self.jobs[job_id].results.append(outcome)
         return True
 
-    def forget(self, job_id: str) -> None:
+    def delete_job(self, job_id: str) -> None:
         """Drop a job."""
         self.jobs.pop(job_id, None)
 
@@ -309,7 +309,7 @@
             give_up_after_s=10 * due_s,
             items=items,
         )
-        record = SimpleNamespace(job=job, results=[], ended=False, complete=False)
+        record = SimpleNamespace(job=job, results=[], ended=False, is_complete=False)
         self.records.jobs[job_id] = record
         self._execution.job_accepted(job)
 
--- a/src/wharfcart/experiments/simulated_storage.py
+++ b/src/wharfcart/experiments/simulated_storage.py
@@ -59,42 +59,42 @@
     slow_s: float = 0.002
     generation: int = 0
 
-    async def promised(self, group: int) -> int:
+    async def promised_epoch(self, group: int) -> int:
         """Return the promised epoch."""
         await self._wait()
-        return self.database.promised(group)
+        return self.database.promised_epoch(group)
 
-    async def promise(self, group: int, epoch: int) -> bool:
+    async def promise_epoch(self, group: int, epoch: int) -> bool:
         """Promise an epoch."""
         await self._wait(writes=True)
-        return self.database.promise(group, epoch)
+        return self.database.promise_epoch(group, epoch)
 
-    async def save_running_texts(
-        self, group: int, parts: Sequence[PartialText], over: Collection[str]
+    async def save_partial_texts(
+        self, group: int, parts: Sequence[PartialText], finished_item_ids: Collection[str]
     ) -> None:
         """Add events of items that still run."""
         await self._wait(writes=True)
-        self.database.save_running_texts(group, parts, over)
+        self.database.save_partial_texts(group, parts, finished_item_ids)
 
-    async def running_texts(self, group: int) -> list[PartialText]:
+    async def load_partial_texts(self, group: int) -> list[PartialText]:
         """Return the events of items of open jobs."""
         await self._wait()
-        return self.database.running_texts(group)
+        return self.database.load_partial_texts(group)
 
-    async def states(self, group: int) -> list[JobState]:
+    async def job_states(self, group: int) -> list[JobState]:
         """Return the states."""
         await self._wait()
-        return self.database.states(group)
+        return self.database.job_states(group)
 
-    async def apply(self, group: int, epoch: int, updates: Sequence[JobUpdate]) -> bool:
+    async def apply_updates(self, group: int, epoch: int, updates: Sequence[JobUpdate]) -> bool:
         """Write updates."""
         await self._wait(writes=True)
-        return self.database.apply(group, epoch, updates)
+        return self.database.apply_updates(group, epoch, updates)
 
-    async def load(self, job_ids: Sequence[str]) -> list[JobUpdate]:
+    async def load_jobs(self, job_ids: Sequence[str]) -> list[JobUpdate]:
         """Return records."""
         await self._wait()
-        return self.database.load(job_ids)
+        return self.database.load_jobs(job_ids)
 
     async def _wait(self, writes: bool = False) -> None:
         generation = self.generation
--- a/src/wharfcart/storage/disk.py
+++ b/src/wharfcart/storage/disk.py
@@ -23,7 +23,7 @@
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
-        self._thread = ThreadPoolExecutor(1, "disk")
+        self._executor = ThreadPoolExecutor(1, "disk")
         self._database: JobDatabase | None = None
 
     async def open(self) -> str:
@@ -37,52 +37,56 @@
         def open_database() -> JobDatabase:
             return JobDatabase(self._folder)
 
-        self._database = await self._run(open_database)
+        self._database = await self._run_on_writer(open_database)
         return self._database.identity
 
     async def close(self) -> None:
         """Close the file once what was begun is written."""
         if self._database is not None:
-            await self._run(self._database.close)
-        self._thread.shutdown(wait=False)
+            await self._run_on_writer(self._database.close)
+        self._executor.shutdown(wait=False)
 
-    async def promised(self, group: int) -> int:
+    async def promised_epoch(self, group: int) -> int:
         """Return the highest epoch that was promised."""
-        return await self._run(lambda: self._open().promised(group))
+        return await self._run_on_writer(lambda: self._require_open().promised_epoch(group))
 
-    async def promise(self, group: int, epoch: int) -> bool:
+    async def promise_epoch(self, group: int, epoch: int) -> bool:
         """Obey no leader of a lower epoch."""
-        return await self._run(lambda: self._open().promise(group, epoch))
+        return await self._run_on_writer(lambda: self._require_open().promise_epoch(group, epoch))
 
-    async def states(self, group: int) -> list[JobState]:
+    async def job_states(self, group: int) -> list[JobState]:
         """Return the state of every job of a group."""
-        return await self._run(lambda: self._open().states(group))
+        return await self._run_on_writer(lambda: self._require_open().job_states(group))
 
-    async def apply(self, group: int, epoch: int, updates: Sequence[JobUpdate]) -> bool:
+    async def apply_updates(self, group: int, epoch: int, updates: Sequence[JobUpdate]) -> bool:
         """Write a leader's updates."""
-        return await self._run(lambda: self._open().apply(group, epoch, updates))
+        return await self._run_on_writer(
+            lambda: self._require_open().apply_updates(group, epoch, updates)
+        )
 
-    async def load(self, job_ids: Sequence[str]) -> list[JobUpdate]:
+    async def load_jobs(self, job_ids: Sequence[str]) -> list[JobUpdate]:
         """Return whole records."""
-        return await self._run(lambda: self._open().load(job_ids))
+        return await self._run_on_writer(lambda: self._require_open().load_jobs(job_ids))
 
-    async def save_running_texts(
-        self, group: int, parts: Sequence[PartialText], over: Collection[str]
+    async def save_partial_texts(
+        self, group: int, parts: Sequence[PartialText], finished_item_ids: Collection[str]
     ) -> None:
         """Add events of items that still run; forget items that run no more."""
-        await self._run(lambda: self._open().save_running_texts(group, parts, over))
+        await self._run_on_writer(
+            lambda: self._require_open().save_partial_texts(group, parts, finished_item_ids)
+        )
 
-    async def running_texts(self, group: int) -> list[PartialText]:
+    async def load_partial_texts(self, group: int) -> list[PartialText]:
         """Return the events of items of open jobs."""
-        return await self._run(lambda: self._open().running_texts(group))
+        return await self._run_on_writer(lambda: self._require_open().load_partial_texts(group))
 
-    def _open(self) -> JobDatabase:
+    def _require_open(self) -> JobDatabase:
         if self._database is None:
             raise DiskFailedError("not open")
         return self._database
 
-    async def _run(self, work: Callable[[], Answer]) -> Answer:
+    async def _run_on_writer(self, work: Callable[[], Answer]) -> Answer:
         try:
-            return await asyncio.get_running_loop().run_in_executor(self._thread, work)
+            return await asyncio.get_running_loop().run_in_executor(self._executor, work)
         except (sqlite3.Error, OSError, CorruptJobError) as error:
             raise DiskFailedError(f"{type(error).__name__}: {error}") from error
--- a/src/wharfcart/storage/job_database.py
+++ b/src/wharfcart/storage/job_database.py
@@ -67,23 +67,23 @@
         """Close the file."""
         self._connection.close()
 
-    def promised(self, group: int) -> int:
+    def promised_epoch(self, group: int) -> int:
         """Return the highest epoch whose leader this disk obeys; 0 for none."""
         row = self._connection.execute(
             "select epoch from promise where job_group=?", (group,)
         ).fetchone()
         return 0 if row is None else int(row[0])
 
-    def promise(self, group: int, epoch: int) -> bool:
+    def promise_epoch(self, group: int, epoch: int) -> bool:
         """Obey no leader of a lower epoch from now on; False if a higher one was promised."""
-        known = self.promised(group)
+        known = self.promised_epoch(group)
         if known > epoch:
             return False
         if known < epoch:
             self._connection.execute("insert or replace into promise values (?, ?)", (group, epoch))
         return True
 
-    def states(self, group: int) -> list[JobState]:
+    def job_states(self, group: int) -> list[JobState]:
         """Return the state of every job of a group."""
         rows = self._connection.execute(
             "select job_id, epoch, results, ended from job where job_group=?", (group,)
@@ -92,16 +92,16 @@
             JobState(job_id, epoch, 1 + results + ended) for job_id, epoch, results, ended in rows
         ]
 
-    def apply(self, group: int, epoch: int, updates: Sequence[JobUpdate]) -> bool:
+    def apply_updates(self, group: int, epoch: int, updates: Sequence[JobUpdate]) -> bool:
         """Write a leader's updates in one commit; False if a higher epoch was promised."""
-        if not self.promise(group, epoch):
+        if not self.promise_epoch(group, epoch):
             return False
         if not updates:
             return True
         self._connection.execute("begin immediate")
         try:
             for update in updates:
-                self._apply_one(group, update)
+                self._apply_update(group, update)
             self._connection.execute("commit")
         except BaseException:
             if self._connection.in_transaction:
@@ -109,18 +109,18 @@
             raise
         return True
 
-    def load(self, job_ids: Iterable[str]) -> list[JobUpdate]:
+    def load_jobs(self, job_ids: Iterable[str]) -> list[JobUpdate]:
         """Return whole records; unknown ids are left out.
 
         Raises
         ------
         CorruptJobError
         """
-        found = (self._load_one(job_id) for job_id in job_ids)
+        found = (self._load_job(job_id) for job_id in job_ids)
         return [record for record in found if record is not None]
 
-    def save_running_texts(
-        self, group: int, parts: Sequence[PartialText], over: Collection[str]
+    def save_partial_texts(
+        self, group: int, parts: Sequence[PartialText], finished_item_ids: Collection[str]
     ) -> None:
         """Add events of items that still run, in one commit.
 
@@ -138,7 +138,7 @@
                     "insert or replace into running_text values (?, ?, ?, ?, ?, ?)",
                     (part.item_id, part.from_event, part.job_id, group, value, _checksum(value)),
                 )
-            for item_id in over:
+            for item_id in finished_item_ids:
                 execute("delete from running_text where item_id=?", (item_id,))
             execute("commit")
         except BaseException:
@@ -146,7 +146,7 @@
                 execute("rollback")
             raise
 
-    def running_texts(self, group: int) -> list[PartialText]:
+    def load_partial_texts(self, group: int) -> list[PartialText]:
         """Return the events of items of open jobs, each item's in their order.
 
         A part that does not match its checksum is left out, and so is what came after it.
@@ -165,7 +165,7 @@
 
     # ---- inner ----
 
-    def _apply_one(self, group: int, update: JobUpdate) -> None:
+    def _apply_update(self, group: int, update: JobUpdate) -> None:
         execute = self._connection.execute
         if update.forgotten:
             execute("delete from job where job_id=?", (update.job_id,))
@@ -198,19 +198,19 @@
             )
             execute("delete from running_text where item_id=?", (outcome.item_id,))
 
-    def _load_one(self, job_id: str) -> JobUpdate | None:
+    def _load_job(self, job_id: str) -> JobUpdate | None:
         row = self._connection.execute(
             "select epoch, ended, spec, checksum from job where job_id=?", (job_id,)
         ).fetchone()
         if row is None:
             return None
         epoch, ended, spec, checksum = row
-        _check(spec, checksum)
+        _verify_checksum(spec, checksum)
         rows = self._connection.execute(
             "select value, checksum from result where job_id=? order by position", (job_id,)
         ).fetchall()
         for value, value_checksum in rows:
-            _check(value, value_checksum)
+            _verify_checksum(value, value_checksum)
         return JobUpdate(
             job_id=job_id,
             epoch=epoch,
@@ -233,6 +233,6 @@
     return xxhash.xxh32_intdigest(data)
 
 
-def _check(data: bytes, checksum: int) -> None:
+def _verify_checksum(data: bytes, checksum: int) -> None:
     if _checksum(data) != checksum:
         raise CorruptJobError
--- a/src/wharfcart/storage/job_group.py
+++ b/src/wharfcart/storage/job_group.py
@@ -29,9 +29,9 @@
 from wharfcart.storage.group_record import GroupRecord, RecordInDoubtError
 from wharfcart.storage.group_record_store import GroupRecordStore
 from wharfcart.storage.job_leadership import JobLeadership
-from wharfcart.storage.job_records import JobRecord, JobState
+from wharfcart.storage.job_records import JobState, ReplicatedJob
 from wharfcart.storage.job_residence import may_join_group
-from wharfcart.storage.partial_texts import PartialTexts, SentParts
+from wharfcart.storage.partial_texts import PartialTexts, SentOffsets
 from wharfcart.storage.replica_links import (
     LocalReplicaLink,
     RemoteReplicaLink,
@@ -129,7 +129,7 @@
             if identity == self._context.identity
             or (identity in self.sessions and self.sessions[identity].confirmed_at > since)
         )
-        return confirming >= leadership.copies
+        return confirming >= leadership.write_quorum
 
     @property
     def replicas_behind(self) -> int:
@@ -137,7 +137,7 @@
         leadership = self.leadership
         if leadership is None:
             return 0
-        return sum(leadership.behind(identity) for identity in leadership.members)
+        return sum(leadership.is_behind(identity) for identity in leadership.members)
 
     @property
     def disks(self) -> frozenset[str]:
@@ -145,7 +145,9 @@
         leadership = self.leadership
         if leadership is None:
             return frozenset()
-        return leadership.members | (leadership.target or frozenset()) | self.sessions.keys()
+        return (
+            leadership.members | (leadership.target_members or frozenset()) | self.sessions.keys()
+        )
 
     def may_hold(self, identity: str) -> bool:
         """Whether a disk may join the replica set, by where the group's jobs may be."""
@@ -176,7 +178,7 @@
         """Begin to follow the group."""
         # At the same time: whoever led before leads again as soon as both are known.
         self._promised_at_start, saved = await asyncio.gather(
-            self._context.disk.promised(self.group), self._load_texts()
+            self._context.disk.promised_epoch(self.group), self._load_texts()
         )
         self._last_led = self._promised_at_start
         self._tasks.spawn(self._run())
@@ -212,9 +214,9 @@
         try:
             if message.target != self._context.identity:
                 return FenceResult(granted=False, epoch=0)
-            if not await disk.promise(self.group, message.epoch):
-                return FenceResult(granted=False, epoch=await disk.promised(self.group))
-            states = await disk.states(self.group)
+            if not await disk.promise_epoch(self.group, message.epoch):
+                return FenceResult(granted=False, epoch=await disk.promised_epoch(self.group))
+            states = await disk.job_states(self.group)
         except DiskFailedError:
             return FenceResult(granted=False, epoch=0)
         self._hear_leader(message.epoch, message.leader)
@@ -228,8 +230,8 @@
         try:
             if message.target != self._context.identity:
                 return ReplicateResult(accepted=False, epoch=0)
-            if not await disk.apply(self.group, message.epoch, list(message.updates)):
-                return ReplicateResult(accepted=False, epoch=await disk.promised(self.group))
+            if not await disk.apply_updates(self.group, message.epoch, list(message.updates)):
+                return ReplicateResult(accepted=False, epoch=await disk.promised_epoch(self.group))
         except DiskFailedError:
             return ReplicateResult(accepted=False, epoch=0)
         self._hear_leader(message.epoch, message.leader)
@@ -239,36 +241,36 @@
     def _take_partial_texts(self, message: ReplicateJobs) -> None:
         for update in message.updates:
             if update.ended or update.forgotten:
-                self.partial_texts.drop_job(update.job_id)
+                self.partial_texts.remove_job(update.job_id)
             for result in update.results:
-                self.partial_texts.drop(result.item_id)
-        self.partial_texts.take(message.partial_texts)
+                self.partial_texts.remove_item(result.item_id)
+        self.partial_texts.apply(message.partial_texts)
 
-    async def _load_texts(self) -> SentParts:
+    async def _load_texts(self) -> SentOffsets:
         """Take up the running texts that this disk keeps; return how much of each it does."""
-        saved = SentParts()
+        saved = SentOffsets()
         with suppress(DiskFailedError):
-            self.partial_texts.take(await self._context.disk.running_texts(self.group))
-            while self.partial_texts.since(saved):
+            self.partial_texts.apply(await self._context.disk.load_partial_texts(self.group))
+            while self.partial_texts.take_unsent(saved):
                 pass
         return saved
 
-    async def _save_texts(self, saved: SentParts) -> None:
+    async def _save_texts(self, saved: SentOffsets) -> None:
         """Save the running texts from time to time; what could not be saved is saved anew."""
         while True:
             await asyncio.sleep(SAVE_TEXTS_S)
-            over = self.partial_texts.gone(saved)
-            parts = self.partial_texts.since(saved)
+            over = self.partial_texts.removed_items(saved)
+            parts = self.partial_texts.take_unsent(saved)
             if not parts and not over:
                 continue
             try:
-                await self._context.disk.save_running_texts(self.group, parts, over)
+                await self._context.disk.save_partial_texts(self.group, parts, over)
             except DiskFailedError:
-                saved = SentParts()
+                saved = SentOffsets()
 
     async def answer_fetch(self, message: FetchJobs) -> JobUpdates:
         """Return whole records."""
-        return JobUpdates(updates=await self._context.disk.load(list(message.job_ids)))
+        return JobUpdates(updates=await self._context.disk.load_jobs(list(message.job_ids)))
 
     def _hears_leader(self) -> bool:
         if self.leadership is not None:
@@ -413,7 +415,7 @@
     def _begin_leading(
         self,
         record: GroupRecord,
-        records: list[JobRecord],
+        records: list[ReplicatedJob],
         states: dict[str, list[JobState]],
         asked_at: float,
     ) -> None:
--- a/src/wharfcart/storage/job_leadership.py
+++ b/src/wharfcart/storage/job_leadership.py
@@ -21,10 +21,10 @@
 
 from wharfcart.cluster.messages_pb2 import ItemOutcome, JobUpdate, RequestJob
 from wharfcart.configuration.residence import Residence
-from wharfcart.storage.job_records import JobRecord, JobState
+from wharfcart.storage.job_records import JobState, ReplicatedJob
 
-MOST_UPDATE_BYTES = 1024 * 1024
-MOST_UPDATES = 64
+MAX_UPDATE_BYTES = 1024 * 1024
+MAX_UPDATES_PER_MESSAGE = 64
 
 
 @dataclass
@@ -39,10 +39,10 @@
     lacking: jobs of which it has not written everything, the longest waiting first.
     """
 
-    base: dict[str, int] = field(default_factory=dict)
-    written: dict[str, int] = field(default_factory=dict)
-    forget: set[str] = field(default_factory=set)
-    lacking: dict[str, None] = field(default_factory=dict)
+    matched_versions: dict[str, int] = field(default_factory=dict)
+    written_versions: dict[str, int] = field(default_factory=dict)
+    jobs_to_delete: set[str] = field(default_factory=set)
+    incomplete_jobs: dict[str, None] = field(default_factory=dict)
 
 
 @dataclass
@@ -57,34 +57,34 @@
     """
 
     epoch: int
-    copies: int
+    write_quorum: int
     members: frozenset[str]
-    target: frozenset[str] | None = None
-    jobs: dict[str, JobRecord] = field(default_factory=dict)
-    _inherited: dict[str, JobState] = field(default_factory=dict)
+    target_members: frozenset[str] | None = None
+    jobs: dict[str, ReplicatedJob] = field(default_factory=dict)
+    _inherited_states: dict[str, JobState] = field(default_factory=dict)
     _replicas: dict[str, ReplicaProgress] = field(default_factory=dict)
-    _counted: dict[str, int] = field(default_factory=dict)
-    _residences: Counter[Residence] = field(default_factory=Counter)  # jobs of each
+    _committed_versions: dict[str, int] = field(default_factory=dict)
+    _job_count_by_residence: Counter[Residence] = field(default_factory=Counter)  # jobs of each
 
     # ---- taking over ----
 
     @property
-    def fewest_answers(self) -> int:
+    def required_promises(self) -> int:
         """Replicas of the set that must tell what they hold before the leader knows everything."""
-        return len(self.members) - self.copies + 1
+        return len(self.members) - self.write_quorum + 1
 
-    def inherit(self, records: Iterable[JobRecord]) -> None:
+    def inherit(self, records: Iterable[ReplicatedJob]) -> None:
         """Begin with the newest state of each job that any of the replicas asked holds."""
         for record in records:
             job_id = record.job.job_id
-            self._inherited[job_id] = JobState(job_id, record.epoch, record.version)
+            self._inherited_states[job_id] = JobState(job_id, record.epoch, record.version)
             record.epoch = self.epoch
             self.jobs[job_id] = record
-            self._residences[record.residence] += 1
+            self._job_count_by_residence[record.residence] += 1
 
     # ---- replicas ----
 
-    def replica_joined(self, identity: str, states: Iterable[JobState]) -> None:
+    def add_replica(self, identity: str, states: Iterable[JobState]) -> None:
         """Note what a replica holds that has just promised this epoch."""
         progress = ReplicaProgress()
         self._replicas[identity] = progress
@@ -92,17 +92,19 @@
             record = self.jobs.get(state.job_id)
             if record is None:
                 # Never counted, or forgotten since: it must not come back under a later leader.
-                progress.forget.add(state.job_id)
+                progress.jobs_to_delete.add(state.job_id)
             elif state.epoch == self.epoch:
-                progress.base[state.job_id] = progress.written[state.job_id] = state.version
+                progress.matched_versions[state.job_id] = progress.written_versions[
+                    state.job_id
+                ] = state.version
             else:
-                progress.base[state.job_id] = self._common_version(state)
+                progress.matched_versions[state.job_id] = self._common_prefix_version(state)
         for job_id, record in self.jobs.items():
-            if progress.written.get(job_id, 0) < record.version:
-                progress.lacking[job_id] = None
-        self._count_all()
+            if progress.written_versions.get(job_id, 0) < record.version:
+                progress.incomplete_jobs[job_id] = None
+        self._advance_all_commits()
 
-    def replica_left(self, identity: str) -> None:
+    def remove_replica(self, identity: str) -> None:
         """Forget a replica's progress: its connection ended, or it is another disk now."""
         self._replicas.pop(identity, None)
 
@@ -111,17 +113,17 @@
         progress = self._replicas.get(identity)
         if progress is None:
             return []
-        updates = [JobUpdate(job_id=job_id, forgotten=True) for job_id in progress.forget]
+        updates = [JobUpdate(job_id=job_id, forgotten=True) for job_id in progress.jobs_to_delete]
         size = 0
-        for job_id in progress.lacking:
-            update = self.jobs[job_id].update_since(progress.base.get(job_id, 0))
+        for job_id in progress.incomplete_jobs:
+            update = self.jobs[job_id].update_since(progress.matched_versions.get(job_id, 0))
             updates.append(update)
             size += update.ByteSize()
-            if size > MOST_UPDATE_BYTES or len(updates) >= MOST_UPDATES:
+            if size > MAX_UPDATE_BYTES or len(updates) >= MAX_UPDATES_PER_MESSAGE:
                 break
         return updates
 
-    def replica_wrote(self, identity: str, updates: Iterable[JobUpdate]) -> list[str]:
+    def record_written(self, identity: str, updates: Iterable[JobUpdate]) -> list[str]:
         """Note updates on a replica's disk; return the jobs of which more counts now."""
         progress = self._replicas.get(identity)
         if progress is None:
@@ -129,142 +131,144 @@
         changed = []
         for update in updates:
             if update.forgotten:
-                progress.forget.discard(update.job_id)
+                progress.jobs_to_delete.discard(update.job_id)
                 continue
             version = 1 + update.from_result + len(update.results) + int(update.ended)
-            progress.base[update.job_id] = progress.written[update.job_id] = version
+            progress.matched_versions[update.job_id] = progress.written_versions[update.job_id] = (
+                version
+            )
             record = self.jobs.get(update.job_id)
             if record is None or version >= record.version:
-                progress.lacking.pop(update.job_id, None)
-            if self._count(update.job_id):
+                progress.incomplete_jobs.pop(update.job_id, None)
+            if self._advance_commit(update.job_id):
                 changed.append(update.job_id)
         return changed
 
-    def behind(self, identity: str) -> bool:
+    def is_behind(self, identity: str) -> bool:
         """Whether a replica lacks anything."""
         progress = self._replicas.get(identity)
         if progress is None:
             return True
-        return bool(progress.lacking)
+        return bool(progress.incomplete_jobs)
 
     # ---- the replica set ----
 
-    def begin_change(self, target: frozenset[str] | None) -> None:
+    def begin_set_change(self, target_members: frozenset[str] | None) -> None:
         """From now on writes need enough copies in this set, too."""
-        self.target = target
+        self.target_members = target_members
 
-    def change_is_safe(self) -> bool:
+    def is_set_change_safe(self) -> bool:
         """Whether the set may change to the target: everything has enough copies in it."""
-        if self.target is None:
+        if self.target_members is None:
             return False
         return all(
-            self._version_with_copies(job_id, self.target) >= record.version
+            self._replicated_version(job_id, self.target_members) >= record.version
             for job_id, record in self.jobs.items()
         )
 
-    def finish_change(self, members: frozenset[str]) -> None:
+    def finish_set_change(self, members: frozenset[str]) -> None:
         """The group's record names another set now."""
         self.members = members
-        self.target = None
-        self._count_all()
+        self.target_members = None
+        self._advance_all_commits()
 
     # ---- jobs ----
 
     @property
     def residences(self) -> frozenset[Residence]:
         """Where the data of the jobs may be, those included that are kept after their end."""
-        return frozenset(self._residences)
+        return frozenset(self._job_count_by_residence)
 
-    def accept(self, job: RequestJob) -> JobRecord:
+    def accept_job(self, job: RequestJob) -> ReplicatedJob:
         """Take a job; the same id is the same job."""
         known = self.jobs.get(job.job_id)
         if known is not None:
             return known
-        record = JobRecord(job, self.epoch)
+        record = ReplicatedJob(job, self.epoch)
         self.jobs[job.job_id] = record
-        self._residences[record.residence] += 1
-        self._changed(job.job_id)
+        self._job_count_by_residence[record.residence] += 1
+        self._mark_changed(job.job_id)
         return record
 
-    def append(self, job_id: str, outcome: ItemOutcome) -> bool:
+    def append_result(self, job_id: str, outcome: ItemOutcome) -> bool:
         """Add a result; False if the job takes none any more or has one of that item."""
         record = self.jobs.get(job_id)
-        if record is None or not record.append(outcome):
+        if record is None or not record.append_result(outcome):
             return False
-        self._changed(job_id)
+        self._mark_changed(job_id)
         return True
 
-    def end(self, job_id: str) -> JobRecord | None:
+    def end_job(self, job_id: str) -> ReplicatedJob | None:
         """End a job on its caller's word; None if there is no such job."""
         record = self.jobs.get(job_id)
         if record is not None:
             record.end()
-            self._changed(job_id)
+            self._mark_changed(job_id)
         return record
 
-    def forget(self, job_id: str) -> None:
+    def delete_job(self, job_id: str) -> None:
         """Drop a job that has been kept long enough, here and on every replica."""
         record = self.jobs.pop(job_id, None)
         if record is None:
             return
-        self._residences[record.residence] -= 1
-        if not self._residences[record.residence]:
-            del self._residences[record.residence]
-        self._counted.pop(job_id, None)
-        self._inherited.pop(job_id, None)
+        self._job_count_by_residence[record.residence] -= 1
+        if not self._job_count_by_residence[record.residence]:
+            del self._job_count_by_residence[record.residence]
+        self._committed_versions.pop(job_id, None)
+        self._inherited_states.pop(job_id, None)
         for progress in self._replicas.values():
-            progress.forget.add(job_id)
-            progress.base.pop(job_id, None)
-            progress.written.pop(job_id, None)
-            progress.lacking.pop(job_id, None)
+            progress.jobs_to_delete.add(job_id)
+            progress.matched_versions.pop(job_id, None)
+            progress.written_versions.pop(job_id, None)
+            progress.incomplete_jobs.pop(job_id, None)
 
-    def counted_version(self, job_id: str) -> int:
+    def committed_version(self, job_id: str) -> int:
         """Return the version of a job that has enough copies; 0 for none."""
-        return self._counted.get(job_id, 0)
+        return self._committed_versions.get(job_id, 0)
 
-    def counted_results(self, job_id: str, after: int = 0) -> list[ItemOutcome]:
+    def committed_results(self, job_id: str, after: int = 0) -> list[ItemOutcome]:
         """Return the results that may be shown, from a position on."""
         record = self.jobs[job_id]
-        return record.results[after : max(after, self.counted_version(job_id) - 1)]
+        return record.results[after : max(after, self.committed_version(job_id) - 1)]
 
     # ---- inner ----
 
-    def _changed(self, job_id: str) -> None:
+    def _mark_changed(self, job_id: str) -> None:
         for progress in self._replicas.values():
-            progress.lacking[job_id] = None
+            progress.incomplete_jobs[job_id] = None
 
-    def _common_version(self, state: JobState) -> int:
-        inherited = self._inherited.get(state.job_id)
+    def _common_prefix_version(self, state: JobState) -> int:
+        inherited = self._inherited_states.get(state.job_id)
         if inherited is None or inherited.epoch != state.epoch:
             return 0
         return min(inherited.version, state.version)
 
-    def _version_with_copies(self, job_id: str, replicas: frozenset[str]) -> int:
+    def _replicated_version(self, job_id: str, replicas: frozenset[str]) -> int:
         """Return the newest version that enough of some replicas have written; 0 for none."""
         written = sorted(
             (
-                progress.written.get(job_id, 0)
+                progress.written_versions.get(job_id, 0)
                 for identity in replicas
                 if (progress := self._replicas.get(identity)) is not None
             ),
             reverse=True,
         )
-        return written[self.copies - 1] if len(written) >= self.copies else 0
+        return written[self.write_quorum - 1] if len(written) >= self.write_quorum else 0
 
-    def _count(self, job_id: str) -> bool:
+    def _advance_commit(self, job_id: str) -> bool:
         """Count what has enough copies now; whether that is more than before."""
         record = self.jobs.get(job_id)
         if record is None:
             return False
-        version = self._version_with_copies(job_id, self.members)
-        if self.target is not None:
-            version = min(version, self._version_with_copies(job_id, self.target))
+        version = self._replicated_version(job_id, self.members)
+        if self.target_members is not None:
+            version = min(version, self._replicated_version(job_id, self.target_members))
         version = min(version, record.version)
-        if version <= self._counted.get(job_id, 0):
+        if version <= self._committed_versions.get(job_id, 0):
             return False
-        self._counted[job_id] = version
+        self._committed_versions[job_id] = version
         return True
 
-    def _count_all(self) -> None:
+    def _advance_all_commits(self) -> None:
         for job_id in self.jobs:
-            self._count(job_id)
+            self._advance_commit(job_id)
--- a/src/wharfcart/storage/job_records.py
+++ b/src/wharfcart/storage/job_records.py
@@ -13,7 +13,7 @@
 
 
 @dataclass
-class JobRecord:
+class ReplicatedJob:
     """One job. Its results and its end are changed through its methods alone.
 
     Parameters
@@ -30,14 +30,14 @@
     ended: bool = False
     waiting_tokens: int = field(init=False)
     residence: Residence = field(init=False)
-    _tokens_without_result: dict[str, int] = field(init=False, repr=False)  # by item
+    _pending_tokens_by_item: dict[str, int] = field(init=False, repr=False)  # by item
 
     def __post_init__(self) -> None:
         self.residence = residence_from_message(self.job)
-        self._tokens_without_result = {item.item_id: item.tokens for item in self.job.items}
+        self._pending_tokens_by_item = {item.item_id: item.tokens for item in self.job.items}
         for result in self.results:
-            self._tokens_without_result.pop(result.item_id, None)
-        waiting = 0 if self.ended else sum(self._tokens_without_result.values())
+            self._pending_tokens_by_item.pop(result.item_id, None)
+        waiting = 0 if self.ended else sum(self._pending_tokens_by_item.values())
         self.waiting_tokens = waiting
 
     @property
@@ -46,16 +46,16 @@
         return 1 + len(self.results) + int(self.ended)
 
     @property
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether every item has its result."""
         return len(self.results) >= len(self.job.items)
 
-    def append(self, outcome: ItemOutcome) -> bool:
+    def append_result(self, outcome: ItemOutcome) -> bool:
         """Add a result; False if the job has ended or has one of that item."""
-        if self.ended or outcome.item_id not in self._tokens_without_result:
+        if self.ended or outcome.item_id not in self._pending_tokens_by_item:
             return False
         self.results.append(outcome)
-        self.waiting_tokens -= self._tokens_without_result.pop(outcome.item_id)
+        self.waiting_tokens -= self._pending_tokens_by_item.pop(outcome.item_id)
         return True
 
     def end(self) -> None:
@@ -85,6 +85,6 @@
     version: int
 
 
-def record_from(update: JobUpdate) -> JobRecord:
+def job_from_update(update: JobUpdate) -> ReplicatedJob:
     """Build a record from an update that holds the whole of it."""
-    return JobRecord(update.job, update.epoch, list(update.results), update.ended)
+    return ReplicatedJob(update.job, update.epoch, list(update.results), update.ended)
--- a/src/wharfcart/storage/partial_texts.py
+++ b/src/wharfcart/storage/partial_texts.py
@@ -10,11 +10,11 @@
 
 from wharfcart.cluster.messages_pb2 import PartialText
 
-MOST_BYTES_A_MESSAGE = 256 * 1024
+MAX_BYTES_PER_MESSAGE = 256 * 1024
 
 
 @dataclass
-class RunningText:
+class ItemPartialText:
     """Data of an item's events so far, and where it failed.
 
     Parameters
@@ -28,20 +28,20 @@
     texts: list[str] = field(default_factory=list)
     failed_at: list[str] = field(default_factory=list)
 
-    def add(self, number: int, text: str) -> None:
+    def add_event(self, number: int, text: str) -> None:
         """Add the next event."""
         self.last_event = number
         self.texts.append(text)
 
 
 @dataclass
-class SentParts:
+class SentOffsets:
     """How much of each item a replica was sent, or a disk keeps: events and failures, by item."""
 
     events: dict[str, int] = field(default_factory=dict)
     failures: dict[str, int] = field(default_factory=dict)
 
-    def forget_all_but(self, item_ids: Collection[str]) -> None:
+    def retain_only(self, item_ids: Collection[str]) -> None:
         """Forget the items that no longer run."""
         for sent in (self.events, self.failures):
             for item_id in sent.keys() - item_ids:
@@ -52,28 +52,28 @@
 class PartialTexts:
     """Running texts of one job group, by item."""
 
-    _texts: dict[str, RunningText] = field(default_factory=dict)
+    _texts: dict[str, ItemPartialText] = field(default_factory=dict)
 
-    def of(self, job_id: str, item_id: str) -> RunningText:
+    def get_or_create(self, job_id: str, item_id: str) -> ItemPartialText:
         """Return an item's text, empty at first."""
-        return self._texts.setdefault(item_id, RunningText(job_id))
+        return self._texts.setdefault(item_id, ItemPartialText(job_id))
 
-    def events(self, item_id: str) -> int:
+    def event_count(self, item_id: str) -> int:
         """Return how many events an item has given so far."""
         text = self._texts.get(item_id)
         return 0 if text is None else len(text.texts)
 
-    def drop(self, item_id: str) -> None:
+    def remove_item(self, item_id: str) -> None:
         """Forget an item that has its result."""
         self._texts.pop(item_id, None)
 
-    def drop_job(self, job_id: str) -> None:
+    def remove_job(self, job_id: str) -> None:
         """Forget the items of a job that is over."""
         over = [item_id for item_id, text in self._texts.items() if text.job_id == job_id]
         for item_id in over:
             del self._texts[item_id]
 
-    def since(self, sent: SentParts) -> list[PartialText]:
+    def take_unsent(self, sent: SentOffsets) -> list[PartialText]:
         """Return what a replica lacks that was sent so much, and note it as sent."""
         news = []
         size = 0
@@ -94,19 +94,19 @@
             sent.failures[item_id] = len(text.failed_at)
             news.append(message)
             size += message.ByteSize()
-            if size > MOST_BYTES_A_MESSAGE:
+            if size > MAX_BYTES_PER_MESSAGE:
                 break
-        sent.forget_all_but(self._texts.keys())
+        sent.retain_only(self._texts.keys())
         return news
 
-    def gone(self, sent: SentParts) -> set[str]:
+    def removed_items(self, sent: SentOffsets) -> set[str]:
         """Return the items of which something was sent and that run no more."""
         return (sent.events.keys() | sent.failures.keys()) - self._texts.keys()
 
-    def take(self, news: Iterable[PartialText]) -> None:
+    def apply(self, parts: Iterable[PartialText]) -> None:
         """Take what the leader sent; events that do not fit on are left out."""
-        for message in news:
-            text = self.of(message.job_id, message.item_id)
+        for message in parts:
+            text = self.get_or_create(message.job_id, message.item_id)
             text.failed_at = list(message.failed_at)
             if message.from_event > len(text.texts) or not message.HasField("last_event"):
                 continue
--- a/src/wharfcart/storage/replica_links.py
+++ b/src/wharfcart/storage/replica_links.py
@@ -36,9 +36,9 @@
     async def fence(self, epoch: int) -> list[JobState]:
         """Promise an epoch to itself."""
         try:
-            if not await self._disk.promise(self._group, epoch):
+            if not await self._disk.promise_epoch(self._group, epoch):
                 raise HigherEpochError(epoch + 1)
-            return await self._disk.states(self._group)
+            return await self._disk.job_states(self._group)
         except DiskFailedError as error:
             raise ReplicaFailedError(str(error)) from error
 
@@ -49,7 +49,7 @@
         if not updates:
             return
         try:
-            if not await self._disk.apply(self._group, epoch, updates):
+            if not await self._disk.apply_updates(self._group, epoch, updates):
                 raise HigherEpochError(epoch + 1)
         except DiskFailedError as error:
             raise ReplicaFailedError(str(error)) from error
@@ -57,7 +57,7 @@
     async def fetch(self, job_ids: Sequence[str]) -> list[JobUpdate]:
         """Return whole records."""
         try:
-            return await self._disk.load(job_ids)
+            return await self._disk.load_jobs(job_ids)
         except DiskFailedError as error:
             raise ReplicaFailedError(str(error)) from error
 
--- a/src/wharfcart/storage/replica_session.py
+++ b/src/wharfcart/storage/replica_session.py
@@ -13,7 +13,7 @@
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.storage.job_leadership import JobLeadership
 from wharfcart.storage.job_records import JobState
-from wharfcart.storage.partial_texts import PartialTexts, SentParts
+from wharfcart.storage.partial_texts import PartialTexts, SentOffsets
 
 HEARTBEAT_S = 0.15
 # A heartbeat that was lost is followed by another one within the replica's patience. The round trip
@@ -85,7 +85,7 @@
         self._link = link
         self._leadership = leadership
         self._partial_texts = partial_texts
-        self._sent_parts = SentParts()
+        self._sent_parts = SentOffsets()
         self._on_progress = on_progress
         self._on_deposed = on_deposed
         self._log = log
@@ -101,7 +101,7 @@
 
     def joined(self, states: Sequence[JobState], asked_at: float) -> None:
         """Note a promise that was obtained before this session began."""
-        self._leadership.replica_joined(self.identity, states)
+        self._leadership.add_replica(self.identity, states)
         self._joined = True
         self.confirmed_at = asked_at
 
@@ -120,8 +120,8 @@
             except ReplicaFailedError as error:
                 self._note_failure(str(error))
                 self._joined = False
-                self._sent_parts = SentParts()
-                self._leadership.replica_left(self.identity)
+                self._sent_parts = SentOffsets()
+                self._leadership.remove_replica(self.identity)
                 await asyncio.sleep(RETRY_S)
 
     async def _step(self) -> None:
@@ -137,7 +137,7 @@
             if await _within(self._work.wait(), HEARTBEAT_S):
                 return
             sent_at = monotonic()
-        texts = self._partial_texts.since(self._sent_parts)
+        texts = self._partial_texts.take_unsent(self._sent_parts)
         if not updates:
             timeout_s = HEARTBEAT_TIMEOUT_S + self._link.round_trip_s()
             if not await _within(self._link.replicate(epoch, [], texts), timeout_s):
@@ -147,7 +147,7 @@
             await self._link.replicate(epoch, updates, texts)
         self.confirmed_at = sent_at
         self._note_success()
-        self._leadership.replica_wrote(self.identity, updates)
+        self._leadership.record_written(self.identity, updates)
         if updates:
             self._on_progress()
 
@@ -157,7 +157,7 @@
         Raises:
             ReplicaFailedError: it has been silent for too long.
         """
-        self._sent_parts = SentParts()
+        self._sent_parts = SentOffsets()
         if self.silent_s(monotonic()) > MOST_SILENCE_S:
             self._link.drop()
             raise ReplicaFailedError("no answer in time")
--- a/src/wharfcart/storage/replica_set_change.py
+++ b/src/wharfcart/storage/replica_set_change.py
@@ -83,7 +83,7 @@
         dead = [identity for identity in kept if self._is_dead(identity)]
         alive = [identity for identity in kept if identity not in dead]
         wanted = self._group.spread.repaired(alive, dead, spares)
-        return wanted if len(wanted) >= leadership.copies else None
+        return wanted if len(wanted) >= leadership.write_quorum else None
 
     async def _moved_closer(self) -> frozenset[str] | None:
         """Return the set after one exchange, or hand over, if that brings the group nearer home."""
@@ -116,7 +116,7 @@
         heirs = [
             identity
             for identity in self._group.heirs()
-            if not spread.is_far(identity) and not leadership.behind(identity)
+            if not spread.is_far(identity) and not leadership.is_behind(identity)
         ]
         if not heirs:
             return False
@@ -154,11 +154,11 @@
         leadership = self._group.leadership
         if leadership is None:
             return
-        needed = leadership.members | (leadership.target or frozenset())
+        needed = leadership.members | (leadership.target_members or frozenset())
         for identity in self._group.sessions.keys() - needed:
             if not self._group.may_hold(identity):
                 self._group.close_session(identity)
-                leadership.replica_left(identity)
+                leadership.remove_replica(identity)
 
     def _is_dead(self, identity: str) -> bool:
         if identity == self._context.identity:
@@ -172,12 +172,12 @@
         leadership = self._group.leadership
         assert leadership is not None
         before = leadership.members
-        leadership.begin_change(target)
+        leadership.begin_set_change(target)
         for identity in target:
             self._group.open_session(identity)
         if not await self._caught_up(target):
             if self._doubtful is None:
-                leadership.begin_change(None)
+                leadership.begin_set_change(None)
             return
         try:
             record = await self._group.records.swap_members(
@@ -191,7 +191,7 @@
         self._doubtful = None
         if record.epoch != leadership.epoch:
             return  # the group follows another leader now
-        leadership.finish_change(record.members)
+        leadership.finish_set_change(record.members)
         self._close_sessions(record.members)
         self._context.log.write(
             Event.REPLICA_SET_CHANGED,
@@ -208,8 +208,8 @@
         assert leadership is not None
         began_at = monotonic()
         while monotonic() - began_at < CHANGE_TIMEOUT_S:
-            safe = leadership.change_is_safe()
-            all_there = not any(leadership.behind(identity) for identity in target)
+            safe = leadership.is_set_change_safe()
+            all_there = not any(leadership.is_behind(identity) for identity in target)
             if safe and (all_there or monotonic() - began_at > SETTLE_S):
                 return True
             await self._group.wait_progress(PERIOD_S)
@@ -221,7 +221,7 @@
         leadership = self._group.leadership
         assert leadership is not None
         ranked = self._group.spread.leaders(target)
-        caught_up = [identity for identity in ranked if not leadership.behind(identity)]
+        caught_up = [identity for identity in ranked if not leadership.is_behind(identity)]
         return (caught_up or ranked)[0]
 
     def _close_sessions(self, members: frozenset[str]) -> None:
@@ -230,4 +230,4 @@
             if identity not in members:
                 self._group.close_session(identity)
                 if leadership is not None:
-                    leadership.replica_left(identity)
+                    leadership.remove_replica(identity)
--- a/src/wharfcart/storage/takeover.py
+++ b/src/wharfcart/storage/takeover.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from wharfcart.storage.group_record import GroupRecord
-from wharfcart.storage.job_records import JobRecord, JobState, record_from
+from wharfcart.storage.job_records import JobState, ReplicatedJob, job_from_update
 from wharfcart.storage.replica_session import HigherEpochError, ReplicaFailedError, ReplicaLink
 
 RETRY_S = 0.15
@@ -49,7 +49,7 @@
                 await asyncio.sleep(RETRY_S)
         return True
 
-    async def newest_records(self) -> list[JobRecord]:
+    async def newest_records(self) -> list[ReplicatedJob]:
         """Return each job's state with the highest epoch, then length.
 
         Raises
@@ -71,7 +71,7 @@
             updates = await self._link(identity).fetch(wanted)
             if len(updates) != len(wanted):
                 raise ReplicaFailedError("a job is missing")
-            records += [record_from(update) for update in updates]
+            records += [job_from_update(update) for update in updates]
         return records
 
     async def _ask_missing(self) -> None:
--- a/tests/batch/test_job_execution.py
+++ b/tests/batch/test_job_execution.py
@@ -161,9 +161,9 @@
         self.jobs: dict[str, SimpleNamespace] = {}
         self.outcomes: list[ItemOutcome] = []
 
-    def append(self, job_id: str, outcome: ItemOutcome) -> bool:
+    def append_result(self, job_id: str, outcome: ItemOutcome) -> bool:
         self.outcomes.append(outcome)
-        self.jobs.setdefault(job_id, SimpleNamespace(results=[], complete=False))
+        self.jobs.setdefault(job_id, SimpleNamespace(results=[], is_complete=False))
         return True
 
 
@@ -439,7 +439,7 @@
 
 def test_an_item_that_has_failed_often_enough_is_not_tried_by_the_next_leader() -> None:
     async def scenario(bench: Bench) -> None:
-        known = bench.group.partial_texts.of("j", "j-0")
+        known = bench.group.partial_texts.get_or_create("j", "j-0")
         known.failed_at += ["i0", "i1", "i2"]
         bench.submit("j", 1)
         await bench.settle()
@@ -519,10 +519,10 @@
         results = [ItemOutcome(item_id=f"d-{n}", succeeded=True, text=lines) for n in range(2)]
         job = RequestJob(job_id="d", host="h", path="/jobs/d", objective_s=OBJECTIVE_S)
         bench.records.jobs["d"] = SimpleNamespace(
-            job=job, results=results, ended=False, complete=True
+            job=job, results=results, ended=False, is_complete=True
         )
         for number in range(91):
-            bench.group.partial_texts.of("j", "j-7").add(number, "x")
+            bench.group.partial_texts.get_or_create("j", "j-7").add_event(number, "x")
         told: list[Urgency] = []
         bench.slots.begun = lambda slot, urgency: told.append(urgency)
         bench.execution.begin()
--- a/tests/batch/test_job_service.py
+++ b/tests/batch/test_job_service.py
@@ -34,14 +34,14 @@
 
     def __init__(self) -> None:
         self.leadership: JobLeadership | None = JobLeadership(1, 1, MEMBERS)
-        self.leadership.replica_joined("a", [])
+        self.leadership.add_replica("a", [])
         self.leads_freshly = True
         self.record = None
         self.disks = MEMBERS
 
     def wake_sessions(self) -> None:
         assert self.leadership is not None
-        self.leadership.replica_wrote("a", self.leadership.updates_for("a"))
+        self.leadership.record_written("a", self.leadership.updates_for("a"))
 
     async def wait_progress(self, _timeout_s: float) -> bool:
         await asyncio.sleep(0)
@@ -110,7 +110,7 @@
     jobs = Jobs(100)
     jobs.submit("a", 60)
     jobs.submit("b", 40)
-    jobs.group.leadership.append("a", ItemOutcome(item_id="a-0", succeeded=True))
+    jobs.group.leadership.append_result("a", ItemOutcome(item_id="a-0", succeeded=True))
     assert jobs.submit("c", 30) == DONE
     asyncio.run(jobs.service.end(EndJob(job_id="b")))
     assert jobs.submit("d", 40) == DONE
@@ -129,7 +129,7 @@
     jobs = Jobs(100, elsewhere=[other, Jobs(100)])
     assert jobs.submit("b", 50) == REFUSED
     assert jobs.submit("c", 40) == DONE
-    other.group.leadership.append("a", ItemOutcome(item_id="a-0", succeeded=True))
+    other.group.leadership.append_result("a", ItemOutcome(item_id="a-0", succeeded=True))
     assert jobs.submit("d", 30) == DONE
 
 
--- a/tests/routing/test_leaving_for_back_end.py
+++ b/tests/routing/test_leaving_for_back_end.py
@@ -27,7 +27,7 @@
 from wharfcart.routing.cold_rates import PERMIT_KEPT_S
 from wharfcart.routing.forwarder import RETRY_AFTER_EVACUATED_S, Forwarder
 from wharfcart.routing.placement import LocalPlacement, Placed, SendVerdict
-from wharfcart.storage.partial_texts import RunningText
+from wharfcart.storage.partial_texts import ItemPartialText
 
 ZONES = ("a", "b", "c")
 HEADERS = [("host", "h"), (exchanges.REQUEST_ID_HEADER, "q")]
@@ -152,7 +152,7 @@
         assert state is not None
         runner = ItemRunner(self.choice, self.pool, lambda _service: 8, self.broken_runs)
         use = self.choice.sent(state, monotonic())
-        progress = ItemProgress(RunningText("j"))
+        progress = ItemProgress(ItemPartialText("j"))
         item = RequestItem(item_id="q", path="/x")
         return await runner.run(ItemSend(item, "h", "", state, use, progress, monotonic() + 9.0))
 
--- a/tests/storage/test_job_group.py
+++ b/tests/storage/test_job_group.py
@@ -284,7 +284,7 @@
         await asyncio.sleep(1.0)
         await lost.start()
         await fleet.until(lambda: lost.identity in fleet.record.members, 4.7)
-        assert [state.job_id for state in lost.disk.database.states(0)] == ["a"]
+        assert [state.job_id for state in lost.disk.database.job_states(0)] == ["a"]
 
     play(scenario)
 
@@ -302,7 +302,7 @@
             node
             for node in fleet.nodes.values()
             if node.identity in fleet.record.members
-            and [state.job_id for state in node.disk.database.states(0)] == ["a"]
+            and [state.job_id for state in node.disk.database.job_states(0)] == ["a"]
         ]
         assert len(holders) >= 2
         assert await fleet.readable("a")
@@ -478,13 +478,13 @@
         await fleet.start()
         leader = fleet.leader
         assert leader is not None and leader.group is not None
-        leader.group.partial_texts.of("a", "a-0").add(1, "text")
+        leader.group.partial_texts.get_or_create("a", "a-0").add_event(1, "text")
         await asyncio.sleep(1.0)
         knows = {}
         for node in fleet.nodes.values():
             assert node.group is not None
             zone = fleet.simulation.zone_of(node.number)
-            knows[zone] = node.group.partial_texts.of("a", "a-0").texts
+            knows[zone] = node.group.partial_texts.get_or_create("a", "a-0").texts
         assert knows == {"w1": ["text"], "w2": ["text"], "e1": []}
 
     play(scenario)
@@ -570,7 +570,7 @@
         await lose_a_replica(fleet)
         await asyncio.sleep(8.0)
         assert "e1" not in fleet.zones(fleet.record.members)
-        assert fleet.nodes[3].disk.database.states(0) == []
+        assert fleet.nodes[3].disk.database.job_states(0) == []
         assert await fleet.readable("a")
 
     play(scenario)
@@ -641,7 +641,7 @@
         await fleet.until(lambda: spare not in leader.group.disks, 1.0)
         await fleet.submit("a", residence=residence_in(["west"]))
         await asyncio.sleep(1.0)
-        assert fleet.nodes[3].disk.database.states(0) == []
+        assert fleet.nodes[3].disk.database.job_states(0) == []
 
     play(scenario)
 
@@ -661,7 +661,7 @@
             answering = await ask(identities)
             if answering and group.leadership is not None:
                 residence = residence_to_message(residence_in(["west"]))
-                group.leadership.accept(RequestJob(job_id="a", residence=residence))
+                group.leadership.accept_job(RequestJob(job_id="a", residence=residence))
                 group.wake_sessions()
             return answering
 
@@ -670,7 +670,7 @@
         await fleet.until(lambda: group.leadership is not None and group.leadership.jobs, 8.0)
         await asyncio.sleep(5.0)
         assert "e1" not in fleet.zones(fleet.record.members)
-        assert fleet.nodes[3].disk.database.states(0) == []
+        assert fleet.nodes[3].disk.database.job_states(0) == []
 
 
 def test_items_go_on_after_all_nodes_lost_power() -> None:
@@ -683,7 +683,7 @@
         leader = await fleet.until_led()
         assert leader.group is not None
         for number in range(40):
-            leader.group.partial_texts.of("a", "a-1").add(number, "x")
+            leader.group.partial_texts.get_or_create("a", "a-1").add_event(number, "x")
         await asyncio.sleep(2 * SAVE_TEXTS_S + 0.1)
         for node in fleet.nodes.values():
             node.kill()
@@ -691,6 +691,6 @@
             await node.start()
         leader = await fleet.until_led(4.0)
         assert leader.group is not None
-        assert leader.group.partial_texts.events("a-1") == 40
+        assert leader.group.partial_texts.event_count("a-1") == 40
 
     play(scenario)
--- a/tests/storage/test_job_leadership.py
+++ b/tests/storage/test_job_leadership.py
@@ -4,7 +4,7 @@
 
 from wharfcart.cluster.messages_pb2 import ItemOutcome, RequestItem, RequestJob
 from wharfcart.storage.job_leadership import JobLeadership
-from wharfcart.storage.job_records import JobRecord, JobState
+from wharfcart.storage.job_records import JobState, ReplicatedJob
 
 MEMBERS = frozenset({"a", "b", "c"})
 
@@ -20,72 +20,72 @@
 def leadership(epoch: int = 1) -> JobLeadership:
     made = JobLeadership(epoch, 2, MEMBERS)
     for identity in MEMBERS:
-        made.replica_joined(identity, [])
+        made.add_replica(identity, [])
     return made
 
 
 def write(made: JobLeadership, identity: str) -> None:
-    made.replica_wrote(identity, made.updates_for(identity))
+    made.record_written(identity, made.updates_for(identity))
 
 
 def test_a_job_counts_with_two_disks() -> None:
     made = leadership()
-    made.accept(job())
+    made.accept_job(job())
     write(made, "a")
-    assert made.counted_version("j") == 0
+    assert made.committed_version("j") == 0
     write(made, "b")
-    assert made.counted_version("j") == 1
+    assert made.committed_version("j") == 1
 
 
 def test_a_result_is_shown_only_once_it_counts() -> None:
     made = leadership()
-    made.accept(job())
+    made.accept_job(job())
     write(made, "a")
     write(made, "b")
-    made.append("j", outcome("0"))
+    made.append_result("j", outcome("0"))
     write(made, "a")
-    assert made.counted_results("j") == []
+    assert made.committed_results("j") == []
     write(made, "c")
-    assert len(made.counted_results("j")) == 0 or made.counted_version("j") == 2
-    assert [result.item_id for result in made.counted_results("j")] == ["0"]
+    assert len(made.committed_results("j")) == 0 or made.committed_version("j") == 2
+    assert [result.item_id for result in made.committed_results("j")] == ["0"]
 
 
 def test_an_item_has_one_result() -> None:
     made = leadership()
-    made.accept(job())
-    assert made.append("j", outcome("0"))
-    assert not made.append("j", outcome("0", b"other"))
+    made.accept_job(job())
+    assert made.append_result("j", outcome("0"))
+    assert not made.append_result("j", outcome("0", b"other"))
 
 
 def test_an_ended_job_takes_no_result() -> None:
     made = leadership()
-    made.accept(job())
-    made.end("j")
-    assert not made.append("j", outcome("0"))
+    made.accept_job(job())
+    made.end_job("j")
+    assert not made.append_result("j", outcome("0"))
 
 
 def test_the_same_job_is_taken_once() -> None:
     made = leadership()
-    first = made.accept(job())
-    assert made.accept(job(items=2)) is first
+    first = made.accept_job(job())
+    assert made.accept_job(job(items=2)) is first
 
 
 def test_an_inherited_state_counts_only_in_the_new_epoch() -> None:
     """Otherwise a state on enough disks may yet lose against a newer epoch's (Raft, figure 8)."""
     made = JobLeadership(4, 2, MEMBERS)
-    made.inherit([JobRecord(job(), 2, [outcome("0")])])
-    made.replica_joined("b", [JobState("j", 2, 2)])
-    made.replica_joined("c", [JobState("j", 2, 2)])
-    assert made.counted_version("j") == 0
+    made.inherit([ReplicatedJob(job(), 2, [outcome("0")])])
+    made.add_replica("b", [JobState("j", 2, 2)])
+    made.add_replica("c", [JobState("j", 2, 2)])
+    assert made.committed_version("j") == 0
     write(made, "b")
     write(made, "c")
-    assert made.counted_version("j") == 2
+    assert made.committed_version("j") == 2
 
 
 def test_a_replica_of_another_epoch_gets_the_whole_job() -> None:
     made = JobLeadership(4, 2, MEMBERS)
-    made.inherit([JobRecord(job(), 3, [outcome("0", b"right")])])
-    made.replica_joined("b", [JobState("j", 2, 4)])
+    made.inherit([ReplicatedJob(job(), 3, [outcome("0", b"right")])])
+    made.add_replica("b", [JobState("j", 2, 4)])
     (update,) = made.updates_for("b")
     assert update.from_result == 0 and update.HasField("job")
     assert [result.text for result in update.results] == [b"right"]
@@ -93,93 +93,93 @@
 
 def test_a_longer_state_of_the_same_epoch_is_cut_back() -> None:
     made = JobLeadership(4, 2, MEMBERS)
-    made.inherit([JobRecord(job(), 3, [outcome("0")])])
-    made.replica_joined("b", [JobState("j", 3, 4)])
+    made.inherit([ReplicatedJob(job(), 3, [outcome("0")])])
+    made.add_replica("b", [JobState("j", 3, 4)])
     (update,) = made.updates_for("b")
     assert update.from_result == 1 and not update.results
 
 
 def test_a_job_that_never_counted_is_removed_from_a_replica_that_has_it() -> None:
     made = leadership()
-    made.replica_joined("c", [JobState("ghost", 1, 3)])
+    made.add_replica("c", [JobState("ghost", 1, 3)])
     (update,) = made.updates_for("c")
     assert update.job_id == "ghost" and update.forgotten
 
 
 def test_while_the_set_changes_both_sets_must_have_enough() -> None:
     made = leadership()
-    made.begin_change(frozenset({"c", "d"}))
-    made.replica_joined("d", [])
-    made.accept(job())
+    made.begin_set_change(frozenset({"c", "d"}))
+    made.add_replica("d", [])
+    made.accept_job(job())
     write(made, "a")
     write(made, "b")
-    assert made.counted_version("j") == 0
-    assert not made.change_is_safe()
+    assert made.committed_version("j") == 0
+    assert not made.is_set_change_safe()
     write(made, "c")
     write(made, "d")
-    assert made.counted_version("j") == 1
-    assert made.change_is_safe()
+    assert made.committed_version("j") == 1
+    assert made.is_set_change_safe()
 
 
 def test_a_replica_that_left_speaks_for_nothing() -> None:
     made = leadership()
-    made.begin_change(frozenset({"a", "b"}))
-    made.accept(job())
+    made.begin_set_change(frozenset({"a", "b"}))
+    made.accept_job(job())
     write(made, "a")
     write(made, "b")
-    made.replica_left("b")
-    assert not made.change_is_safe()
-    assert made.counted_version("j") == 1, "what counted once stays"
+    made.remove_replica("b")
+    assert not made.is_set_change_safe()
+    assert made.committed_version("j") == 1, "what counted once stays"
 
 
 def test_how_many_must_answer_a_new_leader() -> None:
-    assert JobLeadership(1, 2, MEMBERS).fewest_answers == 2
-    assert JobLeadership(1, 2, frozenset({"a", "b"})).fewest_answers == 1
-    assert JobLeadership(1, 3, frozenset("abcde")).fewest_answers == 3
+    assert JobLeadership(1, 2, MEMBERS).required_promises == 2
+    assert JobLeadership(1, 2, frozenset({"a", "b"})).required_promises == 1
+    assert JobLeadership(1, 3, frozenset("abcde")).required_promises == 3
 
 
 def test_tokens_wait_until_their_item_has_a_result_or_the_job_ends() -> None:
     made = leadership()
     items = [RequestItem(item_id=str(n), tokens=10) for n in range(3)]
-    made.accept(RequestJob(job_id="j", items=items))
-    made.append("j", outcome("0"))
-    made.append("j", outcome("0"))
+    made.accept_job(RequestJob(job_id="j", items=items))
+    made.append_result("j", outcome("0"))
+    made.append_result("j", outcome("0"))
     assert made.jobs["j"].waiting_tokens == 20
-    made.end("j")
+    made.end_job("j")
     assert made.jobs["j"].waiting_tokens == 0
 
 
 def test_a_new_leader_knows_what_waits() -> None:
-    record = JobRecord(
+    record = ReplicatedJob(
         RequestJob(job_id="j", items=[RequestItem(item_id=str(n), tokens=10) for n in range(3)]), 1
     )
-    assert record.append(outcome("2"))
+    assert record.append_result(outcome("2"))
     made = JobLeadership(2, 2, MEMBERS)
     made.inherit([record])
     assert made.jobs["j"].waiting_tokens == 20
-    made.append("j", outcome("1"))
+    made.append_result("j", outcome("1"))
     assert made.jobs["j"].waiting_tokens == 10
 
 
 def test_a_result_that_comes_while_an_update_is_under_way_is_sent_next() -> None:
     made = leadership()
-    made.accept(job())
+    made.accept_job(job())
     write(made, "a")
-    made.append("j", outcome("0"))
+    made.append_result("j", outcome("0"))
     under_way = made.updates_for("a")
-    made.append("j", outcome("1"))
-    made.replica_wrote("a", under_way)
-    assert made.behind("a")
+    made.append_result("j", outcome("1"))
+    made.record_written("a", under_way)
+    assert made.is_behind("a")
     (update,) = made.updates_for("a")
     assert [result.item_id for result in update.results] == ["1"]
-    made.replica_wrote("a", [update])
-    assert not made.behind("a") and not made.updates_for("a")
+    made.record_written("a", [update])
+    assert not made.is_behind("a") and not made.updates_for("a")
 
 
 def test_a_result_of_an_item_that_the_job_does_not_have_is_not_taken() -> None:
     made = leadership()
-    made.accept(job())
-    assert not made.append("j", outcome("elsewhere"))
+    made.accept_job(job())
+    assert not made.append_result("j", outcome("elsewhere"))
 
 
 def test_one_result_costs_the_same_however_many_jobs_and_results_there_are(
@@ -187,22 +187,22 @@
 ) -> None:
     made = leadership()
     for number in range(500):
-        made.accept(job(f"j{number}"))
-    made.accept(job("large", items=3000))
+        made.accept_job(job(f"j{number}"))
+    made.accept_job(job("large", items=3000))
     for item in range(2000):
-        made.append("large", outcome(str(item)))
+        made.append_result("large", outcome(str(item)))
     for identity in MEMBERS:
-        while made.behind(identity):
+        while made.is_behind(identity):
             write(made, identity)
     looked_at = []
-    version = JobRecord.version.fget
+    version = ReplicatedJob.version.fget
     assert version is not None
     monkeypatch.setattr(
-        JobRecord, "version", property(lambda self: looked_at.append(1) or version(self))
+        ReplicatedJob, "version", property(lambda self: looked_at.append(1) or version(self))
     )
-    made.append("large", outcome("2000"))
+    made.append_result("large", outcome("2000"))
     for identity in MEMBERS:
         write(made, identity)
-        made.behind(identity)
-    assert made.counted_version("large") == 2002
+        made.is_behind(identity)
+    assert made.committed_version("large") == 2002
     assert len(looked_at) <= 10
