--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -109,8 +109,8 @@
     Ablation(
         "short silence of a leader",
         "storage/job_group.py",
-        "SILENCE_S = 0.5",
-        "SILENCE_S = 1.0",
+        "ELECTION_TIMEOUT_S = 0.5",
+        "ELECTION_TIMEOUT_S = 1.0",
     ),
 )
 
--- a/src/wharfcart/batch/job_execution.py
+++ b/src/wharfcart/batch/job_execution.py
@@ -166,7 +166,7 @@
         One that ends its back ends is held back here until it may go or is too old. None is sent
         while this node, suspended a moment ago, may have been replaced as the leader.
         """
-        if not self._group.is_confirmed:
+        if not self._group.is_confirmed_since_resume:
             return
         job = scheduled.job
         for item in self._scheduler.startable(scheduled, now):
--- a/src/wharfcart/batch/job_service.py
+++ b/src/wharfcart/batch/job_service.py
@@ -249,7 +249,7 @@
             left_s = until - monotonic()
             if results or left_s <= 0 or record.ended or message.after >= len(record.job.items):
                 return _page(len(record.job.items), results)
-            await self._group.wait_progress(left_s)
+            await self._group.wait_for_progress(left_s)
 
     async def read_body(self, message: ReadItemBody) -> ItemBody:
         """Return the body of an item that has no result yet."""
@@ -352,7 +352,7 @@
             left_s = until - monotonic()
             if left_s <= 0 or self._group.leadership is not leadership:
                 return False
-            await self._group.wait_progress(left_s)
+            await self._group.wait_for_progress(left_s)
         return True
 
     async def _sure(self) -> bool:
@@ -360,10 +360,10 @@
         if self._group.leadership is None:
             return False
         until = monotonic() + SURE_TIMEOUT_S
-        while not self._group.leads_freshly:
+        while not self._group.is_recently_confirmed:
             if monotonic() > until or self._group.leadership is None:
                 return False
-            await self._group.wait_progress(0.05)
+            await self._group.wait_for_progress(0.05)
         return True
 
     def _leader(self) -> str:
--- a/src/wharfcart/experiments/simulated_slots.py
+++ b/src/wharfcart/experiments/simulated_slots.py
@@ -324,7 +324,7 @@
             partial_texts=PartialTexts(),
             leadership=self.records,
             replicas_behind=0,
-            is_confirmed=True,
+            is_confirmed_since_resume=True,
             wake_sessions=lambda: None,
         )
         route = Route(
--- a/src/wharfcart/experiments/simulated_storage.py
+++ b/src/wharfcart/experiments/simulated_storage.py
@@ -31,14 +31,14 @@
 from wharfcart.cluster.transport import PeerUnreachableError, TrafficClass, Transport
 from wharfcart.observability.decisions import DecisionLog
 from wharfcart.storage.disk import Disk, DiskFailedError
-from wharfcart.storage.founding import Founder
+from wharfcart.storage.founding import LayoutBootstrap
 from wharfcart.storage.group_context import GroupContext
 from wharfcart.storage.job_client import JobClient
 from wharfcart.storage.job_database import JobDatabase
 from wharfcart.storage.job_group import JobGroup
 from wharfcart.storage.job_records import JobState
-from wharfcart.storage.layout import Layout, layout_from
-from wharfcart.storage.replica_spread import ReplicaSpread
+from wharfcart.storage.layout import Layout, layout_from_bytes
+from wharfcart.storage.replica_spread import ReplicaPlacement
 
 if TYPE_CHECKING:
     from wharfcart.experiments.job_group_simulation import JobGroupSimulation
@@ -218,7 +218,7 @@
             self._region_of,
         )
         await self.group.start()
-        founder = Founder(
+        founder = LayoutBootstrap(
             context, LAYOUT_KEY, lambda _group: GROUP_KEY, self._zones, self.simulation.topology
         )
         self._founding = asyncio.create_task(founder.run())
@@ -228,7 +228,7 @@
         if self._founding is not None:
             self._founding.cancel()
         if self.group is not None:
-            self.group.abandon()
+            self.group.abort()
         self.group = None
         self.service = None
         self.disk.generation += 1
@@ -244,11 +244,11 @@
             return None
         match frame.WhichOneof("body"):
             case "fence_group":
-                return Frame(fence_result=await group.answer_fence(frame.fence_group))
+                return Frame(fence_result=await group.handle_fence(frame.fence_group))
             case "replicate_jobs":
-                return Frame(replicate_result=await group.answer_replicate(frame.replicate_jobs))
+                return Frame(replicate_result=await group.handle_replicate(frame.replicate_jobs))
             case "fetch_jobs":
-                return Frame(job_updates=await group.answer_fetch(frame.fetch_jobs))
+                return Frame(job_updates=await group.handle_fetch(frame.fetch_jobs))
         return None
 
     def _identities(self) -> dict[str, Address]:
@@ -266,14 +266,14 @@
     def _region_of(self, identity: str) -> RegionName | None:
         return self.simulation.topology.region(self._zones().get(identity, ""))
 
-    def _spread_of(self, group: int, layout: Layout | None) -> ReplicaSpread:
+    def _spread_of(self, group: int, layout: Layout | None) -> ReplicaPlacement:
         entry = self.mirror.get(LAYOUT_KEY)
         if layout is None and entry is not None and entry.value is not None:
-            layout = layout_from(entry.value)
+            layout = layout_from_bytes(entry.value)
         topology = self.simulation.topology
-        home_zones = () if layout is None else layout.home_zones(group, topology)
+        home_zones = () if layout is None else layout.preferred_zones(group, topology)
         zones_lost = self.simulation.zones_lost
-        return ReplicaSpread(
+        return ReplicaPlacement(
             COPIES, 2 * COPIES - 1, self._zones(), topology, home_zones, zones_lost
         )
 
--- a/src/wharfcart/node/group_spread.py
+++ b/src/wharfcart/node/group_spread.py
@@ -5,7 +5,7 @@
 from wharfcart.node.serving_node import ServingNode
 from wharfcart.settings.serving import ToleranceSettings
 from wharfcart.storage.layout import Layout
-from wharfcart.storage.replica_spread import ReplicaSpread
+from wharfcart.storage.replica_spread import ReplicaPlacement
 
 
 class GroupSpread:
@@ -20,7 +20,7 @@
         self._node = node
         self._tolerance = tolerance
 
-    def __call__(self, group: int, layout: Layout | None = None) -> ReplicaSpread:
+    def __call__(self, group: int, layout: Layout | None = None) -> ReplicaPlacement:
         """Return where a group's replicas should be.
 
         Args:
@@ -30,12 +30,12 @@
         layout = layout or self._node.layout
         copies = self._tolerance.storage_nodes + 1
         topology = self._node.topology
-        return ReplicaSpread(
+        return ReplicaPlacement(
             copies,
             2 * copies - 1,
             {key: entry.zone for key, entry in self._node.storage_by_identity.items()},
             topology,
-            () if layout is None else layout.home_zones(group, topology),
+            () if layout is None else layout.preferred_zones(group, topology),
             self._tolerance.zones,
             self._may_hold(group, layout),
         )
--- a/src/wharfcart/node/led_group.py
+++ b/src/wharfcart/node/led_group.py
@@ -59,7 +59,7 @@
             node.log,
             node.metrics.requests_waiting,
             node.limit_of,
-            lambda: self.replica.leads_freshly,
+            lambda: self.replica.is_recently_confirmed,
         )
         self._item_slots = ItemSlots(
             lambda group: node.distance_to_group(group) is Distance.OTHER_REGION
@@ -84,8 +84,8 @@
             node.storage_region,
         )
         self._tasks = BackgroundTasks()
-        self.replica.on_leading = self._begin
-        self.replica.on_deposed = self._end
+        self.replica.on_leadership_gained = self._begin
+        self.replica.on_leadership_lost = self._end
 
     @property
     def leads(self) -> bool:
--- a/src/wharfcart/node/serving_node.py
+++ b/src/wharfcart/node/serving_node.py
@@ -53,7 +53,7 @@
 from wharfcart.settings.base import split_endpoint
 from wharfcart.settings.serving import ServingSettings
 from wharfcart.storage.group_record import GroupRecord, group_record_from
-from wharfcart.storage.layout import Layout, layout_from
+from wharfcart.storage.layout import Layout, layout_from_bytes
 
 ANNOUNCE_RETRY_S = 0.5
 # One wrong name in many routes need not fill the log.
@@ -174,7 +174,7 @@
     @property
     def groups(self) -> int:
         """Number of job groups; 0 while it is not known."""
-        return 0 if self.layout is None else self.layout.groups
+        return 0 if self.layout is None else self.layout.group_count
 
     def leader_address(self, group: int) -> Address | None:
         """Return where a group's leader is reached, as far as this node knows."""
@@ -215,7 +215,7 @@
 
     def grants_in(self, group: int, residence: Residence) -> bool:
         """Whether a group may grant slots of back ends in the regions of a residence."""
-        return self.layout is None or self.layout.grants_in(group, residence, self.topology)
+        return self.layout is None or self.layout.may_grant_in(group, residence, self.topology)
 
     async def handle(self, frame: Frame, respond: Responder) -> None:
         """Answer a peer's call."""
@@ -265,7 +265,7 @@
             elif change.key.startswith(GROUP_PREFIX):
                 self._take_record(change)
             elif change.key == LAYOUT_KEY and change.value is not None:
-                self.layout = layout_from(change.value)
+                self.layout = layout_from_bytes(change.value)
         self._backend_news.tell()
 
     def _take_configuration(self, change: Change) -> None:
--- a/src/wharfcart/node/storage_process.py
+++ b/src/wharfcart/node/storage_process.py
@@ -24,7 +24,7 @@
 from wharfcart.settings.base import split_endpoint
 from wharfcart.settings.serving import ServingSettings, StorageSettings
 from wharfcart.storage.disk import Disk, DiskFailedError
-from wharfcart.storage.founding import Founder
+from wharfcart.storage.founding import LayoutBootstrap
 from wharfcart.storage.group_context import GroupContext
 from wharfcart.storage.job_client import JobClient
 from wharfcart.storage.job_residence import hash_to_group
@@ -76,7 +76,7 @@
             self._wanted_residences,
             self._node.suspensions.resumed_at,
         )
-        founder = Founder(
+        founder = LayoutBootstrap(
             context, LAYOUT_KEY, group_key, self._zones_by_identity, self._node.topology
         )
         self._node.tasks.spawn(founder.run())
@@ -174,15 +174,15 @@
         match frame.WhichOneof("body"):
             case "fence_group":
                 fence = frame.fence_group
-                result = await self._group(fence.group).replica.answer_fence(fence)
+                result = await self._group(fence.group).replica.handle_fence(fence)
                 return Frame(fence_result=result)
             case "replicate_jobs":
                 write = frame.replicate_jobs
-                written = await self._group(write.group).replica.answer_replicate(write)
+                written = await self._group(write.group).replica.handle_replicate(write)
                 return Frame(replicate_result=written)
             case "fetch_jobs":
                 fetch = frame.fetch_jobs
-                updates = await self._group(fetch.group).replica.answer_fetch(fetch)
+                updates = await self._group(fetch.group).replica.handle_fetch(fetch)
                 return Frame(job_updates=updates)
             case "submit_job":
                 service = self._service(frame.submit_job, frame.submit_job.job.job_id)
--- a/src/wharfcart/storage/founding.py
+++ b/src/wharfcart/storage/founding.py
@@ -12,17 +12,17 @@
 from wharfcart.cluster.topology import Topology
 from wharfcart.observability.decisions import Event
 from wharfcart.storage.group_context import GroupContext
-from wharfcart.storage.layout import plan_layout, plan_records
+from wharfcart.storage.layout import plan_group_records, plan_layout
 
-PERIOD_S = 0.05
+POLL_INTERVAL_S = 0.05
 # The storage nodes of a fleet that starts announce themselves within this time.
-GATHER_S = 1.5
+GATHER_TIMEOUT_S = 1.5
 # No other one has announced itself for so long: these are probably all.
-SETTLED_S = 0.3
-RETRY_S = 0.3
+SETTLE_S = 0.3
+RETRY_DELAY_S = 0.3
 
 
-class Founder:
+class LayoutBootstrap:
     """One storage node's part in the first start of a fleet.
 
     Every node waits for the others to announce themselves. Then the one with the least identity
@@ -49,45 +49,47 @@
         self._group_key = group_key
         self._zones_by_identity = zones_by_identity
         self._topology = topology
-        self._known = 0
+        self._known_count = 0
         self._known_since = monotonic()
 
     async def run(self) -> None:
         """Wait until there is a layout; write it if that is this node's part."""
         began_at = monotonic()
         while self._context.mirror.get(self._layout_key) is None:
-            await asyncio.sleep(PERIOD_S)
-            if self._is_due(began_at):
-                await self._found()
+            await asyncio.sleep(POLL_INTERVAL_S)
+            if self._should_write(began_at):
+                await self._write_layout()
 
-    def _is_due(self, began_at: float) -> bool:
+    def _should_write(self, began_at: float) -> bool:
         known = self._zones_by_identity()
         now = monotonic()
-        if len(known) != self._known:
-            self._known = len(known)
+        if len(known) != self._known_count:
+            self._known_count = len(known)
             self._known_since = now
-        if self._context.identity not in known or len(known) < self._context.copies:
+        if self._context.identity not in known or len(known) < self._context.write_quorum:
             return False
         if self._context.mirror.at == 0 or min(known) != self._context.identity:
             return False
-        complete = len(known) >= self._context.full_size and self._all_regions_in(known)
-        settled = complete and now - self._known_since >= SETTLED_S
-        return settled or now - began_at >= GATHER_S
+        complete = len(known) >= self._context.replication_factor and self._covers_all_regions(
+            known
+        )
+        settled = complete and now - self._known_since >= SETTLE_S
+        return settled or now - began_at >= GATHER_TIMEOUT_S
 
-    def _all_regions_in(self, known: dict[str, str]) -> bool:
+    def _covers_all_regions(self, known: dict[str, str]) -> bool:
         """Whether every region has a node: what is laid out without one stays so for good."""
         regions = set(self._topology.region_by_zone.values())
         return regions <= {self._topology.region(zone) for zone in known.values()}
 
-    async def _found(self) -> None:
+    async def _write_layout(self) -> None:
         zones_by_identity = self._zones_by_identity()
         context = self._context
-        layout = plan_layout(zones_by_identity, self._topology, context.copies)
-        records = plan_records(
+        layout = plan_layout(zones_by_identity, self._topology, context.write_quorum)
+        records = plan_group_records(
             layout,
             zones_by_identity,
-            context.full_size,
-            lambda group: context.spread_of(group, layout),
+            context.replication_factor,
+            lambda group: context.placement_of(group, layout),
         )
         put = {self._group_key(group): record.to_bytes() for group, record in enumerate(records)}
         put[self._layout_key] = layout.to_bytes()
@@ -106,4 +108,4 @@
                 region_by_group=layout.region_by_group,
                 disks=len(zones_by_identity),
             )
-        await asyncio.sleep(RETRY_S)
+        await asyncio.sleep(RETRY_DELAY_S)
--- a/src/wharfcart/storage/group_context.py
+++ b/src/wharfcart/storage/group_context.py
@@ -13,7 +13,7 @@
 from wharfcart.storage.disk import Disk
 from wharfcart.storage.job_residence import RegionOf
 from wharfcart.storage.layout import Layout
-from wharfcart.storage.replica_spread import ReplicaSpread
+from wharfcart.storage.replica_spread import ReplicaPlacement
 
 
 class GroupContext:
@@ -38,14 +38,14 @@
         transport: Transport,
         coordination: CoordinationService,
         mirror: Mirror,
-        identities: Callable[[], dict[str, Address]],
+        known_addresses: Callable[[], dict[str, Address]],
         retiring: Callable[[], set[str]],
-        copies: int,
+        write_quorum: int,
         log: DecisionLog,
         random: RandomSource,
-        spread_of: Callable[[int, Layout | None], ReplicaSpread],
+        placement_of: Callable[[int, Layout | None], ReplicaPlacement],
         region_of: RegionOf = lambda _identity: None,
-        wanted_residences: Callable[[], Collection[Residence]] = lambda: (),
+        configured_residences: Callable[[], Collection[Residence]] = lambda: (),
         resumed_at: Callable[[], float] = lambda: -math.inf,
     ) -> None:
         self.identity = identity
@@ -53,17 +53,17 @@
         self.transport = transport
         self.coordination = coordination
         self.mirror = mirror
-        self.identities = identities
+        self.known_addresses = known_addresses
         self.retiring = retiring
-        self.copies = copies
+        self.write_quorum = write_quorum
         self.log = log
         self.random = random
-        self.spread_of = spread_of
+        self.placement_of = placement_of
         self.region_of = region_of
-        self.wanted_residences = wanted_residences
+        self.configured_residences = configured_residences
         self.resumed_at = resumed_at
 
     @property
-    def full_size(self) -> int:
+    def replication_factor(self) -> int:
         """Replicas that a group has if there are enough disks: losses borne keep a quorum."""
-        return 2 * self.copies - 1
+        return 2 * self.write_quorum - 1
--- a/src/wharfcart/storage/group_record_store.py
+++ b/src/wharfcart/storage/group_record_store.py
@@ -19,17 +19,17 @@
         self._key = key
         self._coordination = coordination
         self._mirror = mirror
-        self._known: GroupRecord | None = None  # as it was read last
+        self._parsed: GroupRecord | None = None  # as it was read last
 
     @property
-    def known(self) -> GroupRecord | None:
+    def mirrored(self) -> GroupRecord | None:
         """The record as this node's mirror has it."""
         entry = self._mirror.get(self._key)
         if entry is None:
             return None
-        if self._known is None or self._known.revision != entry.revision:
-            self._known = group_record_from(entry.value, entry.revision)
-        return self._known
+        if self._parsed is None or self._parsed.revision != entry.revision:
+            self._parsed = group_record_from(entry.value, entry.revision)
+        return self._parsed
 
     async def read(self) -> GroupRecord | None:
         """Return the record in force.
@@ -71,7 +71,7 @@
         ------
         RecordInDoubtError
         """
-        known = self.known
+        known = self.mirrored
         if known is None or known.epoch != epoch:
             return None
         new_epoch = known.epoch if leader == known.leader else known.epoch + 1
--- a/src/wharfcart/storage/job_group.py
+++ b/src/wharfcart/storage/job_group.py
@@ -43,20 +43,20 @@
     ReplicaSession,
 )
 from wharfcart.storage.replica_set_change import ReplicaSetChanger
-from wharfcart.storage.replica_spread import ReplicaSpread
+from wharfcart.storage.replica_spread import ReplicaPlacement
 from wharfcart.storage.takeover import Takeover
 
-TICK_S = 0.05
+TICK_INTERVAL_S = 0.05
 # Three heartbeats that did not come; others must have missed them, too.
-SILENCE_S = 0.5
-SILENCE_SPREAD_S = 0.15
+ELECTION_TIMEOUT_S = 0.5
+ELECTION_TIMEOUT_STEP_S = 0.15
 # Replicas that have not answered when enough others have are waited for so long.
-STRAGGLERS_S = 0.15
-FRESH_S = 0.75
-CONTEST_RETRY_S = 0.3
+STRAGGLER_WAIT_S = 0.15
+CONFIRMATION_VALID_S = 0.75
+ELECTION_RETRY_S = 0.3
 # Events of running items are saved so often: what is younger is lost if all nodes lose power.
-SAVE_TEXTS_S = 0.5
-NEVER = -1e9
+TEXT_SAVE_INTERVAL_S = 0.5
+LONG_AGO = -1e9
 
 
 class JobGroup:
@@ -69,36 +69,36 @@
         self._tasks = BackgroundTasks()
         self._leader_tasks = BackgroundTasks()
         # Nothing was heard yet: others must not be told otherwise, or nobody is ever elected.
-        self._heard_leader_at = NEVER
-        self._contest_at = NEVER
+        self._last_leader_contact_at = LONG_AGO
+        self._next_election_at = LONG_AGO
         self._started_at = monotonic()
         self._known_epoch = 0
-        self._epoch_since = NEVER
-        self._promised_at_start = 0
-        self._last_led = 0
+        self._epoch_seen_at = LONG_AGO
+        self._promised_epoch_at_start = 0
+        self._last_led_epoch = 0
         self._stopping = False
         self._progress = asyncio.Event()
         self.partial_texts = PartialTexts()
         self.leadership: JobLeadership | None = None
         self.sessions: dict[str, ReplicaSession] = {}
         self._session_tasks: dict[str, asyncio.Task[None]] = {}
-        self.on_leading: Callable[[], None] = lambda: None
-        self.on_deposed: Callable[[], None] = lambda: None
+        self.on_leadership_gained: Callable[[], None] = lambda: None
+        self.on_leadership_lost: Callable[[], None] = lambda: None
 
     # ---- views ----
 
     @property
     def record(self) -> GroupRecord | None:
         """The group's record as this node knows it."""
-        return self.records.known
+        return self.records.mirrored
 
     @property
-    def spread(self) -> ReplicaSpread:
+    def placement(self) -> ReplicaPlacement:
         """Where this group's replicas should be, by what is known now."""
-        return self._context.spread_of(self.group, None)
+        return self._context.placement_of(self.group, None)
 
     @property
-    def leads_freshly(self) -> bool:
+    def is_recently_confirmed(self) -> bool:
         """Whether no other leader can have begun before a moment ago.
 
         True if so many replicas confirmed this epoch lately that the others are too few to let
@@ -107,10 +107,10 @@
         leadership = self.leadership
         if leadership is None:
             return False
-        return self._is_confirmed_since(leadership, monotonic() - FRESH_S)
+        return self._is_confirmed_since(leadership, monotonic() - CONFIRMATION_VALID_S)
 
     @property
-    def is_confirmed(self) -> bool:
+    def is_confirmed_since_resume(self) -> bool:
         """Whether this node leads, as far as was confirmed since its machine was suspended last.
 
         Another one may have led for long by then: what this one does for its items would be done
@@ -158,11 +158,11 @@
             identity,
             leadership.members,
             leadership.residences,
-            self._context.wanted_residences(),
+            self._context.configured_residences(),
             self._context.region_of,
         )
 
-    async def wait_progress(self, timeout_s: float) -> bool:
+    async def wait_for_progress(self, timeout_s: float) -> bool:
         """Wait until more counts, the leadership changes, or the time is over."""
         event = self._progress
         try:
@@ -177,21 +177,21 @@
     async def start(self) -> None:
         """Begin to follow the group."""
         # At the same time: whoever led before leads again as soon as both are known.
-        self._promised_at_start, saved = await asyncio.gather(
-            self._context.disk.promised_epoch(self.group), self._load_texts()
+        self._promised_epoch_at_start, saved = await asyncio.gather(
+            self._context.disk.promised_epoch(self.group), self._load_partial_texts()
         )
-        self._last_led = self._promised_at_start
+        self._last_led_epoch = self._promised_epoch_at_start
         self._tasks.spawn(self._run())
-        self._tasks.spawn(self._save_texts(saved))
+        self._tasks.spawn(self._save_partial_texts(saved))
 
     async def stop(self) -> None:
         """Hand over and end."""
         self._stopping = True
-        await self._hand_over_at_stop()
+        await self._transfer_leadership_at_stop()
         self._step_down("stopping")
         await self._tasks.stop()
 
-    def abandon(self) -> None:
+    def abort(self) -> None:
         """End at once without a word, as a killed process does."""
         self._stopping = True
         self.leadership = None
@@ -206,11 +206,11 @@
 
     # ---- as a replica ----
 
-    async def answer_fence(self, message: FenceGroup) -> FenceResult:
+    async def handle_fence(self, message: FenceGroup) -> FenceResult:
         """Promise an epoch to its leader, or tell whether one may be elected."""
         disk = self._context.disk
         if message.ask_only:
-            return FenceResult(granted=not self._hears_leader())
+            return FenceResult(granted=not self._has_leader_contact())
         try:
             if message.target != self._context.identity:
                 return FenceResult(granted=False, epoch=0)
@@ -219,12 +219,12 @@
             states = await disk.job_states(self.group)
         except DiskFailedError:
             return FenceResult(granted=False, epoch=0)
-        self._hear_leader(message.epoch, message.leader)
+        self._record_leader_contact(message.epoch, message.leader)
         return FenceResult(
             granted=True, epoch=message.epoch, jobs=[state_to_message(state) for state in states]
         )
 
-    async def answer_replicate(self, message: ReplicateJobs) -> ReplicateResult:
+    async def handle_replicate(self, message: ReplicateJobs) -> ReplicateResult:
         """Write a leader's updates."""
         disk = self._context.disk
         try:
@@ -234,11 +234,11 @@
                 return ReplicateResult(accepted=False, epoch=await disk.promised_epoch(self.group))
         except DiskFailedError:
             return ReplicateResult(accepted=False, epoch=0)
-        self._hear_leader(message.epoch, message.leader)
-        self._take_partial_texts(message)
+        self._record_leader_contact(message.epoch, message.leader)
+        self._apply_partial_texts(message)
         return ReplicateResult(accepted=True, epoch=message.epoch)
 
-    def _take_partial_texts(self, message: ReplicateJobs) -> None:
+    def _apply_partial_texts(self, message: ReplicateJobs) -> None:
         for update in message.updates:
             if update.ended or update.forgotten:
                 self.partial_texts.remove_job(update.job_id)
@@ -246,7 +246,7 @@
                 self.partial_texts.remove_item(result.item_id)
         self.partial_texts.apply(message.partial_texts)
 
-    async def _load_texts(self) -> SentOffsets:
+    async def _load_partial_texts(self) -> SentOffsets:
         """Take up the running texts that this disk keeps; return how much of each it does."""
         saved = SentOffsets()
         with suppress(DiskFailedError):
@@ -255,10 +255,10 @@
                 pass
         return saved
 
-    async def _save_texts(self, saved: SentOffsets) -> None:
+    async def _save_partial_texts(self, saved: SentOffsets) -> None:
         """Save the running texts from time to time; what could not be saved is saved anew."""
         while True:
-            await asyncio.sleep(SAVE_TEXTS_S)
+            await asyncio.sleep(TEXT_SAVE_INTERVAL_S)
             over = self.partial_texts.removed_items(saved)
             parts = self.partial_texts.take_unsent(saved)
             if not parts and not over:
@@ -268,17 +268,17 @@
             except DiskFailedError:
                 saved = SentOffsets()
 
-    async def answer_fetch(self, message: FetchJobs) -> JobUpdates:
+    async def handle_fetch(self, message: FetchJobs) -> JobUpdates:
         """Return whole records."""
         return JobUpdates(updates=await self._context.disk.load_jobs(list(message.job_ids)))
 
-    def _hears_leader(self) -> bool:
+    def _has_leader_contact(self) -> bool:
         if self.leadership is not None:
-            return self.leads_freshly
-        return monotonic() - self._heard_leader_at < SILENCE_S
+            return self.is_recently_confirmed
+        return monotonic() - self._last_leader_contact_at < ELECTION_TIMEOUT_S
 
-    def _hear_leader(self, epoch: int, leader: str) -> None:
-        self._heard_leader_at = monotonic()
+    def _record_leader_contact(self, epoch: int, leader: str) -> None:
+        self._last_leader_contact_at = monotonic()
         if self.leadership is not None and epoch > self.leadership.epoch:
             self._step_down(f"epoch {epoch} of {leader}")
 
@@ -289,51 +289,51 @@
             record = self.record
             if record is not None:
                 await self._follow_record(record)
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
     async def _follow_record(self, record: GroupRecord) -> None:
         """Lead, step down or ask to be elected, as the record has it."""
         if record.epoch > self._known_epoch:
             self._known_epoch = record.epoch
-            self._epoch_since = monotonic()
+            self._epoch_seen_at = monotonic()
         if self.leadership is not None:
             self._check_still_leading(record)
-        elif record.leader == self._context.identity and record.epoch > self._last_led:
-            await self._lead(record)
-        elif self._must_contest(record):
-            await self._contest()
+        elif record.leader == self._context.identity and record.epoch > self._last_led_epoch:
+            await self._take_over(record)
+        elif self._should_start_election(record):
+            await self._run_election()
 
     def _check_still_leading(self, record: GroupRecord) -> None:
         assert self.leadership is not None
         if record.epoch > self.leadership.epoch:
             self._step_down(f"epoch {record.epoch} of {record.leader}")
 
-    def _must_contest(self, record: GroupRecord) -> bool:
+    def _should_start_election(self, record: GroupRecord) -> bool:
         if self._stopping or self._context.identity not in record.members:
             return False
         now = monotonic()
-        if now < self._contest_at:
+        if now < self._next_election_at:
             return False
         if record.leader == self._context.identity:
             # An earlier life of this process led: nobody else has to fall silent first.
-            return now - self._heard_leader_at > TICK_S
+            return now - self._last_leader_contact_at > TICK_INTERVAL_S
         # Whoever has just been elected needs a moment to be heard.
-        silent_s = now - max(self._heard_leader_at, self._started_at, self._epoch_since)
-        if silent_s <= SILENCE_S:
+        silent_s = now - max(self._last_leader_contact_at, self._started_at, self._epoch_seen_at)
+        if silent_s <= ELECTION_TIMEOUT_S:
             return False
         # The nearest first: a leader in another region grants its slots a round trip late.
-        rank = self.spread.leaders(record.members).index(self._context.identity)
-        return silent_s > SILENCE_S + SILENCE_SPREAD_S * rank
+        rank = self.placement.rank_leaders(record.members).index(self._context.identity)
+        return silent_s > ELECTION_TIMEOUT_S + ELECTION_TIMEOUT_STEP_S * rank
 
-    async def _contest(self) -> None:
+    async def _run_election(self) -> None:
         began_at = monotonic()
-        self._contest_at = began_at + CONTEST_RETRY_S * (1 + self._context.random.random())
+        self._next_election_at = began_at + ELECTION_RETRY_S * (1 + self._context.random.random())
         known = self.record
         if known is None:
             return
         # While the record names this node there is no other leader that could be unseated.
         led_before = known.leader == self._context.identity
-        if not led_before and not await self._others_agree(known):
+        if not led_before and not await self._run_pre_vote(known):
             return
         try:
             record = await self.records.read()
@@ -341,7 +341,7 @@
             return
         if record is None or record.epoch > known.epoch:
             return  # another one was faster; the mirror will tell
-        if self._heard_leader_at > began_at:
+        if self._last_leader_contact_at > began_at:
             return  # the other one leads already
         if self._context.identity not in record.members:
             return
@@ -351,9 +351,9 @@
         except RecordInDoubtError:
             return  # if it took effect, the mirror will tell
         if written is not None:
-            await self._lead(written)
+            await self._take_over(written)
 
-    async def _others_agree(self, record: GroupRecord) -> bool:
+    async def _run_pre_vote(self, record: GroupRecord) -> bool:
         """Whether enough replicas answer, none of which hears a leader.
 
         Without this a replica that is cut off from the others, but not from the coordination
@@ -361,12 +361,12 @@
         answer: once there are enough answers, the rest get only a moment more.
         """
         others = record.members - {self._context.identity}
-        needed = len(record.members) - self._context.copies
-        pending = {asyncio.create_task(self._ask_one(identity)) for identity in others}
+        needed = len(record.members) - self._context.write_quorum
+        pending = {asyncio.create_task(self._request_pre_vote(identity)) for identity in others}
         agreed = 0
         denied = False
         while pending and not denied:
-            limit_s = STRAGGLERS_S if agreed >= needed else None
+            limit_s = STRAGGLER_WAIT_S if agreed >= needed else None
             done, pending = await asyncio.wait(
                 pending, timeout=limit_s, return_when=asyncio.FIRST_COMPLETED
             )
@@ -379,53 +379,59 @@
             call.cancel()
         return agreed >= needed and not denied
 
-    async def _ask_one(self, identity: str) -> bool | None:
-        link = self._link(identity)
+    async def _request_pre_vote(self, identity: str) -> bool | None:
+        link = self._link_to(identity)
         try:
             return await link.may_elect()
         except ReplicaFailedError:
             return None
 
-    async def _lead(self, record: GroupRecord) -> None:
+    async def _take_over(self, record: GroupRecord) -> None:
         """Begin to lead an epoch that nobody led before."""
-        self._last_led = record.epoch
+        self._last_led_epoch = record.epoch
         began_at = monotonic()
-        takeover = Takeover(record, self._context.identity, self._context.copies, self._link)
-        if not await takeover.gather(lambda: self._stopping or self._is_over(record)):
+        takeover = Takeover(
+            record, self._context.identity, self._context.write_quorum, self._link_to
+        )
+        if not await takeover.collect_promises(
+            lambda: self._stopping or self._is_superseded(record)
+        ):
             return
         try:
-            records = await takeover.newest_records()
+            records = await takeover.newest_jobs()
         except ReplicaFailedError:
             return
-        self._begin_leading(record, records, takeover.states, began_at)
+        self._start_leading(record, records, takeover.states_by_identity, began_at)
 
-    def _is_over(self, record: GroupRecord) -> bool:
+    def _is_superseded(self, record: GroupRecord) -> bool:
         known = self.record
         return known is not None and known.epoch > record.epoch
 
-    async def answering(self, identities: list[str]) -> list[str]:
+    async def responsive_disks(self, identities: list[str]) -> list[str]:
         """Return those of some disks that answer now."""
-        answers = await asyncio.gather(*(self._ask_one(identity) for identity in identities))
+        answers = await asyncio.gather(
+            *(self._request_pre_vote(identity) for identity in identities)
+        )
         return [
             identity
             for identity, answer in zip(identities, answers, strict=True)
             if answer is not None
         ]
 
-    def _begin_leading(
+    def _start_leading(
         self,
         record: GroupRecord,
-        records: list[ReplicatedJob],
+        newest_jobs: list[ReplicatedJob],
         states: dict[str, list[JobState]],
-        asked_at: float,
+        requested_at: float,
     ) -> None:
-        leadership = JobLeadership(record.epoch, self._context.copies, record.members)
-        leadership.inherit(records)
+        leadership = JobLeadership(record.epoch, self._context.write_quorum, record.members)
+        leadership.inherit(newest_jobs)
         self.leadership = leadership
         for identity in record.members:
             session = self.open_session(identity)
             if session is not None and identity in states:
-                session.joined(states[identity], asked_at)
+                session.joined(states[identity], requested_at)
         changer = ReplicaSetChanger(self, self._context)
         self._leader_tasks.spawn(changer.run())
         self._context.log.write(
@@ -433,10 +439,10 @@
             group=self.group,
             epoch=record.epoch,
             members=sorted(record.members),
-            jobs=len(records),
-            gathering_s=round(monotonic() - asked_at, 3),
+            jobs=len(newest_jobs),
+            gathering_s=round(monotonic() - requested_at, 3),
         )
-        self.on_leading()
+        self.on_leadership_gained()
         self.notify_progress()
 
     # ---- as a leader ----
@@ -450,9 +456,9 @@
         if session is None:
             session = ReplicaSession(
                 identity,
-                self._link(identity),
+                self._link_to(identity),
                 leadership,
-                self._texts_for(identity),
+                self._partial_texts_for(identity),
                 self.notify_progress,
                 lambda epoch: self._step_down(f"epoch {epoch}"),
                 self._context.log,
@@ -461,13 +467,13 @@
             self._session_tasks[identity] = self._leader_tasks.spawn(session.run())
         return session
 
-    def _texts_for(self, identity: str) -> PartialTexts:
+    def _partial_texts_for(self, identity: str) -> PartialTexts:
         """Return the partial texts that a replica is told: none in another region.
 
         They change with every event, and bytes between regions cost more than the runs that a
         leader there would begin anew.
         """
-        return PartialTexts() if self.spread.is_far(identity) else self.partial_texts
+        return PartialTexts() if self.placement.in_other_region(identity) else self.partial_texts
 
     def close_session(self, identity: str) -> None:
         """Leave a disk that is no longer a replica."""
@@ -481,7 +487,7 @@
         event, self._progress = self._progress, asyncio.Event()
         event.set()
 
-    def heirs(self) -> list[str]:
+    def successors(self) -> list[str]:
         """Return the other replicas that were heard just now, in the order they should lead."""
         leadership = self.leadership
         if leadership is None:
@@ -492,44 +498,44 @@
             for identity in leadership.members
             if identity != self._context.identity
             and identity in self.sessions
-            and self.sessions[identity].silent_s(now) < FRESH_S
+            and self.sessions[identity].silent_s(now) < CONFIRMATION_VALID_S
         ]
-        return self.spread.leaders(fresh)
+        return self.placement.rank_leaders(fresh)
 
-    async def hand_over(self, heir: str) -> None:
+    async def transfer_leadership(self, successor: str) -> None:
         """Name another replica as the leader; this one steps down once it reads the record."""
         leadership = self.leadership
         if leadership is not None:
             with suppress(RecordInDoubtError):
-                await self.records.swap_members(leadership.epoch, leadership.members, heir)
+                await self.records.swap_members(leadership.epoch, leadership.members, successor)
 
-    async def _hand_over_at_stop(self) -> None:
-        heirs = self.heirs()
+    async def _transfer_leadership_at_stop(self) -> None:
+        heirs = self.successors()
         if heirs:
-            await self.hand_over(heirs[0])
+            await self.transfer_leadership(heirs[0])
 
     def _step_down(self, reason: str) -> None:
         leadership = self.leadership
         if leadership is None:
             return
         self.leadership = None
-        self._heard_leader_at = monotonic()
+        self._last_leader_contact_at = monotonic()
         self.sessions = {}
         self._session_tasks = {}
         self._leader_tasks.cancel()
         self._context.log.write(
             Event.LEADERSHIP_LOST, group=self.group, epoch=leadership.epoch, reason=reason
         )
-        self.on_deposed()
+        self.on_leadership_lost()
         self.notify_progress()
 
-    def _link(self, identity: str) -> ReplicaLink:
+    def _link_to(self, identity: str) -> ReplicaLink:
         if identity == self._context.identity:
             return LocalReplicaLink(self.group, self._context.disk)
         return RemoteReplicaLink(
             self.group,
             self._context.identity,
             identity,
-            lambda target: self._context.identities().get(target),
+            lambda target: self._context.known_addresses().get(target),
             self._context.transport,
         )
--- a/src/wharfcart/storage/layout.py
+++ b/src/wharfcart/storage/layout.py
@@ -22,12 +22,12 @@
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.residence import Residence
 from wharfcart.storage.group_record import GroupRecord
-from wharfcart.storage.replica_spread import ReplicaSpread
+from wharfcart.storage.replica_spread import ReplicaPlacement
 
 # So many storage nodes come to one group: five replicas that bear the loss of two, and a spare.
-NODES_A_GROUP = 6
+NODES_PER_GROUP = 6
 # Each leader and each gateway holds a session with every group's granting node.
-MOST_GROUPS = 16
+MAX_GROUPS = 16
 NO_REGIONS = Topology()
 
 
@@ -46,7 +46,7 @@
     region_by_group: tuple[RegionName, ...] = ()
 
     @property
-    def groups(self) -> int:
+    def group_count(self) -> int:
         """Number of groups."""
         return len(self.zones_by_group)
 
@@ -63,15 +63,15 @@
             region = topology.region(instance.zone)
             sharing = [
                 group
-                for group in range(self.groups)
+                for group in range(self.group_count)
                 if region is not None and region == self.region(group)
             ]
         if len(sharing) == 1:
             return sharing[0]
-        sharing = sharing or list(range(self.groups))
+        sharing = sharing or list(range(self.group_count))
         return sharing[xxhash.xxh64_intdigest(instance.instance_id.encode()) % len(sharing)]
 
-    def grants_in(self, group: int, residence: Residence, topology: Topology) -> bool:
+    def may_grant_in(self, group: int, residence: Residence, topology: Topology) -> bool:
         """Whether a group may grant slots of back ends in the regions of a residence.
 
         Those of a zone that no group names may belong to any group.
@@ -85,7 +85,7 @@
             for zone in (*self.zones_by_group[group], *unnamed)
         )
 
-    def is_own(self, group: int, zone: str) -> bool:
+    def grants_zone(self, group: int, zone: str) -> bool:
         """Whether a group grants slots of a zone."""
         return zone in self.zones_by_group[group]
 
@@ -98,7 +98,7 @@
         """Return the region that a group's replicas belong to, or None for the whole fleet."""
         return self.region_by_group[group] if self.region_by_group else None
 
-    def home_zones(self, group: int, topology: Topology) -> tuple[str, ...]:
+    def preferred_zones(self, group: int, topology: Topology) -> tuple[str, ...]:
         """Return the zones that a group's replicas should be near."""
         zones = self.zones_by_group[group]
         region = self.region(group)
@@ -112,7 +112,7 @@
         return json.dumps(body).encode()
 
 
-def layout_from(value: bytes) -> Layout:
+def layout_from_bytes(value: bytes) -> Layout:
     """Read a layout; one that was written before groups had regions has none."""
     body = json.loads(value)
     return Layout(
@@ -122,7 +122,7 @@
 
 
 def plan_layout(
-    zones_by_identity: Mapping[str, str], topology: Topology = NO_REGIONS, copies: int = 1
+    zones_by_identity: Mapping[str, str], topology: Topology = NO_REGIONS, write_quorum: int = 1
 ) -> Layout:
     """Return the layout of a fleet with these disks.
 
@@ -132,15 +132,17 @@
         copies: replicas that must have a write; a region with fewer disks has no group.
     """
     nodes_by_region = _nodes_by_region(zones_by_identity, topology)
-    hosting = {region for region, nodes in nodes_by_region.items() if nodes >= copies}
+    hosting = {region for region, nodes in nodes_by_region.items() if nodes >= write_quorum}
     if len(set(topology.region_by_zone.values())) < 2 or not hosting:
         zones = sorted(set(zones_by_identity.values()))
-        return Layout(_share_zones(zones, _groups_for(len(zones_by_identity))))
+        return Layout(_divide_zones(zones, _group_count_for(len(zones_by_identity))))
     zones_by_group: list[tuple[str, ...]] = []
     region_by_group: list[RegionName] = []
-    groups_by_region = _groups_by_region({region: nodes_by_region[region] for region in hosting})
+    groups_by_region = _group_counts_by_region(
+        {region: nodes_by_region[region] for region in hosting}
+    )
     for region, groups in sorted(groups_by_region.items()):
-        zones_by_group += _share_zones(_zones_in(region, topology), groups)
+        zones_by_group += _divide_zones(_zones_in(region, topology), groups)
         region_by_group += [region] * groups
     for region in sorted(set(topology.region_by_zone.values()) - groups_by_region.keys()):
         least = min(range(len(zones_by_group)), key=lambda group: len(zones_by_group[group]))
@@ -148,11 +150,11 @@
     return Layout(tuple(zones_by_group), tuple(region_by_group))
 
 
-def plan_records(
+def plan_group_records(
     layout: Layout,
     zones_by_identity: Mapping[str, str],
-    full_size: int,
-    spread_of: Callable[[int], ReplicaSpread] | None = None,
+    replication_factor: int,
+    placement_of: Callable[[int], ReplicaPlacement] | None = None,
 ) -> list[GroupRecord]:
     """Return the first record of each group: its disks, spread over the fleet, and its leader.
 
@@ -162,20 +164,22 @@
         full_size: replicas that a group has if there are enough disks.
         spread_of: where a group's replicas should be; None where only the zones are known.
     """
-    identities = _over_all_zones(zones_by_identity)
+    identities = _interleave_zones(zones_by_identity)
     uses: Counter[str] = Counter()
     leaders: set[str] = set()
     records = []
-    for group in range(layout.groups):
-        first = group * full_size % len(identities)
-        members = (identities[first:] + identities[:first])[:full_size]
-        spread = None if spread_of is None else spread_of(group)
-        if spread is not None and not spread.is_well_spread(members):
-            members = spread.additions([], identities, uses) or members
+    for group in range(layout.group_count):
+        first = group * replication_factor % len(identities)
+        members = (identities[first:] + identities[:first])[:replication_factor]
+        spread = None if placement_of is None else placement_of(group)
+        if spread is not None and not spread.is_satisfied_by(members):
+            members = spread.choose_additions([], identities, uses) or members
         own = [
-            identity for identity in members if layout.is_own(group, zones_by_identity[identity])
+            identity
+            for identity in members
+            if layout.grants_zone(group, zones_by_identity[identity])
         ]
-        ranked = (own or members) if spread is None else sorted(members, key=spread.distance)
+        ranked = (own or members) if spread is None else sorted(members, key=spread.distance_to)
         leader = next((identity for identity in ranked if identity not in leaders), ranked[0])
         uses.update(members)
         leaders.add(leader)
@@ -183,27 +187,27 @@
     return records
 
 
-def _groups_for(nodes: int) -> int:
-    return max(1, min(MOST_GROUPS, nodes // NODES_A_GROUP))
+def _group_count_for(nodes: int) -> int:
+    return max(1, min(MAX_GROUPS, nodes // NODES_PER_GROUP))
 
 
-def _groups_by_region(nodes_by_region: Mapping[RegionName, int]) -> dict[RegionName, int]:
+def _group_counts_by_region(nodes_by_region: Mapping[RegionName, int]) -> dict[RegionName, int]:
     """Return the number of groups of each region, all regions together within the bound.
 
     Where there are more regions than groups, those with fewest nodes have none.
     """
     largest = sorted(nodes_by_region, key=lambda region: (-nodes_by_region[region], region))
-    groups = {region: _groups_for(nodes_by_region[region]) for region in largest[:MOST_GROUPS]}
-    while sum(groups.values()) > MOST_GROUPS:
+    groups = {region: _group_count_for(nodes_by_region[region]) for region in largest[:MAX_GROUPS]}
+    while sum(groups.values()) > MAX_GROUPS:
         groups[max(groups, key=lambda region: (groups[region], region))] -= 1
     return groups
 
 
-def _share_zones(zones: list[str], groups: int) -> tuple[tuple[str, ...], ...]:
+def _divide_zones(zones: list[str], group_count: int) -> tuple[tuple[str, ...], ...]:
     """Return the zones of each group: some for each, or one that several groups share."""
-    if groups <= len(zones):
-        return tuple(tuple(zones[group::groups]) for group in range(groups))
-    return tuple((zones[group % len(zones)],) for group in range(groups))
+    if group_count <= len(zones):
+        return tuple(tuple(zones[group::group_count]) for group in range(group_count))
+    return tuple((zones[group % len(zones)],) for group in range(group_count))
 
 
 def _zones_in(region: RegionName, topology: Topology) -> list[str]:
@@ -217,7 +221,7 @@
     return Counter(region for region in regions if region is not None)
 
 
-def _over_all_zones(zones_by_identity: Mapping[str, str]) -> list[str]:
+def _interleave_zones(zones_by_identity: Mapping[str, str]) -> list[str]:
     """Return the disks such that neighbours are in different zones."""
     by_zone: dict[str, list[str]] = {}
     for identity, zone in sorted(zones_by_identity.items()):
--- a/src/wharfcart/storage/replica_set_change.py
+++ b/src/wharfcart/storage/replica_set_change.py
@@ -65,14 +65,14 @@
             return []
         retiring = self._context.retiring()
         kept = leadership.members - retiring
-        if len(kept) >= self._context.full_size and not any(map(self._is_dead, kept)):
+        if len(kept) >= self._context.replication_factor and not any(map(self._is_dead, kept)):
             return []
-        outside = sorted(self._context.identities().keys() - leadership.members - retiring)
+        outside = sorted(self._context.known_addresses().keys() - leadership.members - retiring)
         alive = [identity for identity in kept if not self._is_dead(identity)]
         outside = list(filter(self._group.may_hold, outside))
-        if not self._group.spread.additions(alive, outside):
+        if not self._group.placement.choose_additions(alive, outside):
             return []
-        return await self._group.answering(outside)
+        return await self._group.responsive_disks(outside)
 
     def _wanted_set(self, spares: list[str]) -> frozenset[str] | None:
         leadership = self._group.leadership
@@ -82,7 +82,7 @@
         kept = sorted(leadership.members - retiring)
         dead = [identity for identity in kept if self._is_dead(identity)]
         alive = [identity for identity in kept if identity not in dead]
-        wanted = self._group.spread.repaired(alive, dead, spares)
+        wanted = self._group.placement.repaired_members(alive, dead, spares)
         return wanted if len(wanted) >= leadership.write_quorum else None
 
     async def _moved_closer(self) -> frozenset[str] | None:
@@ -95,14 +95,16 @@
             return None
         if await self._hand_over_home():
             return None
-        spread = self._group.spread
-        known = self._context.identities().keys() - leadership.members - self._context.retiring()
+        spread = self._group.placement
+        known = (
+            self._context.known_addresses().keys() - leadership.members - self._context.retiring()
+        )
         outside = set(filter(self._group.may_hold, known))
-        exchange = spread.better_exchange(leadership.members, outside, self._context.identity)
+        exchange = spread.find_better_swap(leadership.members, outside, self._context.identity)
         if exchange is None:
             return None
         leaving, joining = exchange
-        if not await self._group.answering([joining]):
+        if not await self._group.responsive_disks([joining]):
             self._quiet_since = monotonic()
             return None
         return leadership.members - {leaving} | {joining}
@@ -110,23 +112,23 @@
     async def _hand_over_home(self) -> bool:
         """Hand over to a replica in the group's region if this node is in another one."""
         leadership = self._group.leadership
-        spread = self._group.spread
-        if leadership is None or not spread.is_far(self._context.identity):
+        spread = self._group.placement
+        if leadership is None or not spread.in_other_region(self._context.identity):
             return False
         heirs = [
             identity
-            for identity in self._group.heirs()
-            if not spread.is_far(identity) and not leadership.is_behind(identity)
+            for identity in self._group.successors()
+            if not spread.in_other_region(identity) and not leadership.is_behind(identity)
         ]
         if not heirs:
             return False
         self._quiet_since = monotonic()
-        await self._group.hand_over(heirs[0])
+        await self._group.transfer_leadership(heirs[0])
         return True
 
     def _tell_shortfalls(self, members: frozenset[str]) -> None:
         """Log what the set can't bear of what the fleet promises, once a change."""
-        shortfalls = self._group.spread.shortfalls(members)
+        shortfalls = self._group.placement.shortfalls(members)
         if shortfalls == self._told_shortfalls:
             return
         self._told_shortfalls = shortfalls
@@ -163,7 +165,7 @@
     def _is_dead(self, identity: str) -> bool:
         if identity == self._context.identity:
             return False
-        if identity not in self._context.identities():
+        if identity not in self._context.known_addresses():
             return True
         session = self._group.sessions.get(identity)
         return session is not None and session.silent_s(monotonic()) > DEAD_S
@@ -212,7 +214,7 @@
             all_there = not any(leadership.is_behind(identity) for identity in target)
             if safe and (all_there or monotonic() - began_at > SETTLE_S):
                 return True
-            await self._group.wait_progress(PERIOD_S)
+            await self._group.wait_for_progress(PERIOD_S)
         return False
 
     def _leader_for(self, target: frozenset[str]) -> str:
@@ -220,7 +222,7 @@
             return self._context.identity
         leadership = self._group.leadership
         assert leadership is not None
-        ranked = self._group.spread.leaders(target)
+        ranked = self._group.placement.rank_leaders(target)
         caught_up = [identity for identity in ranked if not leadership.is_behind(identity)]
         return (caught_up or ranked)[0]
 
--- a/src/wharfcart/storage/replica_spread.py
+++ b/src/wharfcart/storage/replica_spread.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True)
-class ReplicaSpread:
+class ReplicaPlacement:
     """Where the replicas of one group should be, by what is known of the fleet now.
 
     Attributes:
@@ -32,48 +32,48 @@
         may_hold: whether a disk may hold the group at all.
     """
 
-    copies: int
-    full_size: int
+    write_quorum: int
+    replication_factor: int
     zones_by_identity: Mapping[str, str]
     topology: Topology = field(default_factory=Topology)
-    home_zones: Collection[str] = ()
-    zones_lost: int = 0
+    preferred_zones: Collection[str] = ()
+    tolerated_zone_failures: int = 0
     may_hold: Callable[[str], bool] = _any_disk
 
     @property
-    def most_in_a_zone(self) -> int:
+    def max_per_zone(self) -> int:
         """Replicas that a zone may hold at most.
 
         A write has ``copies`` copies, so that one is left if fewer than that are lost.
         """
-        if self.zones_lost == 0:
-            return self.full_size
-        return max(1, (self.copies - 1) // self.zones_lost)
+        if self.tolerated_zone_failures == 0:
+            return self.replication_factor
+        return max(1, (self.write_quorum - 1) // self.tolerated_zone_failures)
 
-    def zone(self, identity: str) -> str:
+    def zone_of(self, identity: str) -> str:
         """Return the zone of a disk; '' while that is not known."""
         return self.zones_by_identity.get(identity, "")
 
-    def distance(self, identity: str) -> Distance:
+    def distance_to(self, identity: str) -> Distance:
         """Return how far a disk is from the group's home."""
-        if not self.home_zones:
+        if not self.preferred_zones:
             return Distance.SAME_ZONE
-        zone = self.zone(identity)
-        return min(self.topology.distance(zone, home) for home in self.home_zones)
+        zone = self.zone_of(identity)
+        return min(self.topology.distance(zone, home) for home in self.preferred_zones)
 
-    def is_far(self, identity: str) -> bool:
+    def in_other_region(self, identity: str) -> bool:
         """Whether a disk is outside the group's region."""
-        return self.distance(identity) == Distance.OTHER_REGION
+        return self.distance_to(identity) == Distance.OTHER_REGION
 
-    def leaders(self, members: Iterable[str]) -> list[str]:
+    def rank_leaders(self, members: Iterable[str]) -> list[str]:
         """Return the members in the order in which they should lead, the nearest first."""
-        return sorted(members, key=lambda identity: (self.distance(identity), identity))
+        return sorted(members, key=lambda identity: (self.distance_to(identity), identity))
 
-    def additions(
+    def choose_additions(
         self,
         kept: Iterable[str],
         spares: Iterable[str],
-        uses: Mapping[str, int] | None = None,
+        group_counts: Mapping[str, int] | None = None,
     ) -> list[str]:
         """Return the spares that should join the kept members, the best first.
 
@@ -86,38 +86,40 @@
             spares: disks that could join.
             uses: groups that a disk holds already, where several groups are planned.
         """
-        in_zone = Counter(map(self.zone, kept))
+        in_zone = Counter(map(self.zone_of, kept))
         size = in_zone.total()
         left = {identity for identity in spares if self.may_hold(identity)}
         chosen: list[str] = []
-        while left and size + len(chosen) < self.full_size:
-            best = min(left, key=lambda identity: self._cost(identity, in_zone, uses or {}))
-            zone = self.zone(best)
-            enough = size + len(chosen) >= self.copies and self._bears_zone_losses(in_zone)
-            if enough and in_zone[zone] >= self.most_in_a_zone:
+        while left and size + len(chosen) < self.replication_factor:
+            best = min(left, key=lambda identity: self._rank(identity, in_zone, group_counts or {}))
+            zone = self.zone_of(best)
+            enough = size + len(chosen) >= self.write_quorum and self._tolerates_zone_failures(
+                in_zone
+            )
+            if enough and in_zone[zone] >= self.max_per_zone:
                 break
             in_zone[zone] += 1
             left.remove(best)
             chosen.append(best)
         return chosen
 
-    def repaired(
+    def repaired_members(
         self, alive: Sequence[str], dead: Sequence[str], spares: Iterable[str]
     ) -> frozenset[str]:
         """Return the members after a repair: those alive, spares, and the dead not replaced yet.
 
         Of the dead those leave first whose zones hold most.
         """
-        added = self.additions(alive, spares)
+        added = self.choose_additions(alive, spares)
         remaining = list(dead)
         for _ in added:
             if not remaining:
                 break
-            in_zone = Counter(map(self.zone, [*alive, *added, *remaining]))
-            remaining.remove(max(remaining, key=lambda identity: in_zone[self.zone(identity)]))
+            in_zone = Counter(map(self.zone_of, [*alive, *added, *remaining]))
+            remaining.remove(max(remaining, key=lambda identity: in_zone[self.zone_of(identity)]))
         return frozenset([*alive, *added, *remaining])
 
-    def better_exchange(
+    def find_better_swap(
         self, members: Collection[str], spares: Iterable[str], keep: str
     ) -> tuple[str, str] | None:
         """Return a member and a spare that should take its place, or None where nothing is gained.
@@ -135,61 +137,65 @@
             if self.may_hold(joining)
         ]
         after = {
-            exchange: self._faults([*(set(members) - {exchange[0]}), exchange[1]])
+            exchange: self._violations([*(set(members) - {exchange[0]}), exchange[1]])
             for exchange in exchanges
         }
         best = min(after, key=lambda exchange: (after[exchange], exchange), default=None)
-        if best is None or after[best] >= self._faults(members):
+        if best is None or after[best] >= self._violations(members):
             return None
         return best
 
-    def is_well_spread(self, members: Collection[str]) -> bool:
+    def is_satisfied_by(self, members: Collection[str]) -> bool:
         """Whether all members are in the group's region, and such that zones may be lost."""
-        if any(self.is_far(identity) or not self.may_hold(identity) for identity in members):
+        if any(
+            self.in_other_region(identity) or not self.may_hold(identity) for identity in members
+        ):
             return False
-        return self._bears_zone_losses(Counter(map(self.zone, members)))
+        return self._tolerates_zone_failures(Counter(map(self.zone_of, members)))
 
     def shortfalls(self, members: Collection[str]) -> list[str]:
         """Return why some members can't bear what the fleet promises to bear; none if they can."""
         found = []
-        if len(members) < self.full_size:
-            found.append(f"{len(members)} replicas of {self.full_size}")
-        in_zone = Counter(map(self.zone, members))
-        if not self._bears_zone_losses(in_zone):
-            held = self._most_in_lost_zones(in_zone)
-            found.append(f"{self.zones_lost} zones hold {held} replicas of {len(members)}")
+        if len(members) < self.replication_factor:
+            found.append(f"{len(members)} replicas of {self.replication_factor}")
+        in_zone = Counter(map(self.zone_of, members))
+        if not self._tolerates_zone_failures(in_zone):
+            held = self._max_in_failed_zones(in_zone)
+            found.append(
+                f"{self.tolerated_zone_failures} zones hold {held} replicas of {len(members)}"
+            )
         barred = sum(not self.may_hold(identity) for identity in members)
         if barred:
             found.append(f"{barred} replicas are on disks that may not hold the group")
         return found
 
-    def _most_in_lost_zones(self, in_zone: Counter[str]) -> int:
-        return sum(count for _, count in in_zone.most_common(self.zones_lost))
+    def _max_in_failed_zones(self, in_zone: Counter[str]) -> int:
+        return sum(count for _, count in in_zone.most_common(self.tolerated_zone_failures))
 
-    def _bears_zone_losses(self, in_zone: Counter[str]) -> bool:
-        return self._most_in_lost_zones(in_zone) < self.copies
+    def _tolerates_zone_failures(self, in_zone: Counter[str]) -> bool:
+        return self._max_in_failed_zones(in_zone) < self.write_quorum
 
-    def _cost(
-        self, identity: str, in_zone: Mapping[str, int], uses: Mapping[str, int]
+    def _rank(
+        self, identity: str, in_zone: Mapping[str, int], group_counts: Mapping[str, int]
     ) -> tuple[bool, bool, int, int, Distance, str]:
         """Return what ranks the disks that could join, the least first."""
-        count = in_zone.get(self.zone(identity), 0)
-        distance = self.distance(identity)
+        count = in_zone.get(self.zone_of(identity), 0)
+        distance = self.distance_to(identity)
         return (
-            count >= self.most_in_a_zone,
+            count >= self.max_per_zone,
             distance == Distance.OTHER_REGION,
             count,
-            uses.get(identity, 0),
+            group_counts.get(identity, 0),
             distance,
             identity,
         )
 
-    def _faults(self, members: Iterable[str]) -> tuple[int, int, int]:
+    def _violations(self, members: Iterable[str]) -> tuple[int, int, int]:
         """Return members that may not hold the group, are too many in their zone, or are far."""
         members = list(members)
-        in_zone = Counter(map(self.zone, members))
+        in_zone = Counter(map(self.zone_of, members))
         return (
             sum(not self.may_hold(identity) for identity in members),
-            sum(max(0, count - self.most_in_a_zone) for count in in_zone.values()),
-            sum(map(self.is_far, members)),
+            sum(max(0, count - self.max_per_zone) for count in in_zone.values()),
+            sum(map(self.in_other_region, members)),
         )
--- a/src/wharfcart/storage/takeover.py
+++ b/src/wharfcart/storage/takeover.py
@@ -7,7 +7,7 @@
 from wharfcart.storage.job_records import JobState, ReplicatedJob, job_from_update
 from wharfcart.storage.replica_session import HigherEpochError, ReplicaFailedError, ReplicaLink
 
-RETRY_S = 0.15
+RETRY_DELAY_S = 0.15
 
 
 class Takeover:
@@ -22,34 +22,34 @@
         self,
         record: GroupRecord,
         identity: str,
-        copies: int,
-        link: Callable[[str], ReplicaLink],
+        write_quorum: int,
+        link_to: Callable[[str], ReplicaLink],
     ) -> None:
         self._record = record
         self._identity = identity
-        self._needed = len(record.members) - copies + 1
-        self._link = link
-        self.states: dict[str, list[JobState]] = {}
+        self._required_promises = len(record.members) - write_quorum + 1
+        self._link_to = link_to
+        self.states_by_identity: dict[str, list[JobState]] = {}
 
-    async def gather(self, given_up: Callable[[], bool]) -> bool:
+    async def collect_promises(self, is_cancelled: Callable[[], bool]) -> bool:
         """Have replicas promise the epoch until there are enough; False if given up.
 
         The own disk promises first: this process must never lead the epoch in another life.
         """
         try:
-            own = self._link(self._identity)
-            self.states[self._identity] = await own.fence(self._record.epoch)
+            own = self._link_to(self._identity)
+            self.states_by_identity[self._identity] = await own.fence(self._record.epoch)
         except (ReplicaFailedError, HigherEpochError):
             return False
-        while len(self.states) < self._needed:
-            await self._ask_missing()
-            if given_up():
+        while len(self.states_by_identity) < self._required_promises:
+            await self._request_missing_promises()
+            if is_cancelled():
                 return False
-            if len(self.states) < self._needed:
-                await asyncio.sleep(RETRY_S)
+            if len(self.states_by_identity) < self._required_promises:
+                await asyncio.sleep(RETRY_DELAY_S)
         return True
 
-    async def newest_records(self) -> list[ReplicatedJob]:
+    async def newest_jobs(self) -> list[ReplicatedJob]:
         """Return each job's state with the highest epoch, then length.
 
         Raises
@@ -57,9 +57,9 @@
         ReplicaFailedError: a replica that has the newest state of a job did not give it.
         """
         newest: dict[str, tuple[tuple[int, int], str]] = {}
-        ordered = sorted(self.states, key=lambda identity: identity != self._identity)
+        ordered = sorted(self.states_by_identity, key=lambda identity: identity != self._identity)
         for identity in ordered:
-            for state in self.states[identity]:
+            for state in self.states_by_identity[identity]:
                 rank = (state.epoch, state.version)
                 if state.job_id not in newest or rank > newest[state.job_id][0]:
                     newest[state.job_id] = (rank, identity)
@@ -68,23 +68,23 @@
             wanted = [job_id for job_id, (_, holder) in newest.items() if holder == identity]
             if not wanted:
                 continue
-            updates = await self._link(identity).fetch(wanted)
+            updates = await self._link_to(identity).fetch(wanted)
             if len(updates) != len(wanted):
                 raise ReplicaFailedError("a job is missing")
             records += [job_from_update(update) for update in updates]
         return records
 
-    async def _ask_missing(self) -> None:
+    async def _request_missing_promises(self) -> None:
         """Ask the replicas that have not promised yet; stop once there are enough."""
         calls = {
-            asyncio.create_task(self._link(identity).fence(self._record.epoch)): identity
-            for identity in self._record.members - self.states.keys()
+            asyncio.create_task(self._link_to(identity).fence(self._record.epoch)): identity
+            for identity in self._record.members - self.states_by_identity.keys()
         }
         pending = set(calls)
-        while pending and len(self.states) < self._needed:
+        while pending and len(self.states_by_identity) < self._required_promises:
             done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
             for call in done:
                 if not isinstance(call.exception(), (ReplicaFailedError, HigherEpochError)):
-                    self.states[calls[call]] = call.result()
+                    self.states_by_identity[calls[call]] = call.result()
         for call in pending:
             call.cancel()
--- a/tests/batch/test_job_execution.py
+++ b/tests/batch/test_job_execution.py
@@ -193,7 +193,7 @@
             partial_texts=PartialTexts(),
             leadership=self.records,
             replicas_behind=0,
-            is_confirmed=True,
+            is_confirmed_since_resume=True,
             wake_sessions=lambda: None,
         )
         self.execution = JobExecution(
@@ -365,11 +365,11 @@
 
 def test_a_leader_that_is_not_sure_to_lead_starts_nothing() -> None:
     async def scenario(bench: Bench) -> None:
-        bench.group.is_confirmed = False
+        bench.group.is_confirmed_since_resume = False
         bench.submit("j", 4)
         await bench.settle()
         assert not bench.runner.running
-        bench.group.is_confirmed = True
+        bench.group.is_confirmed_since_resume = True
         await bench.settle()
         await asyncio.sleep(2 * job_execution.PERIOD_S)
         assert len(bench.runner.running) == 4
--- a/tests/batch/test_job_service.py
+++ b/tests/batch/test_job_service.py
@@ -35,7 +35,7 @@
     def __init__(self) -> None:
         self.leadership: JobLeadership | None = JobLeadership(1, 1, MEMBERS)
         self.leadership.add_replica("a", [])
-        self.leads_freshly = True
+        self.is_recently_confirmed = True
         self.record = None
         self.disks = MEMBERS
 
@@ -43,7 +43,7 @@
         assert self.leadership is not None
         self.leadership.record_written("a", self.leadership.updates_for("a"))
 
-    async def wait_progress(self, _timeout_s: float) -> bool:
+    async def wait_for_progress(self, _timeout_s: float) -> bool:
         await asyncio.sleep(0)
         return True
 
--- a/tests/batch/test_job_service_residence.py
+++ b/tests/batch/test_job_service_residence.py
@@ -48,14 +48,14 @@
     def __init__(self, *more_disks: str) -> None:
         self.leadership = JobLeadership(1, 1, frozenset({"w1"}))
         self.leadership.add_replica("w1", [])
-        self.leads_freshly = True
+        self.is_recently_confirmed = True
         self.record = None
         self.disks = frozenset({"w1", *more_disks})
 
     def wake_sessions(self) -> None:
         self.leadership.record_written("w1", self.leadership.updates_for("w1"))
 
-    async def wait_progress(self, _timeout_s: float) -> bool:
+    async def wait_for_progress(self, _timeout_s: float) -> bool:
         await asyncio.sleep(0)
         return True
 
--- a/tests/storage/test_job_group.py
+++ b/tests/storage/test_job_group.py
@@ -29,8 +29,8 @@
 )
 from wharfcart.experiments.virtual_time import run_virtually
 from wharfcart.storage.group_record import GroupRecord, group_record_from
-from wharfcart.storage.job_group import SAVE_TEXTS_S
-from wharfcart.storage.layout import layout_from
+from wharfcart.storage.job_group import TEXT_SAVE_INTERVAL_S
+from wharfcart.storage.layout import layout_from_bytes
 
 WEST, EAST = RegionName("west"), RegionName("east")
 TOPOLOGY = Topology({"w1": WEST, "w2": WEST, "e1": EAST})
@@ -60,7 +60,7 @@
     @property
     def leader(self) -> SimulatedNode | None:
         for node in self.nodes.values():
-            if node.group is not None and node.group.leads_freshly:
+            if node.group is not None and node.group.is_recently_confirmed:
                 return node
         return None
 
@@ -228,7 +228,7 @@
             if other != old.number:
                 fleet.simulation.cuts |= {(old.number, other), (other, old.number)}
         await asyncio.sleep(1.0)
-        assert not old.group.leads_freshly
+        assert not old.group.is_recently_confirmed
         await fleet.until(lambda: fleet.leader not in (None, old), 4.0)
 
     play(scenario)
@@ -242,17 +242,17 @@
         await fleet.start()
         leader = fleet.leader
         assert leader is not None and leader.group is not None
-        assert leader.group.is_confirmed
+        assert leader.group.is_confirmed_since_resume
         leader.resumed_at = asyncio.get_running_loop().time()
-        assert not leader.group.is_confirmed
-        await fleet.until(lambda: leader.group.is_confirmed, 1.0)
+        assert not leader.group.is_confirmed_since_resume
+        await fleet.until(lambda: leader.group.is_confirmed_since_resume, 1.0)
         for other in fleet.nodes:
             if other != leader.number:
                 fleet.simulation.cuts |= {(leader.number, other), (other, leader.number)}
         await asyncio.sleep(0.2)
         leader.resumed_at = asyncio.get_running_loop().time()
         await asyncio.sleep(4.0)
-        assert not leader.group.is_confirmed
+        assert not leader.group.is_confirmed_since_resume
 
     play(scenario)
 
@@ -467,7 +467,7 @@
         await fleet.until_led()
         entry = fleet.simulation.coordination.entries[LAYOUT_KEY]
         assert entry.value is not None
-        assert set(layout_from(entry.value).region_by_group) == {WEST, EAST}
+        assert set(layout_from_bytes(entry.value).region_by_group) == {WEST, EAST}
 
     play(scenario)
 
@@ -655,7 +655,7 @@
         leader = await fleet.until_led()
         group = leader.group
         assert group is not None
-        ask = group.answering
+        ask = group.responsive_disks
 
         async def ask_and_take_a_job(identities: list[str]) -> list[str]:
             answering = await ask(identities)
@@ -665,7 +665,7 @@
                 group.wake_sessions()
             return answering
 
-        group.answering = ask_and_take_a_job
+        group.responsive_disks = ask_and_take_a_job
         await lose_a_replica(fleet)
         await fleet.until(lambda: group.leadership is not None and group.leadership.jobs, 8.0)
         await asyncio.sleep(5.0)
@@ -684,7 +684,7 @@
         assert leader.group is not None
         for number in range(40):
             leader.group.partial_texts.get_or_create("a", "a-1").add_event(number, "x")
-        await asyncio.sleep(2 * SAVE_TEXTS_S + 0.1)
+        await asyncio.sleep(2 * TEXT_SAVE_INTERVAL_S + 0.1)
         for node in fleet.nodes.values():
             node.kill()
         for node in fleet.nodes.values():
--- a/tests/storage/test_job_residence.py
+++ b/tests/storage/test_job_residence.py
@@ -69,16 +69,16 @@
 
 def test_a_group_is_asked_for_slots_where_it_may_have_some() -> None:
     layout = Layout((("w1", "w2"), ("e1",)))
-    assert [layout.grants_in(group, WEST, TOPOLOGY) for group in (0, 1)] == [True, False]
-    assert [layout.grants_in(group, EAST, TOPOLOGY) for group in (0, 1)] == [False, True]
-    assert [layout.grants_in(group, ANYWHERE, TOPOLOGY) for group in (0, 1)] == [True, True]
-    assert [layout.grants_in(group, NOWHERE, TOPOLOGY) for group in (0, 1)] == [False, False]
+    assert [layout.may_grant_in(group, WEST, TOPOLOGY) for group in (0, 1)] == [True, False]
+    assert [layout.may_grant_in(group, EAST, TOPOLOGY) for group in (0, 1)] == [False, True]
+    assert [layout.may_grant_in(group, ANYWHERE, TOPOLOGY) for group in (0, 1)] == [True, True]
+    assert [layout.may_grant_in(group, NOWHERE, TOPOLOGY) for group in (0, 1)] == [False, False]
 
 
 def test_a_zone_that_no_group_names_may_belong_to_any() -> None:
     layout = Layout((("w1",), ("e1",)))
-    assert layout.grants_in(1, WEST, TOPOLOGY)
-    assert not layout.grants_in(0, EAST, TOPOLOGY)
+    assert layout.may_grant_in(1, WEST, TOPOLOGY)
+    assert not layout.may_grant_in(0, EAST, TOPOLOGY)
 
 
 def test_submissions_may_have_moved_for_a_while_after_the_groups_became_others() -> None:
--- a/tests/storage/test_layout.py
+++ b/tests/storage/test_layout.py
@@ -4,8 +4,8 @@
 
 from wharfcart.cluster.topology import RegionName, Topology
 from wharfcart.configuration.instances import BackendInstance
-from wharfcart.storage.layout import Layout, layout_from, plan_layout, plan_records
-from wharfcart.storage.replica_spread import ReplicaSpread
+from wharfcart.storage.layout import Layout, layout_from_bytes, plan_group_records, plan_layout
+from wharfcart.storage.replica_spread import ReplicaPlacement
 
 FULL_SIZE = 5
 COPIES = 3
@@ -25,21 +25,21 @@
 
 def test_a_small_fleet_has_one_group_for_all_zones() -> None:
     layout = plan_layout(disks(3, 3))
-    assert layout.groups == 1
+    assert layout.group_count == 1
     assert layout.group_of(instance("a", "zone-2")) == 0
     assert layout.group_of(instance("a", "elsewhere")) == 0
-    assert layout.is_own(0, "zone-1")
+    assert layout.grants_zone(0, "zone-1")
 
 
 def test_a_large_fleet_has_a_group_a_zone() -> None:
     layout = plan_layout(disks(30, 5))
-    assert layout.groups == 5
+    assert layout.group_count == 5
     assert [layout.group_of(instance("a", f"zone-{n}")) for n in range(5)] == list(range(5))
 
 
 def test_groups_that_share_a_zone_share_its_back_ends() -> None:
     layout = plan_layout(disks(24, 2))
-    assert layout.groups == 4
+    assert layout.group_count == 4
     groups = Counter(layout.group_of(instance(f"i-{n}", "zone-0")) for n in range(400))
     assert set(groups) == {0, 2}
     assert min(groups.values()) > 150
@@ -52,27 +52,27 @@
 
 def test_a_layout_reads_as_it_was_written() -> None:
     layout = plan_layout(disks(30, 3))
-    assert layout_from(layout.to_bytes()) == layout
+    assert layout_from_bytes(layout.to_bytes()) == layout
 
 
 def test_disks_are_spread_over_groups_and_zones() -> None:
     zones = disks(30, 5)
     layout = plan_layout(zones)
-    records = plan_records(layout, zones, FULL_SIZE)
-    assert len(records) == layout.groups
+    records = plan_group_records(layout, zones, FULL_SIZE)
+    assert len(records) == layout.group_count
     uses = Counter(identity for record in records for identity in record.members)
     assert max(uses.values()) == 1
     for group, record in enumerate(records):
         assert len(record.members) == FULL_SIZE
         assert record.leader in record.members
         assert {zones[member] for member in record.members} == set(zones.values())
-        assert layout.is_own(group, zones[record.leader])
+        assert layout.grants_zone(group, zones[record.leader])
     assert len({record.leader for record in records}) == len(records)
 
 
 def test_few_disks_hold_every_group() -> None:
     zones = disks(3, 3)
-    (record,) = plan_records(Layout((("zone-0", "zone-1", "zone-2"),)), zones, 3)
+    (record,) = plan_group_records(Layout((("zone-0", "zone-1", "zone-2"),)), zones, 3)
     assert record.members == frozenset(zones)
 
 
@@ -86,11 +86,11 @@
 
 
 def records_of(layout: Layout, zones: dict[str, str], zones_lost: int = 0, **more):
-    def spread_of(group: int) -> ReplicaSpread:
-        home_zones = layout.home_zones(group, TOPOLOGY)
-        return ReplicaSpread(COPIES, FULL_SIZE, zones, TOPOLOGY, home_zones, zones_lost, **more)
+    def spread_of(group: int) -> ReplicaPlacement:
+        home_zones = layout.preferred_zones(group, TOPOLOGY)
+        return ReplicaPlacement(COPIES, FULL_SIZE, zones, TOPOLOGY, home_zones, zones_lost, **more)
 
-    return plan_records(layout, zones, FULL_SIZE, spread_of)
+    return plan_group_records(layout, zones, FULL_SIZE, spread_of)
 
 
 def members_by_region(zones: dict[str, str], record) -> Counter[str]:
@@ -144,7 +144,7 @@
     layout = plan_layout(zones, TOPOLOGY, COPIES)
     assert layout.region_by_group == ("east", "west")
     assert layout.zones_by_group[0] == ("east-a", "east-b", "north-a", "north-b")
-    assert layout.home_zones(0, TOPOLOGY) == ("east-a", "east-b")
+    assert layout.preferred_zones(0, TOPOLOGY) == ("east-a", "east-b")
     assert records_of(layout, zones)[0].members == {f"east-disk-{n:02}" for n in range(5)}
 
 
@@ -161,7 +161,7 @@
 
 def test_groups_of_all_regions_stay_within_the_bound() -> None:
     layout = plan_layout(regional_disks(east=60, north=60, west=30), TOPOLOGY, COPIES)
-    assert layout.groups == 16
+    assert layout.group_count == 16
     assert set(layout.region_by_group) == set(REGIONS)
 
 
@@ -171,32 +171,39 @@
     groups = {layout.group_of(instance(f"i-{n}", "east-c"), grown) for n in range(100)}
     assert groups == {0, 1}
     elsewhere = {layout.group_of(instance(f"i-{n}", "unknown"), grown) for n in range(100)}
-    assert elsewhere == set(range(layout.groups))
+    assert elsewhere == set(range(layout.group_count))
 
 
 def test_a_layout_over_regions_reads_as_it_was_written() -> None:
     layout = plan_layout(regional_disks(east=5, north=4), TOPOLOGY, COPIES)
-    assert layout_from(layout.to_bytes()) == layout
+    assert layout_from_bytes(layout.to_bytes()) == layout
 
 
 def test_a_layout_of_the_version_before_regions_is_used_as_it_stands() -> None:
     kept = b'{"zones_by_group": [["east-a", "north-a", "west-a"], ["east-b", "north-b", "west-b"]]}'
-    layout = layout_from(kept)
+    layout = layout_from_bytes(kept)
     assert layout.region_by_group == ()
     assert layout.region(0) is None
-    assert layout.home_zones(1, TOPOLOGY) == ("east-b", "north-b", "west-b")
+    assert layout.preferred_zones(1, TOPOLOGY) == ("east-b", "north-b", "west-b")
     assert layout.group_of(instance("a", "north-b"), TOPOLOGY) == 1
     assert {layout.group_of(instance(f"i-{n}", "new"), TOPOLOGY) for n in range(50)} == {0, 1}
     zones = regional_disks(east=5, north=4, west=4)
-    spread = ReplicaSpread(COPIES, FULL_SIZE, zones, TOPOLOGY, layout.home_zones(0, TOPOLOGY))
-    (first, _) = plan_records(layout, zones, FULL_SIZE)
-    assert spread.better_exchange(first.members, zones.keys() - first.members, first.leader) is None
+    spread = ReplicaPlacement(
+        COPIES, FULL_SIZE, zones, TOPOLOGY, layout.preferred_zones(0, TOPOLOGY)
+    )
+    (first, _) = plan_group_records(layout, zones, FULL_SIZE)
+    assert (
+        spread.find_better_swap(first.members, zones.keys() - first.members, first.leader) is None
+    )
 
 
 def test_members_are_spread_such_that_a_zone_may_go_where_the_fleet_promises_it() -> None:
     zones = {f"disk-{n}": "zone-0" if n < 6 else f"zone-{n % 2 + 1}" for n in range(10)}
     layout = plan_layout(zones)
-    (record,) = plan_records(
-        layout, zones, FULL_SIZE, lambda _: ReplicaSpread(COPIES, FULL_SIZE, zones, zones_lost=1)
+    (record,) = plan_group_records(
+        layout,
+        zones,
+        FULL_SIZE,
+        lambda _: ReplicaPlacement(COPIES, FULL_SIZE, zones, tolerated_zone_failures=1),
     )
     assert max(Counter(zones[member] for member in record.members).values()) == 2
--- a/tests/storage/test_replica_spread.py
+++ b/tests/storage/test_replica_spread.py
@@ -6,14 +6,14 @@
 from hypothesis import strategies as st
 
 from wharfcart.cluster.topology import RegionName, Topology
-from wharfcart.storage.replica_spread import ReplicaSpread
+from wharfcart.storage.replica_spread import ReplicaPlacement
 
 WEST, EAST = RegionName("west"), RegionName("east")
 TOPOLOGY = Topology({"w1": WEST, "w2": WEST, "e1": EAST, "e2": EAST})
 
 
-def spread(zones: dict[str, str], copies: int = 3, **more) -> ReplicaSpread:
-    return ReplicaSpread(copies, 2 * copies - 1, zones, **more)
+def spread(zones: dict[str, str], copies: int = 3, **more) -> ReplicaPlacement:
+    return ReplicaPlacement(copies, 2 * copies - 1, zones, **more)
 
 
 def disks(**nodes_by_zone: int) -> dict[str, str]:
@@ -22,21 +22,23 @@
 
 def test_a_spare_of_another_zone_goes_before_the_first_in_the_alphabet() -> None:
     zones = disks(a=4, b=2, c=2)
-    wanted = spread(zones, zones_lost=1).repaired(["a-0", "a-1", "b-0"], ["b-1"], ["a-2", "c-0"])
+    wanted = spread(zones, tolerated_zone_failures=1).repaired_members(
+        ["a-0", "a-1", "b-0"], ["b-1"], ["a-2", "c-0"]
+    )
     assert wanted == {"a-0", "a-1", "b-0", "c-0"}
 
 
 def test_spares_of_the_region_go_first_though_they_share_zones() -> None:
     zones = disks(w1=3, w2=2, e1=3)
-    view = spread(zones, topology=TOPOLOGY, home_zones=("w1", "w2"))
-    assert set(view.additions([], zones)) == {"w1-0", "w1-1", "w1-2", "w2-0", "w2-1"}
+    view = spread(zones, topology=TOPOLOGY, preferred_zones=("w1", "w2"))
+    assert set(view.choose_additions([], zones)) == {"w1-0", "w1-1", "w1-2", "w2-0", "w2-1"}
 
 
 def test_another_region_helps_out_where_the_own_would_lose_a_write_with_a_zone() -> None:
     zones = disks(w1=3, w2=2, e1=3)
-    view = spread(zones, topology=TOPOLOGY, home_zones=("w1", "w2"), zones_lost=1)
-    members = view.additions([], zones)
-    assert Counter(map(view.zone, members)) == {"w1": 2, "w2": 2, "e1": 1}
+    view = spread(zones, topology=TOPOLOGY, preferred_zones=("w1", "w2"), tolerated_zone_failures=1)
+    members = view.choose_additions([], zones)
+    assert Counter(map(view.zone_of, members)) == {"w1": 2, "w2": 2, "e1": 1}
 
 
 def test_disks_that_may_not_hold_the_group_never_join() -> None:
@@ -44,12 +46,12 @@
     view = spread(
         zones,
         topology=TOPOLOGY,
-        home_zones=("w1", "w2"),
+        preferred_zones=("w1", "w2"),
         may_hold=lambda identity: identity.startswith("w"),
     )
-    assert set(view.additions([], zones)) == {"w1-0", "w1-1", "w2-0", "w2-1"}
+    assert set(view.choose_additions([], zones)) == {"w1-0", "w1-1", "w2-0", "w2-1"}
     members = ["w1-0", "w1-1", "w2-0", "e1-0"]
-    assert view.better_exchange(members, zones.keys() - members, "w1-0") == ("e1-0", "w2-1")
+    assert view.find_better_swap(members, zones.keys() - members, "w1-0") == ("e1-0", "w2-1")
     assert view.shortfalls(members) == [
         "4 replicas of 5",
         "1 replicas are on disks that may not hold the group",
@@ -58,33 +60,35 @@
 
 def test_a_far_replica_is_exchanged_for_a_near_spare_but_the_leader_stays() -> None:
     zones = disks(w1=3, w2=2, e1=2)
-    view = spread(zones, topology=TOPOLOGY, home_zones=("w1", "w2"))
+    view = spread(zones, topology=TOPOLOGY, preferred_zones=("w1", "w2"))
     members = ["w1-0", "w1-1", "w2-0", "w2-1", "e1-0"]
-    assert view.better_exchange(members, ["w1-2", "e1-1"], "w1-0") == ("e1-0", "w1-2")
-    assert view.better_exchange(members, ["w1-2", "e1-1"], "e1-0") is None
-    assert view.better_exchange(members, ["e1-1"], "w1-0") is None
+    assert view.find_better_swap(members, ["w1-2", "e1-1"], "w1-0") == ("e1-0", "w1-2")
+    assert view.find_better_swap(members, ["w1-2", "e1-1"], "e1-0") is None
+    assert view.find_better_swap(members, ["e1-1"], "w1-0") is None
 
 
 def test_leaders_are_ranked_by_distance_from_home() -> None:
     zones = disks(e1=1, w2=1, w1=1)
-    view = spread(zones, topology=TOPOLOGY, home_zones=("w1",))
-    assert view.leaders(zones) == ["w1-0", "w2-0", "e1-0"]
+    view = spread(zones, topology=TOPOLOGY, preferred_zones=("w1",))
+    assert view.rank_leaders(zones) == ["w1-0", "w2-0", "e1-0"]
 
 
 def test_a_set_says_what_it_can_not_bear() -> None:
     zones = disks(a=3, b=2)
     assert spread(zones).shortfalls(zones) == []
-    assert spread(zones, zones_lost=1).shortfalls(zones) == ["1 zones hold 3 replicas of 5"]
+    assert spread(zones, tolerated_zone_failures=1).shortfalls(zones) == [
+        "1 zones hold 3 replicas of 5"
+    ]
     assert spread(zones).shortfalls(["a-0", "a-1"]) == ["2 replicas of 5"]
 
 
 def test_a_fleet_of_one_zone_still_has_full_groups() -> None:
     zones = disks(a=6)
-    assert len(spread(zones, zones_lost=1).additions([], zones)) == 5
+    assert len(spread(zones, tolerated_zone_failures=1).choose_additions([], zones)) == 5
 
 
 @st.composite
-def repairs(draw) -> tuple[ReplicaSpread, list[str], list[str], list[str]]:
+def repairs(draw) -> tuple[ReplicaPlacement, list[str], list[str], list[str]]:
     """A fleet, the members of a group that are alive and dead, and the spares."""
     nodes_by_zone = draw(
         st.dictionaries(st.sampled_from(["w1", "w2", "e1", "e2"]), st.integers(1, 5), min_size=1)
@@ -93,11 +97,13 @@
     copies = draw(st.integers(2, 3))
     home_zones = draw(st.sampled_from([(), ("w1",), ("w1", "w2"), ("e2",)]))
     topology = draw(st.sampled_from([Topology(), TOPOLOGY]))
-    view = spread(zones, copies, topology=topology, home_zones=home_zones, zones_lost=1)
+    view = spread(
+        zones, copies, topology=topology, preferred_zones=home_zones, tolerated_zone_failures=1
+    )
     members: list[str] = []
     for identity in draw(st.permutations(sorted(zones))):
         fits = [zones[member] for member in members].count(zones[identity]) < copies - 1
-        if fits and len(members) < view.full_size:
+        if fits and len(members) < view.replication_factor:
             members.append(identity)
     lost = draw(st.sets(st.sampled_from(sorted(zones))))
     alive = [identity for identity in members if identity not in lost]
@@ -109,34 +115,34 @@
 @given(repairs())
 def test_after_any_repair_any_zone_may_go(repair) -> None:
     view, alive, dead, spares = repair
-    wanted = view.repaired(alive, dead, spares)
+    wanted = view.repaired_members(alive, dead, spares)
     assert set(alive) <= wanted <= {*alive, *dead, *spares}
-    assert len(wanted) <= view.full_size
-    standing = Counter(map(view.zone, [*alive, *spares]))
-    bearable = sum(min(count, view.most_in_a_zone) for count in standing.values())
-    if bearable >= view.copies:
-        assert max(Counter(map(view.zone, wanted)).values()) < view.copies
+    assert len(wanted) <= view.replication_factor
+    standing = Counter(map(view.zone_of, [*alive, *spares]))
+    bearable = sum(min(count, view.max_per_zone) for count in standing.values())
+    if bearable >= view.write_quorum:
+        assert max(Counter(map(view.zone_of, wanted)).values()) < view.write_quorum
 
 
 @given(repairs())
 def test_no_far_spare_joins_while_a_near_one_fits(repair) -> None:
     view, alive, dead, spares = repair
-    wanted = view.repaired(alive, dead, spares)
+    wanted = view.repaired_members(alive, dead, spares)
     added = wanted & set(spares)
-    if not any(map(view.is_far, added)):
+    if not any(map(view.in_other_region, added)):
         return
-    in_zone = Counter(map(view.zone, [*alive, *added]))
+    in_zone = Counter(map(view.zone_of, [*alive, *added]))
     for spare in set(spares) - wanted:
-        assert view.is_far(spare) or in_zone[view.zone(spare)] >= view.most_in_a_zone
+        assert view.in_other_region(spare) or in_zone[view.zone_of(spare)] >= view.max_per_zone
 
 
 @given(repairs())
 def test_exchanges_come_to_an_end(repair) -> None:
     view, alive, dead, spares = repair
-    members = set(view.repaired(alive, dead, spares))
+    members = set(view.repaired_members(alive, dead, spares))
     outside = set(spares) - members
     for _ in range(len(members) * 3):
-        exchange = view.better_exchange(sorted(members), sorted(outside), min(members))
+        exchange = view.find_better_swap(sorted(members), sorted(outside), min(members))
         if exchange is None:
             return
         leaving, joining = exchange
@@ -147,6 +153,6 @@
 
 def test_of_the_dead_those_leave_whose_zone_would_hold_too_many() -> None:
     zones = disks(a=3, b=2, c=1)
-    view = spread(zones, zones_lost=1)
-    wanted = view.repaired(["a-1", "b-0", "b-1"], ["a-0", "c-0"], ["a-2"])
+    view = spread(zones, tolerated_zone_failures=1)
+    wanted = view.repaired_members(["a-1", "b-0", "b-1"], ["a-0", "c-0"], ["a-2"])
     assert wanted == {"a-1", "a-2", "b-0", "b-1", "c-0"}
