--- a/src/wharfcart/storage/job_group.py
+++ b/src/wharfcart/storage/job_group.py
@@ -382,7 +382,7 @@
     async def _request_pre_vote(self, identity: str) -> bool | None:
         link = self._link_to(identity)
         try:
-            return await link.may_elect()
+            return await link.grants_pre_vote()
         except ReplicaFailedError:
             return None
 
@@ -431,7 +431,7 @@
         for identity in record.members:
             session = self.open_session(identity)
             if session is not None and identity in states:
-                session.joined(states[identity], requested_at)
+                session.record_promise(states[identity], requested_at)
         changer = ReplicaSetChanger(self, self._context)
         self._leader_tasks.spawn(changer.run())
         self._context.log.write(
@@ -498,7 +498,7 @@
             for identity in leadership.members
             if identity != self._context.identity
             and identity in self.sessions
-            and self.sessions[identity].silent_s(now) < CONFIRMATION_VALID_S
+            and self.sessions[identity].unresponsive_s(now) < CONFIRMATION_VALID_S
         ]
         return self.placement.rank_leaders(fresh)
 
--- a/src/wharfcart/storage/replica.py
+++ b/src/wharfcart/storage/replica.py
@@ -42,22 +42,22 @@
     StartSnapshot,
 )
 from wharfcart.storage.replica_set_policy import (
-    FEWEST_COPIES,
     IN_SYNC_TIMEOUT_S,
+    MIN_COPIES,
     LeaderView,
     Progress,
     ReplicaSetPolicy,
 )
 
-HEARTBEAT_S = 0.25
-ELECTION_MIN_S = 0.8
-ELECTION_SPREAD_S = 0.5
+HEARTBEAT_INTERVAL_S = 0.25
+MIN_ELECTION_TIMEOUT_S = 0.8
+ELECTION_JITTER_S = 0.5
 LEASE_S = 0.65
-RESEND_S = 0.3
-MOST_ENTRIES_A_MESSAGE = 256
-MOST_BYTES_A_MESSAGE = 4 * 1024 * 1024
-MOST_LOG_ENTRIES = 4096
-MOST_LOG_BYTES = 16 * 1024 * 1024
+RESEND_TIMEOUT_S = 0.3
+MAX_ENTRIES_PER_MESSAGE = 256
+MAX_BYTES_PER_MESSAGE = 4 * 1024 * 1024
+MAX_LOG_ENTRIES = 4096
+MAX_LOG_BYTES = 16 * 1024 * 1024
 
 
 class NotLeaderError(Exception):
@@ -91,27 +91,27 @@
     role: Role = Role.FOLLOWER
     leader: str = ""
     installing: bool = False
-    most_log_entries: int = MOST_LOG_ENTRIES
+    max_log_entries: int = MAX_LOG_ENTRIES
     _persisted_index: int = 0
     _log_bytes: int = 0
-    _sets: list[tuple[int, ReplicaSet]] = field(default_factory=list)
-    _heard_leader_at: float = 0.0
-    _election_at: float = 0.0
+    _replica_sets: list[tuple[int, ReplicaSet]] = field(default_factory=list)
+    _last_leader_contact_at: float = 0.0
+    _election_due_at: float = 0.0
     _votes: set[str] = field(default_factory=set)
     _progress: dict[str, Progress] = field(default_factory=dict)
-    _deposed: str = ""
-    _asked_at: float = 0.0
+    _previous_leader: str = ""
+    _votes_requested_at: float = 0.0
     _round: int = 0
     _round_sent_at: dict[int, float] = field(default_factory=dict)
     _epoch_start_index: int = 0
-    _last_heartbeat: float = 0.0
+    _last_heartbeat_at: float = 0.0
     _policy: ReplicaSetPolicy = field(default_factory=ReplicaSetPolicy)
 
     def __post_init__(self) -> None:
         self._persisted_index = self.last_index
         self._log_bytes = sum(len(entry.command) for entry in self.log)
         # A restarted replica may have promised a leader its lease: it waits as if it heard one.
-        self._heard_leader_at = self.started_at
+        self._last_leader_contact_at = self.started_at
         self.commit_index = max(self.commit_index, self.base_index)
         self._rebuild_sets()
         self._reset_election(self.started_at)
@@ -131,18 +131,18 @@
     @property
     def replica_set(self) -> ReplicaSet:
         """Newest replica set in the log, committed or not (Raft section 6)."""
-        return self._sets[-1][1] if self._sets else self.base_set
+        return self._replica_sets[-1][1] if self._replica_sets else self.base_set
 
     @property
     def replica_set_index(self) -> int:
         """Index of the entry that set :attr:`replica_set`."""
-        return self._sets[-1][0] if self._sets else self.base_index
+        return self._replica_sets[-1][0] if self._replica_sets else self.base_index
 
     def lease_valid(self, now: float) -> bool:
         """Whether this replica may answer reads: leads, committed in its epoch, holds the lease."""
         if self.role is not Role.LEADER or self.commit_index < self._epoch_start_index:
             return False
-        return now < self._quorum_contact() + LEASE_S
+        return now < self._last_quorum_contact_at() + LEASE_S
 
     def entry(self, index: int) -> LogEntry | None:
         """Return the entry at ``index`` if it is still held in memory."""
@@ -155,9 +155,9 @@
         """Advance timers."""
         if self.role is Role.LEADER:
             return self._leader_tick(now)
-        if now >= self._election_at:
+        if now >= self._election_due_at:
             return self._start_pre_vote(now)
-        if self.role is not Role.FOLLOWER and now - self._asked_at > RESEND_S:
+        if self.role is not Role.FOLLOWER and now - self._votes_requested_at > RESEND_TIMEOUT_S:
             # A lost request would else cost a whole election's time.
             pre_vote = self.role is Role.PRE_CANDIDATE
             return self._request_votes(self.epoch + pre_vote, pre_vote, now)
@@ -177,7 +177,7 @@
             LogEntry(index=first + offset, epoch=self.epoch, command=command)
             for offset, command in enumerate(commands)
         ]
-        actions = self._append_own(entries)
+        actions = self._append_entries(entries)
         actions.extend(self._replicate_all(now))
         return first, actions
 
@@ -188,7 +188,7 @@
         self._persisted_index = max(self._persisted_index, min(index, self.last_index))
         return self._advance_commit(now) if self.role is Role.LEADER else []
 
-    def storage_members(
+    def update_storage_members(
         self, live: dict[str, str], leaving: set[str], now: float
     ) -> list[ReplicaAction]:
         """Note which storage identities are live, identity to zone, and which stop for a while.
@@ -205,7 +205,7 @@
             return []  # meant for an identity that used to live here
         kind = message.WhichOneof("body")
         if kind == "vote_request":
-            return self._vote_requested(message, now)
+            return self._handle_vote_request(message, now)
         actions: list[ReplicaAction] = []
         granted_pre_vote = (
             kind == "vote_response"
@@ -213,13 +213,13 @@
             and message.vote_response.granted
         )
         if message.epoch > self.epoch and not granted_pre_vote:
-            actions.extend(self._follow(message.epoch, "", now))
+            actions.extend(self._become_follower(message.epoch, "", now))
         if kind == "vote_response":
-            actions.extend(self._vote_received(message, now))
+            actions.extend(self._handle_vote_response(message, now))
         elif kind == "append_request":
-            actions.extend(self._append_requested(message, now))
+            actions.extend(self._handle_append_request(message, now))
         elif kind == "append_response":
-            actions.extend(self._append_answered(message, now))
+            actions.extend(self._handle_append_response(message, now))
         elif kind == "campaign_now" and message.epoch == self.epoch and self._may_campaign():
             actions.extend(self._start_election(now, transfer=True))
         return actions
@@ -246,7 +246,7 @@
         self.base_index = index
         self.base_epoch = epoch
         self.base_set = replica_set
-        self._sets = []
+        self._replica_sets = []
         self.commit_index = index
         self._persisted_index = index
         self.installing = False
@@ -255,7 +255,9 @@
     # ---- elections ----
 
     def _reset_election(self, now: float) -> None:
-        self._election_at = now + ELECTION_MIN_S + ELECTION_SPREAD_S * self.random.random()
+        self._election_due_at = (
+            now + MIN_ELECTION_TIMEOUT_S + ELECTION_JITTER_S * self.random.random()
+        )
 
     def _may_campaign(self) -> bool:
         return self.identity in self.replica_set.voters and not self.installing
@@ -265,7 +267,7 @@
         if not self._may_campaign():
             return []
         self.role = Role.PRE_CANDIDATE
-        self._deposed = self.leader or self._deposed
+        self._previous_leader = self.leader or self._previous_leader
         self.leader = ""
         self._votes = {self.identity}
         if self._has_majority(self._votes):
@@ -280,7 +282,7 @@
         self._reset_election(now)
         actions: list[ReplicaAction] = [self._persist()]
         if self._has_majority(self._votes):
-            return actions + self._lead(now)
+            return actions + self._become_leader(now)
         return actions + self._request_votes(self.epoch, False, now, transfer)
 
     def _request_votes(
@@ -292,7 +294,7 @@
             pre_vote=pre_vote,
             transfer=transfer,
         )
-        self._asked_at = now
+        self._votes_requested_at = now
         # A vote for oneself must be on disk before others hear of the candidacy.
         return [
             Send(self._message(peer, epoch, vote_request=request), after_persist=not pre_vote)
@@ -300,22 +302,22 @@
             if peer != self.identity and peer not in self._votes
         ]
 
-    def _vote_requested(self, message: ReplicaMessage, now: float) -> list[ReplicaAction]:
+    def _handle_vote_request(self, message: ReplicaMessage, now: float) -> list[ReplicaAction]:
         request = message.vote_request
         # A live leader's lease rests on this refusal (Raft section 6, disruptive servers).
         # A transfer comes from a leader that has given its lease up already.
-        recent = now < self._heard_leader_at + ELECTION_MIN_S
+        recent = now < self._last_leader_contact_at + MIN_ELECTION_TIMEOUT_S
         sticky = self.role is Role.LEADER or (recent and not request.transfer)
         up_to_date = (request.last_epoch, request.last_index) >= (self.last_epoch, self.last_index)
         if sticky or message.epoch < self.epoch:
             return [self._vote_response(message.sender, self.epoch, False, request.pre_vote)]
         if request.pre_vote:
-            granted = up_to_date and message.epoch > self.epoch and not self._goes_first(message)
+            granted = up_to_date and message.epoch > self.epoch and not self._wins_tie(message)
             epoch = message.epoch if granted else self.epoch
             return [self._vote_response(message.sender, epoch, granted, True)]
         actions: list[ReplicaAction] = []
         if message.epoch > self.epoch:
-            actions.extend(self._follow(message.epoch, "", now))
+            actions.extend(self._become_follower(message.epoch, "", now))
         granted = up_to_date and self.voted_for in ("", message.sender)
         if granted:
             self.voted_for = message.sender
@@ -324,7 +326,7 @@
         actions.append(self._vote_response(message.sender, self.epoch, granted, False))
         return actions
 
-    def _goes_first(self, message: ReplicaMessage) -> bool:
+    def _wins_tie(self, message: ReplicaMessage) -> bool:
         """Whether of two that stand at the same moment with equal logs it is we who go on.
 
         Else both would vote for themselves and lose another election's time.
@@ -338,7 +340,7 @@
         response = VoteResponse(granted=granted, pre_vote=pre_vote)
         return Send(self._message(target, epoch, vote_response=response), after_persist=True)
 
-    def _vote_received(self, message: ReplicaMessage, now: float) -> list[ReplicaAction]:
+    def _handle_vote_response(self, message: ReplicaMessage, now: float) -> list[ReplicaAction]:
         response = message.vote_response
         wanted = Role.PRE_CANDIDATE if response.pre_vote else Role.CANDIDATE
         expected_epoch = self.epoch + 1 if response.pre_vote else self.epoch
@@ -347,13 +349,13 @@
         self._votes.add(message.sender)
         if not self._has_majority(self._votes):
             return []
-        return self._start_election(now) if response.pre_vote else self._lead(now)
+        return self._start_election(now) if response.pre_vote else self._become_leader(now)
 
     def _has_majority(self, identities: set[str]) -> bool:
         voters = self.replica_set.voters
         return len(identities.intersection(voters)) > len(voters) // 2
 
-    def _follow(self, epoch: int, leader: str, now: float) -> list[ReplicaAction]:
+    def _become_follower(self, epoch: int, leader: str, now: float) -> list[ReplicaAction]:
         actions: list[ReplicaAction] = []
         if self.role is Role.LEADER:
             actions.append(RoleChanged(Role.FOLLOWER))
@@ -364,21 +366,23 @@
         self.role = Role.FOLLOWER
         self.leader = leader
         if leader:
-            self._deposed = ""
+            self._previous_leader = ""
         self._reset_election(now)
         return actions
 
-    def _lead(self, now: float) -> list[ReplicaAction]:
+    def _become_leader(self, now: float) -> list[ReplicaAction]:
         self.role = Role.LEADER
         self.leader = self.identity
         self._round_sent_at = {}
-        self._policy.restart()
+        self._policy.reset()
         self._progress = {
             # A majority has not heard the predecessor for an election's time: it is not waited for
             # again before it is dropped from the in-sync set.
             peer: Progress(
                 next_index=self.last_index + 1,
-                heard_at=now - 2 * IN_SYNC_TIMEOUT_S if peer == self._deposed else now,
+                last_contact_at=now - 2 * IN_SYNC_TIMEOUT_S
+                if peer == self._previous_leader
+                else now,
             )
             for peer in self.replica_set.voters
             if peer != self.identity
@@ -386,10 +390,10 @@
         self._epoch_start_index = self.last_index + 1
         noop = Command(noop=Noop()).SerializeToString()
         entry = LogEntry(index=self._epoch_start_index, epoch=self.epoch, command=noop)
-        actions: list[ReplicaAction] = [RoleChanged(Role.LEADER), *self._append_own([entry])]
+        actions: list[ReplicaAction] = [RoleChanged(Role.LEADER), *self._append_entries([entry])]
         return actions + self._replicate_all(now)
 
-    def recover_alone(self, now: float) -> list[ReplicaAction]:
+    def recover_as_sole_voter(self, now: float) -> list[ReplicaAction]:
         """Go on as the only voter, by an operator's word that the other disks are lost for good.
 
         The repair then adds spares. Whether this replica was in sync to the end is not known here;
@@ -400,16 +404,16 @@
         alone = ReplicaSet(voters=[self.identity], in_sync=[self.identity])
         command = Command(replica_set=alone).SerializeToString()
         entry = LogEntry(index=self.last_index + 1, epoch=self.epoch, command=command)
-        actions = self._append_own([entry])
-        return actions + self._lead(now)
+        actions = self._append_entries([entry])
+        return actions + self._become_leader(now)
 
     def step_down(self, now: float) -> list[ReplicaAction]:
         """Give up leadership for a planned stop and ask the most advanced peer to campaign."""
         if self.role is not Role.LEADER:
             return []
         heirs = [peer for peer in self.replica_set.in_sync if peer in self._progress]
-        actions = self._follow(self.epoch, "", now)
-        self._election_at = now + 10 * ELECTION_MIN_S
+        actions = self._become_follower(self.epoch, "", now)
+        self._election_due_at = now + 10 * MIN_ELECTION_TIMEOUT_S
         if heirs:
             heir = max(heirs, key=lambda peer: self._progress[peer].match_index)
             actions.append(Send(self._message(heir, self.epoch, campaign_now=CampaignNow())))
@@ -417,7 +421,7 @@
 
     # ---- log ----
 
-    def _append_own(self, entries: list[LogEntry]) -> list[ReplicaAction]:
+    def _append_entries(self, entries: list[LogEntry]) -> list[ReplicaAction]:
         self._extend_log(entries)
         return [self._persist(tuple(entries))]
 
@@ -425,28 +429,28 @@
         for entry in entries:
             self.log.append(entry)
             self._log_bytes += len(entry.command)
-            self._note_set(entry)
+            self._record_replica_set(entry)
 
-    def _note_set(self, entry: LogEntry) -> None:
+    def _record_replica_set(self, entry: LogEntry) -> None:
         # The command's first bytes tell its kind; parsing megabytes of results here would double
         # the processor time of an entry.
         if len(entry.command) > 4096:
             return
         command = Command.FromString(entry.command)
         if command.WhichOneof("body") == "replica_set":
-            self._sets.append((entry.index, command.replica_set))
+            self._replica_sets.append((entry.index, command.replica_set))
 
     def _rebuild_sets(self) -> None:
-        self._sets = []
+        self._replica_sets = []
         for entry in self.log:
-            self._note_set(entry)
+            self._record_replica_set(entry)
 
     def _truncate_from(self, index: int) -> None:
         del self.log[index - self.base_index - 1 :]
         self._persisted_index = min(self._persisted_index, index - 1)
         self._log_bytes = sum(len(entry.command) for entry in self.log)
-        while self._sets and self._sets[-1][0] >= index:
-            self._sets.pop()
+        while self._replica_sets and self._replica_sets[-1][0] >= index:
+            self._replica_sets.pop()
 
     def _epoch_at(self, index: int) -> int | None:
         if index == self.base_index:
@@ -459,14 +463,14 @@
 
     # ---- following ----
 
-    def _append_requested(self, message: ReplicaMessage, now: float) -> list[ReplicaAction]:
+    def _handle_append_request(self, message: ReplicaMessage, now: float) -> list[ReplicaAction]:
         request = message.append_request
         if message.epoch < self.epoch:
             return [self._append_response(message.sender, False, self.last_index, request.round)]
         actions: list[ReplicaAction] = []
         if self.role is not Role.FOLLOWER or self.leader != message.sender:
-            actions.extend(self._follow(message.epoch, message.sender, now))
-        self._heard_leader_at = now
+            actions.extend(self._become_follower(message.epoch, message.sender, now))
+        self._last_leader_contact_at = now
         self._reset_election(now)
         if self.installing:
             # Answer all the same: a leader that hears nobody steps down and begins it anew.
@@ -520,7 +524,7 @@
         return [Apply(entries), *self._compact()]
 
     def _compact(self) -> list[ReplicaAction]:
-        if len(self.log) <= self.most_log_entries and self._log_bytes <= MOST_LOG_BYTES:
+        if len(self.log) <= self.max_log_entries and self._log_bytes <= MAX_LOG_BYTES:
             return []
         keep_from = self.commit_index
         if self.role is Role.LEADER:
@@ -531,8 +535,8 @@
             return []
         index = self.base_index + drop
         self.base_epoch = self.log[drop - 1].epoch
-        while self._sets and self._sets[0][0] <= index:
-            self.base_set = self._sets.pop(0)[1]
+        while self._replica_sets and self._replica_sets[0][0] <= index:
+            self.base_set = self._replica_sets.pop(0)[1]
         self._log_bytes -= sum(len(entry.command) for entry in self.log[:drop])
         del self.log[:drop]
         self.base_index = index
@@ -542,9 +546,9 @@
 
     def _leader_tick(self, now: float) -> list[ReplicaAction]:
         if self._lost_quorum(now):
-            return self._follow(self.epoch, "", now)
+            return self._become_follower(self.epoch, "", now)
         actions = self._apply_policy(now)
-        if now - self._last_heartbeat >= HEARTBEAT_S:
+        if now - self._last_heartbeat_at >= HEARTBEAT_INTERVAL_S:
             actions.extend(self._replicate_all(now, heartbeat=True))
         return actions
 
@@ -553,11 +557,11 @@
         heard = {
             peer
             for peer, progress in self._progress.items()
-            if now - progress.heard_at < 2 * ELECTION_MIN_S
+            if now - progress.last_contact_at < 2 * MIN_ELECTION_TIMEOUT_S
         }
         return not self._has_majority(heard | {self.identity}) and len(voters) > 1
 
-    def _quorum_contact(self) -> float:
+    def _last_quorum_contact_at(self) -> float:
         """Latest time by whose sent round a majority had answered."""
         voters = self.replica_set.voters
         needed = len(voters) // 2 + 1 - (1 if self.identity in voters else 0)
@@ -575,7 +579,7 @@
         if len(self._round_sent_at) > 512:
             self._round_sent_at.pop(next(iter(self._round_sent_at)))
         if heartbeat:
-            self._last_heartbeat = now
+            self._last_heartbeat_at = now
         actions: list[ReplicaAction] = []
         for peer in self._progress:
             actions.extend(self._replicate(peer, now, heartbeat))
@@ -583,11 +587,11 @@
 
     def _replicate(self, peer: str, now: float, heartbeat: bool = False) -> list[ReplicaAction]:
         progress = self._progress[peer]
-        if progress.in_flight and now - progress.sent_at > RESEND_S:
+        if progress.in_flight and now - progress.sent_at > RESEND_TIMEOUT_S:
             # Back to what was sent last, not to the last acknowledged index: a new leader knows no
             # acknowledgement yet, and would begin a snapshot that empties a replica in sync.
             progress.in_flight = False
-            progress.next_index = min(progress.next_index, progress.sent_from)
+            progress.next_index = min(progress.next_index, progress.in_flight_from)
         if progress.snapshot_running:
             return [self._append(peer, self.last_index, ())] if heartbeat else []
         if peer in self.replica_set.in_sync:
@@ -606,7 +610,7 @@
         if entries:
             progress.in_flight = True
             progress.sent_at = now
-            progress.sent_from = progress.next_index
+            progress.in_flight_from = progress.next_index
             progress.next_index = entries[-1].index + 1
         return [self._append(peer, previous, entries)]
 
@@ -614,9 +618,9 @@
         start = index - self.base_index - 1
         taken: list[LogEntry] = []
         total = 0
-        for entry in self.log[start : start + MOST_ENTRIES_A_MESSAGE]:
+        for entry in self.log[start : start + MAX_ENTRIES_PER_MESSAGE]:
             total += len(entry.command)
-            if taken and total > MOST_BYTES_A_MESSAGE:
+            if taken and total > MAX_BYTES_PER_MESSAGE:
                 break
             taken.append(entry)
         return tuple(taken)
@@ -632,12 +636,12 @@
         # The leader writes its own copy while the followers write theirs (Raft thesis 10.2.1).
         return Send(self._message(peer, self.epoch, append_request=request))
 
-    def _append_answered(self, message: ReplicaMessage, now: float) -> list[ReplicaAction]:
+    def _handle_append_response(self, message: ReplicaMessage, now: float) -> list[ReplicaAction]:
         progress = self._progress.get(message.sender)
         if self.role is not Role.LEADER or message.epoch != self.epoch or progress is None:
             return []
         response = message.append_response
-        progress.heard_at = now
+        progress.last_contact_at = now
         sent_at = self._round_sent_at.get(response.round, -1.0)
         progress.acknowledged_round_sent_at = max(progress.acknowledged_round_sent_at, sent_at)
         if not response.accepted:
@@ -649,25 +653,25 @@
             progress.in_flight = False
             progress.next_index = progress.match_index + 1
         actions = self._advance_commit(now)
-        actions.extend(self._grow_in_sync(message.sender, now))
+        actions.extend(self._admit_to_in_sync(message.sender, now))
         actions.extend(self._replicate(message.sender, now))
         return actions
 
     def _advance_commit(self, now: float) -> list[ReplicaAction]:
-        index = self._commitable_index()
+        index = self._committable_index()
         if index <= self.commit_index or self._epoch_at(index) != self.epoch:
             return []
         actions = self._commit_to(index)
         if self.identity not in self.replica_set.voters and index >= self.replica_set_index:
-            actions.extend(self._follow(self.epoch, "", now))
+            actions.extend(self._become_follower(self.epoch, "", now))
         return actions
 
-    def _commitable_index(self) -> int:
+    def _committable_index(self) -> int:
         replica_set = self.replica_set
         matches = {peer: progress.match_index for peer, progress in self._progress.items()}
         matches[self.identity] = self._persisted_index
         in_sync = [matches.get(peer, 0) for peer in replica_set.in_sync]
-        if len(in_sync) < min(FEWEST_COPIES, len(replica_set.voters)):
+        if len(in_sync) < min(MIN_COPIES, len(replica_set.voters)):
             return 0
         by_voter = sorted((matches.get(peer, 0) for peer in replica_set.voters), reverse=True)
         majority_match = by_voter[len(by_voter) // 2]
@@ -675,7 +679,7 @@
 
     # ---- in-sync set and repair ----
 
-    def _set_settled(self) -> bool:
+    def _is_set_settled(self) -> bool:
         """Whether the newest replica set is committed, and something of this epoch, too."""
         settled = self.commit_index >= self.replica_set_index
         return settled and self.commit_index >= self._epoch_start_index
@@ -690,18 +694,20 @@
     def _apply_policy(self, now: float) -> list[ReplicaAction]:
         """Change the replica set if the policy says so, and feed a learner it chose."""
         decision = self._policy.decide(self._view(), now)
-        for gone in decision.forget:
+        for gone in decision.dropped_peers:
             self._progress.pop(gone, None)
         if decision.learner is not None:
-            self._progress[decision.learner] = Progress(self.last_index + 1, heard_at=now)
+            self._progress[decision.learner] = Progress(self.last_index + 1, last_contact_at=now)
             return self._replicate(decision.learner, now, heartbeat=True)
         return self._change_set(decision.next_set, now)
 
-    def _grow_in_sync(self, peer: str, now: float) -> list[ReplicaAction]:
+    def _admit_to_in_sync(self, peer: str, now: float) -> list[ReplicaAction]:
         return self._change_set(self._policy.admit(self._view(), peer), now)
 
     def _view(self) -> LeaderView:
-        return LeaderView(self.replica_set, self._progress, self.commit_index, self._set_settled())
+        return LeaderView(
+            self.replica_set, self._progress, self.commit_index, self._is_set_settled()
+        )
 
     def _message(
         self,
--- a/src/wharfcart/storage/replica_links.py
+++ b/src/wharfcart/storage/replica_links.py
@@ -29,7 +29,7 @@
         self._group = group
         self._disk = disk
 
-    async def may_elect(self) -> bool:
+    async def grants_pre_vote(self) -> bool:
         """A replica agrees with itself."""
         return True
 
@@ -65,7 +65,7 @@
         """The disk is here."""
         return 0.0
 
-    def drop(self) -> None:
+    def drop_connection(self) -> None:
         """There is no connection."""
 
 
@@ -77,16 +77,16 @@
         group: int,
         leader: str,
         target: str,
-        address: Callable[[str], Address | None],
+        address_of: Callable[[str], Address | None],
         transport: Transport,
     ) -> None:
         self._group = group
         self._leader = leader
         self._target = target
-        self._address = address
+        self._address_of = address_of
         self._transport = transport
 
-    async def may_elect(self) -> bool:
+    async def grants_pre_vote(self) -> bool:
         """Ask whether the replica hears no leader."""
         message = FenceGroup(group=self._group, target=self._target, ask_only=True)
         return (await self._call(Frame(fence_group=message))).fence_result.granted
@@ -98,7 +98,7 @@
         )
         answer = (await self._call(Frame(fence_group=message))).fence_result
         if not answer.granted:
-            raise self._refusal(answer.epoch, epoch)
+            raise self._refusal_error(answer.epoch, epoch)
         return [state_from_message(digest) for digest in answer.jobs]
 
     async def replicate(
@@ -115,7 +115,7 @@
         )
         answer = (await self._call(Frame(replicate_jobs=message))).replicate_result
         if not answer.accepted:
-            raise self._refusal(answer.epoch, epoch)
+            raise self._refusal_error(answer.epoch, epoch)
 
     async def fetch(self, job_ids: Sequence[str]) -> list[JobUpdate]:
         """Return whole records."""
@@ -125,22 +125,22 @@
 
     def round_trip_s(self) -> float:
         """Return the least time that a message there and back took lately."""
-        address = self._address(self._target)
+        address = self._address_of(self._target)
         return 0.0 if address is None else self._transport.round_trip_s(address)
 
-    def drop(self) -> None:
+    def drop_connection(self) -> None:
         """Leave the connection, which may have died without a word."""
-        address = self._address(self._target)
+        address = self._address_of(self._target)
         if address is not None:
             self._transport.drop(address)
 
-    def _refusal(self, promised: int, epoch: int) -> Exception:
+    def _refusal_error(self, promised: int, epoch: int) -> Exception:
         if promised > epoch:
             return HigherEpochError(promised)
         return ReplicaFailedError("replica refused: disk or identity")
 
     async def _call(self, frame: Frame) -> Frame:
-        address = self._address(self._target)
+        address = self._address_of(self._target)
         if address is None:
             raise ReplicaFailedError("no address: the disk is gone")
         try:
--- a/src/wharfcart/storage/replica_session.py
+++ b/src/wharfcart/storage/replica_session.py
@@ -15,12 +15,12 @@
 from wharfcart.storage.job_records import JobState
 from wharfcart.storage.partial_texts import PartialTexts, SentOffsets
 
-HEARTBEAT_S = 0.15
+HEARTBEAT_INTERVAL_S = 0.15
 # A heartbeat that was lost is followed by another one within the replica's patience. The round trip
 # that was observed to the replica comes on top.
 HEARTBEAT_TIMEOUT_S = 0.2
-MOST_SILENCE_S = 0.9
-RETRY_S = 0.25
+MAX_UNRESPONSIVE_S = 0.9
+RETRY_DELAY_S = 0.25
 
 
 class ReplicaFailedError(Exception):
@@ -41,7 +41,7 @@
     Every method raises ReplicaFailedError or HigherEpochError.
     """
 
-    async def may_elect(self) -> bool:
+    async def grants_pre_vote(self) -> bool:
         """Ask whether the replica hears no leader."""
         ...
 
@@ -63,7 +63,7 @@
         """Return the least time that a message there and back took lately; 0 if unknown."""
         ...
 
-    def drop(self) -> None:
+    def drop_connection(self) -> None:
         """Leave the connection, which may have died without a word; the next call makes one."""
         ...
 
@@ -78,34 +78,34 @@
         leadership: JobLeadership,
         partial_texts: PartialTexts,
         on_progress: Callable[[], None],
-        on_deposed: Callable[[int], None],
+        on_higher_epoch: Callable[[int], None],
         log: DecisionLog,
     ) -> None:
         self.identity = identity
         self._link = link
         self._leadership = leadership
         self._partial_texts = partial_texts
-        self._sent_parts = SentOffsets()
+        self._sent_offsets = SentOffsets()
         self._on_progress = on_progress
-        self._on_deposed = on_deposed
+        self._on_higher_epoch = on_higher_epoch
         self._log = log
-        self._work = asyncio.Event()
-        self._joined = False
+        self._wake_event = asyncio.Event()
+        self._has_promised = False
         self._failing = False
         self.confirmed_at = -1e9  # send time of the last message that the replica acknowledged
         self.started_at = monotonic()
 
     def wake(self) -> None:
         """Tell that there may be something to write."""
-        self._work.set()
+        self._wake_event.set()
 
-    def joined(self, states: Sequence[JobState], asked_at: float) -> None:
+    def record_promise(self, states: Sequence[JobState], requested_at: float) -> None:
         """Note a promise that was obtained before this session began."""
         self._leadership.add_replica(self.identity, states)
-        self._joined = True
-        self.confirmed_at = asked_at
+        self._has_promised = True
+        self.confirmed_at = requested_at
 
-    def silent_s(self, now: float) -> float:
+    def unresponsive_s(self, now: float) -> float:
         """Seconds since the replica's last sign of life, or since the session began."""
         return now - max(self.confirmed_at, self.started_at)
 
@@ -115,67 +115,67 @@
             try:
                 await self._step()
             except HigherEpochError as error:
-                self._on_deposed(error.epoch)
+                self._on_higher_epoch(error.epoch)
                 return
             except ReplicaFailedError as error:
-                self._note_failure(str(error))
-                self._joined = False
-                self._sent_parts = SentOffsets()
+                self._log_failure(str(error))
+                self._has_promised = False
+                self._sent_offsets = SentOffsets()
                 self._leadership.remove_replica(self.identity)
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(RETRY_DELAY_S)
 
     async def _step(self) -> None:
         epoch = self._leadership.epoch
         sent_at = monotonic()
-        if not self._joined:
-            self.joined(await self._link.fence(epoch), sent_at)
+        if not self._has_promised:
+            self.record_promise(await self._link.fence(epoch), sent_at)
             self._on_progress()
             return
-        self._work.clear()
+        self._wake_event.clear()
         updates = self._leadership.updates_for(self.identity)
         if not updates:
-            if await _within(self._work.wait(), HEARTBEAT_S):
+            if await _completes_within(self._wake_event.wait(), HEARTBEAT_INTERVAL_S):
                 return
             sent_at = monotonic()
-        texts = self._partial_texts.take_unsent(self._sent_parts)
+        texts = self._partial_texts.take_unsent(self._sent_offsets)
         if not updates:
             timeout_s = HEARTBEAT_TIMEOUT_S + self._link.round_trip_s()
-            if not await _within(self._link.replicate(epoch, [], texts), timeout_s):
-                self._note_missed_heartbeat()
+            if not await _completes_within(self._link.replicate(epoch, [], texts), timeout_s):
+                self._handle_missed_heartbeat()
                 return
         else:
             await self._link.replicate(epoch, updates, texts)
         self.confirmed_at = sent_at
-        self._note_success()
+        self._log_recovery()
         self._leadership.record_written(self.identity, updates)
         if updates:
             self._on_progress()
 
-    def _note_missed_heartbeat(self) -> None:
+    def _handle_missed_heartbeat(self) -> None:
         """Try again at once, before the replica takes its leader for lost.
 
         Raises:
             ReplicaFailedError: it has been silent for too long.
         """
-        self._sent_parts = SentOffsets()
-        if self.silent_s(monotonic()) > MOST_SILENCE_S:
-            self._link.drop()
+        self._sent_offsets = SentOffsets()
+        if self.unresponsive_s(monotonic()) > MAX_UNRESPONSIVE_S:
+            self._link.drop_connection()
             raise ReplicaFailedError("no answer in time")
 
-    def _note_failure(self, reason: str) -> None:
+    def _log_failure(self, reason: str) -> None:
         if not self._failing:
             self._failing = True
             self._log.write(Event.REPLICA_FAILED, replica=self.identity, reason=reason)
 
-    def _note_success(self) -> None:
+    def _log_recovery(self) -> None:
         if self._failing:
             self._failing = False
             self._log.write(Event.REPLICA_SYNCED, replica=self.identity)
 
 
-async def _within(work: Awaitable[object], seconds: float) -> bool:
+async def _completes_within(work: Awaitable[object], timeout_s: float) -> bool:
     try:
-        async with asyncio.timeout(seconds):
+        async with asyncio.timeout(timeout_s):
             await work
     except TimeoutError:
         return False
--- a/src/wharfcart/storage/replica_set_change.py
+++ b/src/wharfcart/storage/replica_set_change.py
@@ -19,13 +19,13 @@
     from wharfcart.storage.group_context import GroupContext
     from wharfcart.storage.job_group import JobGroup
 
-PERIOD_S = 0.25
-DEAD_S = 1.5
+CHECK_INTERVAL_S = 0.25
+DEAD_AFTER_S = 1.5
 CHANGE_TIMEOUT_S = 4.0
-SETTLE_S = 1.0
+STRAGGLER_WAIT_S = 1.0
 # A node that restarts is back within this time; moving a replica or the leadership costs more than
 # serving from afar for so long.
-QUIET_S = 5.0
+REBALANCE_DELAY_S = 5.0
 
 
 class ReplicaSetChanger:
@@ -34,25 +34,25 @@
     def __init__(self, group: "JobGroup", context: "GroupContext") -> None:
         self._group = group
         self._context = context
-        self._doubtful: frozenset[str] | None = None
-        self._quiet_since = monotonic()
-        self._told_shortfalls: list[str] = []
+        self._in_doubt_target: frozenset[str] | None = None
+        self._stable_since = monotonic()
+        self._logged_shortfalls: list[str] = []
 
     async def run(self) -> None:
         """Keep the set as it should be, until cancelled."""
         while True:
-            await asyncio.sleep(PERIOD_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             leadership = self._group.leadership
             if leadership is None:
                 return
-            self._tell_shortfalls(leadership.members)
+            self._log_shortfalls(leadership.members)
             # A swap in doubt may take effect as long as nothing else has: it is settled first.
-            target = self._doubtful or self._wanted_set(await self._live_spares())
-            if self._doubtful is None and target in (None, leadership.members):
-                target = await self._moved_closer()
-            self._leave_outsiders()
+            target = self._in_doubt_target or self._repaired_set(await self._live_spares())
+            if self._in_doubt_target is None and target in (None, leadership.members):
+                target = await self._rebalanced_set()
+            self._close_ineligible_sessions()
             if target is not None and target != leadership.members and self._may_change_to(target):
-                self._quiet_since = monotonic()
+                self._stable_since = monotonic()
                 await self._change_to(target)
 
     async def _live_spares(self) -> list[str]:
@@ -74,7 +74,7 @@
             return []
         return await self._group.responsive_disks(outside)
 
-    def _wanted_set(self, spares: list[str]) -> frozenset[str] | None:
+    def _repaired_set(self, spares: list[str]) -> frozenset[str] | None:
         leadership = self._group.leadership
         if leadership is None:
             return None
@@ -85,15 +85,15 @@
         wanted = self._group.placement.repaired_members(alive, dead, spares)
         return wanted if len(wanted) >= leadership.write_quorum else None
 
-    async def _moved_closer(self) -> frozenset[str] | None:
+    async def _rebalanced_set(self) -> frozenset[str] | None:
         """Return the set after one exchange, or hand over, if that brings the group nearer home."""
         leadership = self._group.leadership
-        if leadership is None or monotonic() - self._quiet_since < QUIET_S:
+        if leadership is None or monotonic() - self._stable_since < REBALANCE_DELAY_S:
             return None
         if any(map(self._is_dead, leadership.members)):
-            self._quiet_since = monotonic()
+            self._stable_since = monotonic()
             return None
-        if await self._hand_over_home():
+        if await self._transfer_to_own_region():
             return None
         spread = self._group.placement
         known = (
@@ -105,11 +105,11 @@
             return None
         leaving, joining = exchange
         if not await self._group.responsive_disks([joining]):
-            self._quiet_since = monotonic()
+            self._stable_since = monotonic()
             return None
         return leadership.members - {leaving} | {joining}
 
-    async def _hand_over_home(self) -> bool:
+    async def _transfer_to_own_region(self) -> bool:
         """Hand over to a replica in the group's region if this node is in another one."""
         leadership = self._group.leadership
         spread = self._group.placement
@@ -122,16 +122,16 @@
         ]
         if not heirs:
             return False
-        self._quiet_since = monotonic()
+        self._stable_since = monotonic()
         await self._group.transfer_leadership(heirs[0])
         return True
 
-    def _tell_shortfalls(self, members: frozenset[str]) -> None:
+    def _log_shortfalls(self, members: frozenset[str]) -> None:
         """Log what the set can't bear of what the fleet promises, once a change."""
         shortfalls = self._group.placement.shortfalls(members)
-        if shortfalls == self._told_shortfalls:
+        if shortfalls == self._logged_shortfalls:
             return
-        self._told_shortfalls = shortfalls
+        self._logged_shortfalls = shortfalls
         self._context.log.write(
             Event.TOLERANCE_SHORT,
             group=self._group.group,
@@ -149,9 +149,9 @@
         if leadership is None:
             return False
         joining = target - leadership.members
-        return target == self._doubtful or all(map(self._group.may_hold, joining))
+        return target == self._in_doubt_target or all(map(self._group.may_hold, joining))
 
-    def _leave_outsiders(self) -> None:
+    def _close_ineligible_sessions(self) -> None:
         """Leave spares that did not catch up in time and may not hold what has come since."""
         leadership = self._group.leadership
         if leadership is None:
@@ -168,7 +168,7 @@
         if identity not in self._context.known_addresses():
             return True
         session = self._group.sessions.get(identity)
-        return session is not None and session.silent_s(monotonic()) > DEAD_S
+        return session is not None and session.unresponsive_s(monotonic()) > DEAD_AFTER_S
 
     async def _change_to(self, target: frozenset[str]) -> None:
         leadership = self._group.leadership
@@ -177,8 +177,8 @@
         leadership.begin_set_change(target)
         for identity in target:
             self._group.open_session(identity)
-        if not await self._caught_up(target):
-            if self._doubtful is None:
+        if not await self._wait_until_caught_up(target):
+            if self._in_doubt_target is None:
                 leadership.begin_set_change(None)
             return
         try:
@@ -186,15 +186,15 @@
                 leadership.epoch, target, self._leader_for(target)
             )
         except RecordInDoubtError:
-            self._doubtful = target
+            self._in_doubt_target = target
             return
         if record is None:
             return
-        self._doubtful = None
+        self._in_doubt_target = None
         if record.epoch != leadership.epoch:
             return  # the group follows another leader now
         leadership.finish_set_change(record.members)
-        self._close_sessions(record.members)
+        self._close_other_sessions(record.members)
         self._context.log.write(
             Event.REPLICA_SET_CHANGED,
             group=self._group.group,
@@ -204,7 +204,7 @@
         )
         self._group.notify_progress()
 
-    async def _caught_up(self, target: frozenset[str]) -> bool:
+    async def _wait_until_caught_up(self, target: frozenset[str]) -> bool:
         """Wait until the new set has everything; its slowest disk is waited for only a while."""
         leadership = self._group.leadership
         assert leadership is not None
@@ -212,9 +212,9 @@
         while monotonic() - began_at < CHANGE_TIMEOUT_S:
             safe = leadership.is_set_change_safe()
             all_there = not any(leadership.is_behind(identity) for identity in target)
-            if safe and (all_there or monotonic() - began_at > SETTLE_S):
+            if safe and (all_there or monotonic() - began_at > STRAGGLER_WAIT_S):
                 return True
-            await self._group.wait_for_progress(PERIOD_S)
+            await self._group.wait_for_progress(CHECK_INTERVAL_S)
         return False
 
     def _leader_for(self, target: frozenset[str]) -> str:
@@ -226,7 +226,7 @@
         caught_up = [identity for identity in ranked if not leadership.is_behind(identity)]
         return (caught_up or ranked)[0]
 
-    def _close_sessions(self, members: frozenset[str]) -> None:
+    def _close_other_sessions(self, members: frozenset[str]) -> None:
         leadership = self._group.leadership
         for identity in list(self._group.sessions):
             if identity not in members:
--- a/src/wharfcart/storage/shard.py
+++ b/src/wharfcart/storage/shard.py
@@ -19,7 +19,7 @@
     SnapshotResponse,
 )
 from wharfcart.cluster.randomness import RandomSource
-from wharfcart.storage.replica import MOST_LOG_ENTRIES, NotLeaderError, Replica
+from wharfcart.storage.replica import MAX_LOG_ENTRIES, NotLeaderError, Replica
 from wharfcart.storage.replica_actions import (
     Apply,
     CompactLog,
@@ -105,7 +105,7 @@
         identity: str,
         random: RandomSource,
         now: float,
-        most_log_entries: int = MOST_LOG_ENTRIES,
+        most_log_entries: int = MAX_LOG_ENTRIES,
     ) -> None:
         self.number = record.shard
         self.replica = Replica(
@@ -121,7 +121,7 @@
             base_epoch=record.base_epoch,
             commit_index=record.applied_index,
             installing=record.installing,
-            most_log_entries=most_log_entries,
+            max_log_entries=most_log_entries,
         )
         self.state = ShardState()
         self.state.load(rows, record.applied_index)
@@ -193,11 +193,11 @@
 
     def storage_members(self, live: dict[str, str], leaving: set[str], now: float) -> None:
         """Note which storage identities are live, identity to zone, and which are leaving."""
-        self._carry_out(self.replica.storage_members(live, leaving, now))
+        self._carry_out(self.replica.update_storage_members(live, leaving, now))
 
     def recover_alone(self, now: float) -> None:
         """Go on as the only voter, by an operator's word."""
-        self._carry_out(self.replica.recover_alone(now))
+        self._carry_out(self.replica.recover_as_sole_voter(now))
 
     def step_down(self, now: float) -> None:
         """Give up leadership for a planned stop."""
--- a/tests/storage/test_journal_simulation.py
+++ b/tests/storage/test_journal_simulation.py
@@ -54,7 +54,7 @@
         output.send_now.extend(output.send_after_write)
         output.send_after_write = []
         if output.written_mark is not None:
-            self.written(output.written_mark, self.replica._heard_leader_at)
+            self.written(output.written_mark, self.replica._last_leader_contact_at)
             output.written_mark = None
         return output
 
@@ -72,17 +72,17 @@
     def commitable(self: Replica) -> int:
         return self._persisted_index
 
-    return patch.object(Replica, "_commitable_index", commitable)
+    return patch.object(Replica, "_committable_index", commitable)
 
 
 def _vote_for_a_shorter_log() -> Any:
-    original = Replica._vote_requested
+    original = Replica._handle_vote_request
 
     def vote_requested(self: Replica, message: ReplicaMessage, now: float) -> Any:
         message.vote_request.last_epoch = self.last_epoch + 1
         return original(self, message, now)
 
-    return patch.object(Replica, "_vote_requested", vote_requested)
+    return patch.object(Replica, "_handle_vote_request", vote_requested)
 
 
 def _lease_for_ever() -> Any:
--- a/tests/storage/test_replica_set_policy.py
+++ b/tests/storage/test_replica_set_policy.py
@@ -19,7 +19,7 @@
         peer: Progress(
             next_index=COMMITTED + 1,
             match_index=COMMITTED if peer in caught_up else 0,
-            heard_at=NOW if peer in answering else NOW - 2 * IN_SYNC_TIMEOUT_S,
+            last_contact_at=NOW if peer in answering else NOW - 2 * IN_SYNC_TIMEOUT_S,
         )
         for peer in "bcdef"
         if peer in voters + answering
@@ -52,11 +52,11 @@
     view = _view("abc", "ab", "bd")
     assert policy.decide(view, NOW) == policy.decide(view, NOW)
     later = NOW + REPAIR_DELAY_S + 0.1
-    view.progress["b"].heard_at = view.progress["d"].heard_at = later
+    view.progress["b"].last_contact_at = view.progress["d"].last_contact_at = later
     assert policy.decide(view, later).learner == "d"
     removed = policy.decide(view, later)
     assert removed.next_set is not None and list(removed.next_set.voters) == ["a", "b"]
-    assert removed.forget == ("c",)
+    assert removed.dropped_peers == ("c",)
     added = policy.decide(_view("ab", "ab", "bd"), NOW)
     assert added.next_set is not None and list(added.next_set.voters) == ["a", "b", "d"]
 
@@ -66,7 +66,7 @@
     policy.leaving = {"c"}
     view = _view("abc", "ab", "bd")
     for seconds in (0.0, REPAIR_DELAY_S + 1):
-        view.progress["b"].heard_at = NOW + seconds
+        view.progress["b"].last_contact_at = NOW + seconds
         assert policy.decide(view, NOW + seconds).learner is None
 
 
@@ -75,7 +75,7 @@
     policy = _policy("ax")
     assert policy.decide(_view("a", "a", ""), NOW).learner == "x"
     policy.live = {"a": "zone-a", "d": "zone-d"}
-    assert policy.decide(_view("a", "a", ""), NOW).forget == ("x",)
+    assert policy.decide(_view("a", "a", ""), NOW).dropped_peers == ("x",)
     assert policy.decide(_view("a", "a", ""), NOW).learner == "d"
 
 
