--- a/benchmarks/capacity_slopes.py
+++ b/benchmarks/capacity_slopes.py
@@ -29,7 +29,7 @@
 from wharfcart.configuration.validation import load_document
 from wharfcart.experiments.example_fleets import Profile, example_document
 from wharfcart.routing.router import Backend, BackendKind, Router
-from wharfcart.storage.shard_state import Job, ShardState
+from wharfcart.storage.shard_state import BatchJob, ShardState
 
 SERVERS = 1100
 TENANTS = 270
@@ -111,7 +111,7 @@
         for number in range(JOBS_A_SHARD):
             create = JobCreate(job_id=f"job-{number}", tenant=f"t{number % 40}", deadline_ms=number)
             record = JobRecord(create=create, rows=ITEMS_A_JOB, service_names=["s"])
-            job = Job(record, bytearray(ITEMS_A_JOB), bytes(ITEMS_A_JOB))
+            job = BatchJob(record, bytearray(ITEMS_A_JOB), bytes(ITEMS_A_JOB))
             state.jobs[f"job-{number}"] = job
         return state
 
--- a/benchmarks/journal_throughput.py
+++ b/benchmarks/journal_throughput.py
@@ -25,8 +25,8 @@
     JobCreate,
     ReplicaMessage,
 )
-from wharfcart.storage.database import Database
 from wharfcart.storage.journal import Journal
+from wharfcart.storage.journal_database import Database
 
 RESULT_BYTES = 1000
 ITEMS_AN_ENTRY = 64
--- a/benchmarks/leader_failover.py
+++ b/benchmarks/leader_failover.py
@@ -19,7 +19,7 @@
 def seconds_without_leader(seed: int) -> float:
     simulation = JournalSimulation(seed, QUIET)
     simulation.run_until(KILL_AT_S)
-    leader = next(m for m in simulation.machines if m.shard is not None and m.shard.leads)
+    leader = next(m for m in simulation.machines if m.shard is not None and m.shard.is_leader)
     simulation.crash(leader)
     while simulation.now < KILL_AT_S + LONGEST_S:
         simulation.run_until(simulation.now + STEP_S)
--- a/src/wharfcart/batch/files.py
+++ b/src/wharfcart/batch/files.py
@@ -11,7 +11,7 @@
 from wharfcart.cluster.messages_pb2 import Command, FileAppend, FileRecord, FileSeal
 from wharfcart.configuration.schema import TemplateKind
 from wharfcart.configuration.services import Service
-from wharfcart.storage.client import JournalClient
+from wharfcart.storage.journal_client import JournalClient
 
 LINES_AN_APPEND = 256
 BYTES_AN_APPEND = 1024 * 1024
--- a/src/wharfcart/batch/held_leases.py
+++ b/src/wharfcart/batch/held_leases.py
@@ -16,7 +16,7 @@
     LeasePoll,
 )
 from wharfcart.errors import ServingError
-from wharfcart.storage.client import JournalClient
+from wharfcart.storage.journal_client import JournalClient
 
 POLL_TIMEOUT_S = 4.0
 FLUSH_S = 0.05
--- a/src/wharfcart/batch/job_execution.py
+++ b/src/wharfcart/batch/job_execution.py
@@ -31,7 +31,7 @@
 from wharfcart.slots.urgency import Urgency
 from wharfcart.storage.job_group import JobGroup
 from wharfcart.storage.job_leadership import JobLeadership
-from wharfcart.storage.job_records import ReplicatedJob
+from wharfcart.storage.replicated_job import ReplicatedJob
 
 # Waiting items are told anew so often, and at most so often when much happens.
 PERIOD_S = 0.1
--- a/src/wharfcart/batch/job_service.py
+++ b/src/wharfcart/batch/job_service.py
@@ -38,8 +38,8 @@
 from wharfcart.storage.job_client import JobCallFailure, JobClient
 from wharfcart.storage.job_group import JobGroup
 from wharfcart.storage.job_leadership import JobLeadership
-from wharfcart.storage.job_records import ReplicatedJob
 from wharfcart.storage.job_residence import RegionOf, all_in_residence
+from wharfcart.storage.replicated_job import ReplicatedJob
 
 WRITE_TIMEOUT_S = 3.0
 SURE_TIMEOUT_S = 0.8
--- a/src/wharfcart/batch/jobs.py
+++ b/src/wharfcart/batch/jobs.py
@@ -27,7 +27,7 @@
 from wharfcart.cluster.ownership import shard_of
 from wharfcart.configuration.schema import Tenant
 from wharfcart.errors import Outcome, ServingError
-from wharfcart.storage.client import CALL_TIMEOUT_S, JournalClient
+from wharfcart.storage.journal_client import CALL_TIMEOUT_S, JournalClient
 from wharfcart.storage.shard_state import RowKind
 
 logger = logging.getLogger(__name__)
@@ -211,7 +211,7 @@
 
     async def _unknown_line(self, shard: int, job: JobView, row: int) -> bytes:
         """Return the output line of an item whose lease ended without a word."""
-        lines = await self._journal.read_rows(shard, RowKind.LINE, job.file_id, row, most=1)
+        lines = await self._journal.read_rows(shard, RowKind.LINE, job.file_id, row, limit=1)
         line = lines[0].value if lines else b"{}"
         return error_line(line, f"{job.job_id}-{row}", "unknown", Outcome.UNKNOWN)
 
--- a/src/wharfcart/batch/leader.py
+++ b/src/wharfcart/batch/leader.py
@@ -24,7 +24,7 @@
 from wharfcart.errors import ServingError
 from wharfcart.storage.journal import Journal
 from wharfcart.storage.shard import Shard
-from wharfcart.storage.shard_state import Job, RowKind
+from wharfcart.storage.shard_state import BatchJob, RowKind
 
 HOUSEKEEPING_S = 0.5
 EXPIRE_EVERY_S = 60.0
@@ -145,10 +145,10 @@
         if query.job_id:
             job = shard.state.jobs.get(query.job_id)
             mine = job is not None and job.record.create.tenant == query.tenant
-            return [job.view()] if job is not None and mine else []
+            return [job.to_view()] if job is not None and mine else []
         jobs = [j for j in shard.state.jobs.values() if j.record.create.tenant == query.tenant]
         jobs.sort(key=lambda job: -job.record.created_ms)
-        return [job.view() for job in jobs[: query.most or MOST_JOBS_A_QUERY]]
+        return [job.to_view() for job in jobs[: query.most or MOST_JOBS_A_QUERY]]
 
     # ---- housekeeping ----
 
@@ -181,7 +181,7 @@
                 number, command(expire=Expire(before_ms=before, most=EXPIRE_AT_ONCE))
             )
 
-    def _repeatable(self, job: Job, lease: Lease) -> bool:
+    def _repeatable(self, job: BatchJob, lease: Lease) -> bool:
         # A lease is of one service. One that was deleted meanwhile may have had any effect.
         name = job.record.service_names[job.classes[lease.rows[0]]]
         service = self._find_service(job.record.create.tenant, name)
--- a/src/wharfcart/batch/runner.py
+++ b/src/wharfcart/batch/runner.py
@@ -32,7 +32,7 @@
 from wharfcart.observability.metrics import Metrics
 from wharfcart.routing.owner import BatchStoppedError, OwnedBackend, Owner
 from wharfcart.routing.router import BackendKind
-from wharfcart.storage.client import JournalClient
+from wharfcart.storage.journal_client import JournalClient
 
 POLL_IDLE_S = 1.0
 RENEW_S = 1.0
--- a/src/wharfcart/batch/scheduler.py
+++ b/src/wharfcart/batch/scheduler.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Collection
 from dataclasses import dataclass, field
 
-from wharfcart.storage.shard_state import ItemState, Job, ShardState
+from wharfcart.storage.shard_state import BatchJob, ItemState, ShardState
 
 LEASE_TERM_S = 10.0
 MOST_ITEMS_A_LEASE = 64
@@ -94,8 +94,8 @@
 
     # ---- choice ----
 
-    def _next_job(self, wanted: frozenset[str], exhausted: set[str]) -> Job | None:
-        by_tenant: dict[str, list[Job]] = {}
+    def _next_job(self, wanted: frozenset[str], exhausted: set[str]) -> BatchJob | None:
+        by_tenant: dict[str, list[BatchJob]] = {}
         for job_id, job in self.state.jobs.items():
             if job.finished or job.cancelled or job_id in exhausted:
                 continue
@@ -110,13 +110,13 @@
             return min(jobs, key=lambda job: job.count(ItemState.PENDING))
         return min(jobs, key=lambda job: (job.record.create.deadline_ms, job.record.created_ms))
 
-    def _servable(self, job: Job, wanted: frozenset[str]) -> bool:
+    def _servable(self, job: BatchJob, wanted: frozenset[str]) -> bool:
         if ItemState.PENDING not in job.states:
             return False
         tenant = job.record.create.tenant
         return any(self.target_of(tenant, name) in wanted for name in job.record.service_names)
 
-    def _take_rows(self, job: Job, wanted: frozenset[str], most: int) -> Choice | None:
+    def _take_rows(self, job: BatchJob, wanted: frozenset[str], most: int) -> Choice | None:
         create = job.record.create
         reserved = self._reserved.get(create.job_id, set())
         for class_, service in enumerate(job.record.service_names):
--- a/src/wharfcart/experiments/job_group_simulation.py
+++ b/src/wharfcart/experiments/job_group_simulation.py
@@ -43,10 +43,10 @@
 FAR = Distance.OTHER_REGION
 BETWEEN_REGIONS_S = 0.02
 CLOCK_USERS = (
-    "wharfcart.storage.founding",
+    "wharfcart.storage.layout_bootstrap",
     "wharfcart.storage.job_group",
     "wharfcart.storage.replica_session",
-    "wharfcart.storage.replica_set_change",
+    "wharfcart.storage.replica_set_changer",
     "wharfcart.batch.job_service",
 )
 
--- a/src/wharfcart/experiments/journal_clients.py
+++ b/src/wharfcart/experiments/journal_clients.py
@@ -137,7 +137,7 @@
 
     def _machine(self) -> SimulatedMachine:
         machines = self.simulation.machines
-        leaders = [m for m in machines if m.shard is not None and m.shard.leads]
+        leaders = [m for m in machines if m.shard is not None and m.shard.is_leader]
         if leaders and self.simulation.random.random() < 0.8:
             return self.simulation.random.choice(leaders)
         return self.simulation.random.choice(machines)
--- a/src/wharfcart/experiments/journal_simulation.py
+++ b/src/wharfcart/experiments/journal_simulation.py
@@ -27,7 +27,7 @@
 from wharfcart.storage.replica_actions import HardState
 from wharfcart.storage.shard import ReadSnapshotRows, Shard
 from wharfcart.storage.shard_state import RowKind
-from wharfcart.storage.writes import ShardRecord, ShardWrites
+from wharfcart.storage.shard_writes import ShardRecord, ShardWrites
 
 TICK_S = 0.05
 WRITE_LEAST_S = 0.001
@@ -176,7 +176,7 @@
         def tell() -> None:
             for machine in self.machines:
                 if machine.shard is not None and not machine.paused:
-                    machine.shard.storage_members(live, set(), self.now)
+                    machine.shard.update_storage_members(live, set(), self.now)
                     self._collect(machine)
 
         self.later(MEMBERSHIP_LAG_S, tell)
@@ -196,7 +196,7 @@
         machine.reload = machine.reload or output.reload
         for message in output.send_now:
             self._send(machine, message)
-        for answer in output.answers:
+        for answer in output.proposal_results:
             done = self._tokens.pop(answer.token, None)
             if done is not None:
                 done(answer.result)
@@ -247,7 +247,7 @@
         for message in messages:
             self._send(machine, message)
         if mark is not None:
-            machine.shard.written(mark, self.now)
+            machine.shard.mark_written(mark, self.now)
         self._collect(machine)
 
     def _read_snapshot(self, machine: SimulatedMachine, read: ReadSnapshotRows) -> None:
@@ -358,7 +358,7 @@
 
     def _may_lose(self, machine: SimulatedMachine) -> bool:
         """Whether a majority of the newest committed voters keeps its disk."""
-        leaders = [m for m in self.machines if m.shard is not None and m.shard.leads]
+        leaders = [m for m in self.machines if m.shard is not None and m.shard.is_leader]
         if not leaders:
             return False
         newest = max(leaders, key=lambda m: m.shard.replica.epoch if m.shard else 0)
@@ -428,7 +428,7 @@
             self.later(delay, lambda: done(result))
 
     def _final_reads(self) -> None:
-        leaders = [m for m in self.machines if m.shard is not None and m.shard.leads]
+        leaders = [m for m in self.machines if m.shard is not None and m.shard.is_leader]
         self.history.has_leader = bool(leaders)
         for machine in leaders:
             shard = machine.shard
--- a/src/wharfcart/experiments/simulated_journal_disk.py
+++ b/src/wharfcart/experiments/simulated_journal_disk.py
@@ -11,12 +11,12 @@
     Row,
 )
 from wharfcart.storage.shard import ReadSnapshotRows, Shard
-from wharfcart.storage.writes import ShardRecord, ShardWrites
+from wharfcart.storage.shard_writes import ShardRecord, ShardWrites
 
 
 @dataclass
 class SimulatedJournalDisk:
-    """What one disk holds, as :class:`wharfcart.storage.database.Database` would."""
+    """What one disk holds, as :class:`wharfcart.storage.journal_database.Database` would."""
 
     identity: str
     record: ShardRecord | None = None
--- a/src/wharfcart/experiments/simulated_storage.py
+++ b/src/wharfcart/experiments/simulated_storage.py
@@ -31,14 +31,14 @@
 from wharfcart.cluster.transport import PeerUnreachableError, TrafficClass, Transport
 from wharfcart.observability.decisions import DecisionLog
 from wharfcart.storage.disk import Disk, DiskFailedError
-from wharfcart.storage.founding import LayoutBootstrap
 from wharfcart.storage.group_context import GroupContext
 from wharfcart.storage.job_client import JobClient
 from wharfcart.storage.job_database import JobDatabase
 from wharfcart.storage.job_group import JobGroup
-from wharfcart.storage.job_records import JobState
 from wharfcart.storage.layout import Layout, layout_from_bytes
-from wharfcart.storage.replica_spread import ReplicaPlacement
+from wharfcart.storage.layout_bootstrap import LayoutBootstrap
+from wharfcart.storage.replica_placement import ReplicaPlacement
+from wharfcart.storage.replicated_job import JobState
 
 if TYPE_CHECKING:
     from wharfcart.experiments.job_group_simulation import JobGroupSimulation
--- a/src/wharfcart/gateway/idempotency.py
+++ b/src/wharfcart/gateway/idempotency.py
@@ -22,7 +22,7 @@
 from wharfcart.routing.dispatcher import Dispatcher
 from wharfcart.routing.owner import Owner
 from wharfcart.routing.router import Backend, Router
-from wharfcart.storage.client import JournalClient
+from wharfcart.storage.journal_client import JournalClient
 from wharfcart.storage.shard_state import KeyState, RowKind
 
 WAIT_FIRST_S = 0.02
@@ -263,7 +263,7 @@
 
     async def _stored(self, full_key: str) -> KeyRecord:
         rows = await self._journal.read_rows(
-            self._shard(full_key), RowKind.KEY, full_key, 0, most=1
+            self._shard(full_key), RowKind.KEY, full_key, 0, limit=1
         )
         return KeyRecord.FromString(rows[0].value) if rows else KeyRecord()
 
--- a/src/wharfcart/gateway/job_calls.py
+++ b/src/wharfcart/gateway/job_calls.py
@@ -29,7 +29,7 @@
 from wharfcart.platform import batch_calls, names
 from wharfcart.storage.job_client import OUTSIDE_RESIDENCE as OUTSIDE_CAUSE
 from wharfcart.storage.job_client import JobCallFailure, JobClient
-from wharfcart.storage.job_moves import JobMoveTracker
+from wharfcart.storage.job_move_tracker import JobMoveTracker
 
 SUBMIT_TIMEOUT_S = 3.0
 SUBMIT_TRY_S = 2.0
--- a/src/wharfcart/node/group_spread.py
+++ b/src/wharfcart/node/group_spread.py
@@ -5,7 +5,7 @@
 from wharfcart.node.serving_node import ServingNode
 from wharfcart.settings.serving import ToleranceSettings
 from wharfcart.storage.layout import Layout
-from wharfcart.storage.replica_spread import ReplicaPlacement
+from wharfcart.storage.replica_placement import ReplicaPlacement
 
 
 class GroupSpread:
--- a/src/wharfcart/node/node.py
+++ b/src/wharfcart/node/node.py
@@ -52,9 +52,9 @@
 from wharfcart.routing.router import Router
 from wharfcart.settings.base import split_endpoint
 from wharfcart.settings.schema import NodeSettings
-from wharfcart.storage.client import JournalClient
-from wharfcart.storage.database import open_database
 from wharfcart.storage.journal import Journal
+from wharfcart.storage.journal_client import JournalClient
+from wharfcart.storage.journal_database import open_database
 
 PLACEMENT_KEY = ROOT + "placement"
 PLACEMENT_CHECK_S = 0.5
@@ -271,7 +271,7 @@
             for member in self._gossip.membership.members.values()
             if member.state == LEFT and member.storage_identity
         }
-        self._journal.storage_members(live, leaving)
+        self._journal.update_storage_members(live, leaving)
 
     def _live_storage(self) -> dict[str, str]:
         return {
@@ -395,7 +395,7 @@
             zone=self.settings.zone,
             configuration_revision=self._spreading.configuration.revision,
             owned=self._fleet.views(),
-            led_shards=sum(shard.leads for shard in shards),
+            led_shards=sum(shard.is_leader for shard in shards),
         )
 
     async def _node_statuses(self) -> list[NodeStatus]:
@@ -426,7 +426,7 @@
             raise ServingError("recovery_refused", "this node has no data folder", 409)
         known = self._spreading.placement.shards.get(shard)
         version = known.version if known is not None else 0
-        self._journal.recover_alone(shard, self._live_storage(), version)
+        self._journal.recover_as_sole_voter(shard, self._live_storage(), version)
 
     def _shard_replicas(self) -> dict[int, list[str]]:
         shards = self._spreading.placement.shards
@@ -440,7 +440,7 @@
             metrics.live_members.set(len(self._gossip.membership.live()))
             if self._journal is not None:
                 metrics.journal_commits.set(self._journal.commits)
-                led = [shard for shard in self._journal.shards.values() if shard.leads]
+                led = [shard for shard in self._journal.shards.values() if shard.is_leader]
                 dropped = sum(shard.state.dropped_completions for shard in led)
                 metrics.dropped_completions.set(dropped)
 
--- a/src/wharfcart/node/storage_process.py
+++ b/src/wharfcart/node/storage_process.py
@@ -24,10 +24,10 @@
 from wharfcart.settings.base import split_endpoint
 from wharfcart.settings.serving import ServingSettings, StorageSettings
 from wharfcart.storage.disk import Disk, DiskFailedError
-from wharfcart.storage.founding import LayoutBootstrap
 from wharfcart.storage.group_context import GroupContext
 from wharfcart.storage.job_client import JobClient
 from wharfcart.storage.job_residence import hash_to_group
+from wharfcart.storage.layout_bootstrap import LayoutBootstrap
 
 LAYOUT_POLL_S = 0.02
 OPEN_RETRY_S = 0.5
--- a/src/wharfcart/storage/disk.py
+++ b/src/wharfcart/storage/disk.py
@@ -9,7 +9,7 @@
 
 from wharfcart.cluster.messages_pb2 import JobUpdate, PartialText
 from wharfcart.storage.job_database import CorruptJobError, JobDatabase
-from wharfcart.storage.job_records import JobState
+from wharfcart.storage.replicated_job import JobState
 
 Answer = TypeVar("Answer")
 
--- a/src/wharfcart/storage/group_context.py
+++ b/src/wharfcart/storage/group_context.py
@@ -13,7 +13,7 @@
 from wharfcart.storage.disk import Disk
 from wharfcart.storage.job_residence import RegionOf
 from wharfcart.storage.layout import Layout
-from wharfcart.storage.replica_spread import ReplicaPlacement
+from wharfcart.storage.replica_placement import ReplicaPlacement
 
 
 class GroupContext:
--- a/src/wharfcart/storage/job_database.py
+++ b/src/wharfcart/storage/job_database.py
@@ -12,7 +12,7 @@
 import xxhash
 
 from wharfcart.cluster.messages_pb2 import ItemOutcome, JobUpdate, PartialText, RequestJob
-from wharfcart.storage.job_records import JobState
+from wharfcart.storage.replicated_job import JobState
 
 DATABASE_NAME = "jobs.sqlite"
 PAGE_BYTES = 8192
--- a/src/wharfcart/storage/job_group.py
+++ b/src/wharfcart/storage/job_group.py
@@ -29,7 +29,6 @@
 from wharfcart.storage.group_record import GroupRecord, RecordInDoubtError
 from wharfcart.storage.group_record_store import GroupRecordStore
 from wharfcart.storage.job_leadership import JobLeadership
-from wharfcart.storage.job_records import JobState, ReplicatedJob
 from wharfcart.storage.job_residence import may_join_group
 from wharfcart.storage.partial_texts import PartialTexts, SentOffsets
 from wharfcart.storage.replica_links import (
@@ -37,13 +36,14 @@
     RemoteReplicaLink,
     state_to_message,
 )
+from wharfcart.storage.replica_placement import ReplicaPlacement
 from wharfcart.storage.replica_session import (
     ReplicaFailedError,
     ReplicaLink,
     ReplicaSession,
 )
-from wharfcart.storage.replica_set_change import ReplicaSetChanger
-from wharfcart.storage.replica_spread import ReplicaPlacement
+from wharfcart.storage.replica_set_changer import ReplicaSetChanger
+from wharfcart.storage.replicated_job import JobState, ReplicatedJob
 from wharfcart.storage.takeover import Takeover
 
 TICK_INTERVAL_S = 0.05
--- a/src/wharfcart/storage/job_leadership.py
+++ b/src/wharfcart/storage/job_leadership.py
@@ -21,7 +21,7 @@
 
 from wharfcart.cluster.messages_pb2 import ItemOutcome, JobUpdate, RequestJob
 from wharfcart.configuration.residence import Residence
-from wharfcart.storage.job_records import JobState, ReplicatedJob
+from wharfcart.storage.replicated_job import JobState, ReplicatedJob
 
 MAX_UPDATE_BYTES = 1024 * 1024
 MAX_UPDATES_PER_MESSAGE = 64
--- a/src/wharfcart/storage/journal.py
+++ b/src/wharfcart/storage/journal.py
@@ -24,13 +24,13 @@
 )
 from wharfcart.errors import Outcome, ServingError
 from wharfcart.observability.tasks import BackgroundTasks
-from wharfcart.storage.database import FEWEST_FREE_BYTES, CorruptRecordError, Database
+from wharfcart.storage.journal_database import MIN_FREE_BYTES, CorruptRecordError, Database
 from wharfcart.storage.replica import NotLeaderError
 from wharfcart.storage.replica_actions import HardState
 from wharfcart.storage.shard import LOST_LEADERSHIP, ReadSnapshotRows, Shard, ShardOutput
-from wharfcart.storage.writes import ShardRecord, ShardWrites
+from wharfcart.storage.shard_writes import ShardRecord, ShardWrites
 
-TICK_S = 0.03
+TICK_INTERVAL_S = 0.03
 PROPOSE_TIMEOUT_S = 5.0
 SNAPSHOT_CHUNK_ROWS = 512
 SNAPSHOT_CHUNK_BYTES = 2 * 1024 * 1024
@@ -50,7 +50,7 @@
 
     writes: dict[int, ShardWrites] = field(default_factory=dict)
     messages: list[ReplicaMessage] = field(default_factory=list)
-    marks: dict[int, tuple[int, int]] = field(default_factory=dict)
+    written_marks: dict[int, tuple[int, int]] = field(default_factory=dict)
     reloads: set[int] = field(default_factory=set)
     reads: list[tuple[Shard, ReadSnapshotRows]] = field(default_factory=list)
 
@@ -71,7 +71,7 @@
         self._leadership_changed = leadership_changed
         self._executor = ThreadPoolExecutor(1, thread_name_prefix="journal")
         self._loop = asyncio.get_running_loop()
-        self._gathering = _GroupCommit()
+        self._next_commit = _GroupCommit()
         self._work = asyncio.Event()
         self._futures: dict[int, asyncio.Future[ProposeResult]] = {}
         self._next_token = 1
@@ -96,7 +96,7 @@
     async def stop(self) -> None:
         """Hand leaderships over, flush, and close the database."""
         self.step_down()
-        while self._gathering.writes or self._gathering.messages:
+        while self._next_commit.writes or self._next_commit.messages:
             await self._write_once()
         await self._tasks.stop()
         await self._on_writer(self._database.close)
@@ -141,15 +141,15 @@
                 self.create_shard(message.shard, [])
                 shard = self.shards[message.shard]
             shard.receive(message, now)
-            self._collect(shard)
+            self._collect_output(shard)
 
-    def storage_members(self, live: dict[str, str], leaving: set[str]) -> None:
+    def update_storage_members(self, live: dict[str, str], leaving: set[str]) -> None:
         """Note which storage identities are live, identity to zone, and which are leaving."""
         for shard in self.shards.values():
-            shard.storage_members(live, leaving, monotonic())
-            self._collect(shard)
+            shard.update_storage_members(live, leaving, monotonic())
+            self._collect_output(shard)
 
-    def recover_alone(self, number: int, live: dict[str, str], known_version: int) -> None:
+    def recover_as_sole_voter(self, number: int, live: dict[str, str], known_version: int) -> None:
         """Go on with a shard whose other disks are lost for good, by an operator's word.
 
         Parameters
@@ -173,14 +173,14 @@
         if self.identity not in in_sync or known_version > shard.replica.replica_set_index + 1:
             raise _recovery_refused("this replica was dropped from the in-sync set: it is behind")
         logger.warning("shard recovered alone", extra={"shard": number})
-        shard.recover_alone(monotonic())
-        self._collect(shard)
+        shard.recover_as_sole_voter(monotonic())
+        self._collect_output(shard)
 
     def step_down(self) -> None:
         """Hand every leadership over."""
         for shard in self.shards.values():
             shard.step_down(monotonic())
-            self._collect(shard)
+            self._collect_output(shard)
 
     async def propose(self, number: int, command: Command) -> ProposeResult:
         """Replicate a command and return its result.
@@ -192,7 +192,7 @@
             ``lost_leadership`` or ``journal_timeout`` with outcome ``unknown``.
         """
         shard = self.shards.get(number)
-        if shard is None or not shard.leads:
+        if shard is None or not shard.is_leader:
             raise not_leader(shard.replica.leader if shard else "")
         if self._disk_full and command.WhichOneof("body") in GROWING_COMMANDS:
             raise ServingError("disk_full", "no room for new work", 507, retry_after_seconds=60)
@@ -230,7 +230,7 @@
                 if future is not None and not future.done():
                     future.set_exception(not_leader(error.leader))
             return
-        self._collect(shard)
+        self._collect_output(shard)
 
     def leading_shard(self, number: int) -> Shard:
         """Return the shard if reads of its memory are current.
@@ -242,11 +242,11 @@
         """
         shard = self.shards.get(number)
         if shard is None or not shard.replica.lease_valid(monotonic()):
-            raise not_leader(shard.replica.leader if shard and not shard.leads else "")
+            raise not_leader(shard.replica.leader if shard and not shard.is_leader else "")
         return shard
 
     async def read_rows(
-        self, number: int, kind: str, id_: str, first: int, most: int, most_bytes: int
+        self, number: int, kind: str, id_: str, first: int, limit: int, max_bytes: int
     ) -> Rows:
         """Read rows of one id as the leader."""
         self.leading_shard(number)
@@ -254,17 +254,17 @@
         unwritten = self._unwritten_rows(number, kind, id_, first)
         try:
             rows = await self._on_writer(
-                lambda: self._database.read_rows(number, kind, id_, first, most, most_bytes)
+                lambda: self._database.read_rows(number, kind, id_, first, limit, max_bytes)
             )
         except CorruptRecordError as error:
-            await self._found_corrupt(error)
+            await self._handle_corrupt_record(error)
             raise not_leader("") from error
         if unwritten:
             merged = {row.number: row for row in rows} | unwritten
-            rows = [merged[key] for key in sorted(merged)][:most]
+            rows = [merged[key] for key in sorted(merged)][:limit]
         return Rows(rows=rows)
 
-    async def _found_corrupt(self, error: CorruptRecordError) -> None:
+    async def _handle_corrupt_record(self, error: CorruptRecordError) -> None:
         """Hand over and have the next start rebuild this disk from its peers."""
         logger.error("corrupt row, restart this node", extra={"row": str(error)})
         await self._on_writer(self._database.mark_corrupt)
@@ -272,7 +272,7 @@
 
     def _unwritten_rows(self, number: int, kind: str, id_: str, first: int) -> dict[int, Row]:
         # Committed rows may still wait for their group commit; the log already has them.
-        writes = self._gathering.writes.get(number)
+        writes = self._next_commit.writes.get(number)
         if writes is None:
             return {}
         return {
@@ -285,11 +285,11 @@
 
     async def _tick_loop(self) -> None:
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
             now = monotonic()
             for shard in self.shards.values():
                 shard.tick(now)
-                self._collect(shard)
+                self._collect_output(shard)
 
     async def _write_loop(self) -> None:
         while True:
@@ -297,8 +297,8 @@
             await self._write_once()
 
     async def _write_once(self) -> None:
-        group = self._gathering
-        self._gathering = _GroupCommit()
+        group = self._next_commit
+        self._next_commit = _GroupCommit()
         self._work.clear()
         if group.writes:
             try:
@@ -307,34 +307,34 @@
                 # A disk that refuses a write must not lead or acknowledge: drop the group's
                 # messages and wait; peers see a silent replica and drop it from the in-sync set.
                 logger.exception("journal write failed")
-                self._restore(group)
+                self._requeue(group)
                 await asyncio.sleep(1.0)
                 return
-            self._disk_full = free < FEWEST_FREE_BYTES
+            self._disk_full = free < MIN_FREE_BYTES
             self.commits += 1
         for number in group.reloads:
             self.shards[number].reload(await self._read_memory_rows(number))
-            self._collect(self.shards[number])
+            self._collect_output(self.shards[number])
         for shard, read in group.reads:
             self._tasks.spawn(self._read_snapshot(shard, read))
         self._send_all(group.messages)
         now = monotonic()
-        for number, mark in group.marks.items():
-            self.shards[number].written(mark, now)
-            self._collect(self.shards[number])
+        for number, mark in group.written_marks.items():
+            self.shards[number].mark_written(mark, now)
+            self._collect_output(self.shards[number])
 
     def _write(self, writes: dict[int, ShardWrites]) -> int:
         self._database.write(writes)
         return self._database.free_bytes()
 
-    def _restore(self, group: _GroupCommit) -> None:
+    def _requeue(self, group: _GroupCommit) -> None:
         """Put a failed group back before what gathered since."""
-        newer = self._gathering
-        self._gathering = group
+        newer = self._next_commit
+        self._next_commit = group
         group.messages = []
         for number, writes in newer.writes.items():
             self._merge_writes(number, writes)
-        group.marks.update(newer.marks)
+        group.written_marks.update(newer.written_marks)
         group.messages.extend(newer.messages)
         group.reloads.update(newer.reloads)
         group.reads.extend(newer.reads)
@@ -342,26 +342,26 @@
 
     # ---- carrying out ----
 
-    def _collect(self, shard: Shard) -> None:
+    def _collect_output(self, shard: Shard) -> None:
         output = shard.take_output()
         number = shard.number
         if output.dirty:
             self._merge_writes(number, output.writes)
         if output.written_mark is not None:
-            self._gathering.marks[number] = output.written_mark
+            self._next_commit.written_marks[number] = output.written_mark
         if output.reload:
-            self._gathering.reloads.add(number)
-        self._gathering.messages.extend(output.send_after_write)
+            self._next_commit.reloads.add(number)
+        self._next_commit.messages.extend(output.send_after_write)
         if output.dirty or output.send_after_write:
             self._work.set()
         self._send_all(output.send_now)
-        self._resolve(output)
-        self._gathering.reads.extend((shard, read) for read in output.reads)
-        self._tell_changes(shard, output)
+        self._resolve_proposals(output)
+        self._next_commit.reads.extend((shard, read) for read in output.reads)
+        self._report_changes(shard, output)
 
     def _merge_writes(self, number: int, new: ShardWrites) -> None:
-        known = self._gathering.writes.get(number)
-        self._gathering.writes[number] = new if known is None else known.merge(new)
+        known = self._next_commit.writes.get(number)
+        self._next_commit.writes[number] = new if known is None else known.merge(new)
 
     def _send_all(self, messages: list[ReplicaMessage]) -> None:
         by_target: dict[str, list[ReplicaMessage]] = {}
@@ -370,15 +370,15 @@
         for target, batch in by_target.items():
             self._send(target, batch)
 
-    def _resolve(self, output: ShardOutput) -> None:
-        for answer in output.answers:
+    def _resolve_proposals(self, output: ShardOutput) -> None:
+        for answer in output.proposal_results:
             future = self._futures.get(answer.token)
             if future is not None and not future.done():
                 future.set_result(answer.result)
 
-    def _tell_changes(self, shard: Shard, output: ShardOutput) -> None:
+    def _report_changes(self, shard: Shard, output: ShardOutput) -> None:
         if output.role is not None:
-            self._leadership_changed(shard.number, shard.leads)
+            self._leadership_changed(shard.number, shard.is_leader)
         for _, command, _ in output.applied:
             if command.WhichOneof("body") == "replica_set":
                 self._placement_changed(self._placement_of(shard))
@@ -397,7 +397,7 @@
             )
         )
         shard.snapshot_rows_read(read.target, rows, monotonic())
-        self._collect(shard)
+        self._collect_output(shard)
 
     async def _on_writer(self, work: Callable[[], _T]) -> _T:
         return await self._loop.run_in_executor(self._executor, work)
--- a/src/wharfcart/storage/client.py
+++ b/src/wharfcart/storage/journal_client.py
@@ -26,12 +26,12 @@
 from wharfcart.errors import Outcome, ServingError
 
 CALL_TIMEOUT_S = 8.0
-TRY_TIMEOUT_S = 6.0
+ATTEMPT_TIMEOUT_S = 6.0
 RETRY_DELAY_S = 0.05
-RETRY_DELAY_MOST_S = 0.5
-ROWS_A_READ = 256
-BYTES_A_READ = 2 * 1024 * 1024
-WHERE_CODES = ("not_leader", "no_replica")
+MAX_RETRY_DELAY_S = 0.5
+ROWS_PER_READ = 256
+BYTES_PER_READ = 2 * 1024 * 1024
+REDIRECT_CODES = ("not_leader", "no_replica")
 
 
 class JournalClient:
@@ -82,11 +82,11 @@
         return answer.propose_result
 
     async def read_rows(
-        self, shard: int, kind: str, id_: str, first: int, most: int = ROWS_A_READ
+        self, shard: int, kind: str, id_: str, first: int, limit: int = ROWS_PER_READ
     ) -> list[Row]:
         """Return rows of one id from ``first`` on."""
         read = ReadRows(
-            shard=shard, kind=kind, id=id_, first=first, most=most, most_bytes=BYTES_A_READ
+            shard=shard, kind=kind, id=id_, first=first, most=limit, most_bytes=BYTES_PER_READ
         )
         answer = await self._ask_leader(shard, Frame(read_rows=read), CALL_TIMEOUT_S)
         return list(answer.rows.rows)
@@ -125,7 +125,7 @@
         may_have_run = False
         tried: list[str] = []
         while True:
-            identity = self._next_identity(shard, tried)
+            identity = self._next_candidate(shard, tried)
             if identity is not None:
                 tried.append(identity)
                 try:
@@ -135,7 +135,7 @@
                 except TimeoutError:
                     may_have_run = True
                 except ServingError as error:
-                    if not self._worth_another_try(error):
+                    if not self._is_retryable(error):
                         raise
                     may_have_run = may_have_run or error.outcome is not Outcome.NOT_RUN
                     self._follow_hint(shard, error, tried)
@@ -143,7 +143,7 @@
                 raise _unavailable(may_have_run)
             if identity is None or self._leaders.get(shard) is None:
                 await asyncio.sleep(delay)
-                delay = min(RETRY_DELAY_MOST_S, delay * 1.5)
+                delay = min(MAX_RETRY_DELAY_S, delay * 1.5)
 
     async def _ask(self, identity: str, shard: int, frame: Frame, seconds: float) -> Frame:
         address = self._address_of_storage(identity)
@@ -151,7 +151,7 @@
             self._leaders.pop(shard, None)
             raise PeerUnreachableError(Address(identity, 0), sent=False)
         try:
-            async with asyncio.timeout(min(TRY_TIMEOUT_S, seconds)):
+            async with asyncio.timeout(min(ATTEMPT_TIMEOUT_S, seconds)):
                 answer = await self._transport.call(address, frame)
         except (PeerUnreachableError, TimeoutError):
             self._leaders.pop(shard, None)
@@ -159,7 +159,7 @@
         self._leaders[shard] = identity
         return answer
 
-    def _next_identity(self, shard: int, tried: list[str]) -> str | None:
+    def _next_candidate(self, shard: int, tried: list[str]) -> str | None:
         known = self._leaders.get(shard)
         if known is not None:
             return known
@@ -168,14 +168,14 @@
             return None
         return replicas[len(tried) % len(replicas)]
 
-    def _worth_another_try(self, error: ServingError) -> bool:
-        return error.code in (*WHERE_CODES, "lost_leadership", "journal_timeout", "internal")
+    def _is_retryable(self, error: ServingError) -> bool:
+        return error.code in (*REDIRECT_CODES, "lost_leadership", "journal_timeout", "internal")
 
     def _follow_hint(self, shard: int, error: ServingError, tried: list[str]) -> None:
         self._leaders.pop(shard, None)
         hints: list[str] = getattr(error, "__notes__", [])
         # A hint that leads back to where we just were would go round without a pause.
-        if error.code in WHERE_CODES and hints and hints[0] not in tried[-2:]:
+        if error.code in REDIRECT_CODES and hints and hints[0] not in tried[-2:]:
             self._leaders[shard] = hints[0]
 
 
--- a/src/wharfcart/storage/database.py
+++ b/src/wharfcart/storage/journal_database.py
@@ -16,14 +16,14 @@
 
 from wharfcart.cluster.messages_pb2 import Command, JobRecord, LogEntry, ReplicaSet, Row
 from wharfcart.storage.replica_actions import HardState
-from wharfcart.storage.shard_state import Job, RowKind
-from wharfcart.storage.writes import InstalledBase, ShardRecord, ShardWrites
+from wharfcart.storage.shard_state import BatchJob, RowKind
+from wharfcart.storage.shard_writes import InstalledBase, ShardRecord, ShardWrites
 
 DATABASE_NAME = "journal.sqlite"
-CORRUPT_MARK = "corrupt"
-ROWS_A_READ = 512
-BYTES_A_READ = 4 * 1024 * 1024
-FEWEST_FREE_BYTES = 256 * 1024 * 1024
+CORRUPT_MARKER_NAME = "corrupt"
+ROWS_PER_READ = 512
+BYTES_PER_READ = 4 * 1024 * 1024
+MIN_FREE_BYTES = 256 * 1024 * 1024
 
 logger = logging.getLogger(__name__)
 
@@ -60,7 +60,7 @@
         logger.exception("data folder corrupt, set aside", extra={"folder": str(folder)})
     for path in folder.glob(f"{DATABASE_NAME}*"):
         path.rename(path.with_name(f"corrupt-{path.name}"))
-    (folder / CORRUPT_MARK).unlink(missing_ok=True)
+    (folder / CORRUPT_MARKER_NAME).unlink(missing_ok=True)
     return Database(folder)
 
 
@@ -109,7 +109,7 @@
         ------
         CorruptRecordError
         """
-        if (self.folder / CORRUPT_MARK).exists():
+        if (self.folder / CORRUPT_MARKER_NAME).exists():
             raise CorruptRecordError("a row read before was corrupt")
         for shard in self.shards():
             self.load(shard)
@@ -118,7 +118,7 @@
 
     def mark_corrupt(self) -> None:
         """Have the next start set this folder aside."""
-        (self.folder / CORRUPT_MARK).touch()
+        (self.folder / CORRUPT_MARKER_NAME).touch()
 
     def shards(self) -> list[int]:
         """Return the numbers of the shards held here."""
@@ -160,14 +160,14 @@
         for kind in RowKind:
             if kind in (RowKind.LINE, RowKind.RESULT):
                 continue
-            for row in self._all_of(shard, kind, ""):
+            for row in self._rows_of_kind(shard, kind, ""):
                 if kind is RowKind.JOB and not _is_summarized(row):
                     open_jobs.append(row.id)
                 yield row
         for job_id in open_jobs:
-            yield from self._all_of(shard, RowKind.RESULT, job_id)
+            yield from self._rows_of_kind(shard, RowKind.RESULT, job_id)
 
-    def _all_of(self, shard: int, kind: RowKind, id_: str) -> Iterator[Row]:
+    def _rows_of_kind(self, shard: int, kind: RowKind, id_: str) -> Iterator[Row]:
         """Iterate the rows of a kind, of one id if that is given."""
         query = (
             "select kind, id, number, value, checksum from record where shard=? and kind=?"
@@ -175,41 +175,41 @@
         )
         after = (id_, -1)
         while True:
-            values = (shard, kind.value, *after, id_, id_, ROWS_A_READ)
-            chunk = self._collect(query, values, BYTES_A_READ)
+            values = (shard, kind.value, *after, id_, id_, ROWS_PER_READ)
+            chunk = self._select_rows(query, values, BYTES_PER_READ)
             yield from chunk
             if not chunk:
                 return
             after = (chunk[-1].id, chunk[-1].number)
 
     def rows_after(
-        self, shard: int, after: tuple[str, str, int], most: int, most_bytes: int
+        self, shard: int, after: tuple[str, str, int], limit: int, max_bytes: int
     ) -> list[Row]:
         """Return rows whose key comes after ``after``; ends by count or bytes."""
         query = (
             "select kind, id, number, value, checksum from record where shard=?"
             " and (kind, id, number) > (?, ?, ?) order by kind, id, number limit ?"
         )
-        return self._collect(query, (shard, *after, most), most_bytes)
+        return self._select_rows(query, (shard, *after, limit), max_bytes)
 
     def read_rows(
-        self, shard: int, kind: str, id_: str, first: int, most: int, most_bytes: int
+        self, shard: int, kind: str, id_: str, first: int, limit: int, max_bytes: int
     ) -> list[Row]:
         """Return rows of one id from number ``first`` on."""
         query = (
             "select kind, id, number, value, checksum from record where shard=? and kind=?"
             " and id=? and number>=? order by number limit ?"
         )
-        return self._collect(query, (shard, kind, id_, first, most), most_bytes)
+        return self._select_rows(query, (shard, kind, id_, first, limit), max_bytes)
 
-    def _collect(self, query: str, values: tuple[object, ...], most_bytes: int) -> list[Row]:
+    def _select_rows(self, query: str, values: tuple[object, ...], max_bytes: int) -> list[Row]:
         rows: list[Row] = []
         total = 0
         for kind, id_, number, value, checksum in self._connection.execute(query, values):
             if _checksum(value) != checksum:
                 raise CorruptRecordError(f"{kind} {id_}/{number}")
             total += len(value)
-            if rows and total > most_bytes:
+            if rows and total > max_bytes:
                 break
             rows.append(Row(kind=kind, id=id_, number=number, value=value))
         return rows
@@ -281,11 +281,11 @@
             return
         self._connection.execute(
             "update shard set base_index=?, base_epoch=?, base_set=? where shard=?",
-            (index, found[0], self._set_at(shard, index) or base_set, shard),
+            (index, found[0], self._replica_set_at(shard, index) or base_set, shard),
         )
         self._connection.execute("delete from log where shard=? and number<=?", (shard, index))
 
-    def _set_at(self, shard: int, index: int) -> bytes | None:
+    def _replica_set_at(self, shard: int, index: int) -> bytes | None:
         query = (
             "select command from log where shard=? and number<=? and length(command)<4096"
             " order by number desc"
@@ -317,7 +317,7 @@
 
 
 def _is_summarized(row: Row) -> bool:
-    return Job(JobRecord.FromString(row.value), bytearray(), b"").summarized
+    return BatchJob(JobRecord.FromString(row.value), bytearray(), b"").summarized
 
 
 def _checksum(value: bytes) -> bytes:
--- a/src/wharfcart/storage/layout.py
+++ b/src/wharfcart/storage/layout.py
@@ -22,7 +22,7 @@
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.residence import Residence
 from wharfcart.storage.group_record import GroupRecord
-from wharfcart.storage.replica_spread import ReplicaPlacement
+from wharfcart.storage.replica_placement import ReplicaPlacement
 
 # So many storage nodes come to one group: five replicas that bear the loss of two, and a spare.
 NODES_PER_GROUP = 6
--- a/src/wharfcart/storage/replica_links.py
+++ b/src/wharfcart/storage/replica_links.py
@@ -16,8 +16,8 @@
 from wharfcart.cluster.transport import PeerUnreachableError, Transport
 from wharfcart.errors import ServingError
 from wharfcart.storage.disk import Disk, DiskFailedError
-from wharfcart.storage.job_records import JobState
 from wharfcart.storage.replica_session import HigherEpochError, ReplicaFailedError
+from wharfcart.storage.replicated_job import JobState
 
 CALL_TIMEOUT_S = 0.9
 
--- a/src/wharfcart/storage/replica_session.py
+++ b/src/wharfcart/storage/replica_session.py
@@ -12,8 +12,8 @@
 from wharfcart.cluster.messages_pb2 import JobUpdate, PartialText
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.storage.job_leadership import JobLeadership
-from wharfcart.storage.job_records import JobState
 from wharfcart.storage.partial_texts import PartialTexts, SentOffsets
+from wharfcart.storage.replicated_job import JobState
 
 HEARTBEAT_INTERVAL_S = 0.15
 # A heartbeat that was lost is followed by another one within the replica's patience. The round trip
--- a/src/wharfcart/storage/replica_set_change.py
+++ b/src/wharfcart/storage/replica_set_changer.py
@@ -1,11 +1,12 @@
-"""A leader's care for its replica set: lost disks replaced, leaving nodes emptied, gaps filled.
+"""Changes of a job group's replica set, made by its leader.
 
-Which disks join is :mod:`wharfcart.storage.replica_spread`'s choice. A set that is whole, but not
-where it should be, is brought there by one exchange after the other, once it has been quiet for a
-while; so is the leadership.
+The leader replaces lost disks, moves the group off retiring nodes and fills gaps;
+:mod:`wharfcart.storage.replica_placement` decides which disks join. Once a complete set has been
+stable for a while, the leader swaps badly placed replicas one at a time and moves the leadership to
+the group's own region.
 
-One change at a time. While it is under way writes need enough copies in both sets; it takes effect
-by compare-and-swap once everything has enough copies in the new set.
+Only one change is in progress at a time. During a change a write needs a quorum in the old set and
+in the new one. The change takes effect by compare-and-swap once the new set has every write.
 """
 
 import asyncio
--- a/src/wharfcart/storage/shard.py
+++ b/src/wharfcart/storage/shard.py
@@ -31,7 +31,7 @@
     StartSnapshot,
 )
 from wharfcart.storage.shard_state import ShardState
-from wharfcart.storage.writes import InstalledBase, ShardRecord, ShardWrites
+from wharfcart.storage.shard_writes import InstalledBase, ShardRecord, ShardWrites
 
 SNAPSHOT_STEP_TIMEOUT_S = 3.0
 LOST_LEADERSHIP = "lost_leadership"
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True)
-class Answer:
+class ProposalResult:
     """The outcome of one proposal; ``code`` of the result is ``lost_leadership`` if unknown."""
 
     token: int
@@ -70,7 +70,7 @@
     send_now: list[ReplicaMessage] = field(default_factory=list)
     send_after_write: list[ReplicaMessage] = field(default_factory=list)
     written_mark: tuple[int, int] | None = None  # epoch and index to report as on disk
-    answers: list[Answer] = field(default_factory=list)
+    proposal_results: list[ProposalResult] = field(default_factory=list)
     reads: list[ReadSnapshotRows] = field(default_factory=list)
     reload: bool = False
     role: Role | None = None
@@ -85,7 +85,7 @@
     stream: int
     sequence: int = 0
     after: RowKey = FIRST_ROW
-    stepped_at: float | None = None
+    last_step_at: float | None = None
 
 
 @dataclass
@@ -105,7 +105,7 @@
         identity: str,
         random: RandomSource,
         now: float,
-        most_log_entries: int = MAX_LOG_ENTRIES,
+        max_log_entries: int = MAX_LOG_ENTRIES,
     ) -> None:
         self.number = record.shard
         self.replica = Replica(
@@ -121,20 +121,20 @@
             base_epoch=record.base_epoch,
             commit_index=record.applied_index,
             installing=record.installing,
-            max_log_entries=most_log_entries,
+            max_log_entries=max_log_entries,
         )
         self.state = ShardState()
         self.state.load(rows, record.applied_index)
         self._output = ShardOutput()
-        self._waiting: dict[int, tuple[int, int]] = {}  # index -> epoch, token
+        self._pending_proposals: dict[int, tuple[int, int]] = {}  # index -> epoch, token
         self._outgoing: dict[str, _OutgoingSnapshot] = {}
         self._streams = 0
         self._newest_stream = (0, 0)  # epoch and number of the newest snapshot begun here
         self._incoming: _IncomingSnapshot | None = None
-        self._installed: InstalledBase | None = None
+        self._installed_base: InstalledBase | None = None
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this replica is the shard's leader."""
         return self.replica.role is Role.LEADER
 
@@ -155,23 +155,23 @@
 
     def tick(self, now: float) -> None:
         """Advance timers."""
-        self._carry_out(self.replica.tick(now))
+        self._execute(self.replica.tick(now))
         for target, snapshot in list(self._outgoing.items()):
-            if snapshot.stepped_at is None:
-                snapshot.stepped_at = now
-            if now - snapshot.stepped_at > SNAPSHOT_STEP_TIMEOUT_S:
+            if snapshot.last_step_at is None:
+                snapshot.last_step_at = now
+            if now - snapshot.last_step_at > SNAPSHOT_STEP_TIMEOUT_S:
                 del self._outgoing[target]
-                self._carry_out(self.replica.snapshot_sent(target, 0, now))
+                self._execute(self.replica.snapshot_sent(target, 0, now))
 
     def receive(self, message: ReplicaMessage, now: float) -> None:
         """Handle a message of another replica."""
         kind = message.WhichOneof("body")
         if kind == "snapshot_chunk":
-            self._receive_chunk(message, now)
+            self._handle_snapshot_chunk(message, now)
         elif kind == "snapshot_response":
-            self._chunk_answered(message, now)
+            self._handle_snapshot_response(message, now)
         else:
-            self._carry_out(self.replica.receive(message, now))
+            self._execute(self.replica.receive(message, now))
 
     def propose(self, proposals: Sequence[tuple[int, Command]], now: float) -> None:
         """Propose commands, each with a token its answer will carry.
@@ -183,29 +183,29 @@
         blobs = [command.SerializeToString() for _, command in proposals]
         first, actions = self.replica.propose(blobs, now)
         for offset, (token, _) in enumerate(proposals):
-            self._waiting[first + offset] = (self.replica.epoch, token)
-        self._carry_out(actions)
+            self._pending_proposals[first + offset] = (self.replica.epoch, token)
+        self._execute(actions)
 
-    def written(self, mark: tuple[int, int], now: float) -> None:
+    def mark_written(self, mark: tuple[int, int], now: float) -> None:
         """Note that everything of an earlier output is on disk."""
         epoch, index = mark
-        self._carry_out(self.replica.persisted(epoch, index, now))
+        self._execute(self.replica.persisted(epoch, index, now))
 
-    def storage_members(self, live: dict[str, str], leaving: set[str], now: float) -> None:
+    def update_storage_members(self, live: dict[str, str], leaving: set[str], now: float) -> None:
         """Note which storage identities are live, identity to zone, and which are leaving."""
-        self._carry_out(self.replica.update_storage_members(live, leaving, now))
+        self._execute(self.replica.update_storage_members(live, leaving, now))
 
-    def recover_alone(self, now: float) -> None:
+    def recover_as_sole_voter(self, now: float) -> None:
         """Go on as the only voter, by an operator's word."""
-        self._carry_out(self.replica.recover_as_sole_voter(now))
+        self._execute(self.replica.recover_as_sole_voter(now))
 
     def step_down(self, now: float) -> None:
         """Give up leadership for a planned stop."""
-        self._carry_out(self.replica.step_down(now))
+        self._execute(self.replica.step_down(now))
 
     # ---- actions ----
 
-    def _carry_out(self, actions: Sequence[ReplicaAction]) -> None:
+    def _execute(self, actions: Sequence[ReplicaAction]) -> None:
         output = self._output
         for action in actions:
             if isinstance(action, Persist):
@@ -234,13 +234,13 @@
             command = Command.FromString(entry.command)
             result = self.state.apply(entry.index, command)
             self._output.applied.append((entry, command, result))
-            waiting = self._waiting.pop(entry.index, None)
+            waiting = self._pending_proposals.pop(entry.index, None)
             if waiting is None:
                 continue
             epoch, token = waiting
             if epoch != entry.epoch:
                 result = ProposeResult(code=LOST_LEADERSHIP)
-            self._output.answers.append(Answer(token, result))
+            self._output.proposal_results.append(ProposalResult(token, result))
 
     # ---- snapshots: sending ----
 
@@ -257,10 +257,10 @@
     def snapshot_rows_read(self, target: str, rows: list[Row], now: float) -> None:
         """Send the rows that :class:`ReadSnapshotRows` asked for; none ends the snapshot."""
         snapshot = self._outgoing.get(target)
-        if snapshot is None or not self.leads:
+        if snapshot is None or not self.is_leader:
             self._outgoing.pop(target, None)
             return
-        snapshot.stepped_at = now
+        snapshot.last_step_at = now
         if rows:
             snapshot.after = (rows[-1].kind, rows[-1].id, rows[-1].number)
         chunk = SnapshotChunk(
@@ -276,7 +276,7 @@
         message = self._message(target, snapshot_chunk=chunk)
         self._output.send_now.append(message)
 
-    def _chunk_answered(self, message: ReplicaMessage, now: float) -> None:
+    def _handle_snapshot_response(self, message: ReplicaMessage, now: float) -> None:
         response = message.snapshot_response
         snapshot = self._outgoing.get(message.sender)
         if snapshot is None or response.stream != snapshot.stream:
@@ -285,19 +285,19 @@
             return
         if response.last:
             del self._outgoing[message.sender]
-            self._carry_out(self.replica.snapshot_sent(message.sender, snapshot.index, now))
+            self._execute(self.replica.snapshot_sent(message.sender, snapshot.index, now))
             return
         snapshot.sequence += 1
         self._output.reads.append(ReadSnapshotRows(message.sender, snapshot.after))
 
     # ---- snapshots: receiving ----
 
-    def _receive_chunk(self, message: ReplicaMessage, now: float) -> None:
+    def _handle_snapshot_chunk(self, message: ReplicaMessage, now: float) -> None:
         chunk = message.snapshot_chunk
         if message.epoch < self.replica.epoch or message.target != self.replica.identity:
             return
         incoming = self._incoming
-        if chunk.sequence == 0 and self._wants_snapshot(message.epoch, chunk):
+        if chunk.sequence == 0 and self._starts_new_snapshot(message.epoch, chunk):
             incoming = _IncomingSnapshot(message.epoch, chunk.stream)
             self._incoming = incoming
             self._newest_stream = (message.epoch, chunk.stream)
@@ -324,7 +324,7 @@
         answer = self._message(message.sender, snapshot_response=response)
         self._output.send_after_write.append(answer)
 
-    def _wants_snapshot(self, epoch: int, chunk: SnapshotChunk) -> bool:
+    def _starts_new_snapshot(self, epoch: int, chunk: SnapshotChunk) -> bool:
         """Whether a first chunk begins something new: a late copy must not empty the replica."""
         if chunk.snapshot_index <= self.replica.commit_index and not self.replica.installing:
             return False
@@ -336,11 +336,11 @@
         self._output.writes.end_install = base
         self._output.reload = True
         self._incoming = None
-        self._installed = base
+        self._installed_base = base
 
     def reload(self, rows: Iterable[Row]) -> None:
         """Rebuild memory from the rows of a snapshot that is now on disk."""
-        base = self._installed
+        base = self._installed_base
         assert base is not None
         self.state = ShardState()
         self.state.load(rows, base.index)
@@ -362,4 +362,4 @@
         )
 
 
-__all__ = ["Answer", "NotLeaderError", "ReadSnapshotRows", "Shard", "ShardOutput"]
+__all__ = ["NotLeaderError", "ProposalResult", "ReadSnapshotRows", "Shard", "ShardOutput"]
--- a/src/wharfcart/storage/shard_state.py
+++ b/src/wharfcart/storage/shard_state.py
@@ -75,7 +75,7 @@
 
 
 @dataclass
-class Job:
+class BatchJob:
     """One batch job in memory."""
 
     record: JobRecord
@@ -97,11 +97,11 @@
         """Whether every item ended."""
         return self.record.finished_ms > 0
 
-    def next_pending(self, class_: int, most: int) -> list[int]:
+    def next_pending(self, class_: int, limit: int) -> list[int]:
         """Return up to ``most`` pending rows of one class, lowest first, without marking them."""
         rows: list[int] = []
         position = self.pending_from.get(class_, 0)
-        while len(rows) < most:
+        while len(rows) < limit:
             position = self._next_pending_row(class_, position)
             if not rows:
                 self.pending_from[class_] = position if position >= 0 else len(self.states)
@@ -140,7 +140,7 @@
         """Whether only counts are left of the items."""
         return self.finished and not self.record.unknown
 
-    def end(self, now_ms: int) -> None:
+    def finish(self, now_ms: int) -> None:
         """Note that every item ended, and keep only their counts.
 
         A job with items of unknown outcome keeps them: they may become definite yet.
@@ -170,7 +170,7 @@
             "leased": self.count(ItemState.LEASED),
         }
 
-    def view(self) -> JobView:
+    def to_view(self) -> JobView:
         """Return what callers see."""
         create = self.record.create
         return JobView(
@@ -200,7 +200,7 @@
 
     applied_index: int = 0
     files: dict[str, FileRecord] = field(default_factory=dict)
-    jobs: dict[str, Job] = field(default_factory=dict)
+    jobs: dict[str, BatchJob] = field(default_factory=dict)
     leases: dict[str, Lease] = field(default_factory=dict)
     keys: dict[str, KeyRecord] = field(default_factory=dict)
     file_classes: dict[str, bytearray] = field(default_factory=dict)
@@ -281,7 +281,7 @@
     def _job_create(self, create: JobCreate, now_ms: int) -> ProposeResult:
         known = self.jobs.get(create.job_id)
         if known is not None:
-            return ProposeResult(code="ok", job=known.view())
+            return ProposeResult(code="ok", job=known.to_view())
         source = self.files.get(create.file_id)
         if source is None or not source.sealed or source.tenant != create.tenant:
             return ProposeResult(code="file_not_found")
@@ -292,12 +292,12 @@
             service_names=source.service_names,
         )
         classes = bytes(self.file_classes.get(create.file_id, b""))
-        job = Job(record, bytearray(source.rows), classes)
+        job = BatchJob(record, bytearray(source.rows), classes)
         if source.rows == 0:
-            job.end(now_ms)
+            job.finish(now_ms)
         self.jobs[create.job_id] = job
         self._put_job(job)
-        return ProposeResult(code="ok", job=job.view())
+        return ProposeResult(code="ok", job=job.to_view())
 
     def _job_cancel(self, cancel: JobCancel, now_ms: int) -> ProposeResult:
         job = self.jobs.get(cancel.job_id)
@@ -308,11 +308,11 @@
             job.cancel_pending()
             self._finish_if_done(job, now_ms)
             self._put_job(job)
-        return ProposeResult(code="ok", job=job.view())
+        return ProposeResult(code="ok", job=job.to_view())
 
-    def _finish_if_done(self, job: Job, now_ms: int) -> None:
+    def _finish_if_done(self, job: BatchJob, now_ms: int) -> None:
         if not job.finished and not job.has_open_items():
-            job.end(now_ms)
+            job.finish(now_ms)
             self._put_job(job)
 
     # ---- items ----
@@ -352,12 +352,12 @@
         dropped = len(complete.results) - accepted
         self.dropped_completions += dropped
         lease = self.leases.get(complete.lease_id)
-        if lease is not None and not self._lease_open(job, lease):
+        if lease is not None and not self._is_lease_open(job, lease):
             self._drop_lease(complete.lease_id)
         self._finish_if_done(job, now_ms)
         return ProposeResult(code="ok", accepted=accepted, dropped=dropped)
 
-    def _complete_item(self, job: Job, result: ItemResult) -> bool:
+    def _complete_item(self, job: BatchJob, result: ItemResult) -> bool:
         # First valid completion wins, also one that comes after its lease ended. An item recorded
         # unknown becomes definite when a late answer proves what happened.
         if result.row >= len(job.states):
@@ -372,7 +372,7 @@
         self._put(RowKind.RESULT, job_id, result.row, result.SerializeToString())
         return True
 
-    def _lease_open(self, job: Job, lease: Lease) -> bool:
+    def _is_lease_open(self, job: BatchJob, lease: Lease) -> bool:
         return not job.summarized and any(job.states[r] == ItemState.LEASED for r in lease.rows)
 
     def _lease_end(self, end: LeaseEnd, now_ms: int) -> ProposeResult:
@@ -396,7 +396,7 @@
                 job.make_pending(row)
                 if row not in not_run:
                     self.previous_backends[(lease.job_id, row)] = lease.backend_id
-        if not self._lease_open(job, lease):
+        if not self._is_lease_open(job, lease):
             self._drop_lease(end.lease_id)
         self._finish_if_done(job, now_ms)
         return ProposeResult(code="ok")
@@ -441,13 +441,13 @@
 
     # ---- retention ----
 
-    def _expire(self, before_ms: int, most: int) -> ProposeResult:
+    def _expire(self, before_ms: int, limit: int) -> ProposeResult:
         """Drop ended jobs, their files and settled keys older than ``before_ms``."""
         jobs = [
             job_id
             for job_id, job in self.jobs.items()
             if job.finished and job.record.finished_ms < before_ms
-        ][:most]
+        ][:limit]
         for job_id in jobs:
             job = self.jobs.pop(job_id)
             self._delete(RowKind.JOB, job_id, 0)
@@ -457,14 +457,14 @@
             file_id
             for file_id, record in self.files.items()
             if record.created_ms < before_ms and file_id not in in_use
-        ][:most]
+        ][:limit]
         for file_id in files:
             record = self.files.pop(file_id)
             self._delete(RowKind.FILE, file_id, 0)
             self.file_classes.pop(file_id, None)
             self._delete(RowKind.LINE, file_id, record.rows, whole=True)
             self._delete(RowKind.CLASSES, file_id, record.rows, whole=True)
-        keys = [key for key, record in self.keys.items() if record.at_ms < before_ms][:most]
+        keys = [key for key, record in self.keys.items() if record.at_ms < before_ms][:limit]
         for key in keys:
             del self.keys[key]
             self._delete(RowKind.KEY, key, 0)
@@ -475,7 +475,7 @@
     def _put(self, kind: RowKind, id_: str, number: int, value: bytes) -> None:
         self.changed_rows.append(Row(kind=kind.value, id=id_, number=number, value=value))
 
-    def _put_job(self, job: Job) -> None:
+    def _put_job(self, job: BatchJob) -> None:
         record = job.record
         self._put(RowKind.JOB, record.create.job_id, 0, record.SerializeToString())
 
@@ -502,7 +502,7 @@
                 self.file_classes.setdefault(row.id, bytearray())[row.number :] = row.value
             elif row.kind == RowKind.JOB:
                 record = JobRecord.FromString(row.value)
-                job = Job(record, bytearray(), b"")
+                job = BatchJob(record, bytearray(), b"")
                 if not job.summarized:
                     job.states = bytearray(record.rows)
                 self.jobs[row.id] = job
--- a/src/wharfcart/storage/takeover.py
+++ b/src/wharfcart/storage/takeover.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 
 from wharfcart.storage.group_record import GroupRecord
-from wharfcart.storage.job_records import JobState, ReplicatedJob, job_from_update
 from wharfcart.storage.replica_session import HigherEpochError, ReplicaFailedError, ReplicaLink
+from wharfcart.storage.replicated_job import JobState, ReplicatedJob, job_from_update
 
 RETRY_DELAY_S = 0.15
 
--- a/tests/batch/test_jobs_at_a_start.py
+++ b/tests/batch/test_jobs_at_a_start.py
@@ -26,7 +26,7 @@
 from wharfcart.configuration.schema import Tenant
 from wharfcart.errors import Outcome, ServingError
 from wharfcart.gateway.idempotency import KeyedRequests
-from wharfcart.storage.client import JournalClient
+from wharfcart.storage.journal_client import JournalClient
 
 TENANT = "registry"
 JOB_ON_SHARD_2 = "batch_0002d2159c8265534b8f8f61"
--- a/tests/batch/test_runner.py
+++ b/tests/batch/test_runner.py
@@ -24,7 +24,7 @@
 from wharfcart.observability.metrics import Metrics
 from wharfcart.routing.owner import APPLICATION_CAPACITY, OwnedBackend, Owner
 from wharfcart.routing.router import Backend, BackendKind
-from wharfcart.storage.client import JournalClient
+from wharfcart.storage.journal_client import JournalClient
 
 ROWS = [0, 1, 2]
 
--- a/tests/batch/test_scheduler.py
+++ b/tests/batch/test_scheduler.py
@@ -14,7 +14,7 @@
     JobRecord,
     LeaseEnd,
 )
-from wharfcart.storage.shard_state import ItemState, Job, ShardState
+from wharfcart.storage.shard_state import BatchJob, ItemState, ShardState
 
 SHARES = {"small": 1.0, "large": 3.0}
 
@@ -25,7 +25,7 @@
     for job_id, tenant, items, deadline in jobs:
         create = JobCreate(job_id=job_id, tenant=tenant, deadline_ms=deadline)
         record = JobRecord(create=create, rows=items, service_names=["s"])
-        state.jobs[job_id] = Job(record, bytearray(items), bytes(items))
+        state.jobs[job_id] = BatchJob(record, bytearray(items), bytes(items))
     return state
 
 
@@ -120,5 +120,5 @@
     assert scheduler.choose({"model"}, 64) == []
     assert scheduler.renew(["l"], 0.0) == ["l"]
     state.apply(3, Command(at_ms=1, lease_end=LeaseEnd(lease_id="l", repeatable=True)))
-    view = state.jobs["a"].view()
+    view = state.jobs["a"].to_view()
     assert (view.state, view.cancelled, view.total) == ("cancelled", 10, 10)
--- a/tests/storage/test_database.py
+++ b/tests/storage/test_database.py
@@ -6,14 +6,14 @@
 import pytest
 
 from wharfcart.cluster.messages_pb2 import Command, LogEntry, Noop, ReplicaSet, Row
-from wharfcart.storage.database import (
+from wharfcart.storage.journal_database import (
     DATABASE_NAME,
     CorruptRecordError,
     Database,
     open_database,
 )
 from wharfcart.storage.replica_actions import HardState
-from wharfcart.storage.writes import InstalledBase, ShardWrites
+from wharfcart.storage.shard_writes import InstalledBase, ShardWrites
 
 VOTERS = ReplicaSet(voters=["a", "b"], in_sync=["a", "b"])
 
--- a/tests/storage/test_job_client.py
+++ b/tests/storage/test_job_client.py
@@ -25,16 +25,16 @@
 class Peers:
     """Nodes that answer, are gone, or are silent."""
 
-    def __init__(self, *silent: str, gone: str = "") -> None:
-        self.silent = {ADDRESSES[name] for name in silent}
-        self.gone = ADDRESSES.get(gone)
-        self.asked: list[Address] = []
+    def __init__(self, *unresponsive: str, unreachable: str = "") -> None:
+        self.unresponsive = {ADDRESSES[name] for name in unresponsive}
+        self.unreachable = ADDRESSES.get(unreachable)
+        self.calls: list[Address] = []
 
     async def call(self, address: Address, _frame: Frame) -> Frame:
-        self.asked.append(address)
-        if address == self.gone:
+        self.calls.append(address)
+        if address == self.unreachable:
             raise PeerUnreachableError(address, sent=False)
-        if address in self.silent:
+        if address in self.unresponsive:
             await asyncio.Event().wait()
         return Frame(job_answer=JobAnswer(status=DONE))
 
@@ -59,7 +59,7 @@
         return await self.client.call("j", frame, "job_answer", timeout_s, attempt_timeout_s)
 
 
-def test_a_silent_leader_is_left_as_soon_as_another_one_leads() -> None:
+def test_a_call_moves_to_a_new_leader_when_the_old_one_is_unresponsive() -> None:
     async def scenario() -> None:
         peers = Peers("a")
         client = Client(peers)
@@ -70,13 +70,13 @@
         client.record = GroupRecord(2, "b", frozenset(ADDRESSES))
         answer = await submission
         assert isinstance(answer, Frame)
-        assert peers.asked == [ADDRESSES["a"], ADDRESSES["b"]]
+        assert peers.calls == [ADDRESSES["a"], ADDRESSES["b"]]
         assert loop.time() - began_at < 1.0
 
     run_virtually(scenario())
 
 
-def test_a_leader_that_never_answers_leaves_it_unknown() -> None:
+def test_a_timeout_leaves_the_outcome_unknown() -> None:
     async def scenario() -> None:
         answer = await Client(Peers("a")).submit(1.0, 0.4)
         assert answer == JobCallFailure(True, "timeout")
@@ -84,9 +84,9 @@
     run_virtually(scenario())
 
 
-def test_a_leader_that_can_not_be_reached_was_not_told() -> None:
+def test_an_unreachable_leader_has_not_executed_the_call() -> None:
     async def scenario() -> None:
-        answer = await Client(Peers(gone="a")).submit(1.0, 0.4)
+        answer = await Client(Peers(unreachable="a")).submit(1.0, 0.4)
         assert answer == JobCallFailure(False, "unreachable")
 
     run_virtually(scenario())
--- a/tests/storage/test_job_client_residence.py
+++ b/tests/storage/test_job_client_residence.py
@@ -39,14 +39,16 @@
         yield
 
 
-class Leaders:
+class GroupLeaders:
     """Leaders of four groups, some of which have a job and some of which are gone."""
 
-    def __init__(self, having: int | None = None, gone: tuple[str, ...] = ()) -> None:
-        self.having = having
-        self.gone = gone
+    def __init__(
+        self, group_with_job: int | None = None, unreachable: tuple[str, ...] = ()
+    ) -> None:
+        self.group_with_job = group_with_job
+        self.unreachable = unreachable
         self.hint = ""
-        self.asked: list[tuple[str, int]] = []
+        self.calls: list[tuple[str, int]] = []
         self.records = {
             group: GroupRecord(1, members[0], frozenset(members))
             for group, members in enumerate(MEMBERS)
@@ -56,16 +58,16 @@
         )
 
     async def call(self, address: Address, frame: Frame) -> Frame:
-        if address.host in self.gone:
+        if address.host in self.unreachable:
             raise PeerUnreachableError(address, sent=False)
         if frame.WhichOneof("body") == "submit_job":
-            self.asked.append((address.host, frame.submit_job.group))
+            self.calls.append((address.host, frame.submit_job.group))
             if self.hint:
                 return Frame(job_answer=JobAnswer(status=NOT_LEADING, leader=self.hint))
             return Frame(job_answer=JobAnswer(status=DONE))
         group = frame.read_results.group
-        self.asked.append((address.host, group))
-        status = DONE if group == self.having else NOT_FOUND
+        self.calls.append((address.host, group))
+        status = DONE if group == self.group_with_job else NOT_FOUND
         return Frame(result_page=ResultPage(status=status))
 
     def drop(self, _address: Address) -> None:
@@ -90,48 +92,48 @@
 
 def test_a_job_goes_to_groups_all_of_whose_disks_are_in_its_regions() -> None:
     async def scenario() -> None:
-        leaders = Leaders()
+        leaders = GroupLeaders()
         for n in range(40):
             assert isinstance(await leaders.submit(f"job-{n}", WEST), Frame)
-        assert set(leaders.asked) == {("w1", 0), ("w2", 1)}
+        assert set(leaders.calls) == {("w1", 0), ("w2", 1)}
 
     run_virtually(scenario())
 
 
 def test_a_job_that_no_group_may_hold_is_refused_at_once_and_sent_nowhere() -> None:
     async def scenario() -> None:
-        leaders = Leaders()
+        leaders = GroupLeaders()
         for residence in (residence_in(["south"]), WEST.within(EAST)):
             refused = await leaders.submit("a", residence)
             assert refused == JobCallFailure(False, "outside_residence")
         assert virtual_monotonic() == 0.0
-        assert leaders.asked == []
+        assert leaders.calls == []
 
     run_virtually(scenario())
 
 
-def test_a_body_is_sent_to_no_leader_elsewhere_whoever_says_that_it_leads() -> None:
+def test_a_job_is_not_sent_to_a_hinted_leader_outside_its_residence() -> None:
     async def scenario() -> None:
-        leaders = Leaders()
+        leaders = GroupLeaders()
         leaders.hint = "e3"
         refused = await leaders.submit("a", EAST.within(EAST))
         leaders.hint = "w1"
         refused = await leaders.submit("a", EAST)
         assert refused == JobCallFailure(False, "outside_residence")
-        assert {host[0] for host, _ in leaders.asked} == {"e"}
+        assert {host[0] for host, _ in leaders.calls} == {"e"}
 
     run_virtually(scenario())
 
 
-def test_a_job_is_looked_for_where_its_id_leads_for_each_residence() -> None:
+def test_a_job_is_looked_up_in_the_group_its_id_hashes_to_for_each_residence() -> None:
     async def scenario() -> None:
         east = pick_group("a", (2,))
-        leaders = Leaders(having=east)
+        leaders = GroupLeaders(group_with_job=east)
         assert status(await leaders.read("a", EAST)) == DONE
-        assert leaders.asked == [("e1", east)]
-        leaders = Leaders(having=hash_to_group("a", 4))
+        assert leaders.calls == [("e1", east)]
+        leaders = GroupLeaders(group_with_job=hash_to_group("a", 4))
         assert status(await leaders.read("a")) == DONE
-        assert len(leaders.asked) == 1
+        assert len(leaders.calls) == 1
 
     run_virtually(scenario())
 
@@ -139,27 +141,27 @@
 @pytest.mark.parametrize("having", [0, 1, 3])
 def test_a_job_from_before_a_change_is_found_at_another_group(having: int) -> None:
     async def scenario() -> None:
-        leaders = Leaders(having=having)
+        leaders = GroupLeaders(group_with_job=having)
         assert status(await leaders.read("a", EAST)) == DONE
         assert status(await leaders.read("a", residence_in(["south"]))) == DONE
 
     run_virtually(scenario())
 
 
-def test_there_is_no_such_job_only_if_every_group_says_so() -> None:
+def test_not_found_requires_an_answer_of_every_group() -> None:
     async def scenario() -> None:
-        leaders = Leaders()
+        leaders = GroupLeaders()
         assert status(await leaders.read("a", EAST, ANYWHERE)) == NOT_FOUND
-        assert {group for _, group in leaders.asked} == {0, 1, 2, 3}
-        leaders = Leaders(gone=("w1",))
+        assert {group for _, group in leaders.calls} == {0, 1, 2, 3}
+        leaders = GroupLeaders(unreachable=("w1",))
         assert isinstance(await leaders.read("a", EAST), JobCallFailure)
 
     run_virtually(scenario())
 
 
-def test_a_group_that_has_the_job_answers_although_another_one_is_gone() -> None:
+def test_a_job_is_found_while_other_groups_are_unreachable() -> None:
     async def scenario() -> None:
-        leaders = Leaders(having=3, gone=("w1", "w2"))
+        leaders = GroupLeaders(group_with_job=3, unreachable=("w1", "w2"))
         assert status(await leaders.read("a", EAST)) == DONE
 
     run_virtually(scenario())
--- a/tests/storage/test_job_database.py
+++ b/tests/storage/test_job_database.py
@@ -19,7 +19,7 @@
 SAMPLES = Path(__file__).parent / "samples"
 
 
-def update(results: int = 0, first: int = 0, epoch: int = 1, whole: bool = True) -> JobUpdate:
+def make_update(results: int = 0, first: int = 0, epoch: int = 1, whole: bool = True) -> JobUpdate:
     return JobUpdate(
         job_id="j",
         epoch=epoch,
@@ -32,7 +32,7 @@
 def test_what_was_written_is_there_after_a_restart(tmp_path: Path) -> None:
     database = JobDatabase(tmp_path)
     identity = database.identity
-    assert database.apply_updates(0, 3, [update(2)])
+    assert database.apply_updates(0, 3, [make_update(2)])
     database.close()
     again = JobDatabase(tmp_path)
     assert again.identity == identity
@@ -49,16 +49,16 @@
 def test_a_leader_of_a_lower_epoch_is_refused(tmp_path: Path) -> None:
     database = JobDatabase(tmp_path)
     assert database.promise_epoch(0, 5)
-    assert not database.apply_updates(0, 4, [update()])
+    assert not database.apply_updates(0, 4, [make_update()])
     assert database.job_states(0) == []
     assert not database.promise_epoch(0, 4)
-    assert database.apply_updates(0, 5, [update()])
+    assert database.apply_updates(0, 5, [make_update()])
 
 
 def test_results_from_a_position_on_are_replaced(tmp_path: Path) -> None:
     database = JobDatabase(tmp_path)
-    database.apply_updates(0, 1, [update(3)])
-    database.apply_updates(0, 2, [update(1, first=1, epoch=2, whole=False)])
+    database.apply_updates(0, 1, [make_update(3)])
+    database.apply_updates(0, 2, [make_update(1, first=1, epoch=2, whole=False)])
     (state,) = database.job_states(0)
     assert (state.epoch, state.version) == (2, 3)
     (loaded,) = database.load_jobs(["j"])
@@ -67,14 +67,14 @@
 
 def test_a_forgotten_job_leaves_nothing(tmp_path: Path) -> None:
     database = JobDatabase(tmp_path)
-    database.apply_updates(0, 1, [update(3)])
+    database.apply_updates(0, 1, [make_update(3)])
     database.apply_updates(0, 1, [JobUpdate(job_id="j", forgotten=True)])
     assert database.job_states(0) == [] and database.load_jobs(["j"]) == []
 
 
 def test_a_corrupt_record_is_noticed(tmp_path: Path) -> None:
     database = JobDatabase(tmp_path)
-    database.apply_updates(0, 1, [update(1)])
+    database.apply_updates(0, 1, [make_update(1)])
     database.close()
     with sqlite3.connect(tmp_path / DATABASE_NAME) as connection:
         connection.execute("update result set value = x'00'")
@@ -85,7 +85,7 @@
 
 def test_no_shared_memory_file_is_made(tmp_path: Path) -> None:
     database = JobDatabase(tmp_path)
-    database.apply_updates(0, 1, [update(1)])
+    database.apply_updates(0, 1, [make_update(1)])
     assert not list(tmp_path.glob("*-shm"))
 
 
@@ -97,7 +97,7 @@
     assert [result.text for result in loaded.results] == [b"text 0"]
 
 
-def part(item_id: str, first: int, *texts: str, job_id: str = "j") -> PartialText:
+def make_part(item_id: str, first: int, *texts: str, job_id: str = "j") -> PartialText:
     last = first + len(texts) - 1
     return PartialText(
         job_id=job_id, item_id=item_id, from_event=first, last_event=last, texts=texts
@@ -106,9 +106,9 @@
 
 def test_events_of_items_that_run_outlast_a_loss_of_power(tmp_path: Path) -> None:
     database = JobDatabase(tmp_path)
-    database.apply_updates(0, 1, [update()])
-    database.save_partial_texts(0, [part("0", 0, "a", "b"), part("1", 0, "x")], [])
-    database.save_partial_texts(0, [part("0", 2, "c")], ["1"])
+    database.apply_updates(0, 1, [make_update()])
+    database.save_partial_texts(0, [make_part("0", 0, "a", "b"), make_part("1", 0, "x")], [])
+    database.save_partial_texts(0, [make_part("0", 2, "c")], ["1"])
     again = JobDatabase(copy_of_disk(tmp_path))
     found = again.load_partial_texts(0)
     assert [(one.item_id, list(one.texts)) for one in found] == [("0", ["a", "b"]), ("0", ["c"])]
@@ -126,22 +126,22 @@
 
 def test_events_go_with_the_result_and_with_the_job() -> None:
     database = JobDatabase(None)
-    database.apply_updates(0, 1, [update()])
-    database.save_partial_texts(0, [part("0", 0, "a"), part("1", 0, "b")], [])
-    database.apply_updates(0, 1, [update(1)])
+    database.apply_updates(0, 1, [make_update()])
+    database.save_partial_texts(0, [make_part("0", 0, "a"), make_part("1", 0, "b")], [])
+    database.apply_updates(0, 1, [make_update(1)])
     assert [one.item_id for one in database.load_partial_texts(0)] == ["1"]
-    ended = update(1)
+    ended = make_update(1)
     ended.ended = True
     database.apply_updates(0, 1, [ended])
     # Saved just after: the job is over all the same.
-    database.save_partial_texts(0, [part("1", 1, "c")], [])
+    database.save_partial_texts(0, [make_part("1", 1, "c")], [])
     assert database.load_partial_texts(0) == []
 
 
 def test_events_that_do_not_match_their_checksum_are_left_out(tmp_path: Path) -> None:
     database = JobDatabase(tmp_path)
-    database.apply_updates(0, 1, [update()])
-    database.save_partial_texts(0, [part("0", 0, "a"), part("0", 1, "b")], [])
+    database.apply_updates(0, 1, [make_update()])
+    database.save_partial_texts(0, [make_part("0", 0, "a"), make_part("0", 1, "b")], [])
     database.close()
     raw = sqlite3.connect(tmp_path / DATABASE_NAME)
     raw.execute("update running_text set checksum=checksum+1 where from_event=0")
--- a/tests/storage/test_job_group.py
+++ b/tests/storage/test_job_group.py
@@ -90,7 +90,7 @@
         assert self.leader is not None
         return self.leader
 
-    async def led_after_s(self) -> float:
+    async def time_until_led_s(self) -> float:
         """Return after how long somebody leads."""
         loop = asyncio.get_running_loop()
         began_at = loop.time()
@@ -127,7 +127,7 @@
         return False
 
 
-def play(scenario) -> None:
+def run_scenario(scenario) -> None:
     with simulated_clock():
         run_virtually(scenario())
 
@@ -153,11 +153,11 @@
         await fleet.until_led(3.0)
         assert await fleet.readable("a")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_who_led_before_leads_again_as_soon_as_enough_replicas_are_back(seed: int) -> None:
+def test_the_previous_leader_leads_again_as_soon_as_enough_replicas_restarted(seed: int) -> None:
     """It is back first, and does not wait for a second look or for another try later."""
 
     async def scenario() -> None:
@@ -173,14 +173,14 @@
         for node in fleet.nodes.values():
             if node is not before:
                 await node.start()
-        led_after_s = await fleet.led_after_s()
+        led_after_s = await fleet.time_until_led_s()
         # It asks again each 0.15 s those that did not answer; another try of its own would come
         # 0.17 s after the others or later.
         assert led_after_s < 0.16
         assert fleet.leader is before
         assert await fleet.readable("a")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_lost_leader_is_replaced() -> None:
@@ -195,7 +195,7 @@
         assert fleet.leader is not old
         assert await fleet.readable("a")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_replica_cut_off_from_the_others_does_not_unseat_the_leader() -> None:
@@ -215,10 +215,10 @@
         assert fleet.record.epoch == epoch
         assert fleet.leader is leader
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_leader_cut_off_from_the_others_is_replaced_and_no_longer_sure() -> None:
+def test_a_partitioned_leader_is_replaced_and_no_longer_confirmed() -> None:
     async def scenario() -> None:
         fleet = Fleet()
         await fleet.start()
@@ -231,10 +231,10 @@
         assert not old.group.is_recently_confirmed
         await fleet.until(lambda: fleet.leader not in (None, old), 4.0)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_leader_that_was_suspended_is_not_sure_until_others_confirm_it() -> None:
+def test_a_resumed_leader_is_unconfirmed_until_replicas_answer() -> None:
     """Its heartbeats of before are no sign: another one may have led and be gone again."""
 
     async def scenario() -> None:
@@ -254,7 +254,7 @@
         await asyncio.sleep(4.0)
         assert not leader.group.is_confirmed_since_resume
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_dead_spare_is_not_taken_into_the_set() -> None:
@@ -270,7 +270,7 @@
         await asyncio.sleep(6.0)
         assert spare.identity not in fleet.record.members
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_lost_disk_is_replaced_by_its_successor_within_the_time_to_catch_up() -> None:
@@ -286,10 +286,10 @@
         await fleet.until(lambda: lost.identity in fleet.record.members, 4.7)
         assert [state.job_id for state in lost.disk.database.job_states(0)] == ["a"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_retired_leader_leaves_only_after_its_data_stands_elsewhere() -> None:
+def test_a_retired_leader_leaves_only_after_its_data_is_replicated() -> None:
     async def scenario() -> None:
         fleet = Fleet(stores=4)
         await fleet.start()
@@ -307,10 +307,10 @@
         assert len(holders) >= 2
         assert await fleet.readable("a")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_full_disk_of_the_leader_holds_nothing_up() -> None:
+def test_a_full_disk_of_the_leader_does_not_block_commits() -> None:
     async def scenario() -> None:
         fleet = Fleet()
         await fleet.start()
@@ -320,10 +320,10 @@
         await fleet.submit("a")
         assert await fleet.readable("a")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_write_does_not_count_with_one_disk() -> None:
+def test_a_write_on_one_disk_is_not_committed() -> None:
     async def scenario() -> None:
         fleet = Fleet()
         await fleet.start()
@@ -336,11 +336,11 @@
         answer = await leader.service.submit(SubmitJob(job=job))
         assert answer.status != DONE
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_promises_hold_under_random_faults(seed: int) -> None:
+def test_guarantees_hold_under_random_faults(seed: int) -> None:
     simulation = JobGroupSimulation(seed, length_s=40.0)
     simulation.run()
     assert simulation.accepted > 10
@@ -348,7 +348,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_promises_hold_under_random_faults_over_regions(seed: int) -> None:
+def test_guarantees_hold_under_random_faults_over_regions(seed: int) -> None:
     """Replicas that filled in from another region move home beside the faults, as does the lead."""
     simulation = JobGroupSimulation(seed, stores=5, length_s=40.0)
     simulation.topology = TOPOLOGY
@@ -359,7 +359,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_a_leader_that_went_dark_is_replaced_within_two_seconds(seed: int) -> None:
+def test_a_partitioned_leader_is_replaced_within_two_seconds(seed: int) -> None:
     """Run 9cbb3a13: calls to the lost leader hung, and the election waited for them."""
 
     async def scenario() -> None:
@@ -373,7 +373,7 @@
         fleet.simulation.cuts |= {(other, dark) for other in others}
         await fleet.until(lambda: fleet.leader is not None and fleet.leader.number != dark, 2.0)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -383,7 +383,7 @@
     async def scenario() -> None:
         fleet = Fleet(seed=seed)
         await fleet.start()
-        slow_down(fleet, 0.2)
+        delay_coordination(fleet, 0.2)
         epoch = fleet.record.epoch
         leader = fleet.leader
         assert leader is not None
@@ -392,10 +392,10 @@
         await asyncio.sleep(3)
         assert fleet.record.epoch == epoch + 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def slow_down(fleet: Fleet, seconds: float) -> None:
+def delay_coordination(fleet: Fleet, seconds: float) -> None:
     service = fleet.simulation.coordination
     for name in ("read", "commit"):
         call = getattr(service, name)
@@ -409,7 +409,7 @@
         setattr(service, name, slowly)
 
 
-def test_a_leader_tells_how_many_replicas_lack_something() -> None:
+def test_a_leader_reports_how_many_replicas_are_behind() -> None:
     async def scenario() -> None:
         fleet = Fleet()
         await fleet.start()
@@ -422,7 +422,7 @@
         lost.kill()
         await fleet.until(lambda: group.replicas_behind == 1, 4.0)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_replicas_and_leader_are_in_the_region_of_the_group() -> None:
@@ -431,10 +431,10 @@
         await fleet.start()
         assert fleet.zones(fleet.record.members) == ["w1", "w1", "w2"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_fleet_that_was_laid_out_before_there_were_regions_goes_on_as_it_stands() -> None:
+def test_a_layout_without_regions_keeps_its_replica_set() -> None:
     """Its one group has all zones, so that no disk is far and nothing moves."""
 
     async def scenario() -> None:
@@ -453,10 +453,10 @@
         await fleet.until(lambda: fleet.nodes[3].identity in fleet.record.members, 6.0)
         assert await fleet.readable("a")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_region_whose_nodes_start_a_moment_later_has_its_group() -> None:
+def test_a_region_whose_nodes_start_late_gets_its_group() -> None:
     async def scenario() -> None:
         fleet = Fleet(stores=5, zones=("w1", "w2", "w1", "e1", "e1"))
         for number, node in fleet.nodes.items():
@@ -469,7 +469,7 @@
         assert entry.value is not None
         assert set(layout_from_bytes(entry.value).region_by_group) == {WEST, EAST}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_partial_texts_stay_in_the_region() -> None:
@@ -487,10 +487,10 @@
             knows[zone] = node.group.partial_texts.get_or_create("a", "a-0").texts
         assert knows == {"w1": ["text"], "w2": ["text"], "e1": []}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_replica_from_afar_fills_in_and_gives_its_place_back() -> None:
+def test_a_replica_in_another_region_fills_in_and_is_swapped_out_again() -> None:
     async def scenario() -> None:
         fleet = Fleet(stores=4, zones=OVER_REGIONS)
         await fleet.start()
@@ -506,11 +506,11 @@
         await fleet.until(lambda: "e1" not in fleet.zones(fleet.record.members), 12.0)
         assert await fleet.readable("a")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_leader_in_another_region_hands_over_once_one_at_home_has_everything(seed: int) -> None:
+def test_a_leader_in_another_region_transfers_leadership_to_a_caught_up_replica(seed: int) -> None:
     async def scenario() -> None:
         fleet = Fleet(stores=3, seed=seed, zones=("w1", "w2", "e1"))
         await fleet.start()
@@ -525,7 +525,7 @@
         await fleet.until(lambda: fleet.leader in west, 9.0)
         assert await fleet.readable("a")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_lost_replica_is_replaced_in_another_zone_where_one_may_be_lost() -> None:
@@ -545,7 +545,7 @@
             await asyncio.sleep(5.0)
         assert fleet.zones(fleet.record.members) == ["e1", "w1", "w2"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 async def lose_a_replica(fleet: Fleet) -> str:
@@ -573,7 +573,7 @@
         assert fleet.nodes[3].disk.database.job_states(0) == []
         assert await fleet.readable("a")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_group_that_can_hold_bound_jobs_takes_no_spare_elsewhere() -> None:
@@ -586,7 +586,7 @@
         assert "e1" not in fleet.zones(fleet.record.members)
         await fleet.submit("a", residence=residence_in(["west"]))
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_group_without_bound_jobs_takes_the_spare_elsewhere() -> None:
@@ -598,10 +598,10 @@
         await fleet.until(lambda: lost not in fleet.record.members, 8.0)
         assert "e1" in fleet.zones(fleet.record.members)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_bound_job_is_refused_while_a_disk_elsewhere_is_fed() -> None:
+def test_a_bound_job_is_refused_while_a_spare_in_another_region_catches_up() -> None:
     """The spare is no replica yet, but gets whatever the leader writes."""
 
     async def scenario() -> None:
@@ -622,10 +622,10 @@
         assert (await leader.service.submit(SubmitJob(job=job))).status == OUTSIDE_RESIDENCE
         assert not await fleet.readable_now("b")
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_spare_elsewhere_that_did_not_catch_up_is_left() -> None:
+def test_the_session_with_an_ineligible_spare_is_closed() -> None:
     """Bound jobs would be refused for as long as it is fed."""
 
     async def scenario() -> None:
@@ -643,10 +643,10 @@
         await asyncio.sleep(1.0)
         assert fleet.nodes[3].disk.database.job_states(0) == []
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_bound_job_that_comes_while_a_spare_is_asked_keeps_it_out() -> None:
+def test_a_bound_job_accepted_during_the_spare_check_excludes_the_spare() -> None:
     """The spare answers, and by then the group has a job that it may not hold."""
 
     async def scenario() -> None:
@@ -693,4 +693,4 @@
         assert leader.group is not None
         assert leader.group.partial_texts.event_count("a-1") == 40
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/storage/test_job_leadership.py
+++ b/tests/storage/test_job_leadership.py
@@ -4,7 +4,7 @@
 
 from wharfcart.cluster.messages_pb2 import ItemOutcome, RequestItem, RequestJob
 from wharfcart.storage.job_leadership import JobLeadership
-from wharfcart.storage.job_records import JobState, ReplicatedJob
+from wharfcart.storage.replicated_job import JobState, ReplicatedJob
 
 MEMBERS = frozenset({"a", "b", "c"})
 
@@ -17,7 +17,7 @@
     return ItemOutcome(item_id=item, succeeded=True, text=text)
 
 
-def leadership(epoch: int = 1) -> JobLeadership:
+def make_leadership(epoch: int = 1) -> JobLeadership:
     made = JobLeadership(epoch, 2, MEMBERS)
     for identity in MEMBERS:
         made.add_replica(identity, [])
@@ -28,8 +28,8 @@
     made.record_written(identity, made.updates_for(identity))
 
 
-def test_a_job_counts_with_two_disks() -> None:
-    made = leadership()
+def test_a_job_is_committed_on_two_disks() -> None:
+    made = make_leadership()
     made.accept_job(job())
     write(made, "a")
     assert made.committed_version("j") == 0
@@ -37,8 +37,8 @@
     assert made.committed_version("j") == 1
 
 
-def test_a_result_is_shown_only_once_it_counts() -> None:
-    made = leadership()
+def test_a_result_is_visible_only_once_committed() -> None:
+    made = make_leadership()
     made.accept_job(job())
     write(made, "a")
     write(made, "b")
@@ -51,26 +51,26 @@
 
 
 def test_an_item_has_one_result() -> None:
-    made = leadership()
+    made = make_leadership()
     made.accept_job(job())
     assert made.append_result("j", outcome("0"))
     assert not made.append_result("j", outcome("0", b"other"))
 
 
 def test_an_ended_job_takes_no_result() -> None:
-    made = leadership()
+    made = make_leadership()
     made.accept_job(job())
     made.end_job("j")
     assert not made.append_result("j", outcome("0"))
 
 
 def test_the_same_job_is_taken_once() -> None:
-    made = leadership()
+    made = make_leadership()
     first = made.accept_job(job())
     assert made.accept_job(job(items=2)) is first
 
 
-def test_an_inherited_state_counts_only_in_the_new_epoch() -> None:
+def test_an_inherited_state_is_committed_only_in_the_new_epoch() -> None:
     """Otherwise a state on enough disks may yet lose against a newer epoch's (Raft, figure 8)."""
     made = JobLeadership(4, 2, MEMBERS)
     made.inherit([ReplicatedJob(job(), 2, [outcome("0")])])
@@ -99,15 +99,15 @@
     assert update.from_result == 1 and not update.results
 
 
-def test_a_job_that_never_counted_is_removed_from_a_replica_that_has_it() -> None:
-    made = leadership()
+def test_an_uncommitted_job_is_deleted_from_a_replica() -> None:
+    made = make_leadership()
     made.add_replica("c", [JobState("ghost", 1, 3)])
     (update,) = made.updates_for("c")
     assert update.job_id == "ghost" and update.forgotten
 
 
-def test_while_the_set_changes_both_sets_must_have_enough() -> None:
-    made = leadership()
+def test_during_a_set_change_both_sets_need_a_quorum() -> None:
+    made = make_leadership()
     made.begin_set_change(frozenset({"c", "d"}))
     made.add_replica("d", [])
     made.accept_job(job())
@@ -121,8 +121,8 @@
     assert made.is_set_change_safe()
 
 
-def test_a_replica_that_left_speaks_for_nothing() -> None:
-    made = leadership()
+def test_a_removed_replica_no_longer_counts_for_a_set_change() -> None:
+    made = make_leadership()
     made.begin_set_change(frozenset({"a", "b"}))
     made.accept_job(job())
     write(made, "a")
@@ -132,14 +132,14 @@
     assert made.committed_version("j") == 1, "what counted once stays"
 
 
-def test_how_many_must_answer_a_new_leader() -> None:
+def test_promises_required_for_a_takeover() -> None:
     assert JobLeadership(1, 2, MEMBERS).required_promises == 2
     assert JobLeadership(1, 2, frozenset({"a", "b"})).required_promises == 1
     assert JobLeadership(1, 3, frozenset("abcde")).required_promises == 3
 
 
 def test_tokens_wait_until_their_item_has_a_result_or_the_job_ends() -> None:
-    made = leadership()
+    made = make_leadership()
     items = [RequestItem(item_id=str(n), tokens=10) for n in range(3)]
     made.accept_job(RequestJob(job_id="j", items=items))
     made.append_result("j", outcome("0"))
@@ -149,7 +149,7 @@
     assert made.jobs["j"].waiting_tokens == 0
 
 
-def test_a_new_leader_knows_what_waits() -> None:
+def test_a_new_leader_knows_the_waiting_tokens() -> None:
     record = ReplicatedJob(
         RequestJob(job_id="j", items=[RequestItem(item_id=str(n), tokens=10) for n in range(3)]), 1
     )
@@ -162,7 +162,7 @@
 
 
 def test_a_result_that_comes_while_an_update_is_under_way_is_sent_next() -> None:
-    made = leadership()
+    made = make_leadership()
     made.accept_job(job())
     write(made, "a")
     made.append_result("j", outcome("0"))
@@ -177,7 +177,7 @@
 
 
 def test_a_result_of_an_item_that_the_job_does_not_have_is_not_taken() -> None:
-    made = leadership()
+    made = make_leadership()
     made.accept_job(job())
     assert not made.append_result("j", outcome("elsewhere"))
 
@@ -185,7 +185,7 @@
 def test_one_result_costs_the_same_however_many_jobs_and_results_there_are(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    made = leadership()
+    made = make_leadership()
     for number in range(500):
         made.accept_job(job(f"j{number}"))
     made.accept_job(job("large", items=3000))
--- a/tests/storage/test_job_residence.py
+++ b/tests/storage/test_job_residence.py
@@ -4,7 +4,7 @@
 
 from wharfcart.cluster.topology import RegionName, Topology
 from wharfcart.configuration.residence import ANYWHERE, Residence, residence_in
-from wharfcart.storage.job_moves import RESUBMIT_WINDOW_S, JobMoveTracker
+from wharfcart.storage.job_move_tracker import RESUBMIT_WINDOW_S, JobMoveTracker
 from wharfcart.storage.job_residence import (
     all_in_residence,
     hash_to_group,
@@ -31,7 +31,7 @@
     assert pick_group("a", ()) is None
 
 
-def test_where_every_group_may_hold_it_the_id_alone_decides_as_it_did() -> None:
+def test_an_unbound_job_goes_to_the_group_its_id_hashes_to() -> None:
     for n in range(200):
         assert pick_group(f"job-{n}", range(5)) == hash_to_group(f"job-{n}", 5)
 
@@ -59,7 +59,7 @@
     assert may_join_group("e-9", ["w-1"], [ANYWHERE], [], region_of)
 
 
-def test_a_group_that_can_hold_jobs_of_a_configured_residence_stays_able_to() -> None:
+def test_a_disk_may_not_join_if_the_group_could_no_longer_hold_a_configured_residence() -> None:
     assert not may_join_group("e-9", ["w-1", "w-2"], [], [ANYWHERE, WEST], region_of)
     assert may_join_group("w-9", ["w-1", "w-2"], [], [ANYWHERE, WEST], region_of)
     # It can't hold any as it is: nothing is lost.
@@ -67,7 +67,7 @@
     assert may_join_group("e-9", ["w-1", "w-2"], [], [EAST], region_of)
 
 
-def test_a_group_is_asked_for_slots_where_it_may_have_some() -> None:
+def test_a_group_may_grant_slots_in_the_regions_of_its_zones() -> None:
     layout = Layout((("w1", "w2"), ("e1",)))
     assert [layout.may_grant_in(group, WEST, TOPOLOGY) for group in (0, 1)] == [True, False]
     assert [layout.may_grant_in(group, EAST, TOPOLOGY) for group in (0, 1)] == [False, True]
@@ -81,7 +81,7 @@
     assert not layout.may_grant_in(0, EAST, TOPOLOGY)
 
 
-def test_submissions_may_have_moved_for_a_while_after_the_groups_became_others() -> None:
+def test_submissions_count_as_moved_for_a_period_after_the_groups_changed() -> None:
     moves = JobMoveTracker()
     source = ("route", "tenant")
     assert not moves.has_moved_recently(source, (0, 1), 0.0)
--- a/tests/storage/test_journal_simulation.py
+++ b/tests/storage/test_journal_simulation.py
@@ -14,7 +14,7 @@
 from wharfcart.storage.replica import Replica
 from wharfcart.storage.replica_actions import Role
 from wharfcart.storage.shard import Shard
-from wharfcart.storage.shard_state import Job, ShardState
+from wharfcart.storage.shard_state import BatchJob, ShardState
 
 CLEAN_SEEDS = range(10)
 MUTATION_SEEDS = range(1000, 1040)
@@ -54,7 +54,7 @@
         output.send_now.extend(output.send_after_write)
         output.send_after_write = []
         if output.written_mark is not None:
-            self.written(output.written_mark, self.replica._last_leader_contact_at)
+            self.mark_written(output.written_mark, self.replica._last_leader_contact_at)
             output.written_mark = None
         return output
 
@@ -95,7 +95,7 @@
 def _second_completion_counts() -> Any:
     original = ShardState._complete_item
 
-    def complete_item(self: ShardState, job: Job, result: Any) -> bool:
+    def complete_item(self: ShardState, job: BatchJob, result: Any) -> bool:
         job.states[result.row] = 0
         return original(self, job, result)
 
@@ -111,7 +111,7 @@
 
 
 def _lease_after_cancel() -> Any:
-    return patch.object(Job, "cancelled", property(lambda self: False))
+    return patch.object(BatchJob, "cancelled", property(lambda self: False))
 
 
 def _forget_state_rows_at_restart() -> Any:
--- a/tests/storage/test_layout.py
+++ b/tests/storage/test_layout.py
@@ -5,7 +5,7 @@
 from wharfcart.cluster.topology import RegionName, Topology
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.storage.layout import Layout, layout_from_bytes, plan_group_records, plan_layout
-from wharfcart.storage.replica_spread import ReplicaPlacement
+from wharfcart.storage.replica_placement import ReplicaPlacement
 
 FULL_SIZE = 5
 COPIES = 3
@@ -50,7 +50,7 @@
     assert {layout.group_of(instance(f"i-{n}", "new")) for n in range(100)} == set(range(5))
 
 
-def test_a_layout_reads_as_it_was_written() -> None:
+def test_a_layout_survives_a_round_trip() -> None:
     layout = plan_layout(disks(30, 3))
     assert layout_from_bytes(layout.to_bytes()) == layout
 
@@ -174,12 +174,12 @@
     assert elsewhere == set(range(layout.group_count))
 
 
-def test_a_layout_over_regions_reads_as_it_was_written() -> None:
+def test_a_layout_over_regions_survives_a_round_trip() -> None:
     layout = plan_layout(regional_disks(east=5, north=4), TOPOLOGY, COPIES)
     assert layout_from_bytes(layout.to_bytes()) == layout
 
 
-def test_a_layout_of_the_version_before_regions_is_used_as_it_stands() -> None:
+def test_a_layout_written_without_regions_is_kept() -> None:
     kept = b'{"zones_by_group": [["east-a", "north-a", "west-a"], ["east-b", "north-b", "west-b"]]}'
     layout = layout_from_bytes(kept)
     assert layout.region_by_group == ()
@@ -197,7 +197,7 @@
     )
 
 
-def test_members_are_spread_such_that_a_zone_may_go_where_the_fleet_promises_it() -> None:
+def test_members_tolerate_a_zone_failure_if_configured() -> None:
     zones = {f"disk-{n}": "zone-0" if n < 6 else f"zone-{n % 2 + 1}" for n in range(10)}
     layout = plan_layout(zones)
     (record,) = plan_group_records(
--- a/tests/storage/test_partial_texts.py
+++ b/tests/storage/test_partial_texts.py
@@ -19,7 +19,7 @@
     assert (copy.last_event, copy.texts) == (2, ["a", "b", "c"])
 
 
-def test_a_part_that_does_not_fit_on_is_left_out() -> None:
+def test_a_part_with_a_gap_before_it_is_ignored() -> None:
     leader, replica = PartialTexts(), PartialTexts()
     sent = SentOffsets(events={"i": 1})
     text = leader.get_or_create("j", "i")
@@ -38,7 +38,7 @@
     assert texts.take_unsent(SentOffsets()) == []
 
 
-def test_a_replica_knows_where_an_item_failed_though_it_gave_no_event() -> None:
+def test_failures_of_an_item_without_events_are_replicated() -> None:
     leader, replica = PartialTexts(), PartialTexts()
     sent = SentOffsets()
     leader.get_or_create("j", "i").failed_at += ["a", "b"]
@@ -50,7 +50,7 @@
     assert (copy.failed_at, copy.last_event, copy.texts) == (["a", "b", "a"], None, [])
 
 
-def test_items_that_run_no_more_are_named_once() -> None:
+def test_removed_items_are_reported_once() -> None:
     texts = PartialTexts()
     saved = SentOffsets()
     texts.get_or_create("j", "i").add_event(0, "a")
@@ -61,7 +61,7 @@
     assert texts.removed_items(saved) == set()
 
 
-def test_saved_parts_are_taken_up_as_far_as_they_follow_on() -> None:
+def test_saved_parts_are_restored_up_to_the_first_gap() -> None:
     texts, again = PartialTexts(), PartialTexts()
     saved = SentOffsets()
     parts = []
--- a/tests/storage/test_replica_spread.py
+++ b/tests/storage/test_replica_placement.py
@@ -6,13 +6,13 @@
 from hypothesis import strategies as st
 
 from wharfcart.cluster.topology import RegionName, Topology
-from wharfcart.storage.replica_spread import ReplicaPlacement
+from wharfcart.storage.replica_placement import ReplicaPlacement
 
 WEST, EAST = RegionName("west"), RegionName("east")
 TOPOLOGY = Topology({"w1": WEST, "w2": WEST, "e1": EAST, "e2": EAST})
 
 
-def spread(zones: dict[str, str], copies: int = 3, **more) -> ReplicaPlacement:
+def make_placement(zones: dict[str, str], copies: int = 3, **more) -> ReplicaPlacement:
     return ReplicaPlacement(copies, 2 * copies - 1, zones, **more)
 
 
@@ -22,7 +22,7 @@
 
 def test_a_spare_of_another_zone_goes_before_the_first_in_the_alphabet() -> None:
     zones = disks(a=4, b=2, c=2)
-    wanted = spread(zones, tolerated_zone_failures=1).repaired_members(
+    wanted = make_placement(zones, tolerated_zone_failures=1).repaired_members(
         ["a-0", "a-1", "b-0"], ["b-1"], ["a-2", "c-0"]
     )
     assert wanted == {"a-0", "a-1", "b-0", "c-0"}
@@ -30,20 +30,22 @@
 
 def test_spares_of_the_region_go_first_though_they_share_zones() -> None:
     zones = disks(w1=3, w2=2, e1=3)
-    view = spread(zones, topology=TOPOLOGY, preferred_zones=("w1", "w2"))
+    view = make_placement(zones, topology=TOPOLOGY, preferred_zones=("w1", "w2"))
     assert set(view.choose_additions([], zones)) == {"w1-0", "w1-1", "w1-2", "w2-0", "w2-1"}
 
 
-def test_another_region_helps_out_where_the_own_would_lose_a_write_with_a_zone() -> None:
+def test_another_region_joins_if_one_zone_failure_would_lose_a_write() -> None:
     zones = disks(w1=3, w2=2, e1=3)
-    view = spread(zones, topology=TOPOLOGY, preferred_zones=("w1", "w2"), tolerated_zone_failures=1)
+    view = make_placement(
+        zones, topology=TOPOLOGY, preferred_zones=("w1", "w2"), tolerated_zone_failures=1
+    )
     members = view.choose_additions([], zones)
     assert Counter(map(view.zone_of, members)) == {"w1": 2, "w2": 2, "e1": 1}
 
 
 def test_disks_that_may_not_hold_the_group_never_join() -> None:
     zones = disks(w1=2, w2=2, e1=3)
-    view = spread(
+    view = make_placement(
         zones,
         topology=TOPOLOGY,
         preferred_zones=("w1", "w2"),
@@ -58,33 +60,33 @@
     ]
 
 
-def test_a_far_replica_is_exchanged_for_a_near_spare_but_the_leader_stays() -> None:
+def test_a_replica_in_another_region_is_swapped_but_the_leader_stays() -> None:
     zones = disks(w1=3, w2=2, e1=2)
-    view = spread(zones, topology=TOPOLOGY, preferred_zones=("w1", "w2"))
+    view = make_placement(zones, topology=TOPOLOGY, preferred_zones=("w1", "w2"))
     members = ["w1-0", "w1-1", "w2-0", "w2-1", "e1-0"]
     assert view.find_better_swap(members, ["w1-2", "e1-1"], "w1-0") == ("e1-0", "w1-2")
     assert view.find_better_swap(members, ["w1-2", "e1-1"], "e1-0") is None
     assert view.find_better_swap(members, ["e1-1"], "w1-0") is None
 
 
-def test_leaders_are_ranked_by_distance_from_home() -> None:
+def test_leaders_are_ranked_by_distance_from_the_preferred_zones() -> None:
     zones = disks(e1=1, w2=1, w1=1)
-    view = spread(zones, topology=TOPOLOGY, preferred_zones=("w1",))
+    view = make_placement(zones, topology=TOPOLOGY, preferred_zones=("w1",))
     assert view.rank_leaders(zones) == ["w1-0", "w2-0", "e1-0"]
 
 
-def test_a_set_says_what_it_can_not_bear() -> None:
+def test_shortfalls_name_the_failures_that_a_set_does_not_tolerate() -> None:
     zones = disks(a=3, b=2)
-    assert spread(zones).shortfalls(zones) == []
-    assert spread(zones, tolerated_zone_failures=1).shortfalls(zones) == [
+    assert make_placement(zones).shortfalls(zones) == []
+    assert make_placement(zones, tolerated_zone_failures=1).shortfalls(zones) == [
         "1 zones hold 3 replicas of 5"
     ]
-    assert spread(zones).shortfalls(["a-0", "a-1"]) == ["2 replicas of 5"]
+    assert make_placement(zones).shortfalls(["a-0", "a-1"]) == ["2 replicas of 5"]
 
 
 def test_a_fleet_of_one_zone_still_has_full_groups() -> None:
     zones = disks(a=6)
-    assert len(spread(zones, tolerated_zone_failures=1).choose_additions([], zones)) == 5
+    assert len(make_placement(zones, tolerated_zone_failures=1).choose_additions([], zones)) == 5
 
 
 @st.composite
@@ -97,7 +99,7 @@
     copies = draw(st.integers(2, 3))
     home_zones = draw(st.sampled_from([(), ("w1",), ("w1", "w2"), ("e2",)]))
     topology = draw(st.sampled_from([Topology(), TOPOLOGY]))
-    view = spread(
+    view = make_placement(
         zones, copies, topology=topology, preferred_zones=home_zones, tolerated_zone_failures=1
     )
     members: list[str] = []
@@ -113,7 +115,7 @@
 
 
 @given(repairs())
-def test_after_any_repair_any_zone_may_go(repair) -> None:
+def test_any_zone_may_fail_after_any_repair(repair) -> None:
     view, alive, dead, spares = repair
     wanted = view.repaired_members(alive, dead, spares)
     assert set(alive) <= wanted <= {*alive, *dead, *spares}
@@ -125,7 +127,7 @@
 
 
 @given(repairs())
-def test_no_far_spare_joins_while_a_near_one_fits(repair) -> None:
+def test_no_spare_of_another_region_joins_while_a_local_one_fits(repair) -> None:
     view, alive, dead, spares = repair
     wanted = view.repaired_members(alive, dead, spares)
     added = wanted & set(spares)
@@ -137,7 +139,7 @@
 
 
 @given(repairs())
-def test_exchanges_come_to_an_end(repair) -> None:
+def test_swaps_terminate(repair) -> None:
     view, alive, dead, spares = repair
     members = set(view.repaired_members(alive, dead, spares))
     outside = set(spares) - members
@@ -151,8 +153,8 @@
     raise AssertionError("exchanges go on for ever")
 
 
-def test_of_the_dead_those_leave_whose_zone_would_hold_too_many() -> None:
+def test_dead_members_of_overfilled_zones_leave_first() -> None:
     zones = disks(a=3, b=2, c=1)
-    view = spread(zones, tolerated_zone_failures=1)
+    view = make_placement(zones, tolerated_zone_failures=1)
     wanted = view.repaired_members(["a-1", "b-0", "b-1"], ["a-0", "c-0"], ["a-2"])
     assert wanted == {"a-1", "a-2", "b-0", "b-1", "c-0"}
--- a/tests/storage/test_replica_set_policy.py
+++ b/tests/storage/test_replica_set_policy.py
@@ -37,11 +37,11 @@
     assert list(decision.next_set.in_sync) == ["a", "b"]
 
 
-def test_last_but_one_copy_is_never_dropped() -> None:
+def test_the_second_copy_is_never_dropped() -> None:
     assert _policy("a").decide(_view("abc", "ab", ""), NOW).next_set is None
 
 
-def test_caught_up_voter_takes_a_silent_ones_place() -> None:
+def test_caught_up_voter_replaces_an_unresponsive_one() -> None:
     decision = _policy("ac").decide(_view("abc", "ab", "c"), NOW)
     assert decision.next_set is not None
     assert list(decision.next_set.in_sync) == ["a", "c"]
@@ -70,7 +70,7 @@
         assert policy.decide(view, NOW + seconds).learner is None
 
 
-def test_spare_that_is_lost_makes_room_for_another() -> None:
+def test_lost_spare_is_replaced_by_another() -> None:
     """Found by a scenario: the first spare was an identity that was lost already."""
     policy = _policy("ax")
     assert policy.decide(_view("a", "a", ""), NOW).learner == "x"
