--- a/src/wharfcart/batch/item_run.py
+++ b/src/wharfcart/batch/item_run.py
@@ -20,7 +20,7 @@
 from wharfcart.routing.backend_selection import BackendSelector, InstanceState
 from wharfcart.routing.crash_detection import CrashDetector, InterruptedRun
 from wharfcart.routing.event_stream import EventSplitter
-from wharfcart.storage.partial_texts import RunningText
+from wharfcart.storage.partial_texts import ItemPartialText
 
 STATUS_UNPROCESSABLE = 422
 STATUS_SERVER_ERROR = 500
@@ -54,7 +54,7 @@
     run_time_s: sum of the times of its sends.
     """
 
-    partial_text: RunningText
+    partial_text: ItemPartialText
     not_before: float = 0.0
     last_instance_id: str = ""
     attempts: int = 0
@@ -250,5 +250,5 @@
                     continue
                 if last_event is not None and event.number > last_event + 1:
                     return RunOutcome.INTERRUPTED
-                progress.partial_text.add(event.number, event.data)
+                progress.partial_text.add_event(event.number, event.data)
         return RunOutcome.INTERRUPTED if splitter.remainder else RunOutcome.SUCCEEDED
--- a/src/wharfcart/batch/job_service.py
+++ b/src/wharfcart/batch/job_service.py
@@ -38,8 +38,8 @@
 from wharfcart.storage.job_client import JobCallFailure, JobClient
 from wharfcart.storage.job_group import JobGroup
 from wharfcart.storage.job_leadership import JobLeadership
-from wharfcart.storage.job_records import JobRecord
-from wharfcart.storage.job_residence import RegionOf, all_in
+from wharfcart.storage.job_residence import RegionOf, all_in_residence
+from wharfcart.storage.replicated_job import ReplicatedJob
 
 WRITE_TIMEOUT_S = 3.0
 CONFIRMATION_TIMEOUT_S = 0.8
@@ -153,11 +153,11 @@
                 self._pending_submissions += Counter()
             if refusal is not None:
                 return JobAnswer(status=refusal, leader=self._leader())
-        record = leadership.accept(job)
+        record = leadership.accept_job(job)
         self._group.wake_sessions()
         if not await self._wait_until_committed(leadership, job.job_id, 1):
             return JobAnswer(status=UNSURE)
-        if not record.ended and not record.complete:
+        if not record.ended and not record.is_complete:
             self._execution.job_accepted(record.job)
         if not known:
             self._log.write(
@@ -205,7 +205,7 @@
 
     def _disks_allow(self, job: RequestJob) -> bool:
         residence = residence_from_message(job)
-        return all_in(self._group.disks, residence, self._region_of)
+        return all_in_residence(self._group.disks, residence, self._region_of)
 
     def _refuse_outside_residence(self, job: RequestJob) -> JobStatus:
         residence = residence_from_message(job)
@@ -249,11 +249,11 @@
             if leadership is None or record is None:
                 status = self._missing_status(leadership, message.job_id, message.tenant)
                 return ResultPage(status=status, leader=self._leader())
-            results = leadership.counted_results(message.job_id, message.after)
+            results = leadership.committed_results(message.job_id, message.after)
             left_s = until - monotonic()
             if results or left_s <= 0 or record.ended or message.after >= len(record.job.items):
                 return _result_page(len(record.job.items), results)
-            await self._group.wait_progress(left_s)
+            await self._group.wait_for_progress(left_s)
 
     async def read_item_body(self, message: ReadItemBody) -> ItemBody:
         """Return the body of an item that has no result yet."""
@@ -281,7 +281,7 @@
             # One that is being taken is not denied: it would run although its end was asked for.
             status = self._missing_status(leadership, message.job_id, message.tenant)
             return JobAnswer(status=status, leader=self._leader())
-        record = leadership.end(message.job_id)
+        record = leadership.end_job(message.job_id)
         assert record is not None
         self._execution.job_cancelled(message.job_id)
         self._group.wake_sessions()
@@ -354,11 +354,11 @@
         self, leadership: JobLeadership, job_id: str, version: int
     ) -> bool:
         until = monotonic() + WRITE_TIMEOUT_S
-        while leadership.counted_version(job_id) < version:
+        while leadership.committed_version(job_id) < version:
             left_s = until - monotonic()
             if left_s <= 0 or self._group.leadership is not leadership:
                 return False
-            await self._group.wait_progress(left_s)
+            await self._group.wait_for_progress(left_s)
         return True
 
     async def _confirm_leadership(self) -> bool:
@@ -366,10 +366,10 @@
         if self._group.leadership is None:
             return False
         until = monotonic() + CONFIRMATION_TIMEOUT_S
-        while not self._group.leads_freshly:
+        while not self._group.is_recently_confirmed:
             if monotonic() > until or self._group.leadership is None:
                 return False
-            await self._group.wait_progress(0.05)
+            await self._group.wait_for_progress(0.05)
         return True
 
     def _leader(self) -> str:
@@ -381,9 +381,9 @@
 
     def _visible_job(
         self, leadership: JobLeadership | None, job_id: str, tenant: str
-    ) -> JobRecord | None:
+    ) -> ReplicatedJob | None:
         """Return a job that counts and that a caller may see, or None."""
-        if leadership is None or leadership.counted_version(job_id) == 0:
+        if leadership is None or leadership.committed_version(job_id) == 0:
             return None
         record = leadership.jobs[job_id]
         return record if _belongs_to(record.job, tenant) else None
--- a/src/wharfcart/batch/lease_scheduler.py
+++ b/src/wharfcart/batch/lease_scheduler.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Collection
 from dataclasses import dataclass, field
 
-from wharfcart.storage.shard_state import ItemState, Job, ShardState
+from wharfcart.storage.shard_state import BatchJob, ItemState, ShardState
 
 LEASE_TERM_S = 10.0
 MAX_ITEMS_PER_LEASE = 64
@@ -94,8 +94,8 @@
 
     # ---- choice ----
 
-    def _next_job(self, targets: frozenset[str], exhausted: set[str]) -> Job | None:
-        by_tenant: dict[str, list[Job]] = {}
+    def _next_job(self, targets: frozenset[str], exhausted: set[str]) -> BatchJob | None:
+        by_tenant: dict[str, list[BatchJob]] = {}
         for job_id, job in self.state.jobs.items():
             if job.finished or job.cancelled or job_id in exhausted:
                 continue
@@ -110,14 +110,14 @@
             return min(jobs, key=lambda job: job.count(ItemState.PENDING))
         return min(jobs, key=lambda job: (job.record.create.deadline_ms, job.record.created_ms))
 
-    def _has_servable_items(self, job: Job, targets: frozenset[str]) -> bool:
+    def _has_servable_items(self, job: BatchJob, targets: frozenset[str]) -> bool:
         if ItemState.PENDING not in job.states:
             return False
         tenant = job.record.create.tenant
         return any(self.target_of(tenant, name) in targets for name in job.record.service_names)
 
     def _reserve_rows(
-        self, job: Job, targets: frozenset[str], max_items: int
+        self, job: BatchJob, targets: frozenset[str], max_items: int
     ) -> LeaseChoice | None:
         create = job.record.create
         reserved = self._reserved.get(create.job_id, set())
--- a/src/wharfcart/experiments/simulated_storage.py
+++ b/src/wharfcart/experiments/simulated_storage.py
@@ -31,14 +31,14 @@
 from wharfcart.cluster.transport import PeerUnreachableError, TrafficClass, Transport
 from wharfcart.observability.decisions import DecisionLog
 from wharfcart.storage.disk import Disk, DiskFailedError
-from wharfcart.storage.founding import Founder
 from wharfcart.storage.group_context import GroupContext
 from wharfcart.storage.job_client import JobClient
 from wharfcart.storage.job_database import JobDatabase
 from wharfcart.storage.job_group import JobGroup
-from wharfcart.storage.job_records import JobState
-from wharfcart.storage.layout import Layout, layout_from
-from wharfcart.storage.replica_spread import ReplicaSpread
+from wharfcart.storage.layout import Layout, layout_from_bytes
+from wharfcart.storage.layout_bootstrap import LayoutBootstrap
+from wharfcart.storage.replica_placement import ReplicaPlacement
+from wharfcart.storage.replicated_job import JobState
 
 if TYPE_CHECKING:
     from wharfcart.experiments.job_group_simulation import JobGroupSimulation
@@ -59,42 +59,42 @@
     slow_s: float = 0.002
     generation: int = 0
 
-    async def promised(self, group: int) -> int:
+    async def promised_epoch(self, group: int) -> int:
         """Return the promised epoch."""
         await self._wait()
-        return self.database.promised(group)
+        return self.database.promised_epoch(group)
 
-    async def promise(self, group: int, epoch: int) -> bool:
+    async def promise_epoch(self, group: int, epoch: int) -> bool:
         """Promise an epoch."""
         await self._wait(writes=True)
-        return self.database.promise(group, epoch)
+        return self.database.promise_epoch(group, epoch)
 
-    async def save_running_texts(
-        self, group: int, parts: Sequence[PartialText], over: Collection[str]
+    async def save_partial_texts(
+        self, group: int, parts: Sequence[PartialText], finished_item_ids: Collection[str]
     ) -> None:
         """Add events of items that still run."""
         await self._wait(writes=True)
-        self.database.save_running_texts(group, parts, over)
+        self.database.save_partial_texts(group, parts, finished_item_ids)
 
-    async def running_texts(self, group: int) -> list[PartialText]:
+    async def load_partial_texts(self, group: int) -> list[PartialText]:
         """Return the events of items of open jobs."""
         await self._wait()
-        return self.database.running_texts(group)
+        return self.database.load_partial_texts(group)
 
-    async def states(self, group: int) -> list[JobState]:
+    async def job_states(self, group: int) -> list[JobState]:
         """Return the states."""
         await self._wait()
-        return self.database.states(group)
+        return self.database.job_states(group)
 
-    async def apply(self, group: int, epoch: int, updates: Sequence[JobUpdate]) -> bool:
+    async def apply_updates(self, group: int, epoch: int, updates: Sequence[JobUpdate]) -> bool:
         """Write updates."""
         await self._wait(writes=True)
-        return self.database.apply(group, epoch, updates)
+        return self.database.apply_updates(group, epoch, updates)
 
-    async def load(self, job_ids: Sequence[str]) -> list[JobUpdate]:
+    async def load_jobs(self, job_ids: Sequence[str]) -> list[JobUpdate]:
         """Return records."""
         await self._wait()
-        return self.database.load(job_ids)
+        return self.database.load_jobs(job_ids)
 
     async def _wait(self, writes: bool = False) -> None:
         generation = self.generation
@@ -218,7 +218,7 @@
             self._region_of,
         )
         await self.group.start()
-        founder = Founder(
+        founder = LayoutBootstrap(
             context, LAYOUT_KEY, lambda _group: GROUP_KEY, self._zones, self.simulation.topology
         )
         self._founding = asyncio.create_task(founder.run())
@@ -228,7 +228,7 @@
         if self._founding is not None:
             self._founding.cancel()
         if self.group is not None:
-            self.group.abandon()
+            self.group.abort()
         self.group = None
         self.service = None
         self.disk.generation += 1
@@ -244,11 +244,11 @@
             return None
         match frame.WhichOneof("body"):
             case "fence_group":
-                return Frame(fence_result=await group.answer_fence(frame.fence_group))
+                return Frame(fence_result=await group.handle_fence(frame.fence_group))
             case "replicate_jobs":
-                return Frame(replicate_result=await group.answer_replicate(frame.replicate_jobs))
+                return Frame(replicate_result=await group.handle_replicate(frame.replicate_jobs))
             case "fetch_jobs":
-                return Frame(job_updates=await group.answer_fetch(frame.fetch_jobs))
+                return Frame(job_updates=await group.handle_fetch(frame.fetch_jobs))
         return None
 
     def _identities(self) -> dict[str, Address]:
@@ -266,14 +266,14 @@
     def _region_of(self, identity: str) -> RegionName | None:
         return self.simulation.topology.region(self._zones().get(identity, ""))
 
-    def _spread_of(self, group: int, layout: Layout | None) -> ReplicaSpread:
+    def _spread_of(self, group: int, layout: Layout | None) -> ReplicaPlacement:
         entry = self.mirror.get(LAYOUT_KEY)
         if layout is None and entry is not None and entry.value is not None:
-            layout = layout_from(entry.value)
+            layout = layout_from_bytes(entry.value)
         topology = self.simulation.topology
-        home_zones = () if layout is None else layout.home_zones(group, topology)
+        home_zones = () if layout is None else layout.preferred_zones(group, topology)
         zones_lost = self.simulation.zones_lost
-        return ReplicaSpread(
+        return ReplicaPlacement(
             COPIES, 2 * COPIES - 1, self._zones(), topology, home_zones, zones_lost
         )
 
--- a/src/wharfcart/node/hosted_group.py
+++ b/src/wharfcart/node/hosted_group.py
@@ -59,7 +59,7 @@
             node.log,
             node.metrics.requests_waiting,
             node.limit_of,
-            lambda: self.replica.leads_freshly,
+            lambda: self.replica.is_recently_confirmed,
         )
         self._item_slots = ItemSlots(
             lambda group: node.distance_to_group(group) is Distance.OTHER_REGION
@@ -84,8 +84,8 @@
             node.storage_region,
         )
         self._tasks = BackgroundTasks()
-        self.replica.on_leading = self._start_leading
-        self.replica.on_deposed = self._stop_leading
+        self.replica.on_leadership_gained = self._start_leading
+        self.replica.on_leadership_lost = self._stop_leading
 
     @property
     def is_leader(self) -> bool:
--- a/src/wharfcart/node/storage_process.py
+++ b/src/wharfcart/node/storage_process.py
@@ -24,10 +24,10 @@
 from wharfcart.settings.base import split_endpoint
 from wharfcart.settings.serving import ServingSettings, StorageSettings
 from wharfcart.storage.disk import Disk, DiskFailedError
-from wharfcart.storage.founding import Founder
 from wharfcart.storage.group_context import GroupContext
 from wharfcart.storage.job_client import JobClient
-from wharfcart.storage.job_residence import group_of
+from wharfcart.storage.job_residence import hash_to_group
+from wharfcart.storage.layout_bootstrap import LayoutBootstrap
 
 LAYOUT_POLL_INTERVAL_S = 0.02
 DISK_OPEN_RETRY_S = 0.5
@@ -76,7 +76,7 @@
             self._batch_residences,
             self._node.suspension_detector.resumed_at,
         )
-        founder = Founder(
+        founder = LayoutBootstrap(
             context, LAYOUT_KEY, group_key, self._zones_by_identity, self._node.topology
         )
         self._node.tasks.spawn(founder.run())
@@ -174,15 +174,15 @@
         match frame.WhichOneof("body"):
             case "fence_group":
                 fence = frame.fence_group
-                result = await self._group(fence.group).replica.answer_fence(fence)
+                result = await self._group(fence.group).replica.handle_fence(fence)
                 return Frame(fence_result=result)
             case "replicate_jobs":
                 write = frame.replicate_jobs
-                written = await self._group(write.group).replica.answer_replicate(write)
+                written = await self._group(write.group).replica.handle_replicate(write)
                 return Frame(replicate_result=written)
             case "fetch_jobs":
                 fetch = frame.fetch_jobs
-                updates = await self._group(fetch.group).replica.answer_fetch(fetch)
+                updates = await self._group(fetch.group).replica.handle_fetch(fetch)
                 return Frame(job_updates=updates)
             case "submit_job":
                 service = self._service_of(frame.submit_job, frame.submit_job.job.job_id)
@@ -221,7 +221,7 @@
         Raises:
             ServingError: this node does not know the fleet's groups yet.
         """
-        number = call.group if call.HasField("group") else group_of(job_id, len(self._groups))
+        number = call.group if call.HasField("group") else hash_to_group(job_id, len(self._groups))
         return self._group(number).service
 
     # ---- emptied nodes ----
--- a/src/wharfcart/slots/sessions.py
+++ b/src/wharfcart/slots/sessions.py
@@ -14,7 +14,7 @@
 from wharfcart.slots.events import HolderId, ResponsivenessChanged
 from wharfcart.slots.session import ReportedUsage, SlotSession, SlotUpdateListener
 from wharfcart.slots.snapshot import ServiceCapacity
-from wharfcart.storage.job_residence import group_of
+from wharfcart.storage.job_residence import hash_to_group
 
 # So often it is looked for groups that are new, and for back ends that have fallen silent.
 CHECK_INTERVAL_S = 0.05
@@ -147,7 +147,7 @@
         return max(known, default=0)
 
     def _coordinator_group(self, tenant: str) -> int:
-        return group_of(tenant, self._group_count())
+        return hash_to_group(tenant, self._group_count())
 
     def relays(self) -> list[Address]:
         """Return other gateways that may ask for permits in place of this one."""
--- a/src/wharfcart/storage/replica_set_change.py
+++ b/src/wharfcart/storage/replica_set_changer.py
@@ -1,11 +1,12 @@
-"""A leader's care for its replica set: lost disks replaced, leaving nodes emptied, gaps filled.
+"""Changes of a job group's replica set, made by its leader.
 
-Which disks join is :mod:`wharfcart.storage.replica_spread`'s choice. A set that is whole, but not
-where it should be, is brought there by one exchange after the other, once it has been quiet for a
-while; so is the leadership.
+The leader replaces lost disks, moves the group off retiring nodes and fills gaps;
+:mod:`wharfcart.storage.replica_placement` decides which disks join. Once a complete set has been
+stable for a while, the leader swaps badly placed replicas one at a time and moves the leadership to
+the group's own region.
 
-One change at a time. While it is under way writes need enough copies in both sets; it takes effect
-by compare-and-swap once everything has enough copies in the new set.
+Only one change is in progress at a time. During a change a write needs a quorum in the old set and
+in the new one. The change takes effect by compare-and-swap once the new set has every write.
 """
 
 import asyncio
@@ -19,13 +20,13 @@
     from wharfcart.storage.group_context import GroupContext
     from wharfcart.storage.job_group import JobGroup
 
-PERIOD_S = 0.25
-DEAD_S = 1.5
+CHECK_INTERVAL_S = 0.25
+DEAD_AFTER_S = 1.5
 CHANGE_TIMEOUT_S = 4.0
-SETTLE_S = 1.0
+STRAGGLER_WAIT_S = 1.0
 # A node that restarts is back within this time; moving a replica or the leadership costs more than
 # serving from afar for so long.
-QUIET_S = 5.0
+REBALANCE_DELAY_S = 5.0
 
 
 class ReplicaSetChanger:
@@ -34,25 +35,25 @@
     def __init__(self, group: "JobGroup", context: "GroupContext") -> None:
         self._group = group
         self._context = context
-        self._doubtful: frozenset[str] | None = None
-        self._quiet_since = monotonic()
-        self._told_shortfalls: list[str] = []
+        self._in_doubt_target: frozenset[str] | None = None
+        self._stable_since = monotonic()
+        self._logged_shortfalls: list[str] = []
 
     async def run(self) -> None:
         """Keep the set as it should be, until cancelled."""
         while True:
-            await asyncio.sleep(PERIOD_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             leadership = self._group.leadership
             if leadership is None:
                 return
-            self._tell_shortfalls(leadership.members)
+            self._log_shortfalls(leadership.members)
             # A swap in doubt may take effect as long as nothing else has: it is settled first.
-            target = self._doubtful or self._wanted_set(await self._live_spares())
-            if self._doubtful is None and target in (None, leadership.members):
-                target = await self._moved_closer()
-            self._leave_outsiders()
+            target = self._in_doubt_target or self._repaired_set(await self._live_spares())
+            if self._in_doubt_target is None and target in (None, leadership.members):
+                target = await self._rebalanced_set()
+            self._close_ineligible_sessions()
             if target is not None and target != leadership.members and self._may_change_to(target):
-                self._quiet_since = monotonic()
+                self._stable_since = monotonic()
                 await self._change_to(target)
 
     async def _live_spares(self) -> list[str]:
@@ -65,16 +66,16 @@
             return []
         retiring = self._context.retiring()
         kept = leadership.members - retiring
-        if len(kept) >= self._context.full_size and not any(map(self._is_dead, kept)):
+        if len(kept) >= self._context.replication_factor and not any(map(self._is_dead, kept)):
             return []
-        outside = sorted(self._context.identities().keys() - leadership.members - retiring)
+        outside = sorted(self._context.known_addresses().keys() - leadership.members - retiring)
         alive = [identity for identity in kept if not self._is_dead(identity)]
         outside = list(filter(self._group.may_hold, outside))
-        if not self._group.spread.additions(alive, outside):
+        if not self._group.placement.choose_additions(alive, outside):
             return []
-        return await self._group.answering(outside)
+        return await self._group.responsive_disks(outside)
 
-    def _wanted_set(self, spares: list[str]) -> frozenset[str] | None:
+    def _repaired_set(self, spares: list[str]) -> frozenset[str] | None:
         leadership = self._group.leadership
         if leadership is None:
             return None
@@ -82,54 +83,56 @@
         kept = sorted(leadership.members - retiring)
         dead = [identity for identity in kept if self._is_dead(identity)]
         alive = [identity for identity in kept if identity not in dead]
-        wanted = self._group.spread.repaired(alive, dead, spares)
-        return wanted if len(wanted) >= leadership.copies else None
+        wanted = self._group.placement.repaired_members(alive, dead, spares)
+        return wanted if len(wanted) >= leadership.write_quorum else None
 
-    async def _moved_closer(self) -> frozenset[str] | None:
+    async def _rebalanced_set(self) -> frozenset[str] | None:
         """Return the set after one exchange, or hand over, if that brings the group nearer home."""
         leadership = self._group.leadership
-        if leadership is None or monotonic() - self._quiet_since < QUIET_S:
+        if leadership is None or monotonic() - self._stable_since < REBALANCE_DELAY_S:
             return None
         if any(map(self._is_dead, leadership.members)):
-            self._quiet_since = monotonic()
+            self._stable_since = monotonic()
             return None
-        if await self._hand_over_home():
+        if await self._transfer_to_own_region():
             return None
-        spread = self._group.spread
-        known = self._context.identities().keys() - leadership.members - self._context.retiring()
+        spread = self._group.placement
+        known = (
+            self._context.known_addresses().keys() - leadership.members - self._context.retiring()
+        )
         outside = set(filter(self._group.may_hold, known))
-        exchange = spread.better_exchange(leadership.members, outside, self._context.identity)
+        exchange = spread.find_better_swap(leadership.members, outside, self._context.identity)
         if exchange is None:
             return None
         leaving, joining = exchange
-        if not await self._group.answering([joining]):
-            self._quiet_since = monotonic()
+        if not await self._group.responsive_disks([joining]):
+            self._stable_since = monotonic()
             return None
         return leadership.members - {leaving} | {joining}
 
-    async def _hand_over_home(self) -> bool:
+    async def _transfer_to_own_region(self) -> bool:
         """Hand over to a replica in the group's region if this node is in another one."""
         leadership = self._group.leadership
-        spread = self._group.spread
-        if leadership is None or not spread.is_far(self._context.identity):
+        spread = self._group.placement
+        if leadership is None or not spread.in_other_region(self._context.identity):
             return False
         heirs = [
             identity
-            for identity in self._group.heirs()
-            if not spread.is_far(identity) and not leadership.behind(identity)
+            for identity in self._group.successors()
+            if not spread.in_other_region(identity) and not leadership.is_behind(identity)
         ]
         if not heirs:
             return False
-        self._quiet_since = monotonic()
-        await self._group.hand_over(heirs[0])
+        self._stable_since = monotonic()
+        await self._group.transfer_leadership(heirs[0])
         return True
 
-    def _tell_shortfalls(self, members: frozenset[str]) -> None:
+    def _log_shortfalls(self, members: frozenset[str]) -> None:
         """Log what the set can't bear of what the fleet promises, once a change."""
-        shortfalls = self._group.spread.shortfalls(members)
-        if shortfalls == self._told_shortfalls:
+        shortfalls = self._group.placement.shortfalls(members)
+        if shortfalls == self._logged_shortfalls:
             return
-        self._told_shortfalls = shortfalls
+        self._logged_shortfalls = shortfalls
         self._context.log.write(
             Event.TOLERANCE_SHORT,
             group=self._group.group,
@@ -147,52 +150,52 @@
         if leadership is None:
             return False
         joining = target - leadership.members
-        return target == self._doubtful or all(map(self._group.may_hold, joining))
+        return target == self._in_doubt_target or all(map(self._group.may_hold, joining))
 
-    def _leave_outsiders(self) -> None:
+    def _close_ineligible_sessions(self) -> None:
         """Leave spares that did not catch up in time and may not hold what has come since."""
         leadership = self._group.leadership
         if leadership is None:
             return
-        needed = leadership.members | (leadership.target or frozenset())
+        needed = leadership.members | (leadership.target_members or frozenset())
         for identity in self._group.sessions.keys() - needed:
             if not self._group.may_hold(identity):
                 self._group.close_session(identity)
-                leadership.replica_left(identity)
+                leadership.remove_replica(identity)
 
     def _is_dead(self, identity: str) -> bool:
         if identity == self._context.identity:
             return False
-        if identity not in self._context.identities():
+        if identity not in self._context.known_addresses():
             return True
         session = self._group.sessions.get(identity)
-        return session is not None and session.silent_s(monotonic()) > DEAD_S
+        return session is not None and session.unresponsive_s(monotonic()) > DEAD_AFTER_S
 
     async def _change_to(self, target: frozenset[str]) -> None:
         leadership = self._group.leadership
         assert leadership is not None
         before = leadership.members
-        leadership.begin_change(target)
+        leadership.begin_set_change(target)
         for identity in target:
             self._group.open_session(identity)
-        if not await self._caught_up(target):
-            if self._doubtful is None:
-                leadership.begin_change(None)
+        if not await self._wait_until_caught_up(target):
+            if self._in_doubt_target is None:
+                leadership.begin_set_change(None)
             return
         try:
             record = await self._group.records.swap_members(
                 leadership.epoch, target, self._leader_for(target)
             )
         except RecordInDoubtError:
-            self._doubtful = target
+            self._in_doubt_target = target
             return
         if record is None:
             return
-        self._doubtful = None
+        self._in_doubt_target = None
         if record.epoch != leadership.epoch:
             return  # the group follows another leader now
-        leadership.finish_change(record.members)
-        self._close_sessions(record.members)
+        leadership.finish_set_change(record.members)
+        self._close_other_sessions(record.members)
         self._context.log.write(
             Event.REPLICA_SET_CHANGED,
             group=self._group.group,
@@ -202,17 +205,17 @@
         )
         self._group.notify_progress()
 
-    async def _caught_up(self, target: frozenset[str]) -> bool:
+    async def _wait_until_caught_up(self, target: frozenset[str]) -> bool:
         """Wait until the new set has everything; its slowest disk is waited for only a while."""
         leadership = self._group.leadership
         assert leadership is not None
         began_at = monotonic()
         while monotonic() - began_at < CHANGE_TIMEOUT_S:
-            safe = leadership.change_is_safe()
-            all_there = not any(leadership.behind(identity) for identity in target)
-            if safe and (all_there or monotonic() - began_at > SETTLE_S):
+            safe = leadership.is_set_change_safe()
+            all_there = not any(leadership.is_behind(identity) for identity in target)
+            if safe and (all_there or monotonic() - began_at > STRAGGLER_WAIT_S):
                 return True
-            await self._group.wait_progress(PERIOD_S)
+            await self._group.wait_for_progress(CHECK_INTERVAL_S)
         return False
 
     def _leader_for(self, target: frozenset[str]) -> str:
@@ -220,14 +223,14 @@
             return self._context.identity
         leadership = self._group.leadership
         assert leadership is not None
-        ranked = self._group.spread.leaders(target)
-        caught_up = [identity for identity in ranked if not leadership.behind(identity)]
+        ranked = self._group.placement.rank_leaders(target)
+        caught_up = [identity for identity in ranked if not leadership.is_behind(identity)]
         return (caught_up or ranked)[0]
 
-    def _close_sessions(self, members: frozenset[str]) -> None:
+    def _close_other_sessions(self, members: frozenset[str]) -> None:
         leadership = self._group.leadership
         for identity in list(self._group.sessions):
             if identity not in members:
                 self._group.close_session(identity)
                 if leadership is not None:
-                    leadership.replica_left(identity)
+                    leadership.remove_replica(identity)
--- a/tests/batch/test_job_execution.py
+++ b/tests/batch/test_job_execution.py
@@ -165,9 +165,9 @@
         self.jobs: dict[str, SimpleNamespace] = {}
         self.outcomes: list[ItemOutcome] = []
 
-    def append(self, job_id: str, outcome: ItemOutcome) -> bool:
+    def append_result(self, job_id: str, outcome: ItemOutcome) -> bool:
         self.outcomes.append(outcome)
-        self.jobs.setdefault(job_id, SimpleNamespace(results=[], complete=False))
+        self.jobs.setdefault(job_id, SimpleNamespace(results=[], is_complete=False))
         return True
 
 
@@ -197,7 +197,7 @@
             partial_texts=PartialTexts(),
             leadership=self.leadership,
             replicas_behind=0,
-            is_confirmed=True,
+            is_confirmed_since_resume=True,
             wake_sessions=lambda: None,
         )
         self.execution = JobExecution(
@@ -371,11 +371,11 @@
 
 def test_a_leader_without_confirmed_leadership_starts_nothing() -> None:
     async def scenario(bench: ExecutionHarness) -> None:
-        bench.group.is_confirmed = False
+        bench.group.is_confirmed_since_resume = False
         bench.submit("j", 4)
         await bench.settle()
         assert not bench.runner.running
-        bench.group.is_confirmed = True
+        bench.group.is_confirmed_since_resume = True
         await bench.settle()
         await asyncio.sleep(2 * job_execution.DEMAND_INTERVAL_S)
         assert len(bench.runner.running) == 4
@@ -447,7 +447,7 @@
 
 def test_failures_under_earlier_leaders_count_towards_the_attempt_limit() -> None:
     async def scenario(bench: ExecutionHarness) -> None:
-        known = bench.group.partial_texts.of("j", "j-0")
+        known = bench.group.partial_texts.get_or_create("j", "j-0")
         known.failed_at += ["i0", "i1", "i2"]
         bench.submit("j", 1)
         await bench.settle()
@@ -527,10 +527,10 @@
         results = [ItemOutcome(item_id=f"d-{n}", succeeded=True, text=lines) for n in range(2)]
         job = RequestJob(job_id="d", host="h", path="/jobs/d", objective_s=OBJECTIVE_S)
         bench.leadership.jobs["d"] = SimpleNamespace(
-            job=job, results=results, ended=False, complete=True
+            job=job, results=results, ended=False, is_complete=True
         )
         for number in range(91):
-            bench.group.partial_texts.of("j", "j-7").add(number, "x")
+            bench.group.partial_texts.get_or_create("j", "j-7").add_event(number, "x")
         told: list[Urgency] = []
         bench.slots.report_started = lambda slot, urgency: told.append(urgency)
         bench.execution.start()
--- a/tests/batch/test_job_service.py
+++ b/tests/batch/test_job_service.py
@@ -34,16 +34,16 @@
 
     def __init__(self) -> None:
         self.leadership: JobLeadership | None = JobLeadership(1, 1, MEMBERS)
-        self.leadership.replica_joined("a", [])
-        self.leads_freshly = True
+        self.leadership.add_replica("a", [])
+        self.is_recently_confirmed = True
         self.record = None
         self.disks = MEMBERS
 
     def wake_sessions(self) -> None:
         assert self.leadership is not None
-        self.leadership.replica_wrote("a", self.leadership.updates_for("a"))
+        self.leadership.record_written("a", self.leadership.updates_for("a"))
 
-    async def wait_progress(self, _timeout_s: float) -> bool:
+    async def wait_for_progress(self, _timeout_s: float) -> bool:
         await asyncio.sleep(0)
         return True
 
@@ -112,7 +112,7 @@
     jobs = JobServiceHarness(100)
     jobs.submit("a", 60)
     jobs.submit("b", 40)
-    jobs.group.leadership.append("a", ItemOutcome(item_id="a-0", succeeded=True))
+    jobs.group.leadership.append_result("a", ItemOutcome(item_id="a-0", succeeded=True))
     assert jobs.submit("c", 30) == DONE
     asyncio.run(jobs.service.cancel(EndJob(job_id="b")))
     assert jobs.submit("d", 40) == DONE
@@ -131,7 +131,7 @@
     jobs = JobServiceHarness(100, other_groups=[other, JobServiceHarness(100)])
     assert jobs.submit("b", 50) == REFUSED
     assert jobs.submit("c", 40) == DONE
-    other.group.leadership.append("a", ItemOutcome(item_id="a-0", succeeded=True))
+    other.group.leadership.append_result("a", ItemOutcome(item_id="a-0", succeeded=True))
     assert jobs.submit("d", 30) == DONE
 
 
--- a/tests/routing/test_changes_during_connect.py
+++ b/tests/routing/test_changes_during_connect.py
@@ -27,7 +27,7 @@
 from wharfcart.routing.crash_detection import CrashDetector
 from wharfcart.routing.forwarder import RETRY_AFTER_EVACUATED_S, Forwarder
 from wharfcart.routing.placement import LocalPlacement, PlacementDecision, SendResult
-from wharfcart.storage.partial_texts import RunningText
+from wharfcart.storage.partial_texts import ItemPartialText
 
 ZONES = ("a", "b", "c")
 HEADERS = [("host", "h"), (exchanges.REQUEST_ID_HEADER, "q")]
@@ -152,7 +152,7 @@
         assert state is not None
         runner = ItemRunner(self.selector, self.pool, lambda _service: 8, self.crash_detector)
         use = self.selector.record_sent(state, monotonic())
-        progress = ItemProgress(RunningText("j"))
+        progress = ItemProgress(ItemPartialText("j"))
         item = RequestItem(item_id="q", path="/x")
         return await runner.run(ItemAttempt(item, "h", "", state, use, progress, monotonic() + 9.0))
 
