--- a/src/wharfcart/slots/events.py
+++ b/src/wharfcart/slots/events.py
@@ -1,9 +1,9 @@
-"""What the granting of slots is told, and what it answers: typed events and instructions.
+"""Typed events and instructions of slot granting.
 
-A *holder* is a gateway, or the leader of a job group: whoever sends work to back ends. It has a
-*session* with the node that grants the slots of some back ends. Within a session every slot has a
-number: of one that was asked for, drawn by the holder; of one that was offered to a batch item,
-drawn by the granting node.
+A *holder* sends work to back ends: a gateway, or the leader of a job group. It has a *session* with
+each node that grants slots of back ends. Within a session every slot has a number. The holder
+assigns the numbers of slots that it requests, the granting node those of slots that it offers to
+batch items.
 """
 
 from dataclasses import dataclass
@@ -19,19 +19,19 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionKey:
-    """One session of a holder; each that it opens has another number."""
+    """Key of one session of a holder; every session has its own number."""
 
     holder: HolderId
     number: int
 
 
 class RequestMode(Enum):
-    """How far a request for a slot goes.
+    """What the granting node may do to serve a slot request.
 
     Attributes:
-        FREE: takes a slot that nobody has.
-        PREEMPT: takes one that a batch item gives up, too.
-        WAIT: waits for one.
+        FREE: grant a free slot only.
+        PREEMPT: also preempt a batch item.
+        WAIT: also queue the request until a slot is free.
     """
 
     FREE = 1
@@ -40,7 +40,7 @@
 
 
 class RunResult(Enum):
-    """What a run told about its back end."""
+    """What a run shows about its back end."""
 
     UNKNOWN = 0
     BACKEND_OK = 1
@@ -48,14 +48,14 @@
 
 
 class RefusalCause(Enum):
-    """Why a request that waited for a slot is refused."""
+    """Why a slot request is refused."""
 
     QUEUE_FULL = "queue_full"
     TIMED_OUT = "waited"
 
 
 class PreemptionCause(Enum):
-    """Why a batch item must leave its slot."""
+    """Why a batch item is preempted."""
 
     GRANTED = "granted"
     OVERCOMMITTED = "overfull"
@@ -66,8 +66,8 @@
     """A slot that a holder has taken.
 
     Attributes:
-        unread_tokens: of a prompt that the back end must probably read first.
-        item: how the batch item stands that runs there; None for an online request.
+        unread_tokens: prompt tokens that the back end probably has to prefill.
+        item: urgency of the batch item in the slot; None for an online request.
     """
 
     number: SlotNumber
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionOpened:
-    """A holder begins a session and tells every slot that it has taken."""
+    """A holder opens a session and reports every slot that it has taken."""
 
     session: SessionKey
     zone: str
@@ -90,24 +90,26 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionClosed:
-    """A holder's session has ended, and what it had taken is free."""
+    """A holder's session is closed; its slots become free."""
 
     session: SessionKey
 
 
 @dataclass(frozen=True, slots=True)
 class SlotRequested:
-    """A gateway asks for a slot.
+    """A gateway requests a slot.
 
     Attributes:
-        affinity_key: names a long shared prompt that goes where it was read before; '' for none.
-        excluded: incarnations that the request was already sent to.
-        connected: incarnations that the gateway keeps a connection to.
-        in_time_until: monotonic time until which a slot lets it answer in time.
-        leave_at: monotonic time at which it is given up.
+        start_deadline: latest monotonic time to start and still answer in time.
+        queue_deadline: monotonic time at which the request stops waiting.
+        affinity_key: key of a long shared prompt, which goes to the back end that has it cached; ''
+            for none.
+        excluded: instances that the request was already sent to.
+        connected: instances that the gateway has an open connection to.
+        unread_tokens: prompt tokens that the back end probably has to prefill.
         priority: 0 is the most urgent.
-        request_id: its caller's id.
-        residence: where its data may be.
+        request_id: the caller's id of the request.
+        residence: regions where the request's data may be processed.
     """
 
     session: SessionKey
@@ -127,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotTaken:
-    """A holder sends to a back end of its own choice."""
+    """A holder sends to a back end that it selected without a grant."""
 
     session: SessionKey
     use: SlotUse
@@ -135,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotReleased:
-    """A holder needs a slot no longer, or no longer waits for one."""
+    """A holder gives a slot back, or withdraws a request for one."""
 
     session: SessionKey
     number: SlotNumber
@@ -144,7 +146,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponsivenessChanged:
-    """A back end has become silent to a holder, or speaks again."""
+    """A back end stops responding to a holder, or responds again."""
 
     session: SessionKey
     instance_id: str
@@ -153,7 +155,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendFailureReported:
-    """A back end was at fault for a run that had ended before."""
+    """A back end caused the failure of a run that was already released."""
 
     session: SessionKey
     instance_id: str
@@ -164,12 +166,12 @@
     """Batch items of a holder wait for slots of a service.
 
     Attributes:
-        count: how many.
-        urgent: how many of them are done in time only if they run from now on.
-        first: how the one stands that goes first.
-        excluded: incarnations that none of them takes.
-        offers_seen: slots that were offered to such items in this session before.
-        residence: where the data of each of them may be.
+        count: number of waiting items.
+        urgent_count: items that finish in time only if they start now.
+        first_urgency: urgency of the item that runs next.
+        excluded: instances that none of the items can use.
+        offers_seen: offers for such items that the holder received earlier in this session.
+        residence: regions where the items' data may be processed.
     """
 
     session: SessionKey
@@ -184,7 +186,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemStarted:
-    """An item runs in a slot that was offered."""
+    """A batch item runs in an offered slot."""
 
     session: SessionKey
     number: SlotNumber
@@ -193,7 +195,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SentWithoutPermit:
-    """A holder has sent a tenant's request without a permit."""
+    """A holder sent a tenant's request without a permit."""
 
     session: SessionKey
     tenant: str
@@ -217,7 +219,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Granted:
-    """A request has its slot."""
+    """A request gets a slot."""
 
     session: SessionKey
     number: SlotNumber
@@ -226,7 +228,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NoSlot:
-    """There is no slot in the manner asked for, or no back end at all."""
+    """No slot is available in the requested mode, or there is no usable back end."""
 
     session: SessionKey
     number: SlotNumber
@@ -234,12 +236,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """A request has waited long enough, or too many wait.
+    """A request has waited until its deadline, or the queue is full.
 
     Attributes:
-        retry_after_s: when a slot is likely to be free.
-        waiting: requests that wait beside it.
-        slots: of the service, at the back ends that are granted here.
+        retry_after_s: seconds until a slot is likely to be free.
+        waiting: other requests in the queue.
+        slots: slots of the service that this node grants.
     """
 
     session: SessionKey
@@ -252,7 +254,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemOffered:
-    """A slot is kept for a batch item of a residence, whichever its leader chooses."""
+    """A slot is reserved for a batch item of a residence; the leader chooses the item."""
 
     session: SessionKey
     number: SlotNumber
@@ -263,7 +265,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ItemPreempted:
-    """A batch item gives its slot up."""
+    """A batch item must stop and release its slot."""
 
     session: SessionKey
     number: SlotNumber
--- a/src/wharfcart/slots/fleet_load.py
+++ b/src/wharfcart/slots/fleet_load.py
@@ -1,4 +1,4 @@
-"""The load of all back ends as the granting nodes tell it, for a gateway's own choices."""
+"""Load of all back ends as the granting nodes report it, for a gateway's local selection."""
 
 from wharfcart.clock import monotonic
 from wharfcart.routing.backend_choice import BackendChoice
@@ -7,7 +7,7 @@
 
 
 class FleetLoad(SlotUpdateListener):
-    """Hands pictures of the load to a choice."""
+    """Applies load snapshots to a back-end selector."""
 
     def __init__(self, selector: BackendChoice) -> None:
         self._selector = selector
@@ -15,14 +15,14 @@
         self._instances_by_group: dict[int, set[str]] = {}
 
     def snapshot_received(self, group: int, snapshot: SlotSnapshot) -> None:
-        """Take the load of a group's back ends; one that is named no more has little."""
+        """Apply the load of a group's back ends; one that is no longer listed counts as idle."""
         now = monotonic()
-        named = {load.instance_id for load in snapshot.backends}
-        for instance_id in self._instances_by_group.get(group, set()) - named:
+        listed = {load.instance_id for load in snapshot.backends}
+        for instance_id in self._instances_by_group.get(group, set()) - listed:
             self._apply_load(BackendLoad(instance_id, 0), now)
         for load in snapshot.backends:
             self._apply_load(load, now)
-        self._instances_by_group[group] = named
+        self._instances_by_group[group] = listed
         self._rates_by_group[group] = snapshot.sends_per_s
         self._selector.rates_told(self._total_rates(), now)
 
--- a/src/wharfcart/slots/granter.py
+++ b/src/wharfcart/slots/granter.py
@@ -1,11 +1,11 @@
-"""Granting core: which request gets which slot, which batch item leaves for it, and who waits.
+"""Granting core: grants slots to online requests and offers them to batch items.
 
-One node grants the slots of some back ends. It knows each of them exactly: what it granted and
-was not given back is taken. A free slot goes to the request that waits and can still be in time;
-then to the batch items, unless online requests need it sooner than the start of an item pays off.
-Where no slot is free, the item leaves that loses least by it.
+One node grants the slots of a group's back ends and knows which of them are taken. A free slot goes
+to a waiting request first, and to a batch item only if online requests are unlikely to need the
+slot before the start of the item has paid off. If no slot is free, an online request preempts the
+item with the least loss.
 
-Pure: time and randomness are handed in; events in, instructions out.
+Pure: the caller passes times; events in, instructions out.
 """
 
 from collections.abc import Callable, Collection, Iterator
@@ -47,20 +47,18 @@
 from wharfcart.slots.snapshot import ServiceCapacity, SlotSnapshot
 from wharfcart.slots.urgency import Urgency
 
-# A new connection takes a round trip and a moment of the back end; a back end runs a request hardly
-# slower beside two more of eight, which this share of its slots comes to.
+# As a share of a back end's slots.
 NEW_CONNECTION_COST = 0.25
-# An item that must leave within this time has cost more than it has done.
+# An item that is preempted within this time wastes more than it completes.
 RESTART_COST_S = 0.06
 MIN_RETRY_AFTER_S = 0.2
 MAX_RETRY_AFTER_S = 1.5
-# A picture names the most loaded back ends: those left out have less, or nothing.
 MAX_BACKENDS_PER_SNAPSHOT = 48
-# Slots that are offered to items have numbers from here on; holders draw theirs below.
+# Slot numbers below this one are assigned by holders.
 FIRST_OFFER_NUMBER = 1 << 40
 
 
-# Whose items wait, for which service, and where their data may be.
+# The session, the service and the residence of waiting items.
 DemandKey = tuple[SessionKey, str, Residence]
 
 
@@ -69,8 +67,9 @@
     """Items of one holder and one residence that wait for one service.
 
     Attributes:
-        told_at: when it was told last.
-        offered: slots that were offered since.
+        reported: the last report of the holder.
+        reported_at: monotonic time of that report.
+        offered: slots offered since then.
     """
 
     reported: ItemsWaiting
@@ -94,9 +93,9 @@
     """Grants the slots of the back ends that it owns.
 
     Attributes:
-        choice: what is known of all back ends.
-        owns: which of them are granted here.
-        leads_surely: whether no other node can grant yet.
+        selector: state of all back ends.
+        owns: whether this node grants the slots of a back end.
+        is_leadership_confirmed: whether no other node can grant yet.
     """
 
     selector: BackendChoice
@@ -104,9 +103,7 @@
     is_leadership_confirmed: Callable[[], bool] = lambda: True
     _ledger: SlotLedger = field(default_factory=SlotLedger)
     _queue: SlotQueue = field(default_factory=SlotQueue)
-    _request_by_queue_number: dict[int, SlotRequested] = field(
-        default_factory=dict
-    )  # by place in the queue
+    _request_by_queue_number: dict[int, SlotRequested] = field(default_factory=dict)
     _waiting_by_slot: dict[tuple[SessionKey, SlotNumber], WaitingRequest] = field(
         default_factory=dict
     )
@@ -120,13 +117,13 @@
         self._backends = self.new_backends()
 
     def new_backends(self) -> GroupBackends:
-        """Return the view of the back ends that decisions are made by."""
+        """Return the back ends of this granter."""
         return GroupBackends(self.selector, self.owns, self.is_leadership_confirmed, self._ledger)
 
     # ---- events ----
 
     def handle(self, event: SlotEvent, now: float) -> list[SlotInstruction]:
-        """Take an event; return what follows from it."""
+        """Handle an event and return the resulting instructions."""
         match event:
             case SessionOpened():
                 self._open(event, now)
@@ -153,39 +150,39 @@
         return self._assign_free_slots(now)
 
     def tick(self, now: float) -> list[SlotInstruction]:
-        """Do what time alone brings: refuse who waited long enough, try again what was avoided."""
+        """Refuse expired requests, preempt excess items and assign slots that time has freed."""
         self._backends.fill_cold_buckets(now)
         refused = [
-            self._refuse(asked, RefusalCause.TIMED_OUT, now)
-            for asked in list(self._request_by_queue_number.values())
-            if now >= asked.queue_deadline
+            self._refuse(request, RefusalCause.TIMED_OUT, now)
+            for request in list(self._request_by_queue_number.values())
+            if now >= request.queue_deadline
         ]
         return [*refused, *self._preempt_excess_items(now), *self._assign_free_slots(now)]
 
     def backend_reported(self, instance_id: str, request_count: int) -> int:
-        """Take how many requests a back end has; return how many of them no session tells of."""
-        leftover = max(0, request_count - self._ledger.taken_count(instance_id))
-        self._ledger.set_orphaned_runs(instance_id, leftover)
-        return leftover
+        """Record a back end's own request count; return how many of its runs are orphaned."""
+        orphaned = max(0, request_count - self._ledger.taken_count(instance_id))
+        self._ledger.set_orphaned_runs(instance_id, orphaned)
+        return orphaned
 
     def is_open(self, session: SessionKey) -> bool:
         """Whether a session is open."""
         return self._ledger.is_open(session)
 
     def session_of(self, holder: HolderId) -> SessionKey | None:
-        """Return a holder's session that is open."""
+        """Return a holder's open session, or None."""
         return self._ledger.session_of(holder)
 
     def waiting(self, service: str) -> int:
-        """Return how many requests wait for a slot of a service."""
+        """Return the number of requests that wait for a slot of a service."""
         return self._queue.count(service)
 
     def total_waiting(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of waiting requests."""
         return self._queue.total()
 
     def snapshot(self, now: float) -> SlotSnapshot:
-        """Return what the holders are told: the load of each back end, and where there is room."""
+        """Return the load snapshot for the holders."""
         states = [state for state in self.selector.states() if self.owns(state.instance)]
         services = {state.instance.service for state in states}
         loads = [self._backends.load_of(state, now) for state in states]
@@ -199,7 +196,7 @@
         )
 
     def avoided(self, now: float) -> frozenset[str]:
-        """Return the back ends that are left out for now."""
+        """Return the instances that are avoided now."""
         return frozenset(
             state.instance.instance_id
             for state in self.selector.states()
@@ -209,14 +206,12 @@
     # ---- sessions and slots ----
 
     def _open(self, event: SessionOpened, now: float) -> None:
-        older = self._ledger.session_of(event.session.holder)
-        if older is not None:
-            self._close(older)
+        previous = self._ledger.session_of(event.session.holder)
+        if previous is not None:
+            self._close(previous)
         self._ledger.open(event.session, event.zone, event.uses, now)
-        offered_elsewhere = [
-            use.number + 1 for use in event.uses if use.number >= FIRST_OFFER_NUMBER
-        ]
-        self._next_offer = max([self._next_offer, *offered_elsewhere])
+        next_numbers = [use.number + 1 for use in event.uses if use.number >= FIRST_OFFER_NUMBER]
+        self._next_offer = max([self._next_offer, *next_numbers])
 
     def _close(self, session: SessionKey) -> None:
         self._ledger.close(session)
@@ -289,13 +284,13 @@
     def _grant(
         self, request: SlotRequested, candidates: list[InstanceState], now: float
     ) -> list[SlotInstruction]:
-        """Give a request the best slot; an item leaves where none is free."""
+        """Grant a request the best slot; preempt an item if no slot is free."""
         state = self._best_backend(request, self._backends.accepting(candidates, now), now)
         instructions: list[SlotInstruction] = []
         if not self._backends.has_free_slot(state):
-            leaving = next(iter(self._backends.preemption_order(state, now)), None)
-            if leaving is not None:
-                instructions.append(self._preempt(leaving, PreemptionCause.GRANTED))
+            preempted = next(iter(self._backends.preemption_order(state, now)), None)
+            if preempted is not None:
+                instructions.append(self._preempt(preempted, PreemptionCause.GRANTED))
         use = SlotUse(request.number, state.instance.instance_id, request.unread_tokens)
         self._backends.record_grant(use.instance_id)
         self._ledger.take(request.session, use, now)
@@ -306,7 +301,7 @@
     def _best_backend(
         self, request: SlotRequested, candidates: list[InstanceState], now: float
     ) -> InstanceState:
-        """Return where a request goes: a free slot, then one that an item gives up, then any."""
+        """Return the back end for a request: with a free slot, else with a preemptible item."""
         if request.affinity_key:
             return by_affinity(
                 self._backends.warm_with_free_slot(candidates, now) or candidates,
@@ -322,8 +317,8 @@
         free = [state for state in candidates if self._backends.has_free_slot(state)]
         if free:
             return min(free, key=cost)
-        yielding = [state for state in candidates if self._backends.has_preemptible(state)]
-        return min(yielding or candidates, key=cost)
+        preemptible = [state for state in candidates if self._backends.has_preemptible(state)]
+        return min(preemptible or candidates, key=cost)
 
     def _refuse(self, request: SlotRequested, cause: RefusalCause, now: float) -> Refused:
         key = (request.session, request.number)
@@ -333,8 +328,8 @@
         candidates = self._backends.candidates(request.service, request.residence, now)
         slots = sum(state.instance.slots for state in candidates)
         others = self._queue.count_in(request.service, request.residence)
-        per_s = sum(self._backends.turnover_per_s(state, now) for state in candidates)
-        retry_after_s = (1 + others) / max(1.0, per_s)
+        freed_per_s = sum(self._backends.turnover_per_s(state, now) for state in candidates)
+        retry_after_s = (1 + others) / max(1.0, freed_per_s)
         retry_after_s = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, retry_after_s))
         return Refused(request.session, request.number, cause, retry_after_s, others, slots)
 
@@ -343,29 +338,29 @@
         del self._request_by_queue_number[waiting.number]
         del self._waiting_by_slot[key]
 
-    # ---- what has come free ----
+    # ---- free slots ----
 
     def _assign_free_slots(self, now: float) -> list[SlotInstruction]:
-        """Give slots that are free to the requests that wait, then to batch items."""
+        """Assign free slots to waiting requests, then to batch items."""
         return [*self._serve_queue(now), *self._offer_to_items(now)]
 
     def _serve_queue(self, now: float) -> Iterator[SlotInstruction]:
         for service in self._queue.services():
             full: set[Residence] = set()
             while (waiting := self._queue.next(service, now, full)) is not None:
-                asked = self._request_by_queue_number[waiting.number]
+                request = self._request_by_queue_number[waiting.number]
                 candidates = self._backends.candidates(
-                    service, asked.residence, now, asked.excluded
+                    service, request.residence, now, request.excluded
                 )
                 if candidates and not self._has_slot(candidates, RequestMode.WAIT, now):
-                    full.add(asked.residence)
+                    full.add(request.residence)
                     continue
-                self._dequeue((asked.session, asked.number), waiting)
+                self._dequeue((request.session, request.number), waiting)
                 if not candidates:
-                    # Its back ends are gone or were emptied while it waited: others may have some.
-                    yield NoSlot(asked.session, asked.number)
+                    # All its back ends were removed or evacuated; other groups may have some.
+                    yield NoSlot(request.session, request.number)
                     continue
-                yield from self._grant(asked, candidates, now)
+                yield from self._grant(request, candidates, now)
 
     # ---- batch items ----
 
@@ -376,9 +371,9 @@
         if event.count <= 0:
             self._demands.pop(key, None)
             return
-        # Offers that were on their way when it was told are not in its count yet.
-        on_their_way = self._offer_counts.get(key, 0) - event.offers_seen
-        self._demands[key] = _Demand(event, now, max(0, on_their_way))
+        # The report does not reflect offers that were in transit when it was sent.
+        in_transit = self._offer_counts.get(key, 0) - event.offers_seen
+        self._demands[key] = _Demand(event, now, max(0, in_transit))
 
     def _start_item(self, event: ItemStarted) -> None:
         self._ledger.item_started(event.session, event.number, event.urgency)
@@ -389,7 +384,7 @@
                 yield offer
 
     def _next_item_offer(self, service: str, now: float) -> ItemOffered | None:
-        """Offer a free slot to the items that go first, if it is worth starting one."""
+        """Offer a free slot to the items due first, unless it is reserved for online requests."""
         for key, demand in self._demands_in_order(service, now):
             residence = key[2]
             candidates = self._backends.accepting(
@@ -411,13 +406,13 @@
     def _reserved_for_online(
         self, service: str, residence: Residence, free: list[InstanceState], now: float
     ) -> bool:
-        """Whether free slots are kept from items that have time left, for online requests.
+        """Whether free slots are reserved for online requests and not offered to patient items.
 
-        A request that waits for other regions has no use of them.
+        Only requests that may use one of the slots reserve them.
         """
         free_ids = {state.instance.instance_id for state in free}
-        for waits_in in self._queue.residences(service):
-            usable = self._backends.candidates(service, waits_in, now)
+        for waiting_residence in self._queue.residences(service):
+            usable = self._backends.candidates(service, waiting_residence, now)
             if any(state.instance.instance_id in free_ids for state in usable):
                 return True
         return not self._worth_starting(service, residence, now)
@@ -430,8 +425,8 @@
         ]
 
         def order(entry: tuple[DemandKey, _Demand]) -> tuple[bool, float]:
-            first = entry[1].current_urgency(now)
-            return first.is_too_late, first.until_due_s
+            urgency = entry[1].current_urgency(now)
+            return urgency.is_too_late, urgency.until_due_s
 
         return sorted(waiting, key=order)
 
@@ -455,18 +450,18 @@
         return ItemOffered(session, number, service, use.instance_id, residence)
 
     def _worth_starting(self, service: str, residence: Residence, now: float) -> bool:
-        """Whether the last free slot is probably not needed before a start has paid off."""
+        """Whether online requests probably leave a slot free until a start has paid off."""
         needed_soon = self._rates.rates(now).get(service, 0.0) * RESTART_COST_S
         return self._backends.free_slots(service, residence, now) >= 1 + needed_soon
 
     def _preempt_excess_items(self, now: float) -> Iterator[SlotInstruction]:
-        """Have items leave back ends that are fuller than they can be."""
+        """Preempt items at back ends that have more runs than slots."""
         for instance_id in self._ledger.instances():
             state = self.selector.state(instance_id)
             if state is None:
                 continue
-            staying = self._ledger.in_use(instance_id) - self._ledger.preempted_count(instance_id)
-            excess = staying - state.instance.slots
+            running = self._ledger.in_use(instance_id) - self._ledger.preempted_count(instance_id)
+            excess = running - state.instance.slots
             for slot in self._backends.preemption_order(state, now)[: max(0, excess)]:
                 yield self._preempt(slot, PreemptionCause.OVERCOMMITTED)
 
@@ -476,7 +471,7 @@
 
     def _capacity_of(self, service: str, now: float) -> ServiceCapacity:
         candidates = self._backends.candidates(service, ANYWHERE, now)
-        yielding = sum(
+        preemptible = sum(
             self._ledger.preemptible_count(state.instance.instance_id)
             for state in self._backends.accepting(candidates, now)
         )
@@ -484,6 +479,6 @@
             service,
             sum(state.instance.slots for state in candidates),
             self._backends.free_slots(service, ANYWHERE, now),
-            yielding,
+            preemptible,
             self._queue.count(service),
         )
--- a/src/wharfcart/slots/group_order.py
+++ b/src/wharfcart/slots/group_order.py
@@ -1,10 +1,9 @@
-"""Core: which granting nodes a gateway asks for a slot, in which order and how insistently.
+"""Group order core: the order and mode in which a gateway requests a slot from the groups.
 
-Slots of the gateway's own zone come first, as bytes between zones cost more; but a free slot in
-another zone comes before one that a batch item must give up, since an item that is cut begins its
-prompt anew. Other regions come after all that: a slot there costs two round trips between regions,
-and its answer's bytes cost more than an item that is cut. A request waits only once nobody has a
-slot.
+The gateway's own zone comes first, as traffic between zones costs more. A free slot in another zone
+comes before preemption, as a preempted item has to start again. Other regions come last: a slot
+there costs two round trips between regions, and the traffic of the answer costs more than a
+preempted item. A request waits only if no group has a slot.
 
 Pure.
 """
@@ -19,37 +18,40 @@
 
 RequestStep = tuple[int, RequestMode]
 
-# A line in another region is joined if it is shorter by so many requests a slot: those take about
-# as long to leave as a request takes to the other region and back, twice, and half as long again.
+# Waiting requests per slot that are added to a queue in another region.
 REMOTE_QUEUE_PENALTY = 0.25
 
 
 def order_groups(
     capacity_by_group: Mapping[int, ServiceCapacity], distances: Mapping[int, Distance]
 ) -> list[RequestStep]:
-    """Return the groups to ask, one after the other until one has a slot.
+    """Return the groups to request a slot from, one after the other until one grants it.
 
     Args:
-        rooms_by_group: room for the service as the granting nodes told last.
-        distances: how far each group's back ends are from the gateway.
+        capacity_by_group: capacity for the service as the granting nodes reported it last.
+        distances: distance of each group's back ends from the gateway.
     """
     if len(capacity_by_group) < 2:
         return [(group, RequestMode.WAIT) for group in capacity_by_group]
-    own = [group for group in capacity_by_group if distances[group] is Distance.SAME_ZONE]
-    far = [group for group in capacity_by_group if distances[group] is Distance.OTHER_REGION]
-    near_rooms = {group: room for group, room in capacity_by_group.items() if group not in far}
-    far_rooms = {group: capacity_by_group[group] for group in far}
-    steps = _best_groups(near_rooms, own, RequestMode.FREE) + _best_groups(
-        near_rooms, own, RequestMode.PREEMPT
+    own_zone = [group for group in capacity_by_group if distances[group] is Distance.SAME_ZONE]
+    remote = [group for group in capacity_by_group if distances[group] is Distance.OTHER_REGION]
+    local_capacities = {
+        group: capacity for group, capacity in capacity_by_group.items() if group not in remote
+    }
+    remote_capacities = {group: capacity_by_group[group] for group in remote}
+    steps = _best_groups(local_capacities, own_zone, RequestMode.FREE) + _best_groups(
+        local_capacities, own_zone, RequestMode.PREEMPT
     )
-    steps += _best_groups(far_rooms, (), RequestMode.FREE) + _best_groups(
-        far_rooms, (), RequestMode.PREEMPT
+    steps += _best_groups(remote_capacities, (), RequestMode.FREE) + _best_groups(
+        remote_capacities, (), RequestMode.PREEMPT
     )
 
     def wait_cost(group: int) -> tuple[float, bool]:
-        room = capacity_by_group[group]
-        line = room.waiting / max(1, room.slots)
-        return line + (REMOTE_QUEUE_PENALTY if group in far else 0.0), group not in own
+        capacity = capacity_by_group[group]
+        queue_per_slot = capacity.waiting / max(1, capacity.slots)
+        return queue_per_slot + (
+            REMOTE_QUEUE_PENALTY if group in remote else 0.0
+        ), group not in own_zone
 
     groups = sorted(capacity_by_group, key=wait_cost)
     return steps + [(group, RequestMode.WAIT) for group in groups]
@@ -60,35 +62,38 @@
     affinity_key: str,
     distances: Mapping[int, Distance] | None = None,
 ) -> list[RequestStep]:
-    """Return the groups to ask for a long shared prompt: where it was read before comes first.
+    """Return the groups to request a slot from for a long shared prompt.
+
+    Groups with capacity come first, then groups in the own region, ordered by a hash of the key.
 
     Args:
-        rooms_by_group: room for the service as the granting nodes told last.
-        affinity_key: names the prompt; each region reads it for itself.
-        distances: how far each group's back ends are from the gateway; None if none is far.
+        capacity_by_group: capacity for the service as the granting nodes reported it last.
+        affinity_key: key of the prompt; each region caches the prompt for itself.
+        distances: distance of each group's back ends from the gateway; None if all groups are in
+            its region.
     """
 
     def rank(group: int) -> tuple[bool, bool, int]:
-        room = capacity_by_group[group]
-        full = room.free + room.preemptible <= room.waiting
-        far = distances is not None and distances[group] is Distance.OTHER_REGION
-        return full, far, xxhash.xxh64_intdigest(f"{affinity_key}/{group}".encode())
+        capacity = capacity_by_group[group]
+        full = capacity.free + capacity.preemptible <= capacity.waiting
+        remote = distances is not None and distances[group] is Distance.OTHER_REGION
+        return full, remote, xxhash.xxh64_intdigest(f"{affinity_key}/{group}".encode())
 
     return [(group, RequestMode.WAIT) for group in sorted(capacity_by_group, key=rank)]
 
 
 def _best_groups(
-    capacity_by_group: Mapping[int, ServiceCapacity], own: Collection[int], mode: RequestMode
+    capacity_by_group: Mapping[int, ServiceCapacity], own_zone: Collection[int], mode: RequestMode
 ) -> list[RequestStep]:
-    """Return the own group and the best other one that have room in a manner."""
-
-    def room_for(group: int) -> int:
-        room = capacity_by_group[group]
-        room_left = room.free if mode is RequestMode.FREE else room.free + room.preemptible
-        return room_left - room.waiting
-
-    with_room = [group for group in capacity_by_group if room_for(group) > 0]
-    with_room.sort(key=room_for, reverse=True)
-    owned = [group for group in with_room if group in own]
-    others = [group for group in with_room if group not in own]
-    return [(group, mode) for group in owned[:1] + others[:1]]
+    """Return the best group of the own zone and the best other one with capacity in a mode."""
+
+    def free_slots(group: int) -> int:
+        capacity = capacity_by_group[group]
+        slots = capacity.free if mode is RequestMode.FREE else capacity.free + capacity.preemptible
+        return slots - capacity.waiting
+
+    available = [group for group in capacity_by_group if free_slots(group) > 0]
+    available.sort(key=free_slots, reverse=True)
+    in_own_zone = [group for group in available if group in own_zone]
+    others = [group for group in available if group not in own_zone]
+    return [(group, mode) for group in in_own_zone[:1] + others[:1]]
--- a/src/wharfcart/slots/item_slots.py
+++ b/src/wharfcart/slots/item_slots.py
@@ -1,4 +1,4 @@
-"""Slots for the batch items of one job group's leader, from all nodes that grant any."""
+"""Slots for the batch items of one job group's leader, from all granting nodes."""
 
 import math
 from collections.abc import Callable, Collection, Mapping
@@ -21,8 +21,7 @@
 from wharfcart.slots.snapshot import ServiceCapacity, SlotSnapshot
 from wharfcart.slots.urgency import Urgency
 
-# Demand is told anew once the first item's slack has moved by so much: the granting node itself
-# counts the time that passes.
+# Change of the first item's slack, beyond the time that passed, that is reported again.
 MIN_SLACK_CHANGE_S = 0.5
 
 
@@ -31,7 +30,7 @@
     """A slot that was offered to a leader's items.
 
     Attributes:
-        instance_id: incarnation of the back end.
+        instance_id: instance of the back end.
     """
 
     service: str
@@ -43,10 +42,10 @@
     """Items of one service that wait for slots.
 
     Attributes:
-        count: how many.
-        urgent: how many of them are done in time only if they run from now on.
-        first: how the one stands that goes first.
-        excluded: incarnations that none of them takes.
+        count: number of waiting items.
+        urgent_count: items that finish in time only if they start now.
+        first_urgency: urgency of the item that runs next.
+        excluded: instances that none of the items can use.
     """
 
     count: int
@@ -55,17 +54,17 @@
     excluded: frozenset[str] = frozenset()
 
 
-# Which group was told, of items of which service, and where their data may be.
+# Group, service and residence of a reported demand.
 _DemandKey = tuple[int, str, Residence]
 
 
 @dataclass(frozen=True)
 class _ReportedDemand:
-    """What a granting node was told, and what it makes of it as time passes and slots are offered.
+    """The last demand that was reported to a granting node.
 
     Attributes:
-        at: monotonic time at which it was told.
-        offers_seen: slots that had been offered before.
+        reported_at: monotonic time of the report.
+        offers_seen: offers received before the report.
     """
 
     demand: ItemDemand
@@ -73,14 +72,17 @@
     offers_seen: int
 
     def differs(self, demand: ItemDemand, now: float, offers_seen: int) -> bool:
-        """Whether the demand is another by now than the granting node reckons."""
+        """Whether a demand differs from what the granting node computes from the last report.
+
+        The granting node subtracts later offers and reduces the slack as time passes.
+        """
         offered = offers_seen - self.offers_seen
-        reckoned = (
+        expected = (
             max(0, self.demand.count - offered),
             max(0, self.demand.urgent_count - offered),
             self.demand.excluded,
         )
-        if reckoned != (demand.count, demand.urgent_count, demand.excluded):
+        if expected != (demand.count, demand.urgent_count, demand.excluded):
             return True
         if not demand.count:
             return False
@@ -89,15 +91,15 @@
 
 
 class ItemSlots(SlotUpdateListener):
-    """Asks for slots for items, and tells of offers and of items that must leave.
+    """Reports items that wait for slots, and passes on offers and preemptions.
 
     Args:
-        is_far: whether a group's back ends are in another region.
+        is_remote: whether a group's back ends are in another region.
 
     Attributes:
-        sessions: with the granting nodes, of the present leadership.
-        on_offer: called with a slot that is kept for an item.
-        on_leave: called with a slot whose item must leave.
+        sessions: sessions of the current leadership with the granting nodes.
+        on_offer: called with a slot that is reserved for an item.
+        on_preempted: called with a slot whose item must stop, and the cause.
     """
 
     def __init__(self, is_remote: Callable[[int], bool] = lambda _group: False) -> None:
@@ -110,33 +112,33 @@
         self._avoided_by_group: dict[int, frozenset[str]] = {}
 
     def begin(self, sessions: SlotSessions) -> None:
-        """Begin a leadership: nothing was told in these sessions yet."""
+        """Begin a leadership with new sessions, in which nothing is reported yet."""
         self.sessions = sessions
         self._reported.clear()
         self._offers_seen.clear()
 
     def is_avoided(self, instance_id: str) -> bool:
-        """Whether the node that grants a back end's slots leaves it out."""
+        """Whether the node that grants a back end's slots avoids it."""
         return any(instance_id in avoided for avoided in self._avoided_by_group.values())
 
-    # ---- what the leader tells ----
+    # ---- reports of the leader ----
 
     def report_demand(
         self, service: str, demand: ItemDemand, residence: Residence = ANYWHERE
     ) -> None:
-        """Tell the granting nodes how many items of a residence wait; each is told its part.
+        """Report waiting items of a residence, divided over the granting nodes.
 
-        Those that grant nothing in these regions hear nothing.
+        Groups that grant no slots in the regions of the residence get no report.
         """
-        rooms = self.sessions.reported_capacities(service, residence)
-        far = frozenset(group for group in rooms if self._is_remote(group))
-        for group, count in divide_items(demand.count, rooms, far).items():
+        capacities = self.sessions.reported_capacities(service, residence)
+        remote = frozenset(group for group in capacities if self._is_remote(group))
+        for group, count in divide_items(demand.count, capacities, remote).items():
             urgent = min(count, demand.urgent_count)
             part = ItemDemand(count, urgent, demand.first_urgency, demand.excluded)
             self._send_demand(group, service, residence, part)
 
     def report_started(self, slot: ItemSlot, urgency: Urgency) -> None:
-        """Tell that an item runs in a slot, and how it stands."""
+        """Report that an item runs in a slot, with its urgency."""
         session = self.sessions.by_group[slot.group]
         session.record_granted(SlotUse(slot.number, slot.instance_id, item=urgency))
         session.send(ItemStarted(session.key, slot.number, urgency))
@@ -146,36 +148,36 @@
         self.sessions.by_group[slot.group].release(slot.number, result)
 
     def report_backend_failure(self, instance_id: str) -> None:
-        """Tell that a back end was at fault for a run that had ended before."""
+        """Report that a back end caused the failure of a run that was already released."""
         session = self.sessions.of_instance(instance_id)
         if session is not None:
             session.send(BackendFailureReported(session.key, instance_id))
 
-    # ---- news ----
+    # ---- updates from granting nodes ----
 
     def snapshot_received(self, group: int, snapshot: SlotSnapshot) -> None:
-        """Take which back ends are avoided."""
+        """Record which back ends are avoided."""
         self._avoided_by_group[group] = frozenset(
             load.instance_id for load in snapshot.backends if load.avoided
         )
 
     def session_opened(self, group: int) -> None:
-        """Note that a session has begun: demand is told anew there."""
+        """Forget what was reported in the previous session, so that demand is reported again."""
         for key in [key for key in self._reported if key[0] == group]:
             del self._reported[key]
         for key in [key for key in self._offers_seen if key[0] == group]:
             del self._offers_seen[key]
 
     def item_updates_received(self, group: int, updates: SlotNews) -> None:
-        """Take slots that are offered to items, and items that must leave."""
+        """Pass on slot offers and preemptions."""
         for offer in updates.offers:
             key = (group, offer.service, residence_from_message(offer))
             self._offers_seen[key] = self._offers_seen.get(key, 0) + 1
             number = SlotNumber(offer.number)
             self.on_offer(ItemSlot(group, number, offer.service, offer.instance_id))
-        for leaving in updates.leaving:
-            slot = HeldSlot(group, SlotNumber(leaving.number))
-            self.on_preempted(slot, PreemptionCause(leaving.cause))
+        for preemption in updates.leaving:
+            slot = HeldSlot(group, SlotNumber(preemption.number))
+            self.on_preempted(slot, PreemptionCause(preemption.cause))
 
     # ---- inner ----
 
@@ -185,10 +187,10 @@
         now = monotonic()
         key = (group, service, residence)
         offers_seen = self._offers_seen.get(key, 0)
-        told = self._reported.get(key)
-        if told is None and not demand.count:
+        last = self._reported.get(key)
+        if last is None and not demand.count:
             return
-        if told is not None and not told.differs(demand, now, offers_seen):
+        if last is not None and not last.differs(demand, now, offers_seen):
             return
         self._reported[key] = _ReportedDemand(demand, now, offers_seen)
         session = self.sessions.by_group[group]
@@ -209,30 +211,32 @@
 def divide_items(
     count: int, capacity_by_group: Mapping[int, ServiceCapacity], remote: Collection[int] = ()
 ) -> dict[int, int]:
-    """Divide items over groups by their free slots; a group without any still hears of some.
+    """Divide waiting items over groups in proportion to one more than their free slots.
 
-    Groups in other regions hear only of items for which the own region has no free slot, and of no
-    more than they have room for. Parts are rounded up: an offer too many is given back.
+    Groups in other regions get only items for which the own region has no free slot, and no more
+    than their free slots. Parts are rounded up; a surplus offer is released.
 
     Args:
-        count: items that wait.
-        rooms_by_group: room of each group, as it was told last.
-        far: groups in other regions.
+        count: waiting items.
+        capacity_by_group: capacity of each group as reported last.
+        remote: groups in other regions.
     """
-    near = {group: room for group, room in capacity_by_group.items() if group not in remote}
-    if not near:
+    local_capacities = {
+        group: capacity for group, capacity in capacity_by_group.items() if group not in remote
+    }
+    if not local_capacities:
         return _divide_by_free_slots(count, capacity_by_group)
-    parts = _divide_by_free_slots(count, near)
-    left_over = max(0, count - sum(room.free for room in near.values()))
-    distant = {group: capacity_by_group[group] for group in remote}
-    for group, part in _divide_by_free_slots(left_over, distant).items():
-        parts[group] = min(part, distant[group].free)
+    parts = _divide_by_free_slots(count, local_capacities)
+    overflow = max(0, count - sum(capacity.free for capacity in local_capacities.values()))
+    remote_capacities = {group: capacity_by_group[group] for group in remote}
+    for group, part in _divide_by_free_slots(overflow, remote_capacities).items():
+        parts[group] = min(part, remote_capacities[group].free)
     return parts
 
 
 def _divide_by_free_slots(
     count: int, capacity_by_group: Mapping[int, ServiceCapacity]
 ) -> dict[int, int]:
-    weights = {group: 1 + room.free for group, room in capacity_by_group.items()}
+    weights = {group: 1 + capacity.free for group, capacity in capacity_by_group.items()}
     total = sum(weights.values())
     return {group: math.ceil(count * weight / total) for group, weight in weights.items()}
--- a/src/wharfcart/slots/ledger.py
+++ b/src/wharfcart/slots/ledger.py
@@ -1,8 +1,8 @@
-"""Ledger core: which slots are taken, by session; exact as far as messages have come.
+"""Ledger core: which slots each session has taken.
 
-Nothing here lapses by time: a slot is free once its holder releases it or the session ends.
+Slots do not expire: a slot is free once its holder releases it or the session is closed.
 
-Pure: time is handed in as seconds.
+Pure: the caller passes times in seconds.
 """
 
 from collections.abc import Iterable
@@ -11,8 +11,9 @@
 from wharfcart.slots.events import HolderId, SessionKey, SlotNumber, SlotUse
 from wharfcart.slots.urgency import Urgency
 
-# A back end reads a prompt at least this fast, in tokens a second, and begins within a moment.
+# The least that a back end prefills.
 PREFILL_TOKENS_PER_SECOND = 40_000
+# Delay until prefill starts.
 READ_START_S = 0.05
 
 
@@ -21,8 +22,8 @@
     """A slot that is taken.
 
     Attributes:
-        since: monotonic time since which it counts.
-        leaving: its batch item was told to leave.
+        taken_at: monotonic time at which the slot was taken.
+        preempted: its batch item was told to stop.
     """
 
     session: SessionKey
@@ -31,12 +32,12 @@
     preempted: bool = False
 
     def urgency(self, now: float) -> Urgency | None:
-        """Return how the batch item stands that runs there; None for an online request."""
+        """Return the urgency of the batch item in the slot; None for an online request."""
         item = self.use.item
         return None if item is None else item.after_running(now - self.taken_at)
 
     def unread_tokens(self, now: float) -> int:
-        """Return the tokens of its prompt if they are probably not read yet."""
+        """Return the prompt tokens that are probably not prefilled yet."""
         tokens = self.use.unread_tokens
         return (
             tokens if now < self.taken_at + READ_START_S + tokens / PREFILL_TOKENS_PER_SECOND else 0
@@ -52,14 +53,14 @@
 
 @dataclass
 class SlotLedger:
-    """Sessions and what they have taken."""
+    """Open sessions and the slots that they have taken."""
 
     _sessions_by_key: dict[SessionKey, _Session] = field(default_factory=dict)
     _key_by_holder: dict[HolderId, SessionKey] = field(default_factory=dict)
     _taken_by_instance: dict[str, dict[int, TakenSlot]] = field(default_factory=dict)
-    _unresponsive_to: dict[str, set[SessionKey]] = field(default_factory=dict)  # by incarnation
+    _unresponsive_to: dict[str, set[SessionKey]] = field(default_factory=dict)  # by instance
     _orphaned_by_instance: dict[str, int] = field(default_factory=dict)
-    # Kept beside the slots themselves, since each event asks for all back ends.
+    # Counters beside the slots, as every event reads them for all back ends.
     _in_use_by_instance: dict[str, int] = field(default_factory=dict)
     _preemptible_by_instance: dict[str, int] = field(default_factory=dict)  # by instance
     _unread_by_instance: dict[str, list[TakenSlot]] = field(default_factory=dict)
@@ -70,7 +71,7 @@
         return len(self._sessions_by_key)
 
     def open(self, key: SessionKey, zone: str, uses: Iterable[SlotUse], now: float) -> None:
-        """Begin a session; an older one of the same holder ends."""
+        """Open a session; close an older one of the same holder."""
         older = self._key_by_holder.get(key.holder)
         if older is not None:
             self.close(older)
@@ -78,12 +79,12 @@
         self._key_by_holder[key.holder] = key
         for use in uses:
             self.take(key, use, now)
-            # What a back end reported before may be this.
+            # The run may be among those that the back end reported as orphaned.
             if use.instance_id in self._orphaned_by_instance:
                 self.set_orphaned_runs(use.instance_id, self.orphaned_runs(use.instance_id) - 1)
 
     def close(self, key: SessionKey) -> bool:
-        """End a session and free what it had taken; False if it is not open."""
+        """Close a session and free its slots; False if it is not open."""
         session = self._sessions_by_key.get(key)
         if session is None:
             return False
@@ -97,7 +98,7 @@
         return True
 
     def session_of(self, holder: HolderId) -> SessionKey | None:
-        """Return a holder's session that is open."""
+        """Return a holder's open session, or None."""
         return self._key_by_holder.get(holder)
 
     def is_open(self, key: SessionKey) -> bool:
@@ -109,7 +110,7 @@
         return self._sessions_by_key[key].zone
 
     def take(self, key: SessionKey, use: SlotUse, now: float) -> None:
-        """Count a slot as taken; a session that is not open takes none."""
+        """Record a slot as taken; ignored if the session is not open."""
         session = self._sessions_by_key.get(key)
         if session is None:
             return
@@ -124,15 +125,15 @@
             self._unread_by_instance.setdefault(use.instance_id, []).append(taken)
 
     def release(self, key: SessionKey, number: SlotNumber) -> TakenSlot | None:
-        """Free a slot; return what it was, or None if it was not taken."""
+        """Free a slot and return it; None if it was not taken."""
         session = self._sessions_by_key.get(key)
         taken = None if session is None else session.taken_by_number.pop(number, None)
         if taken is None:
             return None
         instance_id = taken.use.instance_id
-        there = self._taken_by_instance[instance_id]
-        del there[id(taken)]
-        if not there:
+        at_instance = self._taken_by_instance[instance_id]
+        del at_instance[id(taken)]
+        if not at_instance:
             del self._taken_by_instance[instance_id]
         _add(self._in_use_by_instance, instance_id, -1)
         if taken.use.item is not None and not taken.preempted:
@@ -143,7 +144,7 @@
         return taken
 
     def item_started(self, key: SessionKey, number: SlotNumber, urgency: Urgency) -> None:
-        """Note how the batch item stands that runs in a slot."""
+        """Record the urgency of the batch item that runs in a slot."""
         taken = self.find(key, number)
         if taken is None:
             return
@@ -152,40 +153,40 @@
         taken.use = replace(taken.use, item=urgency)
 
     def mark_preempted(self, taken: TakenSlot) -> None:
-        """Note that a batch item was told to leave its slot."""
+        """Record that a batch item was told to stop."""
         if not taken.preempted and taken.use.item is not None:
             _add(self._preemptible_by_instance, taken.use.instance_id, -1)
         taken.preempted = True
 
     def find(self, key: SessionKey, number: SlotNumber) -> TakenSlot | None:
-        """Return a slot that is taken."""
+        """Return a taken slot, or None."""
         session = self._sessions_by_key.get(key)
         return None if session is None else session.taken_by_number.get(number)
 
     def taken_count(self, instance_id: str) -> int:
-        """Return how many slots of a back end the sessions tell to be taken."""
+        """Return the number of slots of a back end that sessions have taken."""
         return len(self._taken_by_instance.get(instance_id, ()))
 
     def orphaned_runs(self, instance_id: str) -> int:
-        """Return how many runs there are at a back end of which no session tells."""
+        """Return the number of runs at a back end that no session reports."""
         return self._orphaned_by_instance.get(instance_id, 0)
 
     def set_orphaned_runs(self, instance_id: str, count: int) -> None:
-        """Note how many runs there are at a back end of which no session tells."""
+        """Record the number of runs at a back end that no session reports."""
         change = max(0, count) - self.orphaned_runs(instance_id)
         _add(self._orphaned_by_instance, instance_id, change)
         _add(self._in_use_by_instance, instance_id, change)
 
     def in_use(self, instance_id: str) -> int:
-        """Return how many slots of a back end are taken."""
+        """Return the number of taken slots of a back end, orphaned runs included."""
         return self._in_use_by_instance.get(instance_id, 0)
 
     def preemptible_count(self, instance_id: str) -> int:
-        """Return how many batch items run at a back end that were not told to leave."""
+        """Return the number of batch items at a back end that were not told to stop."""
         return self._preemptible_by_instance.get(instance_id, 0)
 
     def unread_tokens(self, instance_id: str, now: float) -> int:
-        """Return the prompt tokens that probably wait to be read at a back end."""
+        """Return the prompt tokens that a back end probably has to prefill."""
         slots = self._unread_by_instance.get(instance_id)
         if slots is None:
             return 0
@@ -194,12 +195,12 @@
         return sum(tokens for _, tokens in unread)
 
     def preemptible_items(self, instance_id: str) -> list[TakenSlot]:
-        """Return the slots of a back end where batch items run that were not told to leave."""
+        """Return the slots of a back end's batch items that were not told to stop."""
         taken = self._taken_by_instance.get(instance_id, {}).values()
         return [slot for slot in taken if slot.use.item is not None and not slot.preempted]
 
     def preempted_count(self, instance_id: str) -> int:
-        """Return how many batch items at a back end were told to leave and have not left yet."""
+        """Return the number of batch items at a back end that were told to stop and still run."""
         return sum(slot.preempted for slot in self._taken_by_instance.get(instance_id, {}).values())
 
     def _set_unread(self, instance_id: str, slots: list[TakenSlot]) -> None:
@@ -209,11 +210,11 @@
             self._unread_by_instance.pop(instance_id, None)
 
     def instances(self) -> list[str]:
-        """Return the back ends where a session has taken any slot."""
+        """Return the back ends that have slots taken by a session."""
         return list(self._taken_by_instance)
 
     def set_unresponsive(self, key: SessionKey, instance_id: str, unresponsive: bool) -> None:
-        """Note that a back end is silent to a holder, or speaks again."""
+        """Record whether a back end is unresponsive to a session's holder."""
         session = self._sessions_by_key.get(key)
         if session is None:
             return
@@ -222,19 +223,19 @@
             self._unresponsive_to.setdefault(instance_id, set()).add(key)
             return
         session.unresponsive.discard(instance_id)
-        told_by = self._unresponsive_to.get(instance_id)
-        if told_by is not None:
-            told_by.discard(key)
-            if not told_by:
+        sessions = self._unresponsive_to.get(instance_id)
+        if sessions is not None:
+            sessions.discard(key)
+            if not sessions:
                 del self._unresponsive_to[instance_id]
 
     def is_unresponsive(self, instance_id: str) -> bool:
-        """Whether a back end is silent to any holder."""
+        """Whether a back end is unresponsive to any holder."""
         return instance_id in self._unresponsive_to
 
 
 def _add(count_by_key: dict[str, int], key: str, change: int) -> None:
-    """Change a count; one of 0 is not kept."""
+    """Change a count; remove it if it becomes 0."""
     count = count_by_key.get(key, 0) + change
     if count:
         count_by_key[key] = count
--- a/src/wharfcart/slots/queue.py
+++ b/src/wharfcart/slots/queue.py
@@ -1,10 +1,9 @@
-"""Queue core: online requests that wait for a slot of a back end, in the order in which they go.
+"""Queue core: online requests that wait for a slot of a back end.
 
-Back ends serve what they are sent in the order in which it comes. When more comes than they can
-take, everybody in such a queue is late by the same time. Here a request that can still be in time
-goes before one that can't, and one that has waited long enough is told so.
+Back ends serve requests first in, first out, so that under overload every request is late. This
+queue serves requests that can still answer in time before those that cannot.
 
-Pure: time is handed in as seconds.
+Pure: the caller passes times in seconds.
 """
 
 from collections.abc import Collection
@@ -13,7 +12,7 @@
 
 from wharfcart.configuration.residence import ANYWHERE, Residence
 
-# So many requests wait for one service in the same regions, no more.
+# Per service and residence.
 MAX_WAITING = 400
 
 
@@ -22,11 +21,11 @@
     """A request that waits for a slot.
 
     Attributes:
-        number: rises with each request that comes.
-        in_time_until: monotonic time until which a slot lets it answer in time.
-        leave_at: monotonic time at which it is given up.
+        number: position in the order of arrival.
+        start_deadline: latest monotonic time to start and still answer in time.
+        queue_deadline: monotonic time at which the request stops waiting.
         priority: 0 is the most urgent.
-        residence: where its data may be.
+        residence: regions where the request's data may be processed.
     """
 
     number: int
@@ -38,16 +37,16 @@
 
     @property
     def order(self) -> tuple[int, float, int]:
-        """Sorts a request that can still be in time."""
+        """Sort key of a request that can still answer in time."""
         return self.priority, self.start_deadline, self.number
 
     @property
     def late_order(self) -> tuple[int, float, int]:
-        """Sorts a request that can't be in time any more, behind all that can."""
+        """Sort key of a late request among late requests."""
         return self.priority, self.queue_deadline, self.number
 
     def rank(self, now: float) -> tuple[bool, tuple[int, float, int]]:
-        """Sorts requests of several lines, those that can still be in time first."""
+        """Return the sort key over several queues; requests that can be in time come first."""
         if now <= self.start_deadline:
             return False, self.order
         return True, self.late_order
@@ -55,12 +54,13 @@
 
 @dataclass
 class _ResidenceQueue:
-    """Requests that wait for one service and may go to the same back ends.
+    """Requests that wait for one service with the same residence.
 
     Attributes:
-        waiting_by_number: all of them; who is not here has left, and is passed over in the heaps.
-        in_time: those that could still be in time when they were looked at last, a heap.
-        late: the others, a heap.
+        waiting_by_number: all waiting requests. The heaps also hold removed requests, which are
+            skipped.
+        on_time: heap of requests that could answer in time when they were last examined.
+        late: heap of late requests.
     """
 
     waiting_by_number: dict[int, WaitingRequest] = field(default_factory=dict)
@@ -68,12 +68,12 @@
     late: list[tuple[tuple[int, float, int], WaitingRequest]] = field(default_factory=list)
 
     def add(self, waiting: WaitingRequest) -> None:
-        """Take a request in."""
+        """Add a request."""
         self.waiting_by_number[waiting.number] = waiting
         heappush(self.on_time, (waiting.order, waiting))
 
     def first(self, now: float) -> WaitingRequest | None:
-        """Return the request that goes next."""
+        """Return the request to serve next; None if the queue is empty."""
         while self.on_time:
             waiting = self.on_time[0][1]
             if waiting.number in self.waiting_by_number:
@@ -88,10 +88,10 @@
 
 @dataclass
 class SlotQueue:
-    """Requests that wait, by service and residence.
+    """Waiting requests by service and residence.
 
-    Requests that may go to the same back ends stand in one line: one whose regions are full holds
-    up no other. Residences are few, as a configuration names them.
+    Each residence has a queue of its own, so that a request whose regions are full does not block
+    requests for other regions.
     """
 
     _queues_by_service: dict[str, dict[Residence, _ResidenceQueue]] = field(default_factory=dict)
@@ -105,56 +105,56 @@
         priority: int,
         residence: Residence = ANYWHERE,
     ) -> WaitingRequest | None:
-        """Take a request in; None if too many wait already."""
-        line = self._queues_by_service.setdefault(service, {}).setdefault(
+        """Add a request and return it; None if its queue is full."""
+        queue = self._queues_by_service.setdefault(service, {}).setdefault(
             residence, _ResidenceQueue()
         )
-        if len(line.waiting_by_number) >= MAX_WAITING:
+        if len(queue.waiting_by_number) >= MAX_WAITING:
             return None
         self._next_number += 1
         waiting = WaitingRequest(
             self._next_number, service, start_deadline, queue_deadline, priority, residence
         )
-        line.add(waiting)
+        queue.add(waiting)
         return waiting
 
     def remove(self, waiting: WaitingRequest) -> None:
-        """Drop a request that has its slot, or waits no longer."""
-        line = self._queues_by_service.get(waiting.service, {}).get(waiting.residence)
-        if line is not None:
-            line.waiting_by_number.pop(waiting.number, None)
+        """Remove a request that got its slot or stopped waiting."""
+        queue = self._queues_by_service.get(waiting.service, {}).get(waiting.residence)
+        if queue is not None:
+            queue.waiting_by_number.pop(waiting.number, None)
 
     def count(self, service: str) -> int:
-        """Return how many requests wait for a service."""
-        lines = self._queues_by_service.get(service, {}).values()
-        return sum(len(line.waiting_by_number) for line in lines)
+        """Return the number of requests that wait for a service."""
+        queues = self._queues_by_service.get(service, {}).values()
+        return sum(len(queue.waiting_by_number) for queue in queues)
 
     def count_in(self, service: str, residence: Residence) -> int:
-        """Return how many requests of one residence wait for a service."""
-        line = self._queues_by_service.get(service, {}).get(residence)
-        return 0 if line is None else len(line.waiting_by_number)
+        """Return the number of requests of one residence that wait for a service."""
+        queue = self._queues_by_service.get(service, {}).get(residence)
+        return 0 if queue is None else len(queue.waiting_by_number)
 
     def total(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of waiting requests."""
         return sum(map(self.count, self._queues_by_service))
 
     def services(self) -> list[str]:
-        """Return the services that requests wait for."""
+        """Return the services that have waiting requests."""
         return [service for service in self._queues_by_service if self.count(service)]
 
     def residences(self, service: str) -> list[Residence]:
-        """Return the residences of the requests that wait for a service."""
-        lines = self._queues_by_service.get(service, {})
-        return [residence for residence, line in lines.items() if line.waiting_by_number]
+        """Return the residences of a service's waiting requests."""
+        queues = self._queues_by_service.get(service, {})
+        return [residence for residence, queue in queues.items() if queue.waiting_by_number]
 
     def next(
         self, service: str, now: float, skipped: Collection[Residence] = ()
     ) -> WaitingRequest | None:
-        """Return the request that goes next, of all lines but those passed over."""
-        lines = self._queues_by_service.get(service, {})
+        """Return the request to serve next over all residences except the skipped ones."""
+        queues = self._queues_by_service.get(service, {})
         heads = [
             head
-            for residence, line in lines.items()
-            if residence not in skipped and (head := line.first(now)) is not None
+            for residence, queue in queues.items()
+            if residence not in skipped and (head := queue.first(now)) is not None
         ]
         return min(heads, key=lambda head: head.rank(now), default=None)
--- a/src/wharfcart/slots/snapshot.py
+++ b/src/wharfcart/slots/snapshot.py
@@ -1,4 +1,4 @@
-"""What the node that grants slots tells its holders of the back ends, now and then."""
+"""Load snapshot that a granting node sends to its holders periodically."""
 
 from dataclasses import dataclass, field, replace
 
@@ -8,9 +8,9 @@
     """Load of one back end.
 
     Attributes:
-        in_use: slots that are taken, by whomever.
-        unread_tokens: of prompts that probably wait to be read there.
-        avoided: its failures or its silence speak against it.
+        in_use: slots that are taken by any holder.
+        unread_tokens: prompt tokens that the back end probably has to prefill.
+        avoided: the back end has failed or is unresponsive.
     """
 
     instance_id: str
@@ -21,12 +21,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceCapacity:
-    """Room for requests of one service at the back ends that one node grants.
+    """Capacity for requests of one service at the back ends that one node grants.
 
     Attributes:
-        slots: of all back ends that may be used.
-        free: slots that nobody has.
-        yielding: slots of batch items that would leave for a request.
+        slots: slots of all usable back ends.
+        free: free slots.
+        preemptible: slots of batch items that a request can preempt.
         waiting: requests that wait for a slot.
     """
 
@@ -42,11 +42,12 @@
     """State of all slots that one node grants.
 
     Attributes:
-        backends: the most loaded ones, those that are avoided first.
-        sends_per_s: requests a second that all holders send, by service.
-        holders: how many sessions are open.
-        usage: requests of one window over all gateways, by tenant that comes near its limit.
-        gateways: how many gateways are counted in that.
+        backends: the most loaded back ends; avoided ones come first.
+        capacities: capacity of each service.
+        sends_per_s: requests per second that all holders send, by service.
+        holders: number of open sessions.
+        usage: requests of all gateways in one window, by tenant; only tenants near their limit.
+        gateways: number of gateways that are counted in ``usage``.
     """
 
     backends: tuple[BackendLoad, ...] = ()
@@ -57,10 +58,10 @@
     gateways: int = 0
 
     def for_other_region(self) -> "SlotSnapshot":
-        """Return what a holder in another region needs: where there is room, and what to avoid."""
+        """Return a smaller snapshot for holders in other regions: only avoided back ends."""
         avoided = tuple(load for load in self.backends if load.avoided)
         return replace(self, backends=avoided)
 
     def capacity_for(self, service: str) -> ServiceCapacity | None:
-        """Return the room for a service; None if none of its back ends are granted there."""
-        return next((room for room in self.capacities if room.service == service), None)
+        """Return the capacity for a service; None if the node grants none of its back ends."""
+        return next((capacity for capacity in self.capacities if capacity.service == service), None)
--- a/src/wharfcart/slots/urgency.py
+++ b/src/wharfcart/slots/urgency.py
@@ -1,27 +1,25 @@
-"""How a batch item stands against its due time, and what that means for its slot.
+"""Urgency of a batch item: its estimated run time compared with its due time.
 
-Pure: times are handed in as seconds.
+Pure: the caller passes times in seconds.
 """
 
 from dataclasses import dataclass
 
-# An item is urgent once so little time is left beside what it probably still runs.
+# An item with less slack is urgent.
 MIN_SLACK_S = 1.0
-# With less time left than this part of what it probably still runs it comes too late. What is
-# planned is 1.3 times the mean, so that such an item is rather late than not. Where more comes than
-# fits, items with a smaller chance take slots from others, which then have a small one themselves.
+# Of the remaining run time, which is 1.3 times the mean; with less time left an item is too late.
 TOO_LATE_FRACTION = 0.77
-# An item that has run as long as was thought still runs for this part of that time.
+# Of the estimated run time; the least that an item is assumed to still run.
 MIN_REMAINING_FRACTION = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class Urgency:
-    """How an item stands against its due time.
+    """Time until a batch item is due, and its estimated remaining run time.
 
     Attributes:
-        left_s: until the item is due; below 0 afterwards.
-        remaining_s: that it probably still runs.
+        until_due_s: seconds until the item is due; negative afterwards.
+        remaining_s: estimated seconds that the item still has to run.
     """
 
     until_due_s: float
@@ -29,29 +27,29 @@
 
     @property
     def slack_s(self) -> float:
-        """Time that it may still wait."""
+        """Seconds that the item can wait and still finish in time."""
         return self.until_due_s - self.remaining_s
 
     @property
     def is_too_late(self) -> bool:
-        """Whether it can't be done in time any more."""
+        """Whether the item is unlikely to finish in time even if it starts now."""
         return self.until_due_s < self.remaining_s * TOO_LATE_FRACTION
 
     @property
     def is_urgent(self) -> bool:
-        """Whether it is done in time only if it runs from now on."""
+        """Whether the item finishes in time only if it starts now."""
         return not self.is_too_late and self.slack_s < MIN_SLACK_S
 
     @property
     def order(self) -> tuple[bool, float]:
-        """Sorts first what loses least if it waits."""
+        """Sort key of preemption: items that are too late first, then by descending slack."""
         return not self.is_too_late, -self.slack_s
 
     def after_waiting(self, seconds: float) -> "Urgency":
-        """Return how the item stands once it has waited for so long."""
+        """Return the urgency after the item has waited for a time."""
         return Urgency(self.until_due_s - seconds, self.remaining_s)
 
     def after_running(self, seconds: float) -> "Urgency":
-        """Return how the item stands once it has run for so long."""
-        least_s = self.remaining_s * MIN_REMAINING_FRACTION
-        return Urgency(self.until_due_s - seconds, max(least_s, self.remaining_s - seconds))
+        """Return the urgency after the item has run for a time."""
+        min_remaining_s = self.remaining_s * MIN_REMAINING_FRACTION
+        return Urgency(self.until_due_s - seconds, max(min_remaining_s, self.remaining_s - seconds))
