--- a/src/wharfcart/slots/__init__.py
+++ b/src/wharfcart/slots/__init__.py
@@ -1,1 +1,1 @@
-"""Slots of back ends: who has taken which, who gets the next one, and who waits."""
+"""Granting of back-end slots to online requests and batch items."""
--- a/src/wharfcart/slots/granted_placement.py
+++ b/src/wharfcart/slots/granted_placement.py
@@ -1,4 +1,4 @@
-"""A gateway's placement: asks the nodes that grant slots; chooses by itself where none answers."""
+"""A gateway's placement: requests slots from granting nodes, with local selection as fallback."""
 
 from collections.abc import Callable, Collection
 from dataclasses import dataclass
@@ -26,7 +26,7 @@
 from wharfcart.slots.session import HeldSlot, SlotSession
 from wharfcart.slots.sessions import SlotSessions
 
-# Part of the requests whose answers begin within the time that is planned for it.
+# Quantile of a route's time to first byte that is reserved before the deadline.
 FIRST_BYTE_QUANTILE = 0.8
 
 _RESULTS = {
@@ -38,21 +38,21 @@
 
 @dataclass(frozen=True, eq=False)
 class PlacedInSlot(Placed):
-    """A request in a slot that counts at the node that grants it."""
+    """A request in a slot that is recorded at the granting node."""
 
     slot: HeldSlot
 
 
 class GrantedPlacement(Placement):
-    """Asks for slots.
+    """Places requests in granted slots.
 
     Args:
-        choice: what this gateway knows of the back ends.
-        sessions: with the nodes that grant.
-        distance: how far a group's back ends are from this gateway.
-        connected: back ends that this gateway keeps a connection to.
-        counter: counts who chose: ``grant`` or ``own_choice``.
-        relays: gateways that ask for permits in place of this one.
+        selector: this gateway's state of the back ends.
+        sessions: sessions with the granting nodes.
+        distance: distance of a group's back ends from this gateway.
+        connected: instances that this gateway has an open connection to.
+        counter: counts placements by label: ``grant`` or ``own_choice`` (local selection).
+        relays: gateways that request permits on behalf of this one.
     """
 
     def __init__(
@@ -74,18 +74,18 @@
         self._first_byte_by_route: dict[str, RunningQuantile] = {}
 
     async def place(self, request: PlacementRequest) -> Placed | None:
-        """Return where to send a request, or None where there is no back end.
+        """Return where to send a request; None if there is no back end.
 
         Raises:
-            NoSlotError: every slot is taken, and the request has waited long enough.
-            OverLimitError: its tenant has sent as many requests as it may.
+            NoSlotError: every slot is taken and the request has waited until its deadline.
+            OverLimitError: the request exceeds its tenant's limit.
         """
         permit = Permit(self._sessions, self._relays, request.tenant, request.limit)
-        for group, manner in self._steps(request):
+        for group, mode in self._steps(request):
             session = self._sessions.by_group[group]
             if not session.is_available(monotonic()):
                 continue
-            placed = await self._request_slot(session, request, manner, permit)
+            placed = await self._request_slot(session, request, mode, permit)
             if placed is not None:
                 self._counter.add("grant")
                 return placed
@@ -94,40 +94,40 @@
         return await self._place_locally(request)
 
     def reaches(self, service: str, residence: Residence) -> bool:
-        """Whether a node that grants slots of a service in some regions is heard from there."""
+        """Whether a node that grants slots of a service in a residence is available."""
         return bool(self._sessions.available_capacities(service, residence))
 
     def ended(self, placed: Placed, verdict: SendVerdict) -> None:
-        """Note that a request is no longer at its back end, and what the send told of that."""
+        """Release the slot of a request and report the result of the send."""
         if isinstance(placed, PlacedInSlot):
             session = self._sessions.by_group[placed.slot.group]
             session.release(placed.slot.number, _RESULTS[verdict])
 
     def answer_begun(self, route_name: str, seconds: float) -> None:
-        """Note how long after it was sent a request's answer began."""
+        """Record the time to first byte of a request."""
         self._first_byte_s(route_name).observe(seconds)
 
     # ---- inner ----
 
     def _steps(self, request: PlacementRequest) -> list[RequestStep]:
-        rooms = self._sessions.available_capacities(request.service, request.residence)
-        distances = {group: self._distance(group) for group in rooms}
+        capacities = self._sessions.available_capacities(request.service, request.residence)
+        distances = {group: self._distance(group) for group in capacities}
         if request.affinity_key:
-            return order_groups_by_affinity(rooms, request.affinity_key, distances)
-        return order_groups(rooms, distances)
+            return order_groups_by_affinity(capacities, request.affinity_key, distances)
+        return order_groups(capacities, distances)
 
     async def _request_slot(
         self, session: SlotSession, request: PlacementRequest, mode: RequestMode, permit: Permit
     ) -> Placed | None:
         if not permit.comes_with_slot(session):
             await permit.obtain()
-        asked = self._slot_request(session, request, mode)
-        grant = await session.request_slot(asked, request.tenant if permit.needed else "")
+        slot_request = self._slot_request(session, request, mode)
+        grant = await session.request_slot(slot_request, request.tenant if permit.needed else "")
         if grant is not None and grant.unsure:
             await permit.obtain_elsewhere()
-            asked = self._slot_request(session, request, mode)
-            grant = await session.request_slot(asked)
-        return None if grant is None else self._accept_grant(session, asked, grant, permit)
+            slot_request = self._slot_request(session, request, mode)
+            grant = await session.request_slot(slot_request)
+        return None if grant is None else self._accept_grant(session, slot_request, grant, permit)
 
     def _slot_request(
         self, session: SlotSession, request: PlacementRequest, mode: RequestMode
@@ -149,7 +149,7 @@
         )
 
     def _connected_of(self, group: int, service: str) -> frozenset[str]:
-        """Return the back ends of a service and group that a connection is kept to."""
+        """Return the instances of a service and group that this gateway is connected to."""
         found = []
         for instance_id in self._connected():
             state = self._selector.state(instance_id)
@@ -159,7 +159,7 @@
         return frozenset(found)
 
     def _accept_grant(
-        self, session: SlotSession, asked: SlotRequested, grant: SlotGrant, permit: Permit
+        self, session: SlotSession, slot_request: SlotRequested, grant: SlotGrant, permit: Permit
     ) -> Placed | None:
         if grant.limited:
             raise OverLimitError(grant.retry_after_ms / 1000, surely=True)
@@ -168,11 +168,13 @@
         if not grant.instance_id:
             return None
         permit.record_obtained()
-        slot = session.record_granted(SlotUse(asked.number, grant.instance_id, asked.unread_tokens))
+        slot = session.record_granted(
+            SlotUse(slot_request.number, grant.instance_id, slot_request.unread_tokens)
+        )
         state = self._selector.state(grant.instance_id)
         if (
             state is None
-            or self._selector.ruled_out(state, asked.residence)
+            or self._selector.ruled_out(state, slot_request.residence)
             or state.failed_lately(monotonic())
         ):
             session.release(slot.number)
--- a/src/wharfcart/slots/messages.py
+++ b/src/wharfcart/slots/messages.py
@@ -1,6 +1,6 @@
-"""Slots as they travel between nodes: protobuf messages to typed events and back.
+"""Conversion between protobuf messages and typed slot events.
 
-Times travel as spans, since clocks of two nodes have nothing in common.
+Messages carry durations instead of times, as monotonic clocks of two nodes are unrelated.
 """
 
 from wharfcart.admission.tenant_limits import TenantSend, TenantUsage
@@ -26,27 +26,27 @@
 from wharfcart.slots.urgency import Urgency
 
 _MODES = {RequestMode.FREE: pb.FREE, RequestMode.PREEMPT: pb.YIELDED, RequestMode.WAIT: pb.WAIT}
-_MODES_BY_VALUE = {value: manner for manner, value in _MODES.items()}
+_MODES_BY_VALUE = {value: mode for mode, value in _MODES.items()}
 _RESULTS = {
     RunResult.UNKNOWN: pb.VERDICT_UNKNOWN,
     RunResult.BACKEND_OK: pb.GOOD,
     RunResult.BACKEND_FAILED: pb.BAD,
 }
-_RESULTS_BY_VALUE = {value: verdict for verdict, value in _RESULTS.items()}
+_RESULTS_BY_VALUE = {value: result for result, value in _RESULTS.items()}
 
 
 def urgency_to_message(urgency: Urgency) -> pb.ItemUrgency:
-    """Write how an item stands."""
+    """Convert the urgency of an item to a message."""
     return pb.ItemUrgency(left_s=urgency.until_due_s, remaining_s=urgency.remaining_s)
 
 
 def urgency_from_message(message: pb.ItemUrgency) -> Urgency:
-    """Read how an item stands."""
+    """Convert a message to the urgency of an item."""
     return Urgency(message.left_s, message.remaining_s)
 
 
 def use_to_message(use: SlotUse) -> pb.SlotUse:
-    """Write a slot that is taken."""
+    """Convert a taken slot to a message."""
     return pb.SlotUse(
         number=use.number,
         instance_id=use.instance_id,
@@ -56,7 +56,7 @@
 
 
 def use_from_message(message: pb.SlotUse) -> SlotUse:
-    """Read a slot that is taken."""
+    """Convert a message to a taken slot."""
     return SlotUse(
         SlotNumber(message.number),
         message.instance_id,
@@ -66,7 +66,7 @@
 
 
 def snapshot_to_message(snapshot: SlotSnapshot) -> pb.SlotPicture:
-    """Write a picture of the load."""
+    """Convert a load snapshot to a message."""
     return pb.SlotPicture(
         backends=[
             pb.BackendLoad(
@@ -79,13 +79,13 @@
         ],
         rooms=[
             pb.ServiceRoom(
-                service=room.service,
-                slots=room.slots,
-                free=room.free,
-                yielding=room.preemptible,
-                waiting=room.waiting,
+                service=capacity.service,
+                slots=capacity.slots,
+                free=capacity.free,
+                yielding=capacity.preemptible,
+                waiting=capacity.waiting,
             )
-            for room in snapshot.capacities
+            for capacity in snapshot.capacities
         ],
         sends_per_s=snapshot.sends_per_s,
         holders=snapshot.holders,
@@ -95,15 +95,17 @@
 
 
 def snapshot_from_message(message: pb.SlotPicture) -> SlotSnapshot:
-    """Read a picture of the load."""
+    """Convert a message to a load snapshot."""
     return SlotSnapshot(
         backends=tuple(
             BackendLoad(load.instance_id, load.in_use, load.unread_tokens, load.avoided)
             for load in message.backends
         ),
         capacities=tuple(
-            ServiceCapacity(room.service, room.slots, room.free, room.yielding, room.waiting)
-            for room in message.rooms
+            ServiceCapacity(
+                capacity.service, capacity.slots, capacity.free, capacity.yielding, capacity.waiting
+            )
+            for capacity in message.rooms
         ),
         sends_per_s=dict(message.sends_per_s),
         holders=message.holders,
@@ -113,24 +115,31 @@
 
 
 def send_to_message(send: TenantSend) -> pb.TenantSend:
-    """Write a request that was permitted."""
+    """Convert a permitted request of a tenant to a message."""
     return pb.TenantSend(tenant=send.tenant, age_ms=_milliseconds(send.age_s))
 
 
 def send_from_message(message: pb.TenantSend) -> TenantSend:
-    """Read a request that was permitted."""
+    """Convert a message to a permitted request of a tenant."""
     return TenantSend(message.tenant, message.age_ms / 1000)
 
 
 def usage_from_message(message: pb.TenantUsage) -> TenantUsage:
-    """Read how many requests of a tenant all gateways sent."""
+    """Convert a message to a tenant's request count over all gateways."""
     return TenantUsage(message.tenant, message.count)
 
 
 def request_to_message(
     group: int, request: SlotRequested, tenant: str, now: float
 ) -> pb.SlotRequest:
-    """Write a request for a slot of a group; it counts towards the limit of a tenant, if any."""
+    """Convert a slot request to a message.
+
+    Args:
+        group: group whose node grants the slot.
+        request: the slot request.
+        tenant: tenant whose limit the request counts towards; '' if it needs no permit.
+        now: current monotonic time.
+    """
     return pb.SlotRequest(
         group=group,
         holder=request.session.holder,
@@ -152,7 +161,7 @@
 
 
 def request_from_message(session: SessionKey, message: pb.SlotRequest, now: float) -> SlotRequested:
-    """Read a request for a slot."""
+    """Convert a message to a slot request."""
     return SlotRequested(
         session=session,
         number=SlotNumber(message.number),
@@ -171,20 +180,22 @@
 
 
 def event_to_message(event: SlotEvent) -> pb.SlotEvent:
-    """Write what a holder tells within its session.
+    """Convert an event within a session to a message.
 
     Raises:
-        TypeError: such an event is not told this way.
+        TypeError: events of this type are not sent within a session.
     """
     match event:
         case SlotTaken():
             return pb.SlotEvent(taken=use_to_message(event.use))
         case SlotReleased():
-            verdict = _RESULTS[event.result]
-            return pb.SlotEvent(released=pb.SlotRelease(number=event.number, verdict=verdict))
+            result_value = _RESULTS[event.result]
+            return pb.SlotEvent(released=pb.SlotRelease(number=event.number, verdict=result_value))
         case ResponsivenessChanged():
-            silence = pb.BackendSilence(instance_id=event.instance_id, silent=event.unresponsive)
-            return pb.SlotEvent(silence=silence)
+            responsiveness = pb.BackendSilence(
+                instance_id=event.instance_id, silent=event.unresponsive
+            )
+            return pb.SlotEvent(silence=responsiveness)
         case BackendFailureReported():
             return pb.SlotEvent(blamed=event.instance_id)
         case ItemsWaiting():
@@ -198,17 +209,17 @@
 
 
 def event_from_message(session: SessionKey, message: pb.SlotEvent) -> SlotEvent:
-    """Read what a holder tells within its session.
+    """Convert a message to an event within a session.
 
     Raises:
-        ValueError: the message holds no event that this program knows.
+        ValueError: the message has no known event.
     """
     match message.WhichOneof("event"):
         case "taken":
             return SlotTaken(session, use_from_message(message.taken))
         case "released":
-            verdict = _RESULTS_BY_VALUE.get(message.released.verdict, RunResult.UNKNOWN)
-            return SlotReleased(session, SlotNumber(message.released.number), verdict)
+            result = _RESULTS_BY_VALUE.get(message.released.verdict, RunResult.UNKNOWN)
+            return SlotReleased(session, SlotNumber(message.released.number), result)
         case "silence":
             return ResponsivenessChanged(
                 session, message.silence.instance_id, message.silence.silent
@@ -222,7 +233,7 @@
             return ItemStarted(session, SlotNumber(message.begun.number), urgency)
         case "sent_unasked":
             return SentWithoutPermit(session, message.sent_unasked)
-    raise ValueError("unknown slot event")
+    raise ValueError("slot event message has no known event")
 
 
 def _waiting_to_message(event: ItemsWaiting) -> pb.WaitingItems:
--- a/src/wharfcart/slots/orphaned_runs.py
+++ b/src/wharfcart/slots/orphaned_runs.py
@@ -1,8 +1,8 @@
-"""Runs that nobody knows of: left at back ends by a leader that lost its power.
+"""Orphaned runs: requests at back ends whose holder lost power or its network.
 
-A back end does not notice that the machine it answers is dark, and works on for seconds. Nobody
-else knows: to the next granting node its slots look free. So that node asks the back ends
-themselves for a while; what they have beyond what sessions tell is counted as taken.
+A back end does not notice such a loss and keeps running the request for seconds, while its slot
+looks free to the next granting node. After it begins to grant, a node therefore probes the back
+ends for a limited time. Requests beyond those that sessions report count as taken slots.
 """
 
 import asyncio
@@ -16,10 +16,10 @@
 from wharfcart.platform import exchanges
 from wharfcart.slots.granter import SlotGranter
 
-# Most holders have opened their session by then: what they run is no leftover.
+# Leaves holders time to open their sessions and report their runs.
 FIRST_PROBE_DELAY_S = 0.1
 PROBE_INTERVAL_S = 0.2
-# Longer than batch items run; a run that outlasts this is one of many.
+# Longer than most batch items run.
 MAX_WATCH_S = 8.0
 PROBE_TIMEOUT_S = 0.3
 MAX_CONCURRENT_PROBES = 16
@@ -27,14 +27,14 @@
 
 
 class OrphanedRuns:
-    """Finds leftover runs for the granting node of one group.
+    """Finds orphaned runs for the granting node of one group.
 
     Args:
         group: number of the group.
         pool: connections to back ends.
-        connection_limit: of one back end, by service.
-        log: tells what was found.
-        may_ask: whether anything may be sent to a back end.
+        connection_limit: maximum number of connections to one back end of a service.
+        log: receives the numbers of orphaned runs.
+        may_probe: whether requests may be sent to a back end.
     """
 
     def __init__(
@@ -52,24 +52,24 @@
         self._log = log
 
     async def watch(self, granter: SlotGranter, instances: list[BackendInstance]) -> None:
-        """Ask back ends until none has runs that no session tells of.
+        """Probe back ends until none has orphaned runs or the time limit is reached.
 
         Args:
-            granter: is told of what they have.
-            instances: the back ends that it grants.
+            granter: receives the request count of each back end.
+            instances: back ends that the granter owns.
         """
         until = monotonic() + MAX_WATCH_S
         await asyncio.sleep(FIRST_PROBE_DELAY_S)
         while instances and monotonic() < until:
-            leftover = await self._probe_all(granter, instances)
-            if leftover:
+            orphaned = await self._probe_all(granter, instances)
+            if orphaned:
                 self._log.write(
                     Event.LEFTOVER_RUNS,
                     group=self._group,
-                    runs=sum(leftover.values()),
-                    backends=len(leftover),
+                    runs=sum(orphaned.values()),
+                    backends=len(orphaned),
                 )
-            instances = [one for one in instances if one.instance_id in leftover]
+            instances = [backend for backend in instances if backend.instance_id in orphaned]
             await asyncio.sleep(PROBE_INTERVAL_S)
         for instance in instances:
             granter.backend_reported(instance.instance_id, 0)
@@ -77,25 +77,25 @@
     async def _probe_all(
         self, granter: SlotGranter, instances: list[BackendInstance]
     ) -> dict[str, int]:
-        """Return the leftover runs by back end that has any."""
+        """Return the number of orphaned runs by instance, without instances that have none."""
         limiter = asyncio.Semaphore(MAX_CONCURRENT_PROBES)
         found: dict[str, int] = {}
 
-        async def ask(instance: BackendInstance) -> None:
-            present = None
+        async def probe(instance: BackendInstance) -> None:
+            request_count = None
             if self._may_probe(instance):
                 async with limiter:
-                    present = await self._probe(instance)
-            # A back end that does not answer takes nothing for now: it is left to the granter.
-            leftover = granter.backend_reported(instance.instance_id, present or 0)
-            if leftover:
-                found[instance.instance_id] = leftover
+                    request_count = await self._probe(instance)
+            # Without an answer the back end counts as idle; the granter handles its failure.
+            orphaned = granter.backend_reported(instance.instance_id, request_count or 0)
+            if orphaned:
+                found[instance.instance_id] = orphaned
 
-        await asyncio.gather(*(ask(instance) for instance in instances))
+        await asyncio.gather(*(probe(instance) for instance in instances))
         return found
 
     async def _probe(self, instance: BackendInstance) -> int | None:
-        """Return how many requests a back end has; None if it does not tell."""
+        """Return the number of requests at a back end; None if it does not answer."""
         limit = self._connection_limit(instance.service)
         try:
             connection = await self._pool.take(instance, limit)
--- a/src/wharfcart/slots/permit_relays.py
+++ b/src/wharfcart/slots/permit_relays.py
@@ -1,4 +1,4 @@
-"""Other gateways that ask for a permit in place of one that is cut off from all storage nodes."""
+"""Permit relays: gateways that request permits for one that cannot reach any storage node."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,18 +9,18 @@
 from wharfcart.cluster.transport import PeerUnreachableError, TrafficClass, Transport
 from wharfcart.errors import ServingError
 
-# Two calls of some milliseconds each, or one that waits until a node stands in.
+# Includes the relay's wait for a backup coordinator.
 ANSWER_TIMEOUT_S = 0.3
-# A gateway that did not help is not asked again for so long.
+# For a relay that failed.
 RETRY_PAUSE_S = 0.5
 
 
 class PermitRelays:
-    """Asks other gateways, the one that helped last first.
+    """Requests permits through other gateways, starting with the last successful one.
 
     Args:
-        transport: reaches them.
-        addresses: where they are.
+        transport: transport to the relays.
+        addresses: addresses of the relays.
     """
 
     def __init__(self, transport: Transport, addresses: Callable[[], list[Address]]) -> None:
@@ -30,7 +30,7 @@
         self._last_successful: Address | None = None
 
     async def ask(self, tenant: str) -> PermitAnswer | None:
-        """Ask whether a tenant may send one more request; None if nobody surely knows."""
+        """Request a permit for one more request of a tenant; None if no relay can answer."""
         addresses = sorted(self._addresses(), key=lambda address: address != self._last_successful)
         for address in addresses:
             if monotonic() < self._paused_until.get(address, 0.0):
--- a/src/wharfcart/slots/permits.py
+++ b/src/wharfcart/slots/permits.py
@@ -1,8 +1,9 @@
 """A gateway's permits: whether a tenant may send one more request.
 
-The node that keeps a tenant's limit tells; where it also grants the request's slot, within the
-same call. While it does not answer, another storage node stands in for it, and while none does the
-gateway goes on by itself (:mod:`wharfcart.admission.tenant_limits`) or asks by way of another one.
+The limit coordinator of the tenant grants permits. If it also grants the request's slot, one call
+returns both. While the coordinator does not respond, a backup coordinator replaces it. Without a
+backup the gateway uses its local share of the limit (:mod:`wharfcart.admission.tenant_limits`) or
+requests the permit through a relay.
 """
 
 import asyncio
@@ -16,12 +17,12 @@
 from wharfcart.slots.session import SlotSession
 from wharfcart.slots.sessions import SlotSessions
 
-# A node that stands in is reached within this time, and a request is still in time after it. Who
-# has been without contact for longer than a second is cut off, and waits for nobody.
+# Longest wait of a request for a backup coordinator.
 BACKUP_WAIT_S = 0.2
+# A gateway whose last contact is older is disconnected and does not wait for a backup.
 RECENT_CONTACT_S = 1.0
 BACKUP_POLL_S = 0.01
-# A request beyond a gateway's own part comes back once the limit's node has probably a successor.
+# Leaves time for a new coordinator to be elected.
 DISCONNECTED_RETRY_AFTER_S = 0.5
 
 
@@ -29,10 +30,10 @@
     """The permit of one request.
 
     Args:
-        sessions: of the gateway.
-        relays: other gateways that may ask for this one.
-        tenant: whose request it is.
-        limit: of the tenant; None if the request does not count.
+        sessions: sessions of the gateway.
+        relays: gateways that request permits on behalf of this one.
+        tenant: tenant of the request.
+        limit: limit of the tenant; None if the request does not count towards it.
     """
 
     def __init__(
@@ -49,36 +50,36 @@
 
     @property
     def needed(self) -> bool:
-        """Whether it is still to be obtained."""
+        """Whether the permit must still be obtained."""
         return self._limit is not None
 
     def comes_with_slot(self, session: SlotSession) -> bool:
-        """Whether a node that is asked for a slot tells of the permit, too."""
+        """Whether a slot request in this session also obtains the permit."""
         return self.needed and self._sessions.coordinator(self._tenant) is session
 
     def record_obtained(self) -> None:
-        """Note that it came with a slot."""
+        """Record that the permit was obtained."""
         if self.needed:
             self._sessions.sends.sent(self._tenant, monotonic())
             self._limit = None
 
     async def obtain(self) -> None:
-        """Ask for it where it does not come with a slot.
+        """Obtain the permit separately from a slot.
 
         Raises:
-            OverLimitError: the tenant may not send now.
+            OverLimitError: the tenant is over its limit.
         """
         if self.needed and not await self._ask(self._sessions.coordinator(self._tenant)):
             await self.obtain_elsewhere()
 
     async def obtain_elsewhere(self) -> None:
-        """Obtain it without the node that keeps the limit.
+        """Obtain the permit without the limit coordinator.
 
-        Who stands in is asked; else it comes out of this gateway's own part, and once that is used
-        up another gateway is asked, which may have more contact.
+        Tries the backup coordinator, the gateway's local share of the limit, the relays, and after
+        a short wait the backup coordinator again.
 
         Raises:
-            OverLimitError: the tenant may not send now.
+            OverLimitError: the tenant is over its limit.
         """
         if (
             await self._ask(self._sessions.backup_coordinator(self._tenant))
@@ -92,7 +93,7 @@
             raise OverLimitError(DISCONNECTED_RETRY_AFTER_S, surely=False)
 
     async def answer_for_peer(self) -> PermitAnswer:
-        """Ask in place of another gateway; the request counts as this one's."""
+        """Request the permit on behalf of another gateway; it counts as a request of this one."""
         try:
             permitted = not self.needed or await self._obtain_from_coordinators()
         except OverLimitError as error:
@@ -111,14 +112,14 @@
             return False
         if not answer.permitted:
             raise OverLimitError(answer.retry_after_ms / 1000, surely=True)
-        self._limit = None  # counted as the other gateway's
+        self._limit = None  # counted as a request of the relay
         return True
 
     async def _wait_for_backup(self) -> None:
-        """Wait for a moment until a node stands in, where one may."""
-        home = self._sessions.coordinator(self._tenant)
-        heard_at = None if home is None else home.last_contact_at
-        if heard_at is not None and monotonic() - heard_at > RECENT_CONTACT_S:
+        """Wait for a limited time until a backup coordinator is available."""
+        session = self._sessions.coordinator(self._tenant)
+        contact_at = None if session is None else session.last_contact_at
+        if contact_at is not None and monotonic() - contact_at > RECENT_CONTACT_S:
             return
         until = monotonic() + BACKUP_WAIT_S
         while self._sessions.backup_coordinator(self._tenant) is None and monotonic() < until:
@@ -127,10 +128,10 @@
             await asyncio.sleep(BACKUP_POLL_S)
 
     async def _ask(self, session: SlotSession | None) -> bool:
-        """Whether a node told that the permit is given.
+        """Whether a coordinator grants the permit; False if it does not respond.
 
         Raises:
-            OverLimitError: it told that it is not.
+            OverLimitError: the coordinator refuses the permit.
         """
         if session is None or not session.is_available(monotonic()):
             return False
@@ -143,20 +144,20 @@
         return True
 
     def _take_disconnected(self) -> bool:
-        """Whether it could be taken out of this gateway's own part."""
+        """Take the permit from the gateway's local share of the limit; False if it is used up."""
         if not self._may_send_disconnected():
             return False
         self.record_obtained()
-        home = self._sessions.coordinator(self._tenant)
-        if home is not None:
-            home.send(SentWithoutPermit(home.key, self._tenant))
+        session = self._sessions.coordinator(self._tenant)
+        if session is not None:
+            session.send(SentWithoutPermit(session.key, self._tenant))
         return True
 
     def _may_send_disconnected(self) -> bool:
         if self._limit is None:
             return True
-        home = self._sessions.coordinator(self._tenant)
-        contact_at = None if home is None else home.last_contact_at
-        usage = 0 if home is None else home.snapshot.usage.get(self._tenant, 0)
+        session = self._sessions.coordinator(self._tenant)
+        contact_at = None if session is None else session.last_contact_at
+        usage = 0 if session is None else session.snapshot.usage.get(self._tenant, 0)
         sends = self._sessions.sends
         return sends.may_send_alone(self._tenant, self._limit, contact_at, usage, monotonic())
--- a/src/wharfcart/slots/service.py
+++ b/src/wharfcart/slots/service.py
@@ -1,7 +1,7 @@
-"""The node that grants slots: sessions, requests and events of holders, carried to the core.
+"""Service of a granting node: passes sessions, requests and events of holders to the granter.
 
-It grants for as long as it leads the job group of the same number. A holder whose connection ends
-has left: what it had taken is free at once.
+A node grants while it leads the job group of the same number. If a holder's connection closes, its
+slots become free at once.
 """
 
 import asyncio
@@ -57,23 +57,18 @@
 )
 from wharfcart.slots.snapshot import SlotSnapshot
 
-# What time alone brings is looked at so often: who has waited long enough, who is avoided no more.
 TICK_S = 0.05
-# A holder that waits for a slot hears at least so often that it still waits.
+# Interval of heartbeats to a holder whose request waits.
 WAIT_HEARTBEAT_S = 0.1
-# Holders in the zone of the group's back ends hear of the load so often, more seldom where they are
-# many. Those elsewhere send few requests here, and their pictures travel between zones. Holders in
-# other regions ask only where their own region is full: they hear as seldom, nothing at once, and
-# not the load of each back end, since bytes between regions cost most.
+# Holders in other zones and regions send few requests here, and their snapshots cost more traffic.
 SNAPSHOT_INTERVAL_S = 0.25
 OTHER_ZONE_SNAPSHOT_INTERVAL_S = 1.0
 OTHER_REGION_SNAPSHOT_INTERVAL_S = 1.0
 MAX_SNAPSHOTS_PER_SECOND = 400
-# Gateways that are cut off ask by way of others; of six drawn by lot one has contact even if a
-# third of all gateways is cut off.
+# Interval at which gateways receive the addresses of relays.
 RELAYS_INTERVAL_S = 5.0
 MAX_RELAYS = 6
-# A back end that must be avoided is told at once, but no more often than this.
+# Between snapshots that are sent early because the avoided back ends changed.
 MIN_SNAPSHOT_GAP_S = 0.05
 
 Respond = Callable[[Frame], Awaitable[None]]
@@ -81,12 +76,14 @@
 
 @dataclass
 class _Outbox:
-    """News for one session that were not sent yet.
+    """Updates for one session that were not sent yet.
 
     Attributes:
-        distance: of its holder from the group's back ends.
-        heard_at: monotonic time at which the holder was heard last.
-        address: of a gateway that asks for permits in place of others, or ''.
+        distance: distance of the holder from the group's back ends.
+        last_contact_at: monotonic time of the holder's last message.
+        address: address of a gateway that can relay permits, or ''.
+        updates: the unsent updates.
+        wake: set when there are updates or the session must close.
     """
 
     distance: Distance
@@ -96,10 +93,10 @@
     wake: asyncio.Event = field(default_factory=asyncio.Event)
 
     def take(self) -> SlotNews:
-        """Return the news, and begin anew."""
-        news, self.updates = self.updates, SlotNews()
+        """Return the unsent updates and clear them."""
+        unsent, self.updates = self.updates, SlotNews()
         self.wake.clear()
-        return news
+        return unsent
 
 
 class SlotService:
@@ -107,13 +104,13 @@
 
     Args:
         group: number of the group.
-        choice: what this node knows of the back ends.
-        owns: which of them belong to the group.
-        distance: how far a zone is from the group's back ends.
-        log: tells which requests were refused.
-        requests_waiting: shows how many wait.
-        limit_of: a tenant's limit of requests, or None.
-        leads_freshly: whether no other node can grant yet.
+        selector: this node's state of the back ends.
+        owns: whether a back end belongs to the group.
+        distance: distance of a zone from the group's back ends.
+        log: receives refused requests, and when granting begins and ends.
+        requests_waiting: gauge of waiting requests.
+        limit_of: request limit of a tenant, or None.
+        is_leadership_confirmed: whether no other node can grant yet.
     """
 
     def __init__(
@@ -136,7 +133,7 @@
         self._limit_of = limit_of
         self._is_leadership_confirmed = is_leadership_confirmed
         self._limits = TenantLimits(limit_of, monotonic())
-        self._permit_contact_at: dict[SessionKey, float] = {}  # without slots; when heard last
+        self._permit_contact_at: dict[SessionKey, float] = {}  # sessions without slots
         self._granter: SlotGranter | None = None
         self._outboxes: dict[SessionKey, _Outbox] = {}
         self._answers: dict[tuple[SessionKey, SlotNumber], asyncio.Future[SlotInstruction]] = {}
@@ -148,21 +145,21 @@
 
     @property
     def granter(self) -> SlotGranter | None:
-        """The decisions, while this node grants."""
+        """The granter while this node grants, else None."""
         return self._granter
 
     def begin(self, epoch: int) -> None:
-        """Begin to grant, knowing nothing: holders tell what they have taken."""
+        """Begin to grant with an empty ledger; holders report their taken slots."""
         self._granter = self.new_granter()
         self._begin_limits()
         self._log.write(Event.GRANTING_BEGUN, group=self.group, epoch=epoch)
 
     def new_granter(self) -> SlotGranter:
-        """Return the decisions of a new leadership."""
+        """Return the granter of a new leadership."""
         return SlotGranter(self._selector, self._owns, self._is_leadership_confirmed)
 
     def end(self) -> None:
-        """Grant no longer: another node does."""
+        """Stop granting, as another node grants now."""
         if self._granter is None:
             return
         self._granter = None
@@ -174,7 +171,7 @@
                 answer.set_result(NoSlot(session, number))
 
     async def run(self) -> None:
-        """Do what time brings until cancelled."""
+        """Run periodic work until cancelled."""
         while True:
             await asyncio.sleep(TICK_S)
             granter = self._granter
@@ -189,7 +186,7 @@
     # ---- calls of holders ----
 
     async def serve_session(self, message: OpenSlotSession, respond: Respond) -> None:
-        """Hold a session until its holder leaves; cancelled if the connection ends."""
+        """Serve a session until this node stops granting; cancelled if the connection closes."""
         granter = self._granter
         if granter is None and message.limits_only:
             await self._serve_permits_only(message, respond)
@@ -203,10 +200,10 @@
         uses = tuple(use_from_message(use) for use in message.uses)
         limits = self._open_limits(message)
         self._apply(granter, SessionOpened(key, message.zone, uses))
-        picture = granter.snapshot(monotonic())
+        load_snapshot = granter.snapshot(monotonic())
         if outbox.distance is Distance.OTHER_REGION:
-            picture = picture.for_other_region()
-        outbox.updates.picture.CopyFrom(snapshot_to_message(picture))
+            load_snapshot = load_snapshot.for_other_region()
+        outbox.updates.picture.CopyFrom(snapshot_to_message(load_snapshot))
         try:
             while self._granter is granter and granter.is_open(key):
                 await respond(Frame(slot_news=outbox.take()))
@@ -221,7 +218,7 @@
                 self._apply(granter, SessionClosed(key))
 
     async def _serve_permits_only(self, message: OpenSlotSession, respond: Respond) -> None:
-        """Keep limits for a gateway that does not reach the granting node."""
+        """Coordinate limits for a gateway that cannot reach the granting node."""
         if not self._permit_contact_at:
             self._begin_limits()
         key = SessionKey(HolderId(message.holder), message.session)
@@ -230,8 +227,8 @@
         try:
             while self._limits is limits:
                 now = monotonic()
-                picture = SlotSnapshot(usage=limits.usage(now), gateways=limits.gateways(now))
-                await respond(Frame(slot_news=SlotNews(picture=snapshot_to_message(picture))))
+                load_snapshot = SlotSnapshot(usage=limits.usage(now), gateways=limits.gateways(now))
+                await respond(Frame(slot_news=SlotNews(picture=snapshot_to_message(load_snapshot))))
                 await asyncio.sleep(SNAPSHOT_INTERVAL_S)
             await respond(Frame(slot_news=SlotNews(refused=True), last=True))
         finally:
@@ -239,14 +236,14 @@
             limits.holder_lost(key.holder, now - self._permit_contact_at.pop(key), now)
 
     async def serve_request(self, message: SlotRequest, respond: Respond) -> None:
-        """Answer a gateway that asks for a slot; cancelled if it wants none any more."""
+        """Answer a gateway's slot request; cancelled if the gateway withdraws it."""
         granter = self._granter
         key = SessionKey(HolderId(message.holder), message.session)
         if granter is None or not granter.is_open(key):
             await respond(Frame(slot_grant=SlotGrant(no_session=True), last=True))
             return
         self._record_contact(key)
-        asked = request_from_message(key, message, monotonic())
+        request = request_from_message(key, message, monotonic())
         if message.tenant:
             unpermitted = self._permit_if_confirmed(key, message.tenant, message.request_id)
             if unpermitted is not None:
@@ -254,25 +251,25 @@
                 return
         limits = self._limits
         answer: asyncio.Future[SlotInstruction] = asyncio.get_running_loop().create_future()
-        self._answers[key, asked.number] = answer
-        told = False
+        self._answers[key, request.number] = answer
+        sent = False
         try:
-            self._apply(granter, asked)
+            self._apply(granter, request)
             while not answer.done():
                 await respond(Frame(slot_grant=SlotGrant(waiting=True)))
                 await asyncio.wait((answer,), timeout=WAIT_HEARTBEAT_S)
-            self._log_refusal(asked.service, asked.request_id, answer.result())
+            self._log_refusal(request.service, request.request_id, answer.result())
             await respond(Frame(slot_grant=_grant_message(answer.result()), last=True))
-            told = True
+            sent = True
         finally:
-            del self._answers[key, asked.number]
-            if message.tenant and not (told and isinstance(answer.result(), Granted)):
+            del self._answers[key, request.number]
+            if message.tenant and not (sent and isinstance(answer.result(), Granted)):
                 limits.give_back(key.holder, message.tenant, monotonic())
-            if not told and self._granter is granter:
-                self._apply(granter, SlotReleased(key, asked.number))
+            if not sent and self._granter is granter:
+                self._apply(granter, SlotReleased(key, request.number))
 
     async def serve_permit(self, message: PermitRequest, respond: Respond) -> None:
-        """Answer a gateway that asks whether a tenant may send one more request."""
+        """Answer a gateway's request for a permit for one more request of a tenant."""
         key = SessionKey(HolderId(message.holder), message.session)
         grant: SlotGrant | None = SlotGrant(unsure=True)
         if key in self._permit_contact_at:
@@ -287,18 +284,18 @@
         await respond(Frame(permit_answer=answer, last=True))
 
     def handle_events(self, message: SlotEvents) -> None:
-        """Take what a holder tells within its session; a session that has ended tells nothing."""
+        """Handle the events of a holder's session; ignored if the session is not open."""
         granter = self._granter
         key = SessionKey(HolderId(message.holder), message.session)
         if granter is None or not granter.is_open(key):
             return
         self._record_contact(key)
         for event in message.events:
-            told = event_from_message(key, event)
-            if isinstance(told, SentWithoutPermit):
-                self._limits.count_unasked(key.holder, told.tenant, monotonic())
+            slot_event = event_from_message(key, event)
+            if isinstance(slot_event, SentWithoutPermit):
+                self._limits.count_unasked(key.holder, slot_event.tenant, monotonic())
             else:
-                self._apply(granter, told)
+                self._apply(granter, slot_event)
 
     # ---- inner ----
 
@@ -306,7 +303,7 @@
         self._limits = TenantLimits(self._limit_of, monotonic())
 
     def _open_limits(self, message: OpenSlotSession) -> TenantLimits:
-        """Take what a gateway tells of tenants' requests."""
+        """Record the tenants' requests that a gateway reports when it opens a session."""
         self._limits.holder_opened(
             message.holder,
             [send_from_message(send) for send in message.sends],
@@ -325,13 +322,13 @@
     def _permit_if_confirmed(
         self, key: SessionKey, tenant: str, request_id: str
     ) -> SlotGrant | None:
-        """Permit a tenant's request unless another node may grant by now."""
+        """Permit a tenant's request unless another node may already grant."""
         if not self._is_leadership_confirmed():
             return SlotGrant(unsure=True)
         return self._permit(key, tenant, request_id)
 
     def _permit(self, key: SessionKey, tenant: str, request_id: str) -> SlotGrant | None:
-        """Permit a tenant's request; else return what its gateway is told."""
+        """Permit a tenant's request; return None, or the refusal for its gateway."""
         now = monotonic()
         retry_after_s = self._limits.take(key.holder, tenant, now)
         if not retry_after_s:
@@ -368,8 +365,8 @@
                     )
                     self._send_updates(instruction.session, SlotNews(offers=[offer]))
                 case ItemPreempted():
-                    leave = ItemLeave(number=instruction.number, cause=instruction.cause.value)
-                    self._send_updates(instruction.session, SlotNews(leaving=[leave]))
+                    preemption = ItemLeave(number=instruction.number, cause=instruction.cause.value)
+                    self._send_updates(instruction.session, SlotNews(leaving=[preemption]))
 
     def _send_updates(self, session: SessionKey, updates: SlotNews) -> None:
         outbox = self._outboxes.get(session)
@@ -378,34 +375,34 @@
             outbox.wake.set()
 
     def _send_due_snapshots(self, granter: SlotGranter, now: float) -> None:
-        """Tell holders of the load, from time to time or when what is avoided has changed."""
+        """Send load snapshots that are due, or early if the avoided back ends changed."""
         avoided = granter.avoided(now)
         changed = avoided != self._avoided and now - self._same_zone_sent_at >= MIN_SNAPSHOT_GAP_S
         period_s = max(SNAPSHOT_INTERVAL_S, len(self._outboxes) / MAX_SNAPSHOTS_PER_SECOND)
-        near_due = changed or now - self._same_zone_sent_at >= period_s
-        far_due = changed or now - self._same_region_sent_at >= max(
+        same_zone_due = changed or now - self._same_zone_sent_at >= period_s
+        same_region_due = changed or now - self._same_region_sent_at >= max(
             OTHER_ZONE_SNAPSHOT_INTERVAL_S, period_s
         )
-        abroad_due = now - self._other_region_sent_at >= max(
+        other_region_due = now - self._other_region_sent_at >= max(
             OTHER_REGION_SNAPSHOT_INTERVAL_S, period_s
         )
-        if not near_due and not far_due and not abroad_due:
+        if not same_zone_due and not same_region_due and not other_region_due:
             return
         if changed:
             self._avoided = avoided
         limits = self._limits
-        picture = replace(
+        load_snapshot = replace(
             granter.snapshot(now), usage=limits.usage(now), gateways=limits.gateways(now)
         )
-        if near_due:
+        if same_zone_due:
             self._same_zone_sent_at = now
-            self._send_snapshot(Distance.SAME_ZONE, picture)
-        if far_due:
+            self._send_snapshot(Distance.SAME_ZONE, load_snapshot)
+        if same_region_due:
             self._same_region_sent_at = now
-            self._send_snapshot(Distance.SAME_REGION, picture)
-        if abroad_due:
+            self._send_snapshot(Distance.SAME_REGION, load_snapshot)
+        if other_region_due:
             self._other_region_sent_at = now
-            self._send_snapshot(Distance.OTHER_REGION, picture.for_other_region())
+            self._send_snapshot(Distance.OTHER_REGION, load_snapshot.for_other_region())
 
     def _send_snapshot(self, distance: Distance, snapshot: SlotSnapshot) -> None:
         message = snapshot_to_message(snapshot)
@@ -415,7 +412,7 @@
                 outbox.wake.set()
 
     def _send_relays(self, now: float) -> None:
-        """Tell each gateway of some others, for when it is cut off from here."""
+        """Send each gateway random other gateways that can relay permits."""
         if now - self._relays_sent_at < RELAYS_INTERVAL_S:
             return
         self._relays_sent_at = now
@@ -423,8 +420,8 @@
         for outbox in self._outboxes.values():
             if outbox.address:
                 others = [address for address in addresses if address != outbox.address]
-                some = sample(others, min(MAX_RELAYS, len(others)))
-                outbox.updates.relays[:] = some
+                chosen = sample(others, min(MAX_RELAYS, len(others)))
+                outbox.updates.relays[:] = chosen
                 outbox.wake.set()
 
     def _log_refusal(self, service: str, request_id: str, answer: SlotInstruction) -> None:
--- a/src/wharfcart/slots/session.py
+++ b/src/wharfcart/slots/session.py
@@ -1,7 +1,7 @@
-"""A holder's session with the node that grants the slots of one group of back ends.
+"""A holder's session with the granting node of one group of back ends.
 
-Everything that the holder has taken there is told when the session opens, and every change within
-it. A session that breaks is opened anew, with the whole list; nothing lapses by time.
+The holder reports all its taken slots when the session opens, and every later change. After a
+broken connection it opens a new session with the whole list. Taken slots do not expire.
 """
 
 import asyncio
@@ -47,26 +47,23 @@
 )
 from wharfcart.slots.snapshot import SlotSnapshot
 
-# A grant takes a look-up, besides the round trip that was observed to its node; one that takes
-# longer is not worth waiting for.
+# In addition to the round-trip time to the node.
 GRANT_TIMEOUT_S = 0.04
-# After a grant that did not come, the node is not asked again for so long.
+# Requests to a node pause for this time after one has failed.
 PAUSE_AFTER_TIMEOUT_S = 0.5
-# A node that has a request wait tells that it lives more often than this.
 WAIT_HEARTBEAT_TIMEOUT_S = 0.25
-# A node that grants tells the load more often than this, however many holders there are.
+# Longer than the interval of snapshots at any number of holders.
 UPDATES_TIMEOUT_S = 2.0
-# A stand-in that does not answer by then, besides the round trips of a connection and a call, is
-# passed by for the next one.
+# To open a session with a backup coordinator, in addition to the round trips.
 BACKUP_TIMEOUT_S = 0.15
-# So often it is looked whether another node grants now.
 ADDRESS_CHECK_INTERVAL_S = 0.1
+# Mean of a random delay.
 REOPEN_DELAY_S = 0.1
 
 
 @dataclass(frozen=True)
 class HeldSlot:
-    """A slot that this holder has taken, by the group that grants it."""
+    """A slot that this holder has taken, with the group that grants it."""
 
     group: int
     number: SlotNumber
@@ -74,12 +71,12 @@
 
 @dataclass(frozen=True)
 class ReportedUsage:
-    """What a holder heard last of requests under tenants' limits.
+    """The last usage of tenants' limits that a holder received.
 
     Attributes:
-        by_tenant: requests of one window over all gateways.
-        at: monotonic time at which it heard that.
-        gateways: how many were counted.
+        by_tenant: requests of all gateways in one window.
+        received_at: monotonic time at which the holder received it.
+        gateways: number of gateways that were counted.
     """
 
     by_tenant: dict[str, int]
@@ -88,33 +85,33 @@
 
 
 class LimitReports(Protocol):
-    """What a holder tells a node that keeps tenants' limits."""
+    """What a holder reports to a limit coordinator."""
 
     def sends_of(self, group: int) -> list[TenantSend]:
-        """Return the holder's last requests of the tenants whose home a group is."""
+        """Return the holder's recent requests of the tenants that a group coordinates."""
         ...
 
     def reported_usage(self, group: int) -> ReportedUsage:
-        """Return what any node told last of these tenants."""
+        """Return the last usage that a coordinator of these tenants reported."""
         ...
 
     @property
     def own_address(self) -> str:
-        """Where other gateways reach this one; '' if it is none."""
+        """Address for other gateways; '' if the holder is not a gateway."""
         ...
 
 
 class SlotUpdateListener:
-    """What a holder does with news of its sessions; this one does nothing."""
+    """Listener for updates of a holder's sessions; this base class ignores them."""
 
     def snapshot_received(self, group: int, snapshot: SlotSnapshot) -> None:
-        """Take the load of a group's back ends."""
+        """Handle the load snapshot of a group's back ends."""
 
     def item_updates_received(self, group: int, updates: SlotNews) -> None:
-        """Take slots that are offered to batch items, and items that must leave."""
+        """Handle slot offers to batch items and preemptions."""
 
     def session_opened(self, group: int) -> None:
-        """Note that a session has begun: what was told within the last one is forgotten there."""
+        """Handle a new session, whose node has lost the state of the previous one."""
 
 
 class SlotSession:
@@ -122,22 +119,22 @@
 
     Args:
         group: number of the group.
-        holder: whose session it is.
-        zone: of the holder.
-        transport: reaches the node.
-        address: where it is now, or None.
-        taker: is told of news.
-        log: tells when the node is found and lost.
-        facts: told to the node that keeps tenants' limits.
-        limits_only: the session is for permits alone, with a node that grants no slots.
+        holder: id of this holder.
+        zone: zone of the holder.
+        transport: transport to the node.
+        address: current address of a group's node, or None.
+        listener: receives updates.
+        log: receives when the node is found and lost.
+        limit_reports: reports to the limit coordinator.
+        limits_only: the session is with a backup coordinator, for permits only.
 
     Attributes:
-        snapshot: the load as it was received last.
-        snapshot_at: monotonic time at which it came.
-        heard_at: monotonic time at which the node was heard last; None if it never was.
-        failing: the node did not answer the last call.
-        opened: how often a session was opened.
-        relays: other gateways that may ask for permits in place of this holder.
+        snapshot: the load snapshot that was received last.
+        snapshot_at: monotonic time at which it was received.
+        last_contact_at: monotonic time of the node's last message; None if there was none.
+        failing: the last call to the node failed.
+        open_count: number of sessions that were opened.
+        relays: gateways that can request permits on behalf of this holder.
     """
 
     def __init__(
@@ -164,7 +161,7 @@
         self._uses_by_number: dict[SlotNumber, SlotUse] = {}
         self._next_number = 1
         self._session = 0
-        self._open_address: Address | None = None  # where the open session is held
+        self._open_address: Address | None = None  # of the open session's node
         self._opening = False
         self._unsent: list[SlotEvent] = []
         self._flushing = False
@@ -178,38 +175,38 @@
 
     @property
     def key(self) -> SessionKey:
-        """Name of the session that is open or was open last."""
+        """Key of the current or last session."""
         return SessionKey(self._holder, self._session)
 
     @property
     def uses(self) -> list[SlotUse]:
-        """Return the slots that the holder has taken."""
+        """Slots that the holder has taken."""
         return list(self._uses_by_number.values())
 
     @property
     def is_open(self) -> bool:
-        """Whether the granting node knows this session."""
+        """Whether the session is open at the granting node."""
         return self._open_address is not None
 
     def is_available(self, now: float) -> bool:
-        """Whether the granting node may be asked for a slot."""
+        """Whether the session is open and not paused after a failed request."""
         return self.is_open and now >= self._paused_until
 
     # ---- slots ----
 
     def new_number(self) -> SlotNumber:
-        """Return a number for a slot that is asked for or taken."""
+        """Return a number for a slot that is requested or taken."""
         self._next_number += 1
         return SlotNumber(self._next_number)
 
     def take_without_grant(self, use: SlotUse) -> HeldSlot:
-        """Note a slot that is taken without having been asked for, and tell of it."""
+        """Record a slot that is taken without a grant, and report it."""
         self._uses_by_number[use.number] = use
         self.send(SlotTaken(self.key, use))
         return HeldSlot(self.group, use.number)
 
     def record_granted(self, use: SlotUse) -> HeldSlot:
-        """Note a slot that the granting node gave and so knows of."""
+        """Record a slot that the granting node granted."""
         self._uses_by_number[use.number] = use
         return HeldSlot(self.group, use.number)
 
@@ -219,9 +216,10 @@
         self.send(SlotReleased(self.key, number, result))
 
     def send(self, event: SlotEvent) -> None:
-        """Tell the granting node of an event within the session.
+        """Send an event to the granting node.
 
-        While a session opens it is kept: the list of what is taken may have left without it.
+        While a session opens, the event is kept, as the list of taken slots may already be sent
+        without it.
         """
         if self.is_open or self._opening:
             self._unsent.append(event)
@@ -230,13 +228,13 @@
             asyncio.get_running_loop().call_soon(self._flush)
 
     async def request_slot(self, request: SlotRequested, tenant: str = "") -> SlotGrant | None:
-        """Ask for a slot; None if the granting node does not answer or no longer grants.
+        """Request a slot; None if the granting node does not respond or no longer grants.
 
-        Cancelled, or without an answer in time, the request is withdrawn.
+        The request is withdrawn if it is cancelled or times out.
 
         Args:
-            asked: what is asked for.
-            tenant: whose limit the request counts towards; '' if that is settled.
+            request: the slot request.
+            tenant: tenant whose limit the request counts towards; '' if it needs no permit.
         """
         address = self._open_address
         if address is None:
@@ -262,11 +260,11 @@
             return None
         finally:
             if not answered:
-                # A grant may be on its way that nobody waits for any more.
+                # A grant may be in transit.
                 self.release(request.number)
 
     async def request_permit(self, tenant: str) -> PermitAnswer | None:
-        """Ask whether a tenant may send one more request; None if the node does not answer."""
+        """Request a permit for one more request of a tenant; None if the node does not respond."""
         address = self._open_address
         if address is None:
             return None
@@ -297,12 +295,12 @@
     # ---- the session ----
 
     async def run(self) -> None:
-        """Keep a session open until cancelled."""
+        """Open a session again and again until cancelled."""
         while True:
             await self.hold_once()
 
     async def hold_once(self) -> None:
-        """Hold a session until it ends, if it is known with whom; then rest for a moment."""
+        """Hold a session until it closes, if the node's address is known; then wait for a delay."""
         address = self._address(self.group)
         if address is not None:
             reason = await self._hold_session(address)
@@ -318,11 +316,11 @@
         await asyncio.sleep(REOPEN_DELAY_S * (0.5 + random()))
 
     async def _hold_session(self, address: Address) -> str:
-        """Open a session and take its news; return why it ended."""
+        """Open a session and handle its updates; return why it closed."""
         self._session = getrandbits(63)
         self._unsent.clear()
         self._opening = True
-        heard = self._limit_reports.reported_usage(self.group)
+        last_usage = self._limit_reports.reported_usage(self.group)
         frame = Frame(
             open_slot_session=OpenSlotSession(
                 group=self.group,
@@ -333,10 +331,10 @@
                 sends=[send_to_message(send) for send in self._limit_reports.sends_of(self.group)],
                 usage=[
                     TenantUsage(tenant=tenant, count=count)
-                    for tenant, count in heard.by_tenant.items()
+                    for tenant, count in last_usage.by_tenant.items()
                 ],
-                usage_age_ms=int((monotonic() - heard.received_at) * 1000),
-                gateways_heard=heard.gateways,
+                usage_age_ms=int((monotonic() - last_usage.received_at) * 1000),
+                gateways_heard=last_usage.gateways,
                 limits_only=self._limits_only,
                 address=self._limit_reports.own_address,
             )
@@ -358,14 +356,14 @@
             return f"{type(error).__name__}: {error}"
 
     async def _next_frame(self, answer: Awaitable[Frame], address: Address) -> Frame | None:
-        """Return the next news; None if another node grants now.
+        """Return the next frame; None if another node grants now.
 
         Raises:
-            TimeoutError: the node tells nothing.
+            TimeoutError: the node sends nothing.
         """
-        opens_stand_in = self._limits_only and not self.is_open
-        stand_in_s = BACKUP_TIMEOUT_S + 2 * self._transport.round_trip_s(address)
-        until = monotonic() + (stand_in_s if opens_stand_in else UPDATES_TIMEOUT_S)
+        opens_backup = self._limits_only and not self.is_open
+        backup_timeout_s = BACKUP_TIMEOUT_S + 2 * self._transport.round_trip_s(address)
+        until = monotonic() + (backup_timeout_s if opens_backup else UPDATES_TIMEOUT_S)
         waiting = asyncio.ensure_future(answer)
         try:
             while not waiting.done():
@@ -377,7 +375,7 @@
             return waiting.result()
         finally:
             if not waiting.done():
-                # It must have ended before the stream that it reads can be closed.
+                # The stream can only be closed once its reader has finished.
                 waiting.cancel()
                 await asyncio.wait((waiting,))
 
--- a/src/wharfcart/slots/sessions.py
+++ b/src/wharfcart/slots/sessions.py
@@ -1,4 +1,4 @@
-"""All slot sessions of one holder: one with each group's granting node."""
+"""All slot sessions of one holder, one with each group's granting node."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,31 +16,32 @@
 from wharfcart.slots.snapshot import ServiceCapacity
 from wharfcart.storage.job_residence import group_of
 
-# So often it is looked for groups that are new, and for back ends that have fallen silent.
+# For new groups and changes of back ends' responsiveness.
 CHECK_INTERVAL_S = 0.05
 
 
 class SlotSessions:
-    """Sessions by group.
+    """Slot sessions of a holder, by group.
 
     Args:
-        holder: whose sessions they are.
-        choice: what the holder knows of the back ends.
-        transport: reaches the granting nodes.
-        groups: how many groups there are; 0 while that is not known.
-        address: where a group's slots are granted now, or None.
-        group_of: the group whose node grants an incarnation's slots, or None.
-        taker: is told of news.
-        log: tells when a granting node is found and lost.
-        stand_ins: which nodes keep the limits of a group's tenants, one after the other, while the
-            granting node is not reached; none for holders that need no permits.
-        own_address: where other gateways reach this one; '' if it is none.
+        holder: id of the holder.
+        selector: the holder's state of the back ends.
+        transport: transport to the granting nodes.
+        group_count: number of groups; 0 while it is unknown.
+        address: current address of a group's granting node, or None.
+        group_of: group whose node grants an instance's slots, or None.
+        listener: receives updates.
+        log: receives when a granting node is found and lost.
+        backups: addresses of a group's backup coordinators, in the order in which they are tried;
+            None for holders that need no permits.
+        own_address: address for other gateways; '' if the holder is not a gateway.
         grants_in: whether a group may grant slots of back ends in the regions of a residence.
 
     Attributes:
-        group_of: the group whose node grants an incarnation's slots, or None.
-        by_group: the sessions.
-        sends: what the holder has sent lately, by tenant.
+        group_of: group whose node grants an instance's slots, or None.
+        own_address: address for other gateways; '' if the holder is not a gateway.
+        by_group: sessions with the granting nodes, by group.
+        sends: recent requests of the holder, by tenant.
     """
 
     def __init__(
@@ -88,7 +89,7 @@
 
     @property
     def all_open(self) -> bool:
-        """Whether every group's granting node knows this holder."""
+        """Whether the sessions with all granting nodes are open."""
         return bool(self.by_group) and all(session.is_open for session in self.by_group.values())
 
     def of_instance(self, instance_id: str) -> SlotSession | None:
@@ -97,92 +98,95 @@
         return None if group is None else self.by_group.get(group)
 
     def coordinator(self, tenant: str) -> SlotSession | None:
-        """Return the session with the node that keeps a tenant's limit, open or not."""
+        """Return the session with the coordinator of a tenant's limit, open or not."""
         return self.by_group.get(self._coordinator_group(tenant))
 
     def backup_coordinator(self, tenant: str) -> SlotSession | None:
-        """Return the open session with who keeps a tenant's limit meanwhile, or None."""
+        """Return the open session with a backup coordinator of a tenant's limit, or None."""
         session = self._backup_sessions.get(self._coordinator_group(tenant))
         return session if session is not None and session.is_open else None
 
     def has_backup_coordinator(self, tenant: str) -> bool:
-        """Whether another node may keep a tenant's limit now."""
+        """Whether a backup coordinator of a tenant's limit is needed and known."""
         group = self._coordinator_group(tenant)
         return group in self.by_group and self._backup_address(group) is not None
 
     def available_capacities(
         self, service: str, residence: Residence = ANYWHERE
     ) -> dict[int, ServiceCapacity]:
-        """Return the room for a service, by group whose node may be asked now.
+        """Return the capacity for a service by group whose node can be sent a request now.
 
-        Groups that grant no slots in the regions of a residence are left out.
+        Groups that grant no slots in the regions of the residence are omitted.
         """
         now = monotonic()
-        told = self.reported_capacities(service, residence)
+        capacities = self.reported_capacities(service, residence)
         return {
-            group: room
-            for group, room in told.items()
-            if room.slots > 0 and self.by_group[group].is_available(now)
+            group: capacity
+            for group, capacity in capacities.items()
+            if capacity.slots > 0 and self.by_group[group].is_available(now)
         }
 
     def reported_capacities(
         self, service: str, residence: Residence = ANYWHERE
     ) -> dict[int, ServiceCapacity]:
-        """Return the room for a service as it was told last, by group with an open session.
+        """Return the last reported capacity for a service by group with an open session.
 
-        Groups that grant no slots in the regions of a residence are left out.
+        Groups that grant no slots in the regions of the residence are omitted.
         """
-        rooms = {}
+        capacities = {}
         for group, session in self.by_group.items():
             if not session.is_open or not self._grants_in(group, residence):
                 continue
-            room = session.snapshot.capacity_for(service)
-            if room is not None:
-                rooms[group] = room
-        return rooms
+            capacity = session.snapshot.capacity_for(service)
+            if capacity is not None:
+                capacities[group] = capacity
+        return capacities
 
     def holder_count(self) -> int:
-        """Return how many holders the granting nodes know of."""
-        known = [session.snapshot.holders for session in self.by_group.values()]
-        return max(known, default=0)
+        """Return the largest number of holders that a granting node reports."""
+        counts = [session.snapshot.holders for session in self.by_group.values()]
+        return max(counts, default=0)
 
     def _coordinator_group(self, tenant: str) -> int:
         return group_of(tenant, self._group_count())
 
     def relays(self) -> list[Address]:
-        """Return other gateways that may ask for permits in place of this one."""
-        told = [address for session in self.by_group.values() for address in session.relays]
-        return list(dict.fromkeys(told))
+        """Return gateways that can request permits on behalf of this one."""
+        addresses = [address for session in self.by_group.values() for address in session.relays]
+        return list(dict.fromkeys(addresses))
 
-    # ---- facts for those who keep limits ----
+    # ---- reports to limit coordinators ----
 
     def sends_of(self, group: int) -> list[TenantSend]:
-        """Return the holder's last requests of the tenants whose home a group is."""
+        """Return the holder's recent requests of the tenants that a group coordinates."""
         recent = self.sends.recent(monotonic())
         return [send for send in recent if self._coordinator_group(send.tenant) == group]
 
     def reported_usage(self, group: int) -> ReportedUsage:
-        """Return what the granting node or its stand-in told last, whichever was later."""
-        told = [self.by_group[group], self._backup_sessions.get(group)]
-        last = max((one for one in told if one is not None), key=lambda one: one.snapshot_at)
+        """Return the usage that the coordinator or its backup reported last."""
+        sessions = [self.by_group[group], self._backup_sessions.get(group)]
+        last = max(
+            (session for session in sessions if session is not None),
+            key=lambda session: session.snapshot_at,
+        )
         return ReportedUsage(last.snapshot.usage, last.snapshot_at, last.snapshot.gateways)
 
     # ---- inner ----
 
     def _backup_address(self, group: int) -> Address | None:
-        """Return where permits are asked for while the granting node is not reached.
+        """Return the address of the backup coordinator to use; None if none is needed or known.
 
-        Who can't be reached is passed by; who has been reached stays until it fails.
+        A backup coordinator that can be reached is kept until it fails.
         """
         primary = self.by_group[group]
         if self._backups is None or (primary.is_open and not primary.failing):
             return None
         addresses = self._backups(group)
-        tries = self._backup_attempts.get(group, 0)
-        return addresses[tries % len(addresses)] if addresses else None
+        attempts = self._backup_attempts.get(group, 0)
+        return addresses[attempts % len(addresses)] if addresses else None
 
     async def _hold_backup_sessions(self, group: int, session: SlotSession) -> None:
-        """Hold a session with one stand-in after the other, while one is needed."""
+        """Hold a session with a backup coordinator while one is needed, trying each in turn."""
         while True:
             if self._backup_address(group) is None:
                 await asyncio.sleep(CHECK_INTERVAL_S)
@@ -225,20 +229,20 @@
         self._tasks.spawn(self._hold_backup_sessions(group, session))
 
     def _send_responsiveness(self) -> None:
-        """Tell of back ends that keep a request waiting too long, and of those that spoke again."""
-        silent = self._selector.silent_instances(monotonic())
-        for instance_id in silent ^ self._unresponsive:
-            self._send_responsiveness_of(instance_id, instance_id in silent)
+        """Report back ends that stopped responding to this holder or respond again."""
+        unresponsive = self._selector.silent_instances(monotonic())
+        for instance_id in unresponsive ^ self._unresponsive:
+            self._send_responsiveness_of(instance_id, instance_id in unresponsive)
         for group, session in self.by_group.items():
             if session.is_open and self._unresponsive_sent_in.get(group) != session.key.number:
-                # A new session knows of none.
+                # A new session has no unresponsive back ends.
                 self._unresponsive_sent_in[group] = session.key.number
-                for instance_id in silent & self._unresponsive:
+                for instance_id in unresponsive & self._unresponsive:
                     if self.group_of(instance_id) == group:
                         self._send_responsiveness_of(instance_id, True)
-        self._unresponsive = silent
+        self._unresponsive = unresponsive
 
-    def _send_responsiveness_of(self, instance_id: str, silent: bool) -> None:
+    def _send_responsiveness_of(self, instance_id: str, unresponsive: bool) -> None:
         session = self.of_instance(instance_id)
         if session is not None:
-            session.send(ResponsivenessChanged(session.key, instance_id, silent))
+            session.send(ResponsivenessChanged(session.key, instance_id, unresponsive))
