--- a/tests/slots/network.py
+++ b/tests/slots/network.py
@@ -1,4 +1,4 @@
-"""Granting nodes, gateways and leaders in virtual time, and a network between them that fails."""
+"""Granting nodes, gateways and leaders in virtual time, connected by an unreliable network."""
 
 import asyncio
 from collections import Counter
@@ -35,20 +35,20 @@
 
 
 def distance_from_z(zone: str) -> Distance:
-    """Return how far a zone is from that of the back ends; those named so are far away."""
+    """Return the distance of a zone from the back ends' zone ``z``."""
     if zone.startswith("far"):
         return Distance.OTHER_REGION
     return Distance.SAME_ZONE if zone == "z" else Distance.SAME_REGION
 
 
 class Node:
-    """A node that may grant slots of groups."""
+    """A node that can grant slots."""
 
     def __init__(
         self, number: int, selector: BackendChoice, limits: dict[str, RequestLimit]
     ) -> None:
         self.address = Address("node", number)
-        self.leadership_unconfirmed = False  # another one may lead by now
+        self.leadership_unconfirmed = False  # another node may already lead
         self.selector = selector
         self.service = SlotService(
             0,
@@ -63,13 +63,13 @@
 
 
 class Network:
-    """Calls between holders and nodes. A connection is one holder's way to one node."""
+    """Connections between holders and granting nodes."""
 
     def __init__(self) -> None:
         self.nodes: dict[Address, Node] = {}
         self.one_way_s = ONE_WAY_S
-        self.round_trip_s = 0.0  # as it was observed; 0 where nothing is known
-        self.unreachable: set[Address] = set()  # what goes there and comes from there waits
+        self.round_trip_s = 0.0  # as reported by the transport; 0 if unknown
+        self.unreachable: set[Address] = set()  # delays traffic in both directions
         self.snapshots_by_holder: Counter[str] = Counter()
         self.serving: dict[tuple[str, Address], set[asyncio.Task[None]]] = {}
         self.broken: dict[tuple[str, Address], asyncio.Event] = {}
@@ -77,17 +77,17 @@
 
     @property
     def snapshots(self) -> int:
-        """Pictures of the load that were told to all holders."""
+        """Number of snapshots that were sent to all holders."""
         return self.snapshots_by_holder.total()
 
     async def reach(self, address: Address) -> None:
-        """Take one way's time, and longer while the node is dark."""
+        """Wait for the one-way delay, and while the node is unreachable."""
         await asyncio.sleep(self.one_way_s)
         while address in self.unreachable:
             await asyncio.sleep(ONE_WAY_S)
 
     def break_connection(self, holder: str, node: Node, notify_node: bool = True) -> None:
-        """End a holder's connection; the node is told of it at once, or never."""
+        """Break a holder's connection; the node notices it at once or never."""
         key = (holder, node.address)
         if notify_node:
             for task in self.serving.pop(key, set()):
@@ -106,7 +106,7 @@
     async def stream(
         self, address: Address, frame: Frame, _traffic: TrafficClass
     ) -> AsyncGenerator[Frame, None]:
-        """Open a session or ask for a slot."""
+        """Open a session, or request a slot or a permit."""
         network = self._network
         key = (self._holder, address)
         broken = network.broken.setdefault(key, asyncio.Event())
@@ -128,21 +128,21 @@
         network.serving.setdefault(key, set()).add(task)
         try:
             while True:
-                got = asyncio.create_task(answers.get())
-                lost = asyncio.create_task(broken.wait())
-                await asyncio.wait((got, lost), return_when=asyncio.FIRST_COMPLETED)
-                lost.cancel()
-                if not got.done():
-                    got.cancel()
+                received = asyncio.create_task(answers.get())
+                disconnected = asyncio.create_task(broken.wait())
+                await asyncio.wait((received, disconnected), return_when=asyncio.FIRST_COMPLETED)
+                disconnected.cancel()
+                if not received.done():
+                    received.cancel()
                     raise PeerUnreachableError(address, sent=True)
                 await network.reach(address)
-                yield got.result()
+                yield received.result()
         finally:
             if not broken.is_set():
                 asyncio.get_running_loop().call_later(ONE_WAY_S, task.cancel)
 
     async def call(self, address: Address, frame: Frame, traffic: TrafficClass) -> Frame:
-        """Ask for one answer."""
+        """Send a request and return its first answer."""
         if address in self._network.relays:
             await asyncio.sleep(2 * ONE_WAY_S)
             return await self._network.relays[address].answer(frame)
@@ -150,18 +150,18 @@
             return await anext(answers)
 
     def send(self, address: Address, frame: Frame, _traffic: TrafficClass) -> None:
-        """Tell what happens within a session."""
+        """Send the events of a session in order."""
         events = Frame.FromString(frame.SerializeToString()).slot_events
         key = (self._holder, address)
-        before = self._sent.get(key)
-        self._sent[key] = asyncio.create_task(self._deliver(address, events, before))
+        previous = self._sent.get(key)
+        self._sent[key] = asyncio.create_task(self._deliver(address, events, previous))
 
     async def _deliver(
-        self, address: Address, events: SlotEvents, before: asyncio.Task[None] | None
+        self, address: Address, events: SlotEvents, previous: asyncio.Task[None] | None
     ) -> None:
         await self._network.reach(address)
-        if before is not None:
-            await before  # a connection keeps the order
+        if previous is not None:
+            await previous
         self._network.nodes[address].service.handle_events(events)
 
     def round_trip_s(self, address: Address) -> float:
@@ -211,7 +211,7 @@
         self.task = asyncio.create_task(self.sessions.run())
 
     async def answer(self, frame: Frame) -> Frame:
-        """Ask for a permit in place of another gateway."""
+        """Request a permit on behalf of another gateway."""
         tenant = frame.relay_permit.tenant
         permit = Permit(self.sessions, self.relays, tenant, self._limits.get(tenant))
         return Frame(permit_answer=await permit.answer_for_peer())
@@ -230,26 +230,26 @@
         for node in self.nodes:
             self.network.nodes[node.address] = node
         self.leader = self.nodes[0]
-        self.backups: list[Node] = []  # keep limits while the leader is not reached
+        self.backups: list[Node] = []  # backup coordinators
         self.leader.service.begin(1)
         self.tasks = [asyncio.create_task(node.service.run()) for node in self.nodes]
         self.holders: dict[str, Holder] = {}
 
     def new_selector(self, zone: str = "z") -> BackendChoice:
-        choice = BackendChoice(zone, self.rng)
+        selector = BackendChoice(zone, self.rng)
         for n in range(self.servers):
-            choice.put(BackendInstance(f"i{n}", "s", "127.0.0.1", 1, "z", self.slots, True))
-        return choice
+            selector.put(BackendInstance(f"i{n}", "s", "127.0.0.1", 1, "z", self.slots, True))
+        return selector
 
     async def gateway(self, name: str, zone: str = "z") -> Holder:
-        """Begin a gateway and wait for its session."""
+        """Start a gateway and wait for its session."""
         self.holders[name] = Holder(self, name, zone=zone)
         self.network.relays[Address(name, 1)] = self.holders[name]
         await asyncio.sleep(SETTLE_S)
         return self.holders[name]
 
     async def items(self, name: str = "leader/0") -> ItemSlots:
-        """Begin a leader with items and wait for its session."""
+        """Start a leader with items and wait for its session."""
         slots = ItemSlots()
         self.holders[name] = Holder(self, name, slots)
         slots.begin(self.holders[name].sessions)
@@ -257,13 +257,13 @@
         return slots
 
     def change_leader(self) -> None:
-        """Let the other node grant; the first one knows."""
+        """Stop granting at the current node and begin at the other one."""
         self.leader.service.end()
         self.leader = self.nodes[1 - self.nodes.index(self.leader)]
         self.leader.service.begin(2)
 
     def in_use(self) -> int:
-        """Return how many slots are taken as the granting node knows."""
+        """Return the number of taken slots according to the granting node."""
         granter = self.leader.service.granter
         assert granter is not None
         now = asyncio.get_running_loop().time()
--- a/tests/slots/test_cold_granting.py
+++ b/tests/slots/test_cold_granting.py
@@ -1,4 +1,4 @@
-"""Which cold back ends are granted, and to whom."""
+"""Grants at cold back ends stay within their rate limit."""
 
 from random import Random
 
@@ -67,89 +67,97 @@
 
     def offer_items(self, count: int, urgency: Urgency) -> list[str]:
         urgent = count if urgency.is_urgent else 0
-        told = ItemsWaiting(LEADER, "s", count, urgent, urgency, offers_seen=self.offers)
-        offers = offered_instances(self.granter.handle(told, self.now))
+        demand = ItemsWaiting(LEADER, "s", count, urgent, urgency, offers_seen=self.offers)
+        offers = offered_instances(self.granter.handle(demand, self.now))
         self.offers += len(offers)
         return offers
 
 
 def granted_instances(instructions: list[SlotInstruction]) -> list[str]:
-    return [one.instance_id for one in instructions if isinstance(one, Granted)]
+    return [
+        instruction.instance_id for instruction in instructions if isinstance(instruction, Granted)
+    ]
 
 
 def offered_instances(instructions: list[SlotInstruction]) -> list[str]:
-    return [one.instance_id for one in instructions if isinstance(one, ItemOffered)]
+    return [
+        instruction.instance_id
+        for instruction in instructions
+        if isinstance(instruction, ItemOffered)
+    ]
 
 
 def test_a_cold_back_end_is_granted_only_once_the_warm_ones_are_full() -> None:
-    bench = GranterHarness()
-    bench.tick(1.0)
-    assert [granted_instances(bench.request()) for _ in range(3)] == [["w0"], ["w0"], ["cold"]]
+    harness = GranterHarness()
+    harness.tick(1.0)
+    assert [granted_instances(harness.request()) for _ in range(3)] == [["w0"], ["w0"], ["cold"]]
 
 
 def test_a_long_shared_prompt_goes_to_a_cold_back_end_only_once_the_warm_ones_are_full() -> None:
     for key in map(str, range(20)):
-        bench = GranterHarness()
-        bench.tick(1.0)
-        placed = [granted_instances(bench.request(affinity_key=key)) for _ in range(3)]
+        harness = GranterHarness()
+        harness.tick(1.0)
+        placed = [granted_instances(harness.request(affinity_key=key)) for _ in range(3)]
         assert placed == [["w0"], ["w0"], ["cold"]]
 
 
 def test_cold_back_end_starts_empty_and_is_granted_at_its_rate() -> None:
-    bench = GranterHarness(warm=0, slots=100)
-    assert granted_instances(bench.request()) == []
-    assert granted_instances(bench.tick(INTERVAL_S * 0.9)) == []
-    assert granted_instances(bench.tick(INTERVAL_S * 0.2)) == ["cold"]
+    harness = GranterHarness(warm=0, slots=100)
+    assert granted_instances(harness.request()) == []
+    assert granted_instances(harness.tick(INTERVAL_S * 0.9)) == []
+    assert granted_instances(harness.tick(INTERVAL_S * 0.2)) == ["cold"]
     for _ in range(30):
-        bench.request()
-    served = sum(len(granted_instances(bench.tick(0.05))) for _ in range(40))
+        harness.request()
+    served = sum(len(granted_instances(harness.tick(0.05))) for _ in range(40))
     assert 0.8 * 2.0 / INTERVAL_S <= served <= 2.0 / INTERVAL_S + 1
 
 
 def test_rate_of_cold_back_end_accrues_from_when_it_turned_cold() -> None:
-    bench = GranterHarness(warm=0)
-    bench.tick(INTERVAL_S * 1.1)
-    assert granted_instances(bench.request()) == ["cold"]
+    harness = GranterHarness(warm=0)
+    harness.tick(INTERVAL_S * 1.1)
+    assert granted_instances(harness.request()) == ["cold"]
 
 
 def test_granter_without_confirmed_leadership_grants_a_smaller_share() -> None:
-    bench = GranterHarness(warm=0, slots=100)
-    bench.leadership_confirmed = False
+    harness = GranterHarness(warm=0, slots=100)
+    harness.leadership_confirmed = False
     for _ in range(30):
-        bench.request()
-    served = sum(len(granted_instances(bench.tick(0.05))) for _ in range(40))
+        harness.request()
+    served = sum(len(granted_instances(harness.tick(0.05))) for _ in range(40))
     assert 0 < served <= 2.0 * COLD_RATE_PER_S * UNSURE_SHARE + 1
 
 
 def test_refusal_at_cold_back_ends_returns_retry_after_from_their_rate() -> None:
-    bench = GranterHarness(warm=0, slots=100)
+    harness = GranterHarness(warm=0, slots=100)
     for _ in range(8):
-        bench.request(waits_s=0.05)
-    refused = [one for one in bench.tick(0.06) if isinstance(one, Refused)]
+        harness.request(waits_s=0.05)
+    refused = [
+        instruction for instruction in harness.tick(0.06) if isinstance(instruction, Refused)
+    ]
     assert len(refused) == 8
     assert abs(refused[0].retry_after_s - 8 * INTERVAL_S) < 0.01
 
 
 def test_an_item_goes_to_a_cold_back_end_only_if_it_is_urgent() -> None:
-    bench = GranterHarness(slots=4)
-    bench.tick(1.0)
-    assert set(bench.offer_items(9, PATIENT)) == {"w0"}
-    assert bench.offer_items(1, URGENT) == ["cold"]
+    harness = GranterHarness(slots=4)
+    harness.tick(1.0)
+    assert set(harness.offer_items(9, PATIENT)) == {"w0"}
+    assert harness.offer_items(1, URGENT) == ["cold"]
 
 
 def test_request_goes_to_cold_back_end_before_preempting_an_item() -> None:
-    bench = GranterHarness()
-    bench.offer_items(2, PATIENT)
-    bench.tick(1.0)
-    told = bench.request()
-    assert granted_instances(told) == ["cold"]
-    assert not any(isinstance(one, ItemPreempted) for one in told)
+    harness = GranterHarness()
+    harness.offer_items(2, PATIENT)
+    harness.tick(1.0)
+    instructions = harness.request()
+    assert granted_instances(instructions) == ["cold"]
+    assert not any(isinstance(instruction, ItemPreempted) for instruction in instructions)
 
 
 def test_reported_capacity_of_cold_back_ends_follows_their_rate() -> None:
-    bench = GranterHarness(warm=0, slots=8)
-    room = bench.granter.snapshot(bench.now).capacity_for("s")
-    assert room is not None and room.free == 0
-    bench.tick(INTERVAL_S * 1.1)
-    room = bench.granter.snapshot(bench.now).capacity_for("s")
-    assert room is not None and room.free == 1
+    harness = GranterHarness(warm=0, slots=8)
+    capacity = harness.granter.snapshot(harness.now).capacity_for("s")
+    assert capacity is not None and capacity.free == 0
+    harness.tick(INTERVAL_S * 1.1)
+    capacity = harness.granter.snapshot(harness.now).capacity_for("s")
+    assert capacity is not None and capacity.free == 1
--- a/tests/slots/test_cold_property.py
+++ b/tests/slots/test_cold_property.py
@@ -1,4 +1,4 @@
-"""Whatever is lost, no cold back end gets more than it bears in any second from all nodes."""
+"""Cold back ends stay within their tolerated rate under disconnects and changes of leadership."""
 
 from collections import defaultdict
 from dataclasses import dataclass, field, replace
@@ -27,21 +27,22 @@
 STEP_S = 0.025
 SEGMENT_S = 0.4
 INSTANCE_IDS = ("i0", "i1", "i2")
-# A back end is taken to fail above so many requests in one second: rate times this, and some more.
+# Requests in one second above which a back end is assumed to fail: a multiple of its rate and a
+# burst.
 TOLERATED_RATE_FACTOR = 1.5
 TOLERATED_BURST = 5.0
 
 
 @dataclass(frozen=True)
 class Segment:
-    """What holds for a while.
+    """Conditions during a period.
 
     Attributes:
-        cut_off: share of the gateways that reach no granting node and choose by themselves.
-        cold: back ends that are cold.
-        change: what becomes of the granting node as the segment begins.
-        rests: nobody sends; what may be saved is saved.
-        late: how long requests take to arrive after they were permitted, 0 to 1 of the most.
+        disconnected_fraction: share of the gateways that reach no granting node and select locally.
+        cold: instances that are cold.
+        change: change of the granting nodes at the start of the period.
+        delay_fraction: delay between permit and arrival, as a fraction of the longest one.
+        idle: no requests are sent, so that the rate limit buckets fill.
     """
 
     disconnected_fraction: float
@@ -67,7 +68,7 @@
 
 @dataclass
 class System:
-    """Gateways that send whatever they may, and nodes that grant."""
+    """Granting nodes, and gateways that send every request that is permitted."""
 
     rate: float
     gateways: int
@@ -80,18 +81,18 @@
         self.numbers = count(1)
         names = [f"g{n}" for n in range(self.gateways)]
         self.selectors = {name: self._new_selector(name, names) for name in names}
-        self.granter_selector = self._new_selector("", [])  # of the nodes that grant
+        self.granter_selector = self._new_selector("", [])  # shared by all granting nodes
         self.sessions = {name: SessionKey(HolderId(name), 1) for name in names}
         self.elect_granter()
 
     def _new_selector(self, name: str, names: list[str]) -> BackendChoice:
-        choice = BackendChoice("z", Random(1))
-        choice.own_cold_shares = OwnColdShares(name, lambda: len(names)) if name else None
-        choice.cold.limits = {"s": ColdLimit(self.rate, 3.0)}
-        return choice
+        selector = BackendChoice("z", Random(1))
+        selector.own_cold_shares = OwnColdShares(name, lambda: len(names)) if name else None
+        selector.cold.limits = {"s": ColdLimit(self.rate, 3.0)}
+        return selector
 
     def elect_granter(self) -> None:
-        """Have a node grant that knows nothing; the one before can't be sure any more."""
+        """Let a new node grant; the leadership of the previous one is no longer confirmed."""
         granter: SlotGranter
         granter = SlotGranter(
             self.granter_selector, lambda _instance: True, lambda: self.confirmed_granter is granter
@@ -116,23 +117,23 @@
             self.elect_granter()
 
     def set_cold(self, cold: frozenset[str]) -> None:
-        for choice in (self.granter_selector, *self.selectors.values()):
+        for selector in (self.granter_selector, *self.selectors.values()):
             for name in INSTANCE_IDS:
                 cold_for_s = 9.0 if name in cold else 0.0
                 entry = BackendInstance(name, "s", "h", 1, "z", 8, True, cold_for_s)
-                choice.put(entry, self.now)
+                selector.put(entry, self.now)
 
     def step(self, segment: Segment) -> None:
-        """Have everybody send until there is no leave."""
+        """Let all gateways send until no request is permitted."""
         self.now += STEP_S
         for granter in self.granters:
             granter.tick(self.now)
         if segment.idle:
             return
         cut_off = round(len(self.selectors) * segment.disconnected_fraction)
-        for n, (name, choice) in enumerate(self.selectors.items()):
+        for n, (name, selector) in enumerate(self.selectors.items()):
             if n < cut_off:
-                self._select_all(choice, segment)
+                self._select_all(selector, segment)
             else:
                 granter = self.granters[n % len(self.granters)]
                 self._request_all(granter, self.sessions[name], segment)
@@ -141,18 +142,18 @@
         for name in segment.cold:
             others = frozenset(INSTANCE_IDS) - {name}
             number = SlotNumber(next(self.numbers))
-            asked = SlotRequested(
+            request = SlotRequested(
                 session, number, "s", self.now + 1, self.now + 1, RequestMode.FREE, excluded=others
             )
-            for told in granter.handle(asked, self.now):
-                if isinstance(told, Granted):
-                    self._record_arrival(told.instance_id, segment)
+            for instruction in granter.handle(request, self.now):
+                if isinstance(instruction, Granted):
+                    self._record_arrival(instruction.instance_id, segment)
             granter.handle(SlotReleased(session, number), self.now)
 
-    def _select_all(self, choice: BackendChoice, segment: Segment) -> None:
+    def _select_all(self, selector: BackendChoice, segment: Segment) -> None:
         for name in segment.cold:
             others = frozenset(INSTANCE_IDS) - {name}
-            while (state := choice.choose("s", self.now, others)) is not None:
+            while (state := selector.choose("s", self.now, others)) is not None:
                 self._record_arrival(state.instance.instance_id, segment)
 
     def _record_arrival(self, name: str, segment: Segment) -> None:
@@ -160,7 +161,7 @@
             self.arrivals[name].append(self.now + segment.delay_fraction * PERMIT_KEPT_S)
 
     def max_arrivals_per_second(self) -> int:
-        """Return the most arrivals at one back end within a second."""
+        """Return the largest number of arrivals at one back end within a second."""
         worst = 0
         for times in self.arrivals.values():
             times.sort()
@@ -173,10 +174,10 @@
 
 
 def two_granters(idle_segments: int) -> list[Segment]:
-    """Return a history in which two nodes grant for long.
+    """Return a history in which two nodes grant for several segments.
 
     Args:
-        rests: segments before and after the second one has begun in which nobody sends.
+        idle_segments: segments without requests before and after the second node begins.
     """
     sends = Segment(0.3, frozenset(INSTANCE_IDS), "none", 0.0)
     resting = [replace(sends, idle=True)] * idle_segments
--- a/tests/slots/test_evacuated_zones.py
+++ b/tests/slots/test_evacuated_zones.py
@@ -1,4 +1,4 @@
-"""Zones that are emptied: nothing new goes there by a grant, an offer or own choice."""
+"""Evacuated zones get no new work by grants, offers or local selection."""
 
 import asyncio
 from collections.abc import Iterable
@@ -29,15 +29,15 @@
 
 def put_in_zones(fleet: Fleet, cold_for_s: float = 0.0) -> None:
     now = asyncio.get_running_loop().time()
-    for choice in selectors(fleet):
+    for selector in selectors(fleet):
         for name, zone in ZONES.items():
             entry = BackendInstance(name, "s", "127.0.0.1", 1, zone, fleet.slots, True, cold_for_s)
-            choice.put(entry, now)
+            selector.put(entry, now)
 
 
 def evacuate_zones(known_to: Iterable[BackendChoice], *zones: str) -> None:
-    for choice in known_to:
-        choice.eligibility.evacuated_zones = frozenset(zones)
+    for selector in known_to:
+        selector.eligibility.evacuated_zones = frozenset(zones)
 
 
 def instance_id_of(placed: Placed | None) -> str:
@@ -151,8 +151,8 @@
         put_in_zones(fleet)
         evacuate_zones(selectors(fleet), "a", "b")
         await asyncio.sleep(1.0)
-        room = gateway.sessions.by_group[0].snapshot.capacity_for("s")
-        assert room is not None and (room.slots, room.free) == (4, 4)
+        capacity = gateway.sessions.by_group[0].snapshot.capacity_for("s")
+        assert capacity is not None and (capacity.slots, capacity.free) == (4, 4)
 
     play(scenario, servers=3, slots=4)
 
@@ -162,16 +162,16 @@
         slots = await fleet.items()
         put_in_zones(fleet)
         running: list[ItemSlot] = []
-        left: list[HeldSlot] = []
+        preempted: list[HeldSlot] = []
 
-        def take(slot: ItemSlot) -> None:
+        def start(slot: ItemSlot) -> None:
             running.append(slot)
             slots.report_started(slot, PATIENT)
 
-        def leave(slot: HeldSlot, _cause: PreemptionCause) -> None:
-            left.append(slot)
+        def stop(slot: HeldSlot, _cause: PreemptionCause) -> None:
+            preempted.append(slot)
 
-        slots.on_offer, slots.on_preempted = take, leave
+        slots.on_offer, slots.on_preempted = start, stop
         slots.report_demand("s", ItemDemand(3, 0, PATIENT))
         await asyncio.sleep(SETTLE_S)
         assert {slot.instance_id for slot in running} == set(ZONES)
@@ -179,14 +179,14 @@
         slots.report_demand("s", ItemDemand(9, 0, PATIENT))
         await asyncio.sleep(SETTLE_S)
         assert {slot.instance_id for slot in running[3:]} == {"i2"}
-        assert not left
+        assert not preempted
 
     play(scenario, servers=3, slots=4)
 
 
 def set_cold_limit(fleet: Fleet, per_s: float) -> None:
-    for choice in selectors(fleet):
-        choice.cold.limits = {"s": ColdLimit(per_s, 6.0)}
+    for selector in selectors(fleet):
+        selector.cold.limits = {"s": ColdLimit(per_s, 6.0)}
 
 
 def test_requests_wait_for_the_cold_rate_when_all_back_ends_are_cold() -> None:
@@ -196,10 +196,10 @@
         put_in_zones(fleet, cold_for_s=6.0)
         loop = asyncio.get_running_loop()
         began_at = loop.time()
-        asked = [gateway.placement.place(request(9.0)) for _ in range(6)]
-        placed = await asyncio.gather(*asked)
+        placements = [gateway.placement.place(request(9.0)) for _ in range(6)]
+        placed = await asyncio.gather(*placements)
         assert all(placed)
-        # Three back ends, each 0.85 of 2 a second, of which nothing was saved.
+        # Three back ends at 0.85 of 2 requests per second each, starting with empty buckets.
         assert 1.0 < loop.time() - began_at < 2.0
 
     play(scenario, servers=3, slots=8)
@@ -228,22 +228,22 @@
     play(scenario, servers=3, slots=8)
 
 
-@pytest.mark.parametrize("heard", [False, True])
+@pytest.mark.parametrize("reported", [False, True])
 def test_restored_zone_counts_as_cold_until_its_back_ends_report(
-    heard: bool,
+    reported: bool,
 ) -> None:
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
         set_cold_limit(fleet, 4.0)
         put_in_zones(fleet)
         now = asyncio.get_running_loop().time()
-        for choice in selectors(fleet):
+        for backend_selector in selectors(fleet):
             for zone in ZONES.values():
-                choice.cold.given_back(zone, now, revision=50)
+                backend_selector.cold.given_back(zone, now, revision=50)
             for name, zone in ZONES.items():
                 entry = BackendInstance(name, "s", "127.0.0.1", 1, zone, 8, True)
-                choice.put(entry, now, revision=51 if heard else 49)
-        assert len(gateway.selector.cold_states(now)) == (0 if heard else 3)
+                backend_selector.put(entry, now, revision=51 if reported else 49)
+        assert len(gateway.selector.cold_states(now)) == (0 if reported else 3)
         assert not gateway.selector.cold_states(now + 3.0)
 
     play(scenario, servers=3, slots=8)
--- a/tests/slots/test_ledger.py
+++ b/tests/slots/test_ledger.py
@@ -1,4 +1,4 @@
-"""Which slots are taken: exact in any order of messages."""
+"""The ledger counts taken slots correctly for any order of events."""
 
 import random
 
--- a/tests/slots/test_orphaned_runs.py
+++ b/tests/slots/test_orphaned_runs.py
@@ -1,4 +1,4 @@
-"""What earlier leaders left at back ends."""
+"""Probing of back ends for orphaned runs."""
 
 import asyncio
 
@@ -10,14 +10,14 @@
 
 
 class FakeGranter:
-    """Takes every report; knows of no session."""
+    """Records reports; has no sessions, so that every run is orphaned."""
 
     def __init__(self) -> None:
         self.reports: list[tuple[str, int]] = []
 
-    def backend_reported(self, instance_id: str, present: int) -> int:
-        self.reports.append((instance_id, present))
-        return present
+    def backend_reported(self, instance_id: str, request_count: int) -> int:
+        self.reports.append((instance_id, request_count))
+        return request_count
 
 
 async def begin_run(instance: BackendInstance) -> asyncio.StreamWriter:
@@ -36,12 +36,12 @@
             instances.append(
                 BackendInstance(server.instance_id, "s", host, int(port), "z", 8, True)
             )
-        dark = BackendInstance("dark", "s", "127.0.0.1", 1, "z", 8, True)
+        unreachable = BackendInstance("dark", "s", "127.0.0.1", 1, "z", 8, True)
         writer = await begin_run(instances[0])
         granter = FakeGranter()
         pool = ConnectionPool()
         runs = OrphanedRuns(0, pool, lambda _service: 4, DecisionLog("test"))
-        await runs.watch(granter, [*instances, dark])
+        await runs.watch(granter, [*instances, unreachable])
         writer.close()
         pool.close()
         for server in servers:
@@ -49,7 +49,7 @@
         return granter.reports
 
     reports = asyncio.run(asyncio.wait_for(scenario(), 20))
-    assert [present for name, present in reports if name == "idle"] == [0]
-    assert [present for name, present in reports if name == "dark"] == [0]
-    of_busy = [present for name, present in reports if name == "busy"]
-    assert of_busy[0] == 1 and of_busy[-1] == 0 and len(of_busy) > 2
+    assert [request_count for name, request_count in reports if name == "idle"] == [0]
+    assert [request_count for name, request_count in reports if name == "dark"] == [0]
+    busy_reports = [request_count for name, request_count in reports if name == "busy"]
+    assert busy_reports[0] == 1 and busy_reports[-1] == 0 and len(busy_reports) > 2
--- a/tests/slots/test_other_regions.py
+++ b/tests/slots/test_other_regions.py
@@ -1,4 +1,4 @@
-"""Slots over several regions: what is told there, how long is waited, where items go."""
+"""Slots over several regions: snapshots, timeouts and the division of items."""
 
 import asyncio
 
@@ -41,54 +41,54 @@
             assert state is not None
             fleet.leader.selector.failed(state, asyncio.get_running_loop().time())
             await asyncio.sleep(2 * OTHER_REGION_SNAPSHOT_INTERVAL_S / 5)
-        told = fleet.network.snapshots_by_holder - before
-        assert told["far"] <= 3
-        assert told["near"] >= 8
+        received = fleet.network.snapshots_by_holder - before
+        assert received["far"] <= 3
+        assert received["near"] >= 8
 
     play(scenario)
 
 
 def test_snapshot_for_other_region_lists_only_avoided_back_ends() -> None:
-    room = ServiceCapacity("s", 8, 3)
-    picture = SlotSnapshot((BackendLoad("a", 5), BackendLoad("b", 1, avoided=True)), (room,))
-    brief = picture.for_other_region()
-    assert [load.instance_id for load in brief.backends] == ["b"]
-    assert brief.capacity_for("s") == room
+    capacity = ServiceCapacity("s", 8, 3)
+    snapshot = SlotSnapshot((BackendLoad("a", 5), BackendLoad("b", 1, avoided=True)), (capacity,))
+    reduced = snapshot.for_other_region()
+    assert [load.instance_id for load in reduced.backends] == ["b"]
+    assert reduced.capacity_for("s") == capacity
 
 
 def test_items_run_in_other_region_only_when_their_own_is_full() -> None:
-    rooms = {
+    capacities = {
         0: ServiceCapacity("s", 8, 4),
         1: ServiceCapacity("s", 8, 8),
         2: ServiceCapacity("s", 8, 0),
     }
-    assert divide_items(4, rooms, remote=(1, 2)) == {0: 4, 1: 0, 2: 0}
-    assert divide_items(10, rooms, remote=(1, 2)) == {0: 10, 1: 6, 2: 0}
-    assert divide_items(40, rooms, remote=(1, 2)) == {0: 40, 1: 8, 2: 0}
+    assert divide_items(4, capacities, remote=(1, 2)) == {0: 4, 1: 0, 2: 0}
+    assert divide_items(10, capacities, remote=(1, 2)) == {0: 10, 1: 6, 2: 0}
+    assert divide_items(40, capacities, remote=(1, 2)) == {0: 40, 1: 8, 2: 0}
 
 
 def test_items_of_region_without_back_ends_run_in_other_region() -> None:
-    rooms = {1: ServiceCapacity("s", 8, 0), 2: ServiceCapacity("s", 8, 0)}
-    assert divide_items(4, rooms, remote=(1, 2)) == {1: 2, 2: 2}
+    capacities = {1: ServiceCapacity("s", 8, 0), 2: ServiceCapacity("s", 8, 0)}
+    assert divide_items(4, capacities, remote=(1, 2)) == {1: 2, 2: 2}
 
 
 def test_local_choice_uses_other_region_only_when_own_region_is_full() -> None:
     async def scenario(fleet: Fleet) -> None:
-        choice = fleet.new_selector("near-1")
+        selector = fleet.new_selector("near-1")
         west, east = RegionName("west"), RegionName("east")
         topology = Topology({"near-1": west, "near-2": west, "far": east})
-        choice.eligibility = Eligibility(topology)
+        selector.eligibility = Eligibility(topology)
         for zone in ("near-2", "far"):
-            choice.put(BackendInstance(zone, "t", "127.0.0.1", 1, zone, 4, True))
+            selector.put(BackendInstance(zone, "t", "127.0.0.1", 1, zone, 4, True))
         now = asyncio.get_running_loop().time()
-        chosen = []
+        selected = []
         for _ in range(6):
-            state = choice.choose("t", now)
+            state = selector.choose("t", now)
             assert state is not None
-            choice.sent(state, now)
-            chosen.append(state.instance.instance_id)
-        assert chosen[:4] == ["near-2"] * 4
-        assert "far" in chosen[4:]
+            selector.sent(state, now)
+            selected.append(state.instance.instance_id)
+        assert selected[:4] == ["near-2"] * 4
+        assert "far" in selected[4:]
 
     play(scenario)
 
@@ -97,13 +97,17 @@
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1", "west")
         topology = Topology({"west": RegionName("west"), "east": RegionName("east")})
-        for choice in (fleet.leader.selector, gateway.selector):
-            choice.eligibility = Eligibility(topology)
+        for backend_selector in (fleet.leader.selector, gateway.selector):
+            backend_selector.eligibility = Eligibility(topology)
             for name, zone in (("a", "east"), ("b", "west")):
-                choice.put(BackendInstance(name, "t", "127.0.0.1", 1, zone, 4, True))
-        await asyncio.sleep(1.5)  # the next picture has the new service's room
+                backend_selector.put(BackendInstance(name, "t", "127.0.0.1", 1, zone, 4, True))
+        await asyncio.sleep(1.5)  # the next snapshot includes the new service
         placed = [await gateway.placement.place(request(service="t")) for _ in range(5)]
-        names = [one.state.instance.instance_id for one in placed if one is not None]
+        names = [
+            placed_request.state.instance.instance_id
+            for placed_request in placed
+            if placed_request is not None
+        ]
         assert names.count("b") == 4
 
     play(scenario)
--- a/tests/slots/test_placement_residence.py
+++ b/tests/slots/test_placement_residence.py
@@ -1,4 +1,4 @@
-"""Gateways ask only nodes that may grant in a request's regions, and check what they get."""
+"""Gateways request slots only in a request's regions and check the grants."""
 
 import asyncio
 from dataclasses import replace
@@ -36,7 +36,7 @@
 
 
 def test_gateway_releases_grant_of_back_end_outside_the_residence() -> None:
-    """The granting node has another zone for it, as a gateway's settings may be newer."""
+    """Settings of the gateway and the granting node may differ in the zone's region."""
 
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
@@ -66,7 +66,7 @@
         slots.report_demand("s", demand, WEST)
         await asyncio.sleep(0.2)
         assert len(offered) == 2
-        # What was offered is counted by residence, too: these are more items.
+        # Offers are counted by residence, so the third item is an additional one.
         slots.report_demand("s", replace(demand, count=1), WEST)
         await asyncio.sleep(0.2)
         assert len(offered) == 3
--- a/tests/slots/test_sessions.py
+++ b/tests/slots/test_sessions.py
@@ -1,4 +1,4 @@
-"""Slots between gateways, leaders and the node that grants, over a network that fails."""
+"""Slot sessions of gateways and leaders with granting nodes over an unreliable network."""
 
 import asyncio
 from random import Random
@@ -27,8 +27,8 @@
         placed = [await gateway.placement.place(request()) for _ in range(4)]
         assert sorted(map(instance_id_of, placed)) == ["i0", "i0", "i1", "i1"]
         assert fleet.in_use() == 4
-        for one in placed:
-            gateway.placement.ended(one, SendVerdict.GOOD)
+        for placed_request in placed:
+            gateway.placement.ended(placed_request, SendVerdict.GOOD)
         await asyncio.sleep(2 * ONE_WAY_S)
         assert fleet.in_use() == 0
 
@@ -75,9 +75,9 @@
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
         first = await gateway.placement.place(request())
-        leaver = asyncio.create_task(gateway.placement.place(request()))
+        waiting = asyncio.create_task(gateway.placement.place(request()))
         await asyncio.sleep(0.5)
-        leaver.cancel()
+        waiting.cancel()
         await asyncio.sleep(0.1)
         gateway.placement.ended(first, SendVerdict.GOOD)
         await asyncio.sleep(0.1)
@@ -223,13 +223,13 @@
 def test_late_grant_is_released() -> None:
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
-        asking = asyncio.create_task(gateway.placement.place(request()))
+        placing = asyncio.create_task(gateway.placement.place(request()))
         await asyncio.sleep(1.5 * ONE_WAY_S)
         fleet.network.unreachable.add(fleet.leader.address)
-        placed = await asking
+        placed = await placing
         fleet.network.unreachable.clear()
         await asyncio.sleep(SETTLE_S)
-        assert fleet.in_use() == 1, "its own choice, not the grant that came later"
+        assert fleet.in_use() == 1, "only the local choice counts, not the late grant"
         gateway.placement.ended(placed, SendVerdict.GOOD)
         await asyncio.sleep(SETTLE_S)
         assert fleet.in_use() == 0
@@ -245,7 +245,7 @@
         await asyncio.sleep(0.1)
         placed = [await second.placement.place(request()) for _ in range(2)]
         assert list(map(instance_id_of, placed)) == ["i1", "i1"]
-        # Told with the next picture, which an avoided back end brings about.
+        # A newly avoided back end triggers the next snapshot.
         await asyncio.sleep(0.1)
         assert second.selector.state("i0").avoided(loop.time())
 
@@ -283,17 +283,17 @@
         await fleet.gateway("far", zone="y")
         before = dict(fleet.network.snapshots_by_holder)
         await asyncio.sleep(10.0)
-        told = {
+        received = {
             name: count - before[name] for name, count in fleet.network.snapshots_by_holder.items()
         }
-        assert told["near"] > 3 * told["far"]
-        assert told["far"] >= 9
+        assert received["near"] > 3 * received["far"]
+        assert received["far"] >= 9
 
     play(scenario)
 
 
 class Items:
-    """Items that run until they are stopped."""
+    """Batch items that run until they are preempted."""
 
     def __init__(self, slots: ItemSlots, waiting: int) -> None:
         self.slots = slots
@@ -384,14 +384,14 @@
 def test_granting_node_knows_taken_slots_after_random_faults(seed: int) -> None:
     rng = Random(seed)
 
-    async def gateway_at_work(fleet: Fleet, name: str, held: list[Placed], until: float) -> None:
+    async def run_gateway(fleet: Fleet, name: str, held: list[Placed], until: float) -> None:
         holder = fleet.holders[name]
         loop = asyncio.get_running_loop()
         while loop.time() < until:
             await asyncio.sleep(rng.uniform(0.001, 0.05))
             if held and rng.random() < 0.5:
-                held.remove(gone := rng.choice(held))
-                holder.placement.ended(gone, rng.choice(list(SendVerdict)[:2]))
+                held.remove(released := rng.choice(held))
+                holder.placement.ended(released, rng.choice(list(SendVerdict)[:2]))
                 continue
             try:
                 placed = await holder.placement.place(request(waits_s=0.2))
@@ -400,7 +400,7 @@
             if placed is not None:
                 held.append(placed)
 
-    async def faults(fleet: Fleet, until: float) -> None:
+    async def inject_faults(fleet: Fleet, until: float) -> None:
         loop = asyncio.get_running_loop()
         while loop.time() < until - PAUSE_AFTER_TIMEOUT_S:
             await asyncio.sleep(rng.uniform(0.05, 0.6))
@@ -423,8 +423,8 @@
             await fleet.gateway(f"g{n}")
             held[f"g{n}"] = []
         until = asyncio.get_running_loop().time() + 10.0
-        work = [gateway_at_work(fleet, name, taken, until) for name, taken in held.items()]
-        await asyncio.gather(*work, faults(fleet, until))
+        work = [run_gateway(fleet, name, taken, until) for name, taken in held.items()]
+        await asyncio.gather(*work, inject_faults(fleet, until))
         await asyncio.sleep(3.0)
         for name, taken in held.items():
             session = fleet.holders[name].sessions.by_group[0]
@@ -438,7 +438,7 @@
 
 
 def test_granted_slot_is_used_although_peers_avoid_its_back_end() -> None:
-    """Who grants knows more: a gateway that chose itself instead would follow a herd."""
+    """The granting node knows more than the snapshot; local selection would cause a herd."""
 
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
--- a/tests/slots/test_tenant_permits.py
+++ b/tests/slots/test_tenant_permits.py
@@ -1,4 +1,4 @@
-"""Permits under tenants' limits, with slots and alone."""
+"""Permits for tenants' requests from coordinators, backups, relays and local shares."""
 
 import asyncio
 
@@ -16,14 +16,14 @@
 
 
 async def send(holder: Holder, limit: RequestLimit = LIMIT, tenant: str = "t") -> None:
-    """Have one request placed, answered at once."""
+    """Place one request that finishes at once."""
     placed = await holder.placement.place(request(tenant=tenant, limit=limit))
     assert placed is not None
     holder.placement.ended(placed, SendVerdict.GOOD)
 
 
 async def send_until_refused(holder: Holder, max_sends: int = 50) -> int:
-    """Send until the tenant may send no more; return how many that were."""
+    """Send requests until one is refused; return the number of permitted ones."""
     for count in range(max_sends):
         try:
             await send(holder)
@@ -100,7 +100,7 @@
         await send(gateway)
         fleet.leader.leadership_unconfirmed = True
         await asyncio.sleep(5.0)
-        await send(gateway)  # its own part, and a slot all the same
+        await send(gateway)  # permitted by the local share; the slot is granted
         assert await send_until_refused(gateway) == 0
 
     play(scenario)
@@ -113,11 +113,11 @@
         first, second = await fleet.gateway("g1"), await fleet.gateway("g2")
         assert await send_until_refused(first) == 4
         fleet.network.unreachable.add(fleet.leader.address)
-        began = asyncio.get_running_loop().time()
-        await send(second)  # notices that the node is dark, and waits until the other one stands in
-        assert asyncio.get_running_loop().time() - began < BACKUP_WAIT_S + GRANT_TIMEOUT_S
+        began_at = asyncio.get_running_loop().time()
+        await send(second)  # times out at the coordinator, then waits for the backup
+        assert asyncio.get_running_loop().time() - began_at < BACKUP_WAIT_S + GRANT_TIMEOUT_S
         await asyncio.sleep(5.0)
-        assert await send_until_refused(second) >= 4  # of its own it would have none
+        assert await send_until_refused(second) >= 4  # its local share is 0
         with pytest.raises(OverLimitError) as refused:
             await send(second)
         assert refused.value.surely
@@ -135,7 +135,7 @@
             await send_until_error(first)
         await asyncio.sleep(6.0)
         count = 0
-        for _ in range(10):  # 2.5 s at the stand-in
+        for _ in range(10):  # 2.5 s at the backup coordinator
             count += await send_until_refused(first)
             await asyncio.sleep(0.25)
         assert count >= 10
@@ -153,7 +153,7 @@
 
 
 async def send_until_error(holder: Holder) -> None:
-    """Send until the tenant may send no more."""
+    """Send requests until one is refused, and raise the refusal."""
     for _ in range(50):
         await send(holder)
 
@@ -161,17 +161,17 @@
 def test_disconnected_gateway_obtains_permits_through_a_relay() -> None:
     async def scenario(fleet: Fleet) -> None:
         fleet.limits["t"] = LIMIT
-        cut_off, other = await fleet.gateway("g1"), await fleet.gateway("g2")
+        disconnected, other = await fleet.gateway("g1"), await fleet.gateway("g2")
         await asyncio.sleep(RELAYS_INTERVAL_S)
         fleet.network.break_connection("g1", fleet.leader)
-        cut_off.task.cancel()
+        disconnected.task.cancel()
         await asyncio.sleep(1.0)
-        assert await send_until_refused(cut_off) == 4  # of its own it would have none
+        assert await send_until_refused(disconnected) == 4  # its local share is 0
         with pytest.raises(OverLimitError) as refused:
             await send(other)
         assert refused.value.surely
         await asyncio.sleep(0.5)
-        assert await send_until_refused(cut_off) == 2
+        assert await send_until_refused(disconnected) == 2
 
     play(scenario)
 
