--- a/src/wharfcart/slots/group_backends.py
+++ b/src/wharfcart/slots/group_backends.py
@@ -1,4 +1,4 @@
-"""Group core: back ends of one granting node, which can take a request and at what cost.
+"""Group core: candidate back ends of one granting node, and the cost of using each.
 
 Considers taken slots, failures, unresponsiveness and the rate limit of cold back ends. The granter
 decides who gets a slot.
@@ -71,7 +71,7 @@
         return usable
 
     def refresh(self) -> None:
-        """Drop the cached lists after a back end failed or a session was closed."""
+        """Drop the cached lists, for events that change which back ends are usable."""
         self._usable.clear()
 
     def record_grant(self, instance_id: str) -> None:
--- a/src/wharfcart/slots/item_slots.py
+++ b/src/wharfcart/slots/item_slots.py
@@ -21,7 +21,7 @@
 from wharfcart.slots.snapshot import ServiceCapacity, SlotSnapshot
 from wharfcart.slots.urgency import Urgency
 
-# Change of the first item's slack, beyond the time that passed, that is reported again.
+# Demand is reported again if the first item's slack differs by more from the expected one.
 MIN_SLACK_CHANGE_S = 0.5
 
 
--- a/src/wharfcart/slots/ledger.py
+++ b/src/wharfcart/slots/ledger.py
@@ -11,7 +11,7 @@
 from wharfcart.slots.events import HolderId, SessionKey, SlotNumber, SlotUse
 from wharfcart.slots.urgency import Urgency
 
-# The least that a back end prefills.
+# Lower bound.
 PREFILL_TOKENS_PER_SECOND = 40_000
 # Delay until prefill starts.
 READ_START_S = 0.05
@@ -62,7 +62,7 @@
     _orphaned_by_instance: dict[str, int] = field(default_factory=dict)
     # Counters beside the slots, as every event reads them for all back ends.
     _in_use_by_instance: dict[str, int] = field(default_factory=dict)
-    _preemptible_by_instance: dict[str, int] = field(default_factory=dict)  # by instance
+    _preemptible_by_instance: dict[str, int] = field(default_factory=dict)
     _unread_by_instance: dict[str, list[TakenSlot]] = field(default_factory=dict)
 
     @property
@@ -118,9 +118,9 @@
         taken = TakenSlot(key, use, now)
         session.taken_by_number[use.number] = taken
         self._taken_by_instance.setdefault(use.instance_id, {})[id(taken)] = taken
-        _add(self._in_use_by_instance, use.instance_id, 1)
+        _adjust_count(self._in_use_by_instance, use.instance_id, 1)
         if use.item is not None:
-            _add(self._preemptible_by_instance, use.instance_id, 1)
+            _adjust_count(self._preemptible_by_instance, use.instance_id, 1)
         if use.unread_tokens:
             self._unread_by_instance.setdefault(use.instance_id, []).append(taken)
 
@@ -135,9 +135,9 @@
         del at_instance[id(taken)]
         if not at_instance:
             del self._taken_by_instance[instance_id]
-        _add(self._in_use_by_instance, instance_id, -1)
+        _adjust_count(self._in_use_by_instance, instance_id, -1)
         if taken.use.item is not None and not taken.preempted:
-            _add(self._preemptible_by_instance, instance_id, -1)
+            _adjust_count(self._preemptible_by_instance, instance_id, -1)
         if taken.use.unread_tokens:
             unread = self._unread_by_instance.get(instance_id, [])
             self._set_unread(instance_id, [slot for slot in unread if slot is not taken])
@@ -149,13 +149,13 @@
         if taken is None:
             return
         if taken.use.item is None and not taken.preempted:
-            _add(self._preemptible_by_instance, taken.use.instance_id, 1)
+            _adjust_count(self._preemptible_by_instance, taken.use.instance_id, 1)
         taken.use = replace(taken.use, item=urgency)
 
     def mark_preempted(self, taken: TakenSlot) -> None:
         """Record that a batch item was told to stop."""
         if not taken.preempted and taken.use.item is not None:
-            _add(self._preemptible_by_instance, taken.use.instance_id, -1)
+            _adjust_count(self._preemptible_by_instance, taken.use.instance_id, -1)
         taken.preempted = True
 
     def find(self, key: SessionKey, number: SlotNumber) -> TakenSlot | None:
@@ -174,8 +174,8 @@
     def set_orphaned_runs(self, instance_id: str, count: int) -> None:
         """Record the number of runs at a back end that no session reports."""
         change = max(0, count) - self.orphaned_runs(instance_id)
-        _add(self._orphaned_by_instance, instance_id, change)
-        _add(self._in_use_by_instance, instance_id, change)
+        _adjust_count(self._orphaned_by_instance, instance_id, change)
+        _adjust_count(self._in_use_by_instance, instance_id, change)
 
     def in_use(self, instance_id: str) -> int:
         """Return the number of taken slots of a back end, orphaned runs included."""
@@ -234,7 +234,7 @@
         return instance_id in self._unresponsive_to
 
 
-def _add(count_by_key: dict[str, int], key: str, change: int) -> None:
+def _adjust_count(count_by_key: dict[str, int], key: str, change: int) -> None:
     """Change a count; remove it if it becomes 0."""
     count = count_by_key.get(key, 0) + change
     if count:
--- a/src/wharfcart/slots/permit_relays.py
+++ b/src/wharfcart/slots/permit_relays.py
@@ -29,20 +29,20 @@
         self._paused_until: dict[Address, float] = {}
         self._last_successful: Address | None = None
 
-    async def ask(self, tenant: str) -> PermitAnswer | None:
+    async def request_permit(self, tenant: str) -> PermitAnswer | None:
         """Request a permit for one more request of a tenant; None if no relay can answer."""
         addresses = sorted(self._addresses(), key=lambda address: address != self._last_successful)
         for address in addresses:
             if monotonic() < self._paused_until.get(address, 0.0):
                 continue
-            answer = await self._ask(address, tenant)
+            answer = await self._request_from(address, tenant)
             if answer is not None and not answer.unsure:
                 self._last_successful = address
                 return answer
             self._paused_until[address] = monotonic() + RETRY_PAUSE_S
         return None
 
-    async def _ask(self, address: Address, tenant: str) -> PermitAnswer | None:
+    async def _request_from(self, address: Address, tenant: str) -> PermitAnswer | None:
         frame = Frame(relay_permit=RelayPermit(tenant=tenant))
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
--- a/src/wharfcart/slots/permits.py
+++ b/src/wharfcart/slots/permits.py
@@ -69,7 +69,7 @@
         Raises:
             OverLimitError: the tenant is over its limit.
         """
-        if self.needed and not await self._ask(self._sessions.coordinator(self._tenant)):
+        if self.needed and not await self._request_from(self._sessions.coordinator(self._tenant)):
             await self.obtain_elsewhere()
 
     async def obtain_elsewhere(self) -> None:
@@ -82,14 +82,14 @@
             OverLimitError: the tenant is over its limit.
         """
         if (
-            await self._ask(self._sessions.backup_coordinator(self._tenant))
+            await self._request_from(self._sessions.backup_coordinator(self._tenant))
             or self._take_disconnected()
         ):
             return
-        if await self._ask_relay():
+        if await self._request_from_relays():
             return
         await self._wait_for_backup()
-        if not await self._ask(self._sessions.backup_coordinator(self._tenant)):
+        if not await self._request_from(self._sessions.backup_coordinator(self._tenant)):
             raise OverLimitError(DISCONNECTED_RETRY_AFTER_S, surely=False)
 
     async def answer_for_peer(self) -> PermitAnswer:
@@ -101,13 +101,13 @@
         return PermitAnswer(permitted=permitted, unsure=not permitted)
 
     async def _obtain_from_coordinators(self) -> bool:
-        if await self._ask(self._sessions.coordinator(self._tenant)):
+        if await self._request_from(self._sessions.coordinator(self._tenant)):
             return True
         await self._wait_for_backup()
-        return await self._ask(self._sessions.backup_coordinator(self._tenant))
+        return await self._request_from(self._sessions.backup_coordinator(self._tenant))
 
-    async def _ask_relay(self) -> bool:
-        answer = await self._relays.ask(self._tenant)
+    async def _request_from_relays(self) -> bool:
+        answer = await self._relays.request_permit(self._tenant)
         if answer is None:
             return False
         if not answer.permitted:
@@ -127,7 +127,7 @@
                 return
             await asyncio.sleep(BACKUP_POLL_S)
 
-    async def _ask(self, session: SlotSession | None) -> bool:
+    async def _request_from(self, session: SlotSession | None) -> bool:
         """Whether a coordinator grants the permit; False if it does not respond.
 
         Raises:
--- a/src/wharfcart/slots/service.py
+++ b/src/wharfcart/slots/service.py
@@ -60,8 +60,9 @@
 TICK_S = 0.05
 # Interval of heartbeats to a holder whose request waits.
 WAIT_HEARTBEAT_S = 0.1
-# Holders in other zones and regions send few requests here, and their snapshots cost more traffic.
+# To holders in the zone of the group's back ends.
 SNAPSHOT_INTERVAL_S = 0.25
+# Longer, as these holders send fewer requests here and their traffic costs more.
 OTHER_ZONE_SNAPSHOT_INTERVAL_S = 1.0
 OTHER_REGION_SNAPSHOT_INTERVAL_S = 1.0
 MAX_SNAPSHOTS_PER_SECOND = 400
@@ -133,7 +134,7 @@
         self._limit_of = limit_of
         self._is_leadership_confirmed = is_leadership_confirmed
         self._limits = TenantLimits(limit_of, monotonic())
-        self._permit_contact_at: dict[SessionKey, float] = {}  # sessions without slots
+        self._permit_contact_at: dict[SessionKey, float] = {}  # permit-only sessions
         self._granter: SlotGranter | None = None
         self._outboxes: dict[SessionKey, _Outbox] = {}
         self._answers: dict[tuple[SessionKey, SlotNumber], asyncio.Future[SlotInstruction]] = {}
--- a/src/wharfcart/slots/session.py
+++ b/src/wharfcart/slots/session.py
@@ -111,7 +111,7 @@
         """Handle slot offers to batch items and preemptions."""
 
     def session_opened(self, group: int) -> None:
-        """Handle a new session, whose node has lost the state of the previous one."""
+        """Handle a new session; the node has no state of the previous one."""
 
 
 class SlotSession:
@@ -260,7 +260,7 @@
             return None
         finally:
             if not answered:
-                # A grant may be in transit.
+                # Withdraws the request, or releases a grant that is in transit.
                 self.release(request.number)
 
     async def request_permit(self, tenant: str) -> PermitAnswer | None:
@@ -295,7 +295,7 @@
     # ---- the session ----
 
     async def run(self) -> None:
-        """Open a session again and again until cancelled."""
+        """Keep a session open until cancelled; reopen it when it closes."""
         while True:
             await self.hold_once()
 
