--- a/tests/slots/test_cold_property.py
+++ b/tests/slots/test_cold_property.py
@@ -130,9 +130,9 @@
             granter.tick(self.now)
         if segment.idle:
             return
-        cut_off = round(len(self.selectors) * segment.disconnected_fraction)
+        disconnected_count = round(len(self.selectors) * segment.disconnected_fraction)
         for n, (name, selector) in enumerate(self.selectors.items()):
-            if n < cut_off:
+            if n < disconnected_count:
                 self._select_all(selector, segment)
             else:
                 granter = self.granters[n % len(self.granters)]
@@ -162,15 +162,15 @@
 
     def max_arrivals_per_second(self) -> int:
         """Return the largest number of arrivals at one back end within a second."""
-        worst = 0
+        max_count = 0
         for times in self.arrivals.values():
             times.sort()
             first = 0
             for last, time in enumerate(times):
                 while time - times[first] >= 1.0:
                     first += 1
-                worst = max(worst, last - first + 1)
-        return worst
+                max_count = max(max_count, last - first + 1)
+        return max_count
 
 
 def two_granters(idle_segments: int) -> list[Segment]:
@@ -179,13 +179,13 @@
     Args:
         idle_segments: segments without requests before and after the second node begins.
     """
-    sends = Segment(0.3, frozenset(INSTANCE_IDS), "none", 0.0)
-    resting = [replace(sends, idle=True)] * idle_segments
+    active = Segment(0.3, frozenset(INSTANCE_IDS), "none", 0.0)
+    pause = [replace(active, idle=True)] * idle_segments
     return [
-        *resting,
-        replace(sends, change="two", idle=bool(idle_segments)),
-        *resting,
-        *[sends] * 4,
+        *pause,
+        replace(active, change="two", idle=bool(idle_segments)),
+        *pause,
+        *[active] * 4,
     ]
 
 
