--- a/src/wharfcart/experiments/limits.py
+++ b/src/wharfcart/experiments/limits.py
@@ -21,8 +21,13 @@
 from random import Random
 from typing import Any
 
-from wharfcart.admission.limits import BucketHome, TakenTokens, TokenBucket, tokens_to_take
-from wharfcart.admission.tenant_limits import WINDOW_S, TenantLimits, TenantSends, TenantUsage
+from wharfcart.admission.limits import BucketCoordinator, GrantedTokens, TokenBucket, grant_size
+from wharfcart.admission.tenant_limits import (
+    WINDOW_S,
+    SendHistory,
+    TenantLimitCoordinator,
+    TenantUsage,
+)
 from wharfcart.configuration.serving import RequestLimit
 
 PICTURE_S = 0.25
@@ -78,7 +83,7 @@
     arrivals: list[Arrival] = []
     for number in range(load.tenants):
         tenant = f"t{number}"
-        usual = load.limit_of(tenant).per_s * load.usual_share
+        usual = load.limit_of(tenant).requests_per_s * load.usual_share
         clients = [rng.randrange(load.gateways) for _ in range(max(2, round(usual / 2)))]
         most = usual * load.high * (load.hot[2] if number == 0 else 1.0)
         at = 0.0
@@ -113,7 +118,7 @@
 
     def __init__(self, load: LimitLoad) -> None:
         super().__init__(load)
-        self._sends = [TenantSends() for _ in range(load.gateways)]
+        self._sends = [SendHistory() for _ in range(load.gateways)]
         self._usage: dict[str, int] = {}
         self._heard_at = 0.0
         self._next_picture = 0.0
@@ -126,28 +131,30 @@
         if self.load.home_is_lost(at):
             limit = self.load.limit_of(tenant)
             usage = self._usage.get(tenant, 0)
-            permitted = sends.may_send_alone(tenant, limit, self._heard_at, usage, at)
+            permitted = sends.may_send_disconnected(tenant, limit, self._heard_at, usage, at)
         else:
             self._tell(at)
-            permitted = self._home.take(str(gateway), tenant, at) == 0.0
+            permitted = self._home.acquire(str(gateway), tenant, at) == 0.0
         if permitted:
-            sends.sent(tenant, at)
+            sends.record(tenant, at)
         return permitted
 
     def _tell(self, at: float) -> None:
         if self._heard_at < self.load.home_lost[0] <= at:
             self._home = self._new_home(at)
         if at >= self._next_picture:
-            self._usage = self._home.usage(at)
+            self._usage = self._home.usage_by_tenant(at)
             self._next_picture = at + PICTURE_S
         self._heard_at = at
 
-    def _new_home(self, at: float) -> TenantLimits:
-        home = TenantLimits(self.load.limit_of, at)
+    def _new_home(self, at: float) -> TenantLimitCoordinator:
+        home = TenantLimitCoordinator(self.load.limit_of, at)
         usage = [TenantUsage(tenant, count) for tenant, count in self._usage.items()]
         age_s = at - self._heard_at
         for gateway, sends in enumerate(self._sends):
-            home.holder_opened(str(gateway), sends.recent(at), usage, age_s, self.load.gateways, at)
+            home.holder_connected(
+                str(gateway), sends.recent(at), usage, age_s, self.load.gateways, at
+            )
         return home
 
 
@@ -156,8 +163,8 @@
 
     def __init__(self, load: LimitLoad) -> None:
         super().__init__(load)
-        self._home = BucketHome()
-        self._taken: defaultdict[tuple[int, str], TakenTokens] = defaultdict(TakenTokens)
+        self._home = BucketCoordinator()
+        self._taken: defaultdict[tuple[int, str], GrantedTokens] = defaultdict(GrantedTokens)
         self._lost = False
 
     def permits(self, arrival: Arrival) -> bool:
@@ -169,19 +176,19 @@
             return True
         if self.load.home_is_lost(at):
             self._lost = True
-            return taken.spend_fallback(limit.per_s, limit.burst, self.load.gateways, at)
+            return taken.spend_fallback(limit.requests_per_s, limit.burst, self.load.gateways, at)
         if self._lost:
-            self._home, self._lost = BucketHome(), False
+            self._home, self._lost = BucketCoordinator(), False
         if at < taken.refused_until:
             return False
         self.messages += 2
         self.round_trips += 1
-        wanted = tokens_to_take(limit.per_s, limit.burst)
-        granted, seconds = self._home.take(tenant, wanted, limit.per_s, limit.burst, at)
+        wanted = grant_size(limit.requests_per_s, limit.burst)
+        granted, seconds = self._home.take(tenant, wanted, limit.requests_per_s, limit.burst, at)
         if granted < 1.0:
             taken.refused_until = at + seconds
             return False
-        taken.put(granted, at)
+        taken.replace(granted, at)
         return taken.spend(at)
 
 
@@ -204,7 +211,7 @@
         limit = self.load.limit_of(tenant)
         even = 1.0 / self.load.gateways
         bucket = self._buckets.setdefault(
-            (gateway, tenant), TokenBucket(limit.per_s * even, limit.burst * even, 0.0, at)
+            (gateway, tenant), TokenBucket(limit.requests_per_s * even, limit.burst * even, 0.0, at)
         )
         return bucket.take(1.0, at) >= 1.0
 
@@ -223,7 +230,7 @@
                     continue
                 part = (by_gateway[gateway] + 0.02) / whole
                 bucket.refill(at)
-                bucket.rate = limit.per_s * part
+                bucket.rate = limit.requests_per_s * part
                 bucket.burst = max(1.0, limit.burst * part)
                 bucket.tokens = min(bucket.tokens, bucket.burst)
 
@@ -262,7 +269,9 @@
     for arrival in arrivals:
         at, tenant, _ = arrival
         limit = load.limit_of(tenant)
-        bucket = single.setdefault(tenant, TokenBucket(limit.per_s, limit.burst, limit.burst, at))
+        bucket = single.setdefault(
+            tenant, TokenBucket(limit.requests_per_s, limit.burst, limit.burst, at)
+        )
         would_pass = bucket.take(1.0, at) >= 1.0
         sent = keeper.permits(arrival)
         passed += would_pass
@@ -273,12 +282,13 @@
     outcome.messages_per_s = keeper.messages / load.seconds
     outcome.round_trips = keeper.round_trips / max(1, len(arrivals))
     outcome.worst_window = max(
-        _busiest(times) / (load.limit_of(tenant).per_s * WINDOW_S + load.limit_of(tenant).burst)
+        _busiest(times)
+        / (load.limit_of(tenant).requests_per_s * WINDOW_S + load.limit_of(tenant).burst)
         for tenant, times in outcome.sent_by_tenant.items()
     )
     begun, until, _ = load.hot
     hot = sum(begun + 1.0 <= at < until for at in outcome.sent_by_tenant["t0"])
-    outcome.hot_share = hot / (load.limit_of("t0").per_s * (until - begun - 1.0))
+    outcome.hot_share = hot / (load.limit_of("t0").requests_per_s * (until - begun - 1.0))
     return outcome
 
 
--- a/src/wharfcart/slots/messages.py
+++ b/src/wharfcart/slots/messages.py
@@ -3,7 +3,7 @@
 Messages carry durations instead of times, as monotonic clocks of two nodes are unrelated.
 """
 
-from wharfcart.admission.tenant_limits import TenantSend, TenantUsage
+from wharfcart.admission.tenant_limits import PermittedSend, TenantUsage
 from wharfcart.cluster import messages_pb2 as pb
 from wharfcart.configuration.residence import residence_from_message, residence_to_message
 from wharfcart.slots.events import (
@@ -114,14 +114,14 @@
     )
 
 
-def send_to_message(send: TenantSend) -> pb.TenantSend:
+def send_to_message(send: PermittedSend) -> pb.TenantSend:
     """Convert a permitted request of a tenant to a message."""
     return pb.TenantSend(tenant=send.tenant, age_ms=_milliseconds(send.age_s))
 
 
-def send_from_message(message: pb.TenantSend) -> TenantSend:
+def send_from_message(message: pb.TenantSend) -> PermittedSend:
     """Convert a message to a permitted request of a tenant."""
-    return TenantSend(message.tenant, message.age_ms / 1000)
+    return PermittedSend(message.tenant, message.age_ms / 1000)
 
 
 def usage_from_message(message: pb.TenantUsage) -> TenantUsage:
--- a/src/wharfcart/slots/permits.py
+++ b/src/wharfcart/slots/permits.py
@@ -60,7 +60,7 @@
     def record_obtained(self) -> None:
         """Record that the permit was obtained."""
         if self.needed:
-            self._sessions.sends.sent(self._tenant, monotonic())
+            self._sessions.sends.record(self._tenant, monotonic())
             self._limit = None
 
     async def obtain(self) -> None:
@@ -90,7 +90,7 @@
             return
         await self._wait_for_backup()
         if not await self._request_from(self._sessions.backup_coordinator(self._tenant)):
-            raise OverLimitError(DISCONNECTED_RETRY_AFTER_S, surely=False)
+            raise OverLimitError(DISCONNECTED_RETRY_AFTER_S, is_confirmed=False)
 
     async def answer_for_peer(self) -> PermitAnswer:
         """Request the permit on behalf of another gateway; it counts as a request of this one."""
@@ -111,7 +111,7 @@
         if answer is None:
             return False
         if not answer.permitted:
-            raise OverLimitError(answer.retry_after_ms / 1000, surely=True)
+            raise OverLimitError(answer.retry_after_ms / 1000, is_confirmed=True)
         self._limit = None  # counted as a request of the relay
         return True
 
@@ -139,7 +139,7 @@
         if answer is None or answer.unsure:
             return False
         if not answer.permitted:
-            raise OverLimitError(answer.retry_after_ms / 1000, surely=True)
+            raise OverLimitError(answer.retry_after_ms / 1000, is_confirmed=True)
         self.record_obtained()
         return True
 
@@ -160,4 +160,6 @@
         contact_at = None if session is None else session.last_contact_at
         usage = 0 if session is None else session.snapshot.usage.get(self._tenant, 0)
         sends = self._sessions.sends
-        return sends.may_send_alone(self._tenant, self._limit, contact_at, usage, monotonic())
+        return sends.may_send_disconnected(
+            self._tenant, self._limit, contact_at, usage, monotonic()
+        )
--- a/src/wharfcart/slots/session.py
+++ b/src/wharfcart/slots/session.py
@@ -11,7 +11,7 @@
 from random import getrandbits, random
 from typing import Protocol
 
-from wharfcart.admission.tenant_limits import TenantSend
+from wharfcart.admission.tenant_limits import PermittedSend
 from wharfcart.clock import monotonic
 from wharfcart.cluster.address import Address
 from wharfcart.cluster.messages_pb2 import (
@@ -87,7 +87,7 @@
 class LimitReports(Protocol):
     """What a holder reports to a limit coordinator."""
 
-    def sends_of(self, group: int) -> list[TenantSend]:
+    def sends_of(self, group: int) -> list[PermittedSend]:
         """Return the holder's recent requests of the tenants that a group coordinates."""
         ...
 
--- a/src/wharfcart/slots/sessions.py
+++ b/src/wharfcart/slots/sessions.py
@@ -3,14 +3,14 @@
 import asyncio
 from collections.abc import Callable
 
-from wharfcart.admission.tenant_limits import TenantSend, TenantSends
+from wharfcart.admission.tenant_limits import PermittedSend, SendHistory
 from wharfcart.clock import monotonic
 from wharfcart.cluster.address import Address
 from wharfcart.cluster.transport import Transport
 from wharfcart.configuration.residence import ANYWHERE, Residence
 from wharfcart.observability.decisions import DecisionLog
 from wharfcart.observability.tasks import BackgroundTasks
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_selection import BackendSelector
 from wharfcart.slots.events import HolderId, ResponsivenessChanged
 from wharfcart.slots.session import ReportedUsage, SlotSession, SlotUpdateListener
 from wharfcart.slots.snapshot import ServiceCapacity
@@ -47,7 +47,7 @@
     def __init__(
         self,
         holder: HolderId,
-        selector: BackendChoice,
+        selector: BackendSelector,
         transport: Transport,
         group_count: Callable[[], int],
         address: Callable[[int], Address | None],
@@ -75,7 +75,7 @@
         self._unresponsive: set[str] = set()
         self._unresponsive_sent_in: dict[int, int] = {}  # session by group
         self.by_group: dict[int, SlotSession] = {}
-        self.sends = TenantSends()
+        self.sends = SendHistory()
 
     async def run(self) -> None:
         """Keep all sessions open until cancelled."""
@@ -157,7 +157,7 @@
 
     # ---- reports to limit coordinators ----
 
-    def sends_of(self, group: int) -> list[TenantSend]:
+    def sends_of(self, group: int) -> list[PermittedSend]:
         """Return the holder's recent requests of the tenants that a group coordinates."""
         recent = self.sends.recent(monotonic())
         return [send for send in recent if self._coordinator_group(send.tenant) == group]
@@ -230,7 +230,7 @@
 
     def _send_responsiveness(self) -> None:
         """Report back ends that stopped responding to this holder or respond again."""
-        unresponsive = self._selector.silent_instances(monotonic())
+        unresponsive = self._selector.unresponsive_instances(monotonic())
         for instance_id in unresponsive ^ self._unresponsive:
             self._send_responsiveness_of(instance_id, instance_id in unresponsive)
         for group, session in self.by_group.items():
--- /dev/null
+++ b/tests/node/test_poison_evidence_sync.py
@@ -0,0 +1,213 @@
+"""What nodes tell each other of requests that back ends ended under."""
+
+import asyncio
+from collections.abc import Awaitable, Callable
+from random import Random
+from time import time
+
+from wharfcart.admission.poison_requests import EVIDENCE_TTL_S, PoisonRequests
+from wharfcart.admission.request_fingerprint import RequestFingerprint
+from wharfcart.cluster.coordination import (
+    ChangeBatch,
+    ConditionFailedError,
+    CoordinationUnavailableError,
+    KeyChange,
+    Transaction,
+)
+from wharfcart.cluster.messages_pb2 import BackendEnds
+from wharfcart.cluster.mirror import Mirror
+from wharfcart.experiments.virtual_time import run_virtually
+from wharfcart.node.fleet_keys import POISON_REQUEST_PREFIX
+from wharfcart.node.poison_evidence_sync import PoisonEvidenceSync, record_from, record_to_bytes
+
+FINGERPRINT = RequestFingerprint("c")
+PROPAGATION_S = 0.05
+
+
+class Service:
+    """Keys and conditions; nodes hear of changes a moment later."""
+
+    def __init__(self) -> None:
+        self.revision = 1
+        self.keys: dict[str, KeyChange] = {}
+        self.nodes: list[Node] = []
+        self.calls = 0
+        self.is_down = False
+        self.refused_nodes: set[int] = set()
+        self.loses_answers = False
+
+    async def commit(self, transaction: Transaction) -> int:
+        self.calls += 1
+        if self.is_down:
+            raise CoordinationUnavailableError("down")
+        for key, revision in transaction.expected.items():
+            known = self.keys.get(key)
+            if (0 if known is None else known.revision) != revision:
+                raise ConditionFailedError
+        self.revision += 1
+        changes = [KeyChange(key, self.revision, value) for key, value in transaction.put.items()]
+        changes += [KeyChange(key, self.revision, None) for key in transaction.remove]
+        for change in changes:
+            self.keys[change.key] = change
+            if change.value is None:
+                del self.keys[change.key]
+        for node in self.nodes:
+            asyncio.get_running_loop().call_later(
+                PROPAGATION_S, node.apply_changes, changes, self.revision
+            )
+        if self.loses_answers:
+            raise CoordinationUnavailableError("no answer", may_have_taken_effect=True)
+        return self.revision
+
+
+class Node:
+    def __init__(self, service: Service, seed: int) -> None:
+        self.poison_requests = PoisonRequests()
+        self.mirror = Mirror()
+        self._service = service
+        self.number = seed
+        self.relays: list[Node] = []
+        self.sync = PoisonEvidenceSync(
+            self.poison_requests, self, self.mirror, Random(seed), self._relay
+        )
+        service.nodes.append(self)
+        self.task = asyncio.get_running_loop().create_task(self.sync.run())
+
+    async def commit(self, transaction: Transaction) -> int:
+        """Write to the service, as this node."""
+        if self.number in self._service.refused_nodes:
+            raise CoordinationUnavailableError("refused")
+        return await self._service.commit(transaction)
+
+    def _relay(self, message: BackendEnds) -> None:
+        for node in self.relays:
+            node.sync.apply_relayed(message)
+
+    def apply_changes(self, changes: list[KeyChange], at: int) -> None:
+        for change in self.mirror.apply(ChangeBatch(tuple(changes), at)):
+            self.sync.apply_change(change)
+
+    def load_all(self, service: Service) -> None:
+        """List everything, as a node does that starts."""
+        self.apply_changes(list(service.keys.values()), service.revision)
+
+    def crashed_instances(self) -> set[str]:
+        return set(self.poison_requests.evidence(FINGERPRINT).crashes_by_key)
+
+
+def run_scenario(scenario: Callable[[Service], Awaitable[None]]) -> None:
+    async def run() -> None:
+        await scenario(Service())
+
+    run_virtually(run())
+
+
+def test_evidence_reaches_running_and_later_nodes() -> None:
+    async def scenario(service: Service) -> None:
+        first, second = Node(service, 1), Node(service, 2)
+        first.poison_requests.record_crash(FINGERPRINT, "a", 1.0, time())
+        await asyncio.sleep(0.5)
+        second.poison_requests.record_crash(FINGERPRINT, "b", 1.0, time())
+        await asyncio.sleep(0.5)
+        third = Node(service, 3)
+        third.load_all(service)
+        assert (
+            first.crashed_instances()
+            == second.crashed_instances()
+            == third.crashed_instances()
+            == {"a", "b"}
+        )
+        assert service.calls == 2
+
+    run_scenario(scenario)
+
+
+def test_concurrent_writers_lose_no_evidence() -> None:
+    async def scenario(service: Service) -> None:
+        nodes = [Node(service, seed) for seed in range(5)]
+        for number, node in enumerate(nodes):
+            node.poison_requests.record_crash(FINGERPRINT, f"b{number}", 1.0, time())
+        await asyncio.sleep(30.0)
+        assert all(len(node.crashed_instances()) == 5 for node in nodes)
+
+    run_scenario(scenario)
+
+
+def test_evidence_from_an_outage_is_written_afterwards() -> None:
+    async def scenario(service: Service) -> None:
+        first, second = Node(service, 1), Node(service, 2)
+        service.is_down = True
+        first.poison_requests.record_crash(FINGERPRINT, "a", 1.0, time())
+        await asyncio.sleep(20.0)
+        assert service.calls < 15
+        assert first.crashed_instances() == {"a"} and not second.crashed_instances()
+        service.is_down = False
+        await asyncio.sleep(8.0)
+        assert second.crashed_instances() == {"a"}
+
+    run_scenario(scenario)
+
+
+def test_refused_node_relays_evidence_through_others() -> None:
+    """Also if the first that is told is refused, too."""
+
+    async def scenario(service: Service) -> None:
+        refused, refused_too, third, fourth = (Node(service, seed) for seed in range(4))
+        refused.relays, refused_too.relays = [refused_too], [third]
+        service.refused_nodes = {refused.number, refused_too.number}
+        refused.poison_requests.record_crash(FINGERPRINT, "a", 1.0, time())
+        await asyncio.sleep(1.0)
+        assert fourth.crashed_instances() == {"a"}
+        await asyncio.sleep(5.0)
+        assert service.calls == 1, "it is told once"
+
+    run_scenario(scenario)
+
+
+def test_lost_commit_response_is_harmless() -> None:
+    async def scenario(service: Service) -> None:
+        first, second = Node(service, 1), Node(service, 2)
+        service.loses_answers = True
+        first.poison_requests.record_crash(FINGERPRINT, "a", 1.0, time())
+        await asyncio.sleep(5.0)
+        service.loses_answers = False
+        await asyncio.sleep(5.0)
+        assert first.crashed_instances() == second.crashed_instances() == {"a"}
+        assert not first.poison_requests.unpublished(9)
+        assert service.calls == 1
+
+    run_scenario(scenario)
+
+
+def test_answered_request_removes_shared_evidence() -> None:
+    async def scenario(service: Service) -> None:
+        first, second = Node(service, 1), Node(service, 2)
+        first.poison_requests.record_crash(FINGERPRINT, "a", 1.0, time())
+        await asyncio.sleep(0.5)
+        second.poison_requests.record_answer(lambda: FINGERPRINT)
+        await asyncio.sleep(0.5)
+        assert not first.crashed_instances() and not second.crashed_instances()
+        assert not service.keys
+
+    run_scenario(scenario)
+
+
+def test_old_evidence_is_removed_without_new_events() -> None:
+    async def scenario(service: Service) -> None:
+        node = Node(service, 1)
+        node.poison_requests.record_crash(FINGERPRINT, "a", 1.0, time() - EVIDENCE_TTL_S - 1.0)
+        await asyncio.sleep(PROPAGATION_S / 2)
+        assert service.keys
+        await asyncio.sleep(200.0)
+        assert not service.keys and not len(node.poison_requests)
+
+    run_scenario(scenario)
+
+
+def test_records_survive_a_round_trip_and_malformed_ones_are_ignored() -> None:
+    suspects = PoisonRequests()
+    record = suspects.record_crash(FINGERPRINT, "a", 0.5, 100.25)
+    assert record_from(record_to_bytes(record)) == record
+    for value in (None, b"no", b"[]", b'{"a": 1}', b'{"a": ["x", 1]}'):
+        assert record_from(value) is None
+    assert POISON_REQUEST_PREFIX.endswith("/")
--- a/tests/slots/network.py
+++ b/tests/slots/network.py
@@ -17,7 +17,7 @@
 from wharfcart.experiments.virtual_time import run_virtually, virtual_clock
 from wharfcart.observability.decisions import DecisionLog
 from wharfcart.observability.serving_metrics import ServingMetrics
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_selection import BackendSelector
 from wharfcart.routing.placement import PlacementRequest
 from wharfcart.slots.events import HolderId
 from wharfcart.slots.fleet_load import FleetLoad
@@ -45,7 +45,7 @@
     """A node that can grant slots."""
 
     def __init__(
-        self, number: int, selector: BackendChoice, limits: dict[str, RequestLimit]
+        self, number: int, selector: BackendSelector, limits: dict[str, RequestLimit]
     ) -> None:
         self.address = Address("node", number)
         self.leadership_unconfirmed = False  # another node may already lead
@@ -235,8 +235,8 @@
         self.tasks = [asyncio.create_task(node.service.run()) for node in self.nodes]
         self.holders: dict[str, Holder] = {}
 
-    def new_selector(self, zone: str = "z") -> BackendChoice:
-        selector = BackendChoice(zone, self.rng)
+    def new_selector(self, zone: str = "z") -> BackendSelector:
+        selector = BackendSelector(zone, self.rng)
         for n in range(self.servers):
             selector.put(BackendInstance(f"i{n}", "s", "127.0.0.1", 1, "z", self.slots, True))
         return selector
