--- a/src/wharfcart/slots/fleet_load.py
+++ b/src/wharfcart/slots/fleet_load.py
@@ -1,4 +1,4 @@
-"""Load of all back ends as the granting nodes report it, for a gateway's local selection."""
+"""Load of all back ends as the granting nodes report it, for a gateway's local choice."""
 
 from wharfcart.clock import monotonic
 from wharfcart.routing.backend_selection import BackendSelector
--- a/src/wharfcart/slots/granted_placement.py
+++ b/src/wharfcart/slots/granted_placement.py
@@ -1,4 +1,4 @@
-"""A gateway's placement: requests slots from granting nodes, with local selection as fallback."""
+"""A gateway's placement: requests slots from granting nodes, with local choice as fallback."""
 
 from collections.abc import Callable, Collection
 from dataclasses import dataclass
@@ -51,7 +51,7 @@
         sessions: sessions with the granting nodes.
         distance: distance of a group's back ends from this gateway.
         connected: instances that this gateway has an open connection to.
-        counter: counts placements by label: ``grant`` or ``own_choice`` (local selection).
+        counter: counts placements by label: ``grant`` or ``own_choice`` (local choice).
         relays: gateways that request permits on behalf of this one.
     """
 
--- a/tests/slots/network.py
+++ b/tests/slots/network.py
@@ -279,8 +279,8 @@
         "unread_tokens": 0,
         "request_id": "r",
         "route_name": "route",
-        "in_time_until": now + 1.0,
-        "leave_at": now + waits_s,
+        "start_deadline": now + 1.0,
+        "queue_deadline": now + waits_s,
         "priority": 0,
     }
     return PlacementRequest(**(values | more))
--- a/tests/slots/test_cold_property.py
+++ b/tests/slots/test_cold_property.py
@@ -38,7 +38,7 @@
     """Conditions during a period.
 
     Attributes:
-        disconnected_fraction: share of the gateways that reach no granting node and select locally.
+        disconnected_fraction: share of the gateways that reach no granting node and choose locally.
         cold: instances that are cold.
         change: change of the granting nodes at the start of the period.
         delay_fraction: delay between permit and arrival, as a fraction of the longest one.
--- a/tests/slots/test_evacuated_zones.py
+++ b/tests/slots/test_evacuated_zones.py
@@ -1,4 +1,4 @@
-"""Evacuated zones get no new work by grants, offers or local selection."""
+"""Evacuated zones get no new work by grants, offers or local choice."""
 
 import asyncio
 from collections.abc import Iterable
--- a/tests/slots/test_sessions.py
+++ b/tests/slots/test_sessions.py
@@ -440,7 +440,7 @@
 
 
 def test_granted_slot_is_used_although_peers_avoid_its_back_end() -> None:
-    """The granting node knows more than the snapshot; local selection would cause a herd."""
+    """The granting node knows more than the snapshot; local choice would cause a herd."""
 
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
