--- a/src/wharfcart/batch/__init__.py
+++ b/src/wharfcart/batch/__init__.py
@@ -1,1 +1,1 @@
-"""Batch jobs: scheduling and running of items."""
+"""Batch jobs: scheduling and execution of items."""
--- a/src/wharfcart/batch/files.py
+++ b/src/wharfcart/batch/files.py
@@ -1,4 +1,4 @@
-"""Uploaded files: lines checked as they arrive and written to the journal a chunk at a time."""
+"""Uploaded batch files: checks lines as they arrive and writes them to the journal in chunks."""
 
 import hashlib
 import json
@@ -23,7 +23,11 @@
 
 
 class InvalidLinesError(Exception):
-    """Some lines of a file cannot be items; carries row numbers (from 1) and reasons."""
+    """Lines of a batch file are invalid.
+
+    Attributes:
+        findings: line numbers, starting at 1, with reasons.
+    """
 
     def __init__(self, findings: list[tuple[int, str]]) -> None:
         super().__init__("; ".join(f"line {row}: {reason}" for row, reason in findings))
@@ -32,7 +36,15 @@
 
 @dataclass
 class LineChecker:
-    """Checks lines of a batch file and tells each one's service."""
+    """Checks the lines of a batch file and determines their services.
+
+    Attributes:
+        tenant: owner of the file.
+        find_service: returns a tenant's service by name, or None.
+        service_names: services in the order of their first use.
+        findings: line numbers, starting at 1, with reasons.
+        rows: number of checked lines.
+    """
 
     tenant: str
     find_service: FindService
@@ -42,7 +54,7 @@
     _custom_ids: set[int] = field(default_factory=set)
 
     def check(self, line: bytes) -> int:
-        """Check one line; return the index of its service, 0 if it is bad."""
+        """Check one line; return the index of its service, or 0 if the line is invalid."""
         self.rows += 1
         reason, class_ = self._validate(line)
         if reason is not None and len(self.findings) < MAX_FINDINGS:
@@ -50,7 +62,7 @@
         return class_
 
     def record_too_long(self, max_bytes: int) -> None:
-        """Note a line longer than allowed."""
+        """Record that the next line exceeds the length limit."""
         self.findings.append((self.rows + 1, f"longer than {max_bytes} bytes"))
 
     def _validate(self, line: bytes) -> tuple[str | None, int]:
@@ -66,17 +78,17 @@
             return "not an object", 0
         custom_id = item.get("custom_id")
         if not isinstance(custom_id, str):
-            return "custom_id is missing or no string", 0
-        # Hashes, not the ids themselves: a file may hold 690,000 of them.
+            return "custom_id is missing or not a string", 0
+        # Keeps hashes instead of ids to limit memory: a file may have hundreds of thousands.
         if hash(custom_id) in self._custom_ids:
-            return f"custom_id {custom_id!r} stands twice", 0
+            return f"custom_id {custom_id!r} is used twice", 0
         self._custom_ids.add(hash(custom_id))
         return self._validate_target(item)
 
     def _validate_target(self, item: dict[str, object]) -> tuple[str | None, int]:
         url = item.get("url")
         if not isinstance(url, str):
-            return "url is missing or no string", 0
+            return "url is missing or not a string", 0
         if not isinstance(item.get("body", {}), dict):
             return "body is not an object", 0
         name = service_name_of(item)
@@ -110,7 +122,15 @@
 
 
 class FileWriter:
-    """Writes one uploaded file to the journal, line by line, holding a chunk at a time."""
+    """Writes one uploaded file to the journal, buffering one chunk of lines.
+
+    Args:
+        journal: client of the shards' leaders.
+        tenant: owner of the file.
+        shard: shard that stores the file.
+        checker: checks the lines.
+        max_line_bytes: length limit of a line.
+    """
 
     def __init__(
         self,
@@ -134,13 +154,11 @@
         self._digest = hashlib.sha256()
 
     async def write(self, data: bytes) -> None:
-        """Take the next bytes of the file.
+        """Process the next bytes of the file.
 
-        Raises
-        ------
-        InvalidLinesError
-            Once a line is longer than allowed or enough findings have gathered.
-        ServingError
+        Raises:
+            InvalidLinesError: a line is too long, or ``MAX_FINDINGS`` lines are invalid.
+            ServingError: the journal did not accept the lines.
         """
         self._bytes += len(data)
         self._digest.update(data)
@@ -162,11 +180,11 @@
             await self._append()
 
     async def finish(self, filename: str) -> FileRecord:
-        """Seal the file.
+        """Write the remaining lines, seal the file and return its record.
 
-        Raises
-        ------
-        InvalidLinesError, ServingError
+        Raises:
+            InvalidLinesError: a line is invalid.
+            ServingError: the journal did not accept the lines.
         """
         if self._buffer.strip():
             self._add_line(bytes(self._buffer))
--- a/src/wharfcart/batch/held_leases.py
+++ b/src/wharfcart/batch/held_leases.py
@@ -1,4 +1,4 @@
-"""Leases that a runner holds: their open rows, and results on the way to the journal."""
+"""Leases that a runner holds, with their unfinished rows and uncommitted results."""
 
 import asyncio
 import logging
@@ -21,7 +21,7 @@
 POLL_TIMEOUT_S = 4.0
 FLUSH_INTERVAL_S = 0.05
 MAX_UNFLUSHED_RESULTS = 64
-# A revocation goes to all runners of a node and may overtake the grant; so many are remembered.
+# Revocations remembered for unknown leases, since a revocation may arrive before its grant.
 MAX_EARLY_REVOCATIONS = 256
 
 logger = logging.getLogger(__name__)
@@ -29,7 +29,17 @@
 
 @dataclass
 class HeldLease:
-    """One lease."""
+    """A lease that a runner holds.
+
+    Attributes:
+        lease_id: id of the lease.
+        shard: shard of the job.
+        job_id: job of the leased items.
+        repeatable: whether the items may run twice.
+        open_rows: rows that have no result yet.
+        results: results that are not committed yet.
+        revoked: whether the leader has revoked the lease.
+    """
 
     lease_id: str
     shard: int
@@ -41,26 +51,30 @@
 
 
 class HeldLeases:
-    """All leases of one runner."""
+    """All leases of one runner.
+
+    Args:
+        holder: node that holds the leases.
+        backend_id: back end that runs the items.
+        journal: client of the shards' leaders.
+    """
 
     def __init__(self, holder: str, backend_id: str, journal: JournalClient) -> None:
         self._holder = holder
         self._backend_id = backend_id
         self._journal = journal
         self._leases: dict[str, HeldLease] = {}
-        self._early_revocations: dict[
-            str, None
-        ] = {}  # ids of leases that were not held, oldest first
+        self._early_revocations: dict[str, None] = {}  # lease ids, oldest first
         self._flush_requested = asyncio.Event()
 
     def add(self, lease: HeldLease) -> bool:
-        """Hold a lease that was granted; False if it was revoked before its grant arrived."""
+        """Add a granted lease; return False if it was revoked before its grant arrived."""
         lease.revoked = lease.lease_id in self._early_revocations
         self._leases[lease.lease_id] = lease
         return not lease.revoked
 
     def revoke(self, lease_id: str) -> HeldLease | None:
-        """Mark a lease as revoked; return it if it is held and was not revoked before."""
+        """Mark a lease as revoked; return it, or None if it is unknown or already revoked."""
         lease = self._leases.get(lease_id)
         if lease is None:
             self._early_revocations[lease_id] = None
@@ -76,14 +90,13 @@
         """Return all held leases."""
         return list(self._leases.values())
 
-    # ---- asking leaders ----
+    # ---- polling leaders ----
 
     async def poll(self, shard: int, targets: Iterable[str], max_items: int) -> LeaseGrant:
-        """Renew the leases of a shard and ask for up to ``most`` new items.
+        """Renew the leases of a shard and request up to ``max_items`` new items.
 
-        Raises
-        ------
-        ServingError
+        Raises:
+            ServingError: the shard's leader could not be reached.
         """
         poll = LeasePoll(
             shard=shard,
@@ -97,13 +110,13 @@
         return answer.lease_grant
 
     async def renew_all(self) -> list[str]:
-        """Renew everything held; return the leases that ended or whose job was cancelled."""
+        """Renew all leases; return the ids of those that ended or whose job was cancelled."""
         revoked: list[str] = []
         for shard in {lease.shard for lease in self._leases.values()}:
             try:
                 grant = await self.poll(shard, (), 0)
             except ServingError as error:
-                logger.debug("not renewed", extra={"shard": shard, "cause": str(error)})
+                logger.debug("lease renewal failed", extra={"shard": shard, "cause": str(error)})
                 continue
             revoked.extend(grant.revoked)
         return revoked
@@ -111,7 +124,7 @@
     # ---- results ----
 
     def record(self, lease_id: str, result: ItemResult) -> None:
-        """Keep a result until the next flush."""
+        """Queue a result for the next flush."""
         lease = self._leases.get(lease_id)
         if lease is None:
             return
@@ -121,7 +134,7 @@
             self._flush_requested.set()
 
     async def flush_loop(self) -> None:
-        """Commit results in groups, for ever."""
+        """Commit results in groups until cancelled."""
         while True:
             try:
                 async with asyncio.timeout(FLUSH_INTERVAL_S):
@@ -132,7 +145,7 @@
             await self.flush()
 
     async def flush(self) -> None:
-        """Commit all results."""
+        """Commit all queued results."""
         await asyncio.gather(*(self._commit(lease) for lease in self.held() if lease.results))
 
     async def _commit(self, lease: HeldLease) -> None:
@@ -142,8 +155,11 @@
         try:
             await self._journal.propose(lease.shard, command)
         except ServingError as error:
-            # The items ran: their results are kept and proposed again with the next flush.
-            logger.warning("results not committed yet", extra={"cause": str(error)})
+            # Keeps the results of completed items; the next flush proposes them again.
+            logger.warning(
+                "commit of results failed; retrying with the next flush",
+                extra={"cause": str(error)},
+            )
             lease.results = results + lease.results
             return
         if not lease.open_rows and not lease.results:
@@ -152,16 +168,16 @@
     # ---- ending ----
 
     async def return_rows(self, lease: HeldLease, not_run: list[int]) -> None:
-        """Give rows back that surely did not run; the others of the lease stay held."""
+        """Return rows that certainly did not run; the lease keeps its other rows."""
         lease.open_rows.difference_update(not_run)
         await self._propose_lease_end(lease, LeaseEnd(rows=not_run, not_run=not_run))
 
     async def release(self, lease: HeldLease, not_run: list[int]) -> None:
-        """End a lease: commit its results, give back the rest."""
+        """Commit the results of a lease and return its other rows."""
         if lease.results:
             await self._commit(lease)
         if lease.results:
-            return  # left to lapse, with the results proposed again until then
+            return  # the lease expires later; flushes propose the results again until then
         self._leases.pop(lease.lease_id, None)
         if lease.open_rows:
             await self._propose_lease_end(lease, LeaseEnd(not_run=not_run))
@@ -173,4 +189,7 @@
         try:
             await self._journal.propose(lease.shard, command, POLL_TIMEOUT_S)
         except ServingError as error:
-            logger.info("left to lapse", extra={"lease": lease.lease_id, "cause": str(error)})
+            logger.info(
+                "release of a lease failed; it will expire",
+                extra={"lease": lease.lease_id, "cause": str(error)},
+            )
--- a/src/wharfcart/batch/ids.py
+++ b/src/wharfcart/batch/ids.py
@@ -1,4 +1,4 @@
-"""Ids of files and jobs: each names the journal shard that keeps it."""
+"""Ids of files and jobs; each contains the number of the journal shard that stores it."""
 
 import uuid
 
@@ -8,7 +8,7 @@
 
 
 def shard_of_id(id_: str) -> int | None:
-    """Return the shard that an id of a file or job names, or None if it is none of ours."""
+    """Return the shard number in an id of a file or job, or None if the id is malformed."""
     for prefix in (FILE_PREFIX, JOB_PREFIX):
         if id_.startswith(prefix):
             digits = id_.removeprefix(prefix)[:SHARD_DIGITS]
@@ -20,5 +20,5 @@
 
 
 def new_id(prefix: str, shard: int) -> str:
-    """Return a fresh id on a shard."""
+    """Return a new id on a shard."""
     return f"{prefix}{shard:0{SHARD_DIGITS}x}{uuid.uuid4().hex[:20]}"
--- a/src/wharfcart/batch/item_run.py
+++ b/src/wharfcart/batch/item_run.py
@@ -1,4 +1,4 @@
-"""One batch item at back ends: sends, resumption after a cut, and when it has failed for good."""
+"""Attempts of one batch item at back ends, with resumption after an interruption."""
 
 import asyncio
 from collections.abc import Callable
@@ -30,7 +30,7 @@
 
 
 class RunOutcome(StrEnum):
-    """How one send of an item ended."""
+    """Outcome of one attempt to run an item."""
 
     SUCCEEDED = "succeeded"
     FAILED = "failed"
@@ -39,19 +39,21 @@
     INTERRUPTED = "broken"
 
 
-# The back end has run the item to an end, and lives.
+# Outcomes after which the back end is known to be alive.
 _FINISHED_RUNS = frozenset({RunOutcome.SUCCEEDED, RunOutcome.FAILED, RunOutcome.UNPROCESSABLE})
 
 
 @dataclass
 class ItemProgress:
-    """What is known of an item that has no result yet.
-
-    Parameters
-    ----------
-    partial_text: events of the item so far and where it failed, perhaps under an earlier leader.
-    not_before: monotonic time of the next send.
-    run_time_s: sum of the times of its sends.
+    """Progress of an item that has no result yet.
+
+    Attributes:
+        partial_text: events received so far and instances that failed the item, including those
+            from earlier leaders.
+        not_before: monotonic time before which no attempt starts.
+        last_instance_id: back end of the last attempt, or ''.
+        attempts: number of attempts under this leader.
+        run_time_s: total duration of the attempts under this leader.
     """
 
     partial_text: RunningText
@@ -62,12 +64,12 @@
     _fingerprint: ContentId | None = None
 
     def fingerprint_of(self, item: RequestItem, host: str, tenant: str) -> ContentId:
-        """Return what the item is known by: the same as a request of its tenant.
+        """Return the item's fingerprint, equal to that of an identical request of its tenant.
 
         Args:
-            item: whose progress this is.
-            host: of its job's submission.
-            tenant: whose job it is, or ''.
+            item: the item of this progress.
+            host: host at which the job was submitted.
+            tenant: tenant of the job, or ''.
         """
         if self._fingerprint is None:
             self._fingerprint = content_of(host, ITEM_METHOD, item.path, tenant, item.body)
@@ -75,25 +77,27 @@
 
     @property
     def failure_count(self) -> int:
-        """Number of answers that said that it failed."""
+        """Number of answers that reported a failure."""
         return len(self.partial_text.failed_at)
 
     @property
     def failed_instance_ids(self) -> set[str]:
-        """Incarnations that gave these."""
+        """Back-end instances that reported a failure."""
         return set(self.partial_text.failed_at)
 
 
 @dataclass(frozen=True)
 class ItemAttempt:
-    """One send of an item.
-
-    Parameters
-    ----------
-    host: of the job's submission.
-    tenant: whose job it is; '' where callers need no key.
-    send_id: number under which the item is already counted in flight at the back end.
-    give_up_at: monotonic time after which nobody waits for the result.
+    """One attempt to run an item at a back end.
+
+    Attributes:
+        item: the item to run.
+        host: host at which the job was submitted.
+        tenant: tenant of the job; '' if callers need no API key.
+        state: state of the back end.
+        send_id: id under which the selector already counts the item as in flight.
+        progress: progress of the item, updated by the attempt.
+        give_up_at: monotonic time after which the result is no longer needed.
     """
 
     item: RequestItem
@@ -105,12 +109,19 @@
     give_up_at: float
 
     def fingerprint(self) -> ContentId:
-        """Return what the item is known by beyond this send."""
+        """Return the item's fingerprint, which is the same for all attempts."""
         return self.progress.fingerprint_of(self.item, self.host, self.tenant)
 
 
 class ItemRunner:
-    """Sends items to back ends."""
+    """Runs items at back ends.
+
+    Args:
+        selector: state of the back ends.
+        pool: connections to the back ends.
+        connection_limit: returns the connection limit of a service.
+        crash_detector: decides whether an interrupted run means a crashed back end.
+    """
 
     def __init__(
         self,
@@ -125,13 +136,13 @@
         self._crash_detector = crash_detector
 
     def _is_quarantined(self, attempt: ItemAttempt) -> bool:
-        """Whether back ends have ended while they ran the item."""
+        """Whether the item is suspected of crashing back ends."""
         return self._crash_detector.suspects.held_for_s(attempt.fingerprint, time()) > 0
 
     async def run(self, attempt: ItemAttempt) -> RunOutcome:
-        """Send an item once and read its events into its progress.
+        """Run an item once and add its events to its progress.
 
-        Cancelled, it ends the back end's work by closing the connection.
+        Cancellation closes the connection, which makes the back end stop its work.
         """
         attempt.progress.last_instance_id = attempt.state.instance.instance_id
         try:
@@ -148,11 +159,11 @@
         instance = attempt.state.instance
         placed_at = monotonic()
         connection = await self._pool.take(instance, self._connection_limit(instance.service))
-        ruled_out = self._selector.held_back(attempt.state, placed_at, monotonic()) is not None
-        if ruled_out or self._is_quarantined(attempt):
+        is_excluded = self._selector.held_back(attempt.state, placed_at, monotonic()) is not None
+        if is_excluded or self._is_quarantined(attempt):
             self._pool.give_back(instance, connection)
             return RunOutcome.REFUSED
-        began_at = monotonic()
+        started_at = monotonic()
         events_before = len(attempt.progress.partial_text.texts)
         try:
             outcome = await self._send_and_receive(connection, attempt)
@@ -161,15 +172,15 @@
             return RunOutcome.INTERRUPTED
         except ConnectionBrokenError as error:
             self._pool.discard(instance, connection)
-            answer_begun = len(attempt.progress.partial_text.texts) > events_before
+            answer_started = len(attempt.progress.partial_text.texts) > events_before
             await self._crash_detector.look_into(
                 BrokenRun(
                     attempt.item.item_id,
                     attempt.fingerprint(),
                     instance,
                     error.cause,
-                    answer_begun,
-                    monotonic() - began_at,
+                    answer_started,
+                    monotonic() - started_at,
                 )
             )
             return RunOutcome.INTERRUPTED
--- a/src/wharfcart/batch/job_execution.py
+++ b/src/wharfcart/batch/job_execution.py
@@ -1,8 +1,8 @@
 """Runs the items of a group's jobs while this node leads the group.
 
-Items run in slots that the granting nodes offer, and leave them when they are told to, so that
-online work finds its share; an item that was cut is taken up after its last event. Results are
-appended in the order in which they come and count once enough disks have them.
+Items run in slots that the granting nodes offer. The granting nodes preempt items when online
+requests need their slots; a preempted item resumes after its last event. Results are appended in
+the order of their arrival and are committed once a quorum of disks has them.
 """
 
 import asyncio
@@ -33,35 +33,35 @@
 from wharfcart.storage.job_leadership import JobLeadership
 from wharfcart.storage.job_records import JobRecord
 
-# Waiting items are told anew so often, and at most so often when much happens.
+# Longest and shortest time between two demand reports.
 DEMAND_INTERVAL_S = 0.1
 MIN_DEMAND_INTERVAL_S = 0.005
-# Waiting items are counted up to this number; more slots never come free at once.
+# Items counted in one demand report; more slots never become free at once.
 MAX_COUNTED_ITEMS = 256
-# With no more items than this it is looked for back ends that none of them takes.
+# Demand reports of up to this many items name the back ends that none of the items may use.
 MAX_ITEMS_FOR_EXCLUSION = 8
 REFUSED_RETRY_DELAY_S = 0.15
 INTERRUPTED_RETRY_DELAY_S = 0.05
 FAILED_RETRY_DELAY_S = 0.3
 PREEMPTED_RETRY_DELAY_S = 0.05
-# Clocks of the gateway that took the job and of a later leader may differ.
+# Tolerates a clock difference between the accepting gateway and a later leader.
 GIVE_UP_MARGIN_S = 6.0
-FORGET_PERIOD_S = 5.0
+FORGET_INTERVAL_S = 5.0
 
 
 class JobExecution:
-    """Items of one group's jobs, on its leader.
+    """Execution of one group's jobs on the group's leader.
 
     Args:
-        group: whose jobs they are.
-        runner: sends an item to a back end.
-        choice: what this node knows of the back ends.
-        configuration: the configuration in force, or None.
-        slots: offers slots for items and tells which items must leave.
-        keep_jobs_s: how long an ended job stays readable.
-        log: takes each decision on an item.
-        metrics: counts items.
-        suspects: items that are held back since back ends ended while they ran them.
+        group: the job group.
+        runner: sends items to back ends.
+        selector: state of the back ends as this node knows it.
+        configuration: returns the current configuration, or None.
+        slots: receives slot offers and preemptions for items.
+        keep_jobs_s: age up to which a completed or cancelled job stays readable.
+        log: decision log.
+        metrics: counters of items.
+        poison_requests: quarantine of requests that are suspected of crashing back ends.
     """
 
     def __init__(
@@ -98,13 +98,13 @@
     # ---- calls of the job service ----
 
     def job_accepted(self, job: RequestJob) -> None:
-        """Begin a job that counts."""
+        """Start a committed job."""
         if job.job_id not in self._scheduler.jobs:
             self._add_job(job, set())
             self._wake_up.set()
 
     def job_cancelled(self, job_id: str) -> None:
-        """Stop every item of a job at once."""
+        """Stop all items of a job at once."""
         scheduled = self._scheduler.remove(job_id)
         self._group.partial_texts.drop_job(job_id)
         if scheduled is None:
@@ -117,7 +117,7 @@
     # ---- slots ----
 
     def _handle_offer(self, slot: ItemSlot) -> None:
-        """Run the item that goes first in a slot that is offered, or give the slot back."""
+        """Start the first suitable item in an offered slot, or release the slot."""
         state = self._selector.state(slot.instance_id)
         found = None if state is None else self._next_item(slot.service, state)
         if state is None or self._selector.ruled_out(state) or found is None:
@@ -128,7 +128,7 @@
         self._wake_up.set()
 
     def _preempt(self, slot: HeldSlot, cause: LeaveCause) -> None:
-        """Have an item leave; it goes on later where it stopped."""
+        """Stop the item in a slot; it resumes later after its last event."""
         placed = self._placed.get_by_slot(slot)
         if placed is None or placed.is_stopping:
             return
@@ -148,7 +148,7 @@
     def _next_item(
         self, service: str, state: InstanceState
     ) -> tuple[ScheduledJob, RequestItem] | None:
-        """Return the item that goes first at a back end, of the jobs that may go there."""
+        """Return the first item that may start at a back end, by the due times of the jobs."""
         now = monotonic()
         instance_id = state.instance.instance_id
         for scheduled in self._jobs_by_due_time(service):
@@ -161,24 +161,24 @@
         return None
 
     def _startable_items(self, scheduled: ScheduledJob, now: float) -> Iterator[RequestItem]:
-        """Yield the items of a job that may be sent now, the first one first.
+        """Yield the items of a job that may start now, in order.
 
-        One that ends its back ends is held back here until it may go or is too old. None is sent
-        while this node, suspended a moment ago, may have been replaced as the leader.
+        Skips quarantined items. Yields nothing while leadership is unconfirmed after a suspension
+        of the process, because another node may lead by then.
         """
         if not self._group.is_confirmed:
             return
         job = scheduled.job
         for item in self._scheduler.startable_items(scheduled, now):
             progress = scheduled.progress_of(item.item_id)
-            content = partial(progress.fingerprint_of, item, job.host, job.tenant)
-            if not self._poison_requests.held_for_s(content, time()):
+            fingerprint = partial(progress.fingerprint_of, item, job.host, job.tenant)
+            if not self._poison_requests.held_for_s(fingerprint, time()):
                 yield item
 
     def _jobs_by_due_time(self, service: str) -> list[ScheduledJob]:
-        """Return the jobs of a service with items that wait, the one that goes first in front."""
+        """Return the jobs of a service with waiting items, in the order of their start."""
 
-        def makes_it(scheduled: ScheduledJob) -> bool:
+        def can_meet_objective(scheduled: ScheduledJob) -> bool:
             item = next(iter(scheduled.waiting.values()))
             return not self._urgency(scheduled, item, service).too_late
 
@@ -187,12 +187,12 @@
             for scheduled in self._scheduler.jobs_with_waiting_items()
             if self._service_of(scheduled.job) == service
         ]
-        return self._scheduler.by_due_time(jobs, makes_it)
+        return self._scheduler.by_due_time(jobs, can_meet_objective)
 
     def _excluded_instances(
         self, scheduled: ScheduledJob, item: RequestItem, service: str, now: float
     ) -> set[str]:
-        """Return the back ends that an item does not go to, unless there is no other."""
+        """Return the back ends that failed or last ran an item; empty if no other is usable."""
         progress = scheduled.progress_of(item.item_id)
         excluded = progress.failed_instance_ids | ({progress.last_instance_id} - {""})
         if not excluded:
@@ -202,15 +202,15 @@
         return excluded if usable else set()
 
     def _report_demand(self) -> None:
-        """Tell the granting nodes which items wait, by where they may run."""
-        with_demand = {
+        """Report waiting items to the granting nodes, by service and residence."""
+        current_demand = {
             (service, self._residence_of(scheduled.job))
             for scheduled in self._scheduler.jobs_with_waiting_items()
             if (service := self._service_of(scheduled.job))
         }
-        for service, residence in with_demand | self._reported_demand:
+        for service, residence in current_demand | self._reported_demand:
             self._slots.items_wait(service, self._demand(service, residence), residence)
-        self._reported_demand = with_demand
+        self._reported_demand = current_demand
 
     def _demand(self, service: str, residence: Residence) -> ItemDemand:
         now = monotonic()
@@ -236,7 +236,7 @@
         return ItemDemand(len(found), urgent, urgencies[0], frozenset(excluded))
 
     def _urgency(self, scheduled: ScheduledJob, item: RequestItem, service: str) -> Urgency:
-        """Return how an item stands against its due time."""
+        """Return the time until an item is due and its estimated remaining run time."""
         progress = scheduled.progress_of(item.item_id)
         remaining_s = self._estimate(service).remaining_s(
             len(progress.partial_text.texts), scheduled.job.objective_s, progress.run_time_s
@@ -249,7 +249,7 @@
     # ---- leadership ----
 
     def start(self) -> None:
-        """Begin to run the items of the jobs that this leader took over."""
+        """Start running the jobs that this leader took over."""
         leadership = self._group.leadership
         assert leadership is not None
         for record in leadership.jobs.values():
@@ -259,7 +259,7 @@
         self._tasks.spawn(self._run())
 
     def _learn_item_sizes(self, record: JobRecord) -> None:
-        """Learn how large a job's items are from the results that earlier leaders took."""
+        """Learn the size of a job's items from the results of earlier leaders."""
         service = self._service_of(record.job)
         if service is None:
             return
@@ -268,7 +268,7 @@
                 self._estimate(service).record_earlier_result(result.text.count(b"\n") + 1)
 
     def stop(self) -> None:
-        """Stop every item: another node leads, or none."""
+        """Stop all items after the loss of leadership."""
         self._tasks.cancel()
         self._scheduler = JobScheduler(self._group.partial_texts)
         self._reported_demand = set()
@@ -293,7 +293,7 @@
                     await self._wake_up.wait()
             except TimeoutError:
                 continue
-            # Much happens at a time on a large fleet.
+            # Combines wake-ups that arrive together.
             await asyncio.sleep(MIN_DEMAND_INTERVAL_S)
 
     def _give_up_expired_jobs(self) -> None:
@@ -309,21 +309,21 @@
         return configuration.route_for(job.host, job.path)
 
     def _service_of(self, job: RequestJob) -> str | None:
-        """Return the service that runs a job's items; None while no route leads to one."""
+        """Return the service that runs a job's items; None if no route matches."""
         route = self._route_of(job)
         return None if route is None else route.shares[0].service
 
     def _residence_of(self, job: RequestJob) -> Residence:
-        """Return where a job's items may run.
+        """Return the regions in which a job's items may run.
 
-        What was settled when it was taken, and what its route and tenant name now, both bind.
+        Intersects the residence at acceptance with the current one of the route and tenant.
         """
-        settled = residence_from_message(job)
+        accepted_residence = residence_from_message(job)
         configuration = self._configuration()
         route = self._route_of(job)
         if configuration is None or route is None:
-            return settled
-        return settled.intersect(configuration.residence_of(route, job.tenant))
+            return accepted_residence
+        return accepted_residence.intersect(configuration.residence_of(route, job.tenant))
 
     def _start_item(
         self, scheduled: ScheduledJob, item: RequestItem, state: InstanceState, slot: ItemSlot
@@ -348,11 +348,11 @@
     async def _run_item(self, placed: PlacedItem) -> None:
         scheduled, item = placed.scheduled, placed.item
         progress = scheduled.progress_of(item.item_id)
-        began_at = monotonic()
-        verdict = Verdict.UNKNOWN
+        started_at = monotonic()
+        backend_result = Verdict.UNKNOWN
         try:
             outcome = await self._attempt_item(placed, progress)
-            verdict = self._assess_backends(progress, placed.slot.instance_id, outcome)
+            backend_result = self._assess_backends(progress, placed.slot.instance_id, outcome)
         except asyncio.CancelledError:
             if scheduled.job.job_id not in self._scheduler.jobs:
                 raise
@@ -360,10 +360,10 @@
             self._scheduler.requeue(scheduled, item)
             return
         finally:
-            progress.run_time_s += monotonic() - began_at
+            progress.run_time_s += monotonic() - started_at
             scheduled.running.discard(item.item_id)
             self._placed.remove(placed)
-            self._slots.release(placed.slot, verdict)
+            self._slots.release(placed.slot, backend_result)
             self._wake_up.set()
         self._metrics.items.add(outcome.value)
         if outcome is RunOutcome.SUCCEEDED:
@@ -393,28 +393,30 @@
     def _assess_backends(
         self, progress: ItemProgress, instance_id: str, outcome: RunOutcome
     ) -> Verdict:
-        """Return what an outcome says of its back end; blame others that failed the item before.
+        """Return the result for the back end of an attempt.
 
-        An item that fails may itself be at fault: the back ends where it failed are to blame only
-        once it has succeeded elsewhere.
+        A failure may be the fault of the item itself, so it counts against the back ends only
+        after the item has succeeded at another one.
         """
         if outcome is RunOutcome.FAILED:
             progress.partial_text.failed_at.append(instance_id)
         elif outcome is RunOutcome.INTERRUPTED:
             return Verdict.BAD
         elif outcome is RunOutcome.SUCCEEDED:
-            for failed in progress.failed_instance_ids:
-                self._slots.blame(failed)
+            for failed_id in progress.failed_instance_ids:
+                self._slots.blame(failed_id)
             return Verdict.GOOD
         return Verdict.UNKNOWN
 
     def _has_failed_permanently(self, scheduled: ScheduledJob, progress: ItemProgress) -> bool:
-        """Whether an item failed often enough, at back ends that do well otherwise."""
-        trusted = sum(not self._slots.is_avoided(failed) for failed in progress.failed_instance_ids)
+        """Whether an item has used up its attempts."""
+        trusted_backends = sum(
+            not self._slots.is_avoided(failed_id) for failed_id in progress.failed_instance_ids
+        )
         return has_failed_permanently(
             progress.failure_count,
             len(progress.failed_instance_ids),
-            trusted,
+            trusted_backends,
             scheduled.job.most_attempts,
         )
 
@@ -494,7 +496,7 @@
         now = monotonic()
         if leadership is None or now < self._next_forget_at:
             return
-        self._next_forget_at = now + FORGET_PERIOD_S
+        self._next_forget_at = now + FORGET_INTERVAL_S
         for job_id in _expired_job_ids(leadership, time(), self._keep_jobs_s):
             leadership.forget(job_id)
         self._group.wake_sessions()
--- a/src/wharfcart/batch/job_scheduler.py
+++ b/src/wharfcart/batch/job_scheduler.py
@@ -1,6 +1,6 @@
-"""Scheduling core: which items of which jobs run next, earliest deadline first.
+"""Scheduling core: orders jobs and their items, earliest due time first.
 
-Pure: time is handed in as seconds.
+Pure: callers pass times in seconds.
 """
 
 from collections import OrderedDict
@@ -14,12 +14,16 @@
 
 @dataclass
 class ScheduledJob:
-    """A job whose items are not all done.
-
-    Parameters
-    ----------
-    due_at, give_up_at: monotonic times.
-    waiting: items that are not running and have no result, by id, the next one first.
+    """A job with unfinished items.
+
+    Attributes:
+        job: the job.
+        due_at: monotonic time at which the completion objective ends.
+        give_up_at: monotonic time after which unfinished items are given up.
+        waiting: items by id that neither run nor have a result, in the order of their start.
+        partial_texts: partial results of the group's items.
+        progress: progress of items that have no result, by item id.
+        running: ids of the items that run.
     """
 
     job: RequestJob
@@ -31,7 +35,7 @@
     running: set[str] = field(default_factory=set)
 
     def progress_of(self, item_id: str) -> ItemProgress:
-        """Return what is known of an item."""
+        """Return the progress of an item."""
         known = self.progress.get(item_id)
         if known is None:
             known = ItemProgress(self.partial_texts.of(self.job.job_id, item_id))
@@ -47,9 +51,14 @@
     jobs: dict[str, ScheduledJob] = field(default_factory=dict)
 
     def add(self, job: RequestJob, finished_item_ids: set[str], accepted_at: float) -> ScheduledJob:
-        """Take a job; ``done`` names the items that have their result.
+        """Add a job and return it.
+
+        Items with partial results of an earlier leader come first, the most advanced one in front.
 
-        Items that ran under an earlier leader come first, those with the most events in front.
+        Args:
+            job: the job.
+            finished_item_ids: items that already have a result.
+            accepted_at: monotonic time of acceptance.
         """
         waiting = [item for item in job.items if item.item_id not in finished_item_ids]
         waiting.sort(key=lambda item: self.partial_texts.events(item.item_id), reverse=True)
@@ -64,44 +73,45 @@
         return scheduled
 
     def remove(self, job_id: str) -> ScheduledJob | None:
-        """Drop a job that has ended."""
+        """Remove a completed or cancelled job; return it, or None if it is unknown."""
         return self.jobs.pop(job_id, None)
 
     def jobs_with_waiting_items(self) -> list[ScheduledJob]:
-        """Return the jobs with items that wait."""
+        """Return the jobs that have waiting items."""
         return [job for job in self.jobs.values() if job.waiting]
 
     def by_due_time(
         self, jobs: list[ScheduledJob], can_meet_objective: Callable[[ScheduledJob], bool]
     ) -> list[ScheduledJob]:
-        """Return jobs with items that wait, the one due first at the front.
+        """Return jobs sorted by due time.
 
-        Jobs that can't be done in time come last: what they lose is lost, others must not follow.
+        Jobs that can no longer meet their objective come last, so that they don't make other jobs
+        miss theirs.
 
         Args:
-            jobs: that are put in order.
-            can_meet_objective: whether the next item of a job may still be done in time.
+            jobs: jobs to sort.
+            can_meet_objective: whether the next item of a job can still finish in time.
         """
         return sorted(jobs, key=lambda job: (not can_meet_objective(job), job.due_at))
 
     def startable_items(self, scheduled: ScheduledJob, now: float) -> Iterator[RequestItem]:
-        """Yield the items of a job that may be sent now, the first one first."""
+        """Yield the waiting items of a job whose retry delay is over, in order."""
         for item in scheduled.waiting.values():
             if scheduled.progress_of(item.item_id).not_before <= now:
                 yield item
 
     def start_item(self, scheduled: ScheduledJob, item: RequestItem) -> None:
-        """Take an item off the queue, to run it."""
+        """Move an item from the queue to the running ones."""
         del scheduled.waiting[item.item_id]
         scheduled.running.add(item.item_id)
 
     def requeue(self, scheduled: ScheduledJob, item: RequestItem) -> None:
-        """Queue an item again, before those that were not begun."""
+        """Put a running item back at the front of the queue."""
         scheduled.running.discard(item.item_id)
         scheduled.waiting[item.item_id] = item
         scheduled.waiting.move_to_end(item.item_id, last=False)
 
     @property
     def open_items(self) -> int:
-        """Items without a result."""
+        """Number of items without a result."""
         return sum(len(job.waiting) + len(job.running) for job in self.jobs.values())
--- a/src/wharfcart/batch/job_service.py
+++ b/src/wharfcart/batch/job_service.py
@@ -1,6 +1,7 @@
-"""What gateways ask of a job group's leader: submissions, results, bodies, ends.
+"""Serves the gateways' calls on a job group: submissions, results, item bodies, cancellations.
 
-A node that does not lead, or can't be sure that it still does, says so; the gateway asks elsewhere.
+A node that does not lead the group, or whose leadership is unconfirmed, reports so in the status;
+the gateway then calls another node.
 """
 
 import asyncio
@@ -44,17 +45,17 @@
 WRITE_TIMEOUT_S = 3.0
 CONFIRMATION_TIMEOUT_S = 0.8
 MAX_PAGE_BYTES = 700_000
-# A submission has to be answered within a part of a second; a leader answers in milliseconds.
+# Keeps submissions short while another group's leader is unresponsive.
 COUNT_TIMEOUT_S = 0.15
-# A position from which on no job has results: an answer tells only that the job is there.
+# Result position beyond the last item of any job: the answer shows only whether the job exists.
 PAST_LAST_POSITION = 2**32 - 1
 
 
 class OtherGroups:
-    """What one group's leader asks of the leaders of all other groups.
+    """Calls from one group's leader to the leaders of all other groups.
 
     Args:
-        numbers: the other groups.
+        group_numbers: returns the numbers of the other groups.
         client: calls their leaders.
     """
 
@@ -63,9 +64,9 @@
         self._client = client
 
     async def waiting_tokens(self, job: RequestJob, limit: int) -> int:
-        """Return the tokens of a job's tenant that wait on its route at all other groups.
+        """Return the waiting tokens of a job's tenant and route in all other groups.
 
-        A group whose leader does not answer counts as having its equal share of the limit.
+        A group whose leader does not answer counts as its equal share of the limit.
         """
         numbers = self._group_numbers()
         counts = await asyncio.gather(*(self._waiting_tokens_at(group, job) for group in numbers))
@@ -73,7 +74,7 @@
         return sum(share if count is None else count for count in counts)
 
     async def job_status(self, job: RequestJob) -> JobStatus:
-        """Return whether another group has a job: DONE, NOT_FOUND, or UNSURE if one can't say."""
+        """Return DONE if another group has a job, UNSURE if one gives no answer, or NOT_FOUND."""
         statuses = await asyncio.gather(
             *(self._job_status_at(group, job) for group in self._group_numbers())
         )
@@ -105,15 +106,15 @@
 
 
 class JobGroupService:
-    """Calls on one job group.
+    """Serves calls on one job group.
 
     Args:
-        group: that is asked.
+        group: the job group.
         execution: runs the items while this node leads the group.
-        configuration: the configuration in force, or None.
-        others: the leaders of all other groups.
-        log: takes what becomes of jobs.
-        region_of: where each disk is.
+        configuration: returns the current configuration, or None.
+        other_groups: leaders of all other groups.
+        log: decision log.
+        region_of: returns the region of a disk, or None if it is unknown.
     """
 
     def __init__(
@@ -135,31 +136,31 @@
         self._had_restricted_residence = False
 
     async def submit(self, message: SubmitJob) -> JobAnswer:
-        """Take a job; answered once enough disks have it."""
+        """Accept a job; answers DONE once a quorum of disks has it."""
         leadership = self._group.leadership
         if leadership is None:
             return JobAnswer(status=NOT_LEADING, leader=self._leader())
         job = message.job
         record = leadership.jobs.get(job.job_id)
-        known = record is not None
+        is_known = record is not None
         if record is not None and not _belongs_to(record.job, job.tenant):
             return JobAnswer(status=TAKEN)
-        if not known:
+        if not is_known:
             self._pending_submissions[job.job_id] += 1
             try:
-                refusal = await self._refusal_reason(leadership, message)
+                refusal_status = await self._refusal_reason(leadership, message)
             finally:
                 self._pending_submissions[job.job_id] -= 1
                 self._pending_submissions += Counter()
-            if refusal is not None:
-                return JobAnswer(status=refusal, leader=self._leader())
+            if refusal_status is not None:
+                return JobAnswer(status=refusal_status, leader=self._leader())
         record = leadership.accept(job)
         self._group.wake_sessions()
         if not await self._wait_until_committed(leadership, job.job_id, 1):
             return JobAnswer(status=UNSURE)
         if not record.ended and not record.complete:
             self._execution.job_accepted(record.job)
-        if not known:
+        if not is_known:
             self._log.write(
                 Event.JOB_ACCEPTED,
                 job=job.job_id,
@@ -172,25 +173,25 @@
     async def _refusal_reason(
         self, leadership: JobLeadership, message: SubmitJob
     ) -> JobStatus | None:
-        """Return why a new job is not taken, or None if it is.
+        """Return the status that refuses a new job, or None to accept it.
 
-        Whether all disks are where its data may be is looked at last: the set may change while
-        others are asked.
+        Checks the regions of the disks again at the end, because the set of disks may change while
+        other groups are asked.
         """
         job = message.job
         self._restrict_residence(job)
         if not self._disks_allow(job):
             return self._refuse_outside_residence(job)
-        elsewhere = await self._status_in_other_groups(message)
-        if elsewhere is not None:
-            return elsewhere
+        other_status = await self._status_in_other_groups(message)
+        if other_status is not None:
+            return other_status
         if not await self._is_within_token_limit(leadership, job):
-            # One that no longer leads would refuse a job by what once waited.
+            # A former leader has an outdated count of waiting tokens and must not refuse by it.
             return REFUSED if await self._confirm_leadership() else self._unconfirmed_status()
         return None if self._disks_allow(job) else self._refuse_outside_residence(job)
 
     def _restrict_residence(self, job: RequestJob) -> None:
-        """Settle where a job's data may be: what its gateway says and this node knows both bind."""
+        """Intersect a job's residence with the one that this node's configuration gives."""
         configuration = self._configuration()
         if configuration is None:
             return
@@ -198,8 +199,10 @@
         route = configuration.route_for(job.host, job.path)
         if route is None:
             return
-        both = residence_from_message(job).intersect(configuration.residence_of(route, job.tenant))
-        message = residence_to_message(both)
+        allowed = residence_from_message(job).intersect(
+            configuration.residence_of(route, job.tenant)
+        )
+        message = residence_to_message(allowed)
         if message is not None:
             job.residence.CopyFrom(message)
 
@@ -220,16 +223,16 @@
         return OUTSIDE_RESIDENCE
 
     async def _status_in_other_groups(self, message: SubmitJob) -> JobStatus | None:
-        """Return what to answer for a job that another group has taken before, or may have.
-
-        A submission that is sent again after the residence of its route or tenant has changed, or
-        the groups that may hold it, comes to another group than the first one did. So the other
-        groups are asked by the id alone: one short call to each for a new job, and only while
-        residences are, or were since this process started, bound at all. Where one of them does
-        not answer, the job is refused if its gateway knows of a change of late, since its first
-        submission may be there; without one it is taken, or a region that is cut off would stop
-        all others. Not covered: a change that neither the gateway nor this leader has seen, both
-        having started since, while the group that has the job does not answer.
+        """Return the status for a job that another group has or may have, else None.
+
+        A resubmission reaches a different group if the residence of its route or tenant, or the set
+        of eligible groups, has changed since the first submission. All other groups are therefore
+        asked for the job id, if any residence is or was restricted since this process started. If a
+        group does not answer, the job is refused only if its gateway reports a recent change;
+        otherwise an unreachable region would block submissions in all other regions.
+
+        Limitation: a job may be accepted twice if gateway and leader both started after the change
+        and the group that has the job does not answer.
         """
         if not (self._had_restricted_residence or message.moved):
             return None
@@ -239,8 +242,8 @@
         return MAYBE_ELSEWHERE if status is UNSURE and message.moved else None
 
     async def read_results(self, message: ReadResults) -> ResultPage:
-        """Return the results from a position on; waits for one if asked to."""
-        until = monotonic() + message.wait_ms / 1000
+        """Return the results from a position; waits up to ``wait_ms`` for the first one."""
+        deadline = monotonic() + message.wait_ms / 1000
         while True:
             if not await self._confirm_leadership():
                 return ResultPage(status=self._unconfirmed_status(), leader=self._leader())
@@ -250,13 +253,13 @@
                 status = self._missing_status(leadership, message.job_id, message.tenant)
                 return ResultPage(status=status, leader=self._leader())
             results = leadership.counted_results(message.job_id, message.after)
-            left_s = until - monotonic()
+            left_s = deadline - monotonic()
             if results or left_s <= 0 or record.ended or message.after >= len(record.job.items):
                 return _result_page(len(record.job.items), results)
             await self._group.wait_progress(left_s)
 
     async def read_item_body(self, message: ReadItemBody) -> ItemBody:
-        """Return the body of an item that has no result yet."""
+        """Return the request body of an item."""
         if not await self._confirm_leadership():
             return ItemBody(status=self._unconfirmed_status(), leader=self._leader())
         leadership = self._group.leadership
@@ -270,15 +273,16 @@
         return ItemBody(status=NOT_FOUND)
 
     async def cancel(self, message: EndJob) -> JobAnswer:
-        """End a job; nothing of it is sent to a back end afterwards."""
+        """Cancel a job; none of its items is sent to a back end afterwards."""
         if not await self._confirm_leadership():
             return JobAnswer(status=self._unconfirmed_status(), leader=self._leader())
         leadership = self._group.leadership
         if leadership is None:
             return JobAnswer(status=NOT_LEADING, leader=self._leader())
-        known = leadership.jobs.get(message.job_id)
-        if known is None or not _belongs_to(known.job, message.tenant):
-            # One that is being taken is not denied: it would run although its end was asked for.
+        known_job = leadership.jobs.get(message.job_id)
+        if known_job is None or not _belongs_to(known_job.job, message.tenant):
+            # A job whose submission is pending is not reported as missing: it would run although
+            # its caller cancelled it.
             status = self._missing_status(leadership, message.job_id, message.tenant)
             return JobAnswer(status=status, leader=self._leader())
         record = leadership.end(message.job_id)
@@ -290,10 +294,8 @@
         self._log.write(Event.JOB_ENDED, job=message.job_id, results=len(record.results))
         return JobAnswer(status=DONE)
 
-    # ---- inner ----
-
     def count_waiting_tokens(self, message: CountWaitingTokens) -> WaitingTokens:
-        """Tell another leader how many tokens of a tenant wait here on a route."""
+        """Report the waiting tokens of a tenant and route to the leader of another group."""
         leadership = self._group.leadership
         configuration = self._configuration()
         if leadership is None or configuration is None:
@@ -305,10 +307,10 @@
         return WaitingTokens(status=DONE, tokens=tokens)
 
     async def _is_within_token_limit(self, leadership: JobLeadership, job: RequestJob) -> bool:
-        """Whether a new job keeps the limit of its tenant's tokens that wait on its route.
+        """Whether a new job fits the limit on waiting tokens of its tenant and route.
 
-        It holds over all groups. Jobs that come to several groups within the time of one call may
-        together exceed it.
+        The limit covers all groups. Jobs submitted to several groups at the same time may together
+        exceed it.
         """
         configuration = self._configuration()
         if configuration is None:
@@ -353,21 +355,21 @@
     async def _wait_until_committed(
         self, leadership: JobLeadership, job_id: str, version: int
     ) -> bool:
-        until = monotonic() + WRITE_TIMEOUT_S
+        deadline = monotonic() + WRITE_TIMEOUT_S
         while leadership.counted_version(job_id) < version:
-            left_s = until - monotonic()
+            left_s = deadline - monotonic()
             if left_s <= 0 or self._group.leadership is not leadership:
                 return False
             await self._group.wait_progress(left_s)
         return True
 
     async def _confirm_leadership(self) -> bool:
-        """Whether this node surely leads; waits for a confirmation that is about to come."""
+        """Whether this node's leadership is confirmed; waits briefly for a confirmation."""
         if self._group.leadership is None:
             return False
-        until = monotonic() + CONFIRMATION_TIMEOUT_S
+        deadline = monotonic() + CONFIRMATION_TIMEOUT_S
         while not self._group.leads_freshly:
-            if monotonic() > until or self._group.leadership is None:
+            if monotonic() > deadline or self._group.leadership is None:
                 return False
             await self._group.wait_progress(0.05)
         return True
@@ -382,7 +384,7 @@
     def _visible_job(
         self, leadership: JobLeadership | None, job_id: str, tenant: str
     ) -> JobRecord | None:
-        """Return a job that counts and that a caller may see, or None."""
+        """Return a committed job that a tenant may see, or None."""
         if leadership is None or leadership.counted_version(job_id) == 0:
             return None
         record = leadership.jobs[job_id]
@@ -394,19 +396,19 @@
         if leadership is None:
             return NOT_LEADING
         record = leadership.jobs.get(job_id)
-        # A job that is known but does not count yet may still come to count, and so may one that is
-        # being taken: of two groups that take it at once each must learn of the other.
+        # Both an uncommitted job and a pending submission may still be committed. UNSURE also lets
+        # two groups that receive a job at the same time learn of each other.
         if record is None:
             return UNSURE if job_id in self._pending_submissions else NOT_FOUND
         return UNSURE if _belongs_to(record.job, tenant) else NOT_FOUND
 
 
 def _belongs_to(job: RequestJob, tenant: str) -> bool:
-    """Whether a job is a tenant's; one that was taken before the fleet had tenants is anyone's.
+    """Whether a tenant may see a job; a job without a tenant is visible to everyone.
 
     Args:
-        job: that is asked for.
-        tenant: who asks; '' where callers need no key.
+        job: the job.
+        tenant: tenant of the caller; '' if callers need no API key.
     """
     return not tenant or job.tenant in ("", tenant)
 
--- a/src/wharfcart/batch/jobs.py
+++ b/src/wharfcart/batch/jobs.py
@@ -1,4 +1,4 @@
-"""Files and jobs as the gateway sees them: any node can serve any of them."""
+"""Files and jobs of the batch API; any node serves any of them."""
 
 import asyncio
 import hashlib
@@ -35,7 +35,15 @@
 
 @dataclass(frozen=True)
 class NewJob:
-    """What a caller asks for."""
+    """Parameters of a job to create.
+
+    Attributes:
+        file_id: input file.
+        endpoint: API path of the items.
+        window_seconds: completion window.
+        metadata: metadata of the caller, stored as it is.
+        idempotency_key: key that identifies repeated requests, or None.
+    """
 
     file_id: str
     endpoint: str
@@ -45,7 +53,13 @@
 
 
 class BatchApiService:
-    """Files and jobs of all tenants."""
+    """Files and jobs of all tenants.
+
+    Args:
+        journal: client of the shards' leaders.
+        find_service: returns a tenant's service by name, or None.
+        max_line_bytes: length limit of a line of a file.
+    """
 
     def __init__(
         self, journal: JournalClient, find_service: FindService, max_line_bytes: int
@@ -57,11 +71,10 @@
     # ---- files ----
 
     def new_file(self, tenant: str) -> FileWriter:
-        """Begin a file on a random shard.
+        """Return a writer for a new file on a random shard.
 
-        Raises
-        ------
-        ServingError
+        Raises:
+            ServingError: the number of shards is not known yet.
         """
         shard = random.randrange(self._journal.shard_count)
         checker = LineChecker(tenant, self._find_service)
@@ -70,10 +83,8 @@
     async def find_file(self, tenant: str, file_id: str) -> FileRecord:
         """Return a sealed file of the tenant.
 
-        Raises
-        ------
-        ServingError
-            ``file_not_found``.
+        Raises:
+            ServingError: ``file_not_found`` if the tenant has no such file.
         """
         shard = self._checked_shard(file_id, "file")
         frame = Frame(read_file=ReadFile(shard=shard, file_id=file_id))
@@ -93,12 +104,11 @@
     # ---- jobs ----
 
     async def create(self, tenant: Tenant, new_job: NewJob) -> JobView:
-        """Create a job, or return the one that the same key made before.
+        """Create a job, or return the one created before with the same idempotency key.
 
-        Raises
-        ------
-        ServingError
-            ``key_conflict`` (422) if the key stands for another job.
+        Raises:
+            ServingError: ``key_conflict`` (422) if the key belongs to a different job;
+                ``too_many_jobs`` (429) if the tenant has reached its limit.
         """
         source = await self.find_file(tenant.name, new_job.file_id)
         job_id = new_id(JOB_PREFIX, self._checked_shard(new_job.file_id, "file"))
@@ -106,7 +116,7 @@
         if new_job.idempotency_key is not None:
             claimed = await self._claim_idempotency_key(tenant.name, new_job, source, job_id)
             job_id, file_id = claimed.request_id, claimed.target
-        if file_id == new_job.file_id:  # else the job exists already, made of an earlier upload
+        if file_id == new_job.file_id:  # otherwise the job already exists, from an earlier upload
             await self._check_job_limit(tenant, job_id)
         create = JobCreate(
             job_id=job_id,
@@ -131,7 +141,7 @@
     async def _claim_idempotency_key(
         self, tenant: str, new_job: NewJob, source: FileRecord, job_id: str
     ) -> KeyStart:
-        """Let the key's shard decide which job the key stands for."""
+        """Bind the idempotency key to a job id on the key's shard; return the stored binding."""
         key = f"job/{tenant}/{new_job.idempotency_key}"
         content = f"{source.digest}\0{new_job.endpoint}\0".encode() + new_job.metadata
         digest = hashlib.sha256(content).hexdigest()
@@ -141,7 +151,7 @@
         result: ProposeResult = await self._journal.propose(shard, command)
         if result.code == "key_conflict":
             raise ServingError(
-                "key_conflict", "this Idempotency-Key stands for another request", 422
+                "key_conflict", "this Idempotency-Key belongs to another request", 422
             )
         return result.key_record.start
 
@@ -151,7 +161,7 @@
         if len(running) >= tenant.limits.concurrent_jobs:
             raise ServingError(
                 "too_many_jobs",
-                "the tenant's limit of jobs is reached",
+                "the tenant has reached its limit of concurrent jobs",
                 429,
                 retry_after_seconds=30,
             )
@@ -159,10 +169,8 @@
     async def find(self, tenant: str, job_id: str) -> JobView:
         """Return a job of the tenant.
 
-        Raises
-        ------
-        ServingError
-            ``batch_not_found``.
+        Raises:
+            ServingError: ``batch_not_found`` if the tenant has no such job.
         """
         query = JobQuery(shard=self._checked_shard(job_id, "batch"), tenant=tenant, job_id=job_id)
         found = await self._journal.query_jobs(query)
@@ -181,12 +189,10 @@
         return sorted(jobs, key=lambda job: -job.created_ms)[:max_jobs]
 
     async def cancel(self, tenant: str, job_id: str) -> JobView:
-        """Cancel a job.
+        """Cancel a job and return it.
 
-        Raises
-        ------
-        ServingError
-            ``batch_not_found``.
+        Raises:
+            ServingError: ``batch_not_found`` if the tenant has no such job.
         """
         shard = self._checked_shard(job_id, "batch")
         cancel = JobCancel(job_id=job_id, tenant=tenant)
@@ -199,11 +205,13 @@
     async def results(
         self, job: JobView, completed: bool | None, first: int = 0, end: int | None = None
     ) -> AsyncIterator[bytes]:
-        """Yield output lines in input order, so far as items ended.
+        """Yield the output lines of finished items in input order.
 
-        Parameters
-        ----------
-        completed: only completed items if True, only others if False, all if None.
+        Args:
+            job: the job.
+            completed: yield only completed items if True, only others if False, all if None.
+            first: first row.
+            end: row at which to stop, or None for no bound.
         """
         shard = self._checked_shard(job.job_id, "batch")
         async for row in self._journal.iterate_rows(shard, RowKind.RESULT, job.job_id, first, end):
@@ -212,7 +220,7 @@
                 yield result.body or await self._unknown_outcome_line(shard, job, row.number)
 
     async def _unknown_outcome_line(self, shard: int, job: JobView, row: int) -> bytes:
-        """Return the output line of an item whose lease ended without a word."""
+        """Return the output line of an item whose lease ended without a result."""
         lines = await self._journal.read_rows(shard, RowKind.LINE, job.file_id, row, most=1)
         line = lines[0].value if lines else b"{}"
         return error_line(line, f"{job.job_id}-{row}", "unknown", Outcome.UNKNOWN)
@@ -224,7 +232,7 @@
         return shard
 
     def _not_found(self, kind: str, id_: str) -> ServingError:
-        """Return the error that there is no such record, and log what it rests on."""
+        """Return the error for a missing record; logs the shards known to this node."""
         known_shards = sorted(self._journal.placement.shards)
         details = {"what": kind, "id": id_, "shard": shard_of_id(id_), "known_shards": known_shards}
         logger.info("record not found", extra=details)
--- a/src/wharfcart/batch/leader.py
+++ b/src/wharfcart/batch/leader.py
@@ -1,4 +1,4 @@
-"""Batch leader driver: hands out items of the shards this node leads."""
+"""Batch leader: leases out the items of the shards that this node leads."""
 
 import asyncio
 import logging
@@ -38,7 +38,15 @@
 
 
 class BatchLeader:
-    """Scheduling for the shards led here."""
+    """Leases, job queries and housekeeping of the shards that this node leads.
+
+    Args:
+        journal: shards of this node.
+        find_service: returns a tenant's service by name, or None.
+        weight_of: returns the scheduling weight of a tenant.
+        retention_hours: time for which finished jobs and unused files are kept.
+        send_revocation: sends ids of revoked leases to a holder.
+    """
 
     def __init__(
         self,
@@ -57,7 +65,7 @@
         self._last_expire_at = 0.0
 
     def leadership_changed(self, shard: int, leads: bool) -> None:
-        """Start or drop the scheduling of a shard; nothing of it is carried over."""
+        """Start or stop scheduling a shard; scheduling state does not survive the change."""
         self._schedulers.pop(shard, None)
         if leads:
             state = self._journal.shards[shard].state
@@ -77,12 +85,10 @@
     # ---- polls ----
 
     async def poll(self, poll: LeasePoll) -> LeaseGrant:
-        """Renew the holder's leases and give it new items.
+        """Renew the holder's leases and grant it new ones.
 
-        Raises
-        ------
-        ServingError
-            ``not_leader``.
+        Raises:
+            ServingError: ``not_leader`` if this node does not lead the shard.
         """
         shard = self._journal.leading_shard(poll.shard)
         scheduler = self._scheduler_of(shard)
@@ -108,7 +114,7 @@
             backend_id=poll.backend_id,
         )
         try:
-            # The lease is on disk before the first item goes out: it is the items' `started`.
+            # Commits the lease before any item is sent: it records that the items may have started.
             result = await self._journal.propose(shard.number, stamped_command(items_lease=items))
         finally:
             scheduler.release_reservation(choice)
@@ -124,13 +130,13 @@
         lines: dict[int, bytes] = {}
         for row in lease.rows:
             if row not in lines:
-                wanted = lease.rows[-1] - row + 1
+                max_rows = lease.rows[-1] - row + 1
                 found = await self._journal.read_rows(
                     shard.number,
                     RowKind.LINE,
                     create.file_id,
                     row,
-                    wanted,
+                    max_rows,
                     MAX_LINE_BYTES_PER_GRANT,
                 )
                 lines.update({line.number: line.value for line in found.rows})
@@ -145,12 +151,12 @@
     # ---- job views ----
 
     def query_jobs(self, query: JobQuery) -> list[JobView]:
-        """Return one job, or a tenant's jobs of a shard, newest first."""
+        """Return one job, or the jobs of a tenant in a shard, newest first."""
         shard = self._journal.leading_shard(query.shard)
         if query.job_id:
             job = shard.state.jobs.get(query.job_id)
-            mine = job is not None and job.record.create.tenant == query.tenant
-            return [job.view()] if job is not None and mine else []
+            is_visible = job is not None and job.record.create.tenant == query.tenant
+            return [job.view()] if job is not None and is_visible else []
         jobs = [j for j in shard.state.jobs.values() if j.record.create.tenant == query.tenant]
         jobs.sort(key=lambda job: -job.record.created_ms)
         return [job.view() for job in jobs[: query.most or MAX_JOBS_PER_QUERY]]
@@ -158,7 +164,7 @@
     # ---- housekeeping ----
 
     async def run(self) -> None:
-        """End lapsed leases and expired work, for ever."""
+        """End expired leases and delete old files and jobs, until cancelled."""
         while True:
             await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
             now = monotonic()
@@ -178,7 +184,7 @@
             lease = shard.state.leases[lease_id]
             job = shard.state.jobs[lease.job_id]
             end = LeaseEnd(lease_id=lease_id, repeatable=self._is_repeatable(job, lease))
-            logger.info("lease lapsed", extra={"lease": lease_id, "holder": lease.holder})
+            logger.info("lease expired", extra={"lease": lease_id, "holder": lease.holder})
             await self._journal.propose(number, stamped_command(lease_end=end))
         if expire:
             before = now_ms() - self._retention_ms
@@ -188,13 +194,13 @@
             )
 
     def _is_repeatable(self, job: Job, lease: Lease) -> bool:
-        # A lease is of one service. One that was deleted meanwhile may have had any effect.
+        # All items of a lease use one service. A deleted service counts as not repeatable.
         name = job.record.service_names[job.classes[lease.rows[0]]]
         service = self._find_service(job.record.create.tenant, name)
         return service is not None and service.repeatable
 
     def revoke_leases(self, shard_number: int, job_id: str) -> None:
-        """Tell the holders at once that a job was cancelled; a renewal tells them again."""
+        """Revoke the leases of a cancelled job at once; the next renewals repeat it."""
         by_holder: dict[str, list[str]] = {}
         for lease in self._journal.shards[shard_number].state.leases.values():
             if lease.job_id == job_id:
--- a/src/wharfcart/batch/lease_scheduler.py
+++ b/src/wharfcart/batch/lease_scheduler.py
@@ -1,9 +1,9 @@
-"""Batch scheduler core: which items a back end gets next. Run by each shard's leader.
+"""Batch scheduling core of a shard's leader: chooses the items that a back end leases next.
 
-Weighted fair shares between tenants (start-time fair queueing, Goyal et al. 1996, over items
-leased); within a tenant earliest deadline first, with every fourth chunk to the job that has least
-left, so that a job of 690,000 items does not hold up one of 50. Leases end by the leader's
-monotonic clock; a new leader gives every lease it finds a full term.
+Tenants share capacity by weight (start-time fair queueing, Goyal et al. 1996, over leased items).
+Within a tenant, jobs run earliest deadline first, except that every fourth chunk goes to the job
+with the fewest pending items, so that a huge job does not delay a small one. Leases expire by the
+leader's monotonic clock; a new leader grants every existing lease a full term.
 """
 
 from collections.abc import Callable, Collection
@@ -33,25 +33,31 @@
 
 @dataclass
 class LeaseScheduler:
-    """Scheduling state of one shard's leader; nothing of it need survive."""
+    """Scheduling state of one shard's leader, kept in memory only.
+
+    Attributes:
+        state: replicated state of the shard.
+        weight_of: returns the scheduling weight of a tenant.
+        target_of: returns the model or application of a tenant's service, or None.
+    """
 
     state: ShardState
     weight_of: Callable[[str], float]
-    target_of: Callable[[str, str], str | None]  # tenant, service name -> model or application
+    target_of: Callable[[str, str], str | None]
     _accounts: dict[str, _TenantAccount] = field(default_factory=dict)
     _lease_expiry: dict[str, float] = field(default_factory=dict)
     _reserved: dict[str, set[int]] = field(default_factory=dict)
 
     def choose(self, targets: Collection[str], max_items: int) -> list[LeaseChoice]:
-        """Return up to ``most`` items whose target is one of ``targets``."""
+        """Choose and reserve up to ``max_items`` items whose target is one of ``targets``."""
         choices: list[LeaseChoice] = []
-        wanted = frozenset(targets)
+        target_set = frozenset(targets)
         exhausted: set[str] = set()
         while max_items > 0:
-            job = self._next_job(wanted, exhausted)
+            job = self._next_job(target_set, exhausted)
             if job is None:
                 break
-            found = self._reserve_rows(job, wanted, min(max_items, MAX_ITEMS_PER_LEASE))
+            found = self._reserve_rows(job, target_set, min(max_items, MAX_ITEMS_PER_LEASE))
             if found is None:
                 exhausted.add(job.record.create.job_id)
                 continue
@@ -61,7 +67,7 @@
         return choices
 
     def release_reservation(self, choice: LeaseChoice) -> None:
-        """Note that the lease entry of a choice was applied or refused."""
+        """Release the reservation of a choice after its lease was applied or refused."""
         reserved = self._reserved.get(choice.job_id)
         if reserved is not None:
             reserved.difference_update(choice.rows)
@@ -71,7 +77,7 @@
     # ---- leases ----
 
     def renew(self, lease_ids: Collection[str], now: float) -> list[str]:
-        """Prolong leases; return those of ``lease_ids`` that are no longer held."""
+        """Extend leases; return those that no longer exist or whose job was cancelled."""
         revoked: list[str] = []
         for lease_id in lease_ids:
             lease = self.state.leases.get(lease_id)
@@ -82,15 +88,15 @@
         return revoked
 
     def expired_leases(self, now: float) -> list[str]:
-        """Return leases whose holder has been silent for a term."""
-        lapsed: list[str] = []
+        """Return leases that were not renewed for a full term."""
+        expired: list[str] = []
         for lease_id in self.state.leases:
-            until = self._lease_expiry.setdefault(lease_id, now + LEASE_TERM_S)
-            if now >= until:
-                lapsed.append(lease_id)
+            expires_at = self._lease_expiry.setdefault(lease_id, now + LEASE_TERM_S)
+            if now >= expires_at:
+                expired.append(lease_id)
         for lease_id in self._lease_expiry.keys() - self.state.leases.keys():
             del self._lease_expiry[lease_id]
-        return lapsed
+        return expired
 
     # ---- choice ----
 
@@ -134,7 +140,8 @@
     def _account(self, tenant: str) -> _TenantAccount:
         account = self._accounts.get(tenant)
         if account is None:
-            # A newcomer starts level with the least served, not at zero: no claim to the past.
+            # A new tenant starts at the lowest virtual time; starting at zero would let it starve
+            # the others until it has caught up.
             start = min((a.virtual_time for a in self._accounts.values()), default=0.0)
             account = _TenantAccount(virtual_time=start)
             self._accounts[tenant] = account
--- a/src/wharfcart/batch/lines.py
+++ b/src/wharfcart/batch/lines.py
@@ -1,4 +1,4 @@
-"""Lines of batch files: the OpenAI batch format, in and out."""
+"""Input and output lines of batch files in the OpenAI batch format."""
 
 import json
 import time
@@ -8,7 +8,7 @@
 
 
 def service_name_of(item: dict[str, object]) -> str:
-    """Return the service that a line of a batch file names."""
+    """Return the service that an input line names, or ''."""
     url = str(item.get("url", ""))
     if url.startswith(SERVICES_PREFIX):
         return url.removeprefix(SERVICES_PREFIX).partition("/")[0]
@@ -17,7 +17,7 @@
 
 
 def output_line(line: bytes, request_id: str, status: int, data: bytes) -> bytes:
-    """Return a line of the output file."""
+    """Return the output line of an answered item."""
     try:
         body = json.loads(data)
     except ValueError:
@@ -27,7 +27,7 @@
 
 
 def error_line(line: bytes, request_id: str, code: str, outcome: Outcome) -> bytes:
-    """Return a line for an item without an answer."""
+    """Return the output line of an item without an answer."""
     return _line(line, request_id, None, {"code": code, "outcome": outcome.value})
 
 
@@ -38,5 +38,5 @@
 
 
 def now_ms() -> int:
-    """Return the wall clock in milliseconds, for stamps that people read."""
+    """Return the wall clock in milliseconds since the epoch, for recorded timestamps."""
     return int(time.time() * 1000)
--- a/src/wharfcart/batch/placed_items.py
+++ b/src/wharfcart/batch/placed_items.py
@@ -1,4 +1,4 @@
-"""The items of one leader that run in slots of back ends."""
+"""Items of one leader that occupy slots of back ends."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -13,13 +13,17 @@
 
 @dataclass(eq=False)
 class PlacedItem:
-    """An item that was given to a back end.
+    """An item that was assigned to a slot of a back end.
 
     Attributes:
-        send_id: number under which it counts as in flight there.
-        slot: that was offered for it.
-        started: its task runs; one that has not begun can't be cancelled without losing the item.
-        is_stopping: it is to leave, or has.
+        scheduled: the job of the item.
+        item: the item.
+        state: state of the back end.
+        send_id: id under which the selector counts the item as in flight.
+        slot: the slot that the item occupies.
+        task: runs the item.
+        started: whether the task has started; cancelling it earlier would lose the item.
+        is_stopping: whether a stop was requested.
     """
 
     scheduled: ScheduledJob
@@ -32,7 +36,7 @@
     is_stopping: bool = False
 
     def stop(self) -> None:
-        """Have the item leave; its task puts it back into the queue."""
+        """Stop the item; its task requeues it."""
         self.is_stopping = True
         if self.started and self.task is not None:
             self.task.cancel()
@@ -40,33 +44,33 @@
 
 @dataclass
 class PlacedItems:
-    """All items of one leader that are at back ends, by item and by slot."""
+    """Items of one leader that occupy slots, indexed by item and by slot."""
 
     _by_item: dict[str, PlacedItem] = field(default_factory=dict)
     _by_slot: dict[tuple[int, SlotNumber], PlacedItem] = field(default_factory=dict)
 
     def add(self, placed: PlacedItem) -> None:
-        """Note an item that is given to a back end."""
+        """Add an item."""
         self._by_item[placed.item.item_id] = placed
         self._by_slot[placed.slot.group, placed.slot.number] = placed
 
     def remove(self, placed: PlacedItem) -> None:
-        """Forget an item that has left its back end."""
+        """Remove an item that has released its slot."""
         if self._by_item.get(placed.item.item_id) is placed:
             del self._by_item[placed.item.item_id]
         self._by_slot.pop((placed.slot.group, placed.slot.number), None)
 
     def clear(self) -> list[PlacedItem]:
-        """Forget all items; return them."""
+        """Remove and return all items."""
         placed = list(self._by_item.values())
         self._by_item.clear()
         self._by_slot.clear()
         return placed
 
     def get(self, item_id: str) -> PlacedItem | None:
-        """Return an item that is at a back end."""
+        """Return an item by its id, or None."""
         return self._by_item.get(item_id)
 
     def get_by_slot(self, slot: HeldSlot) -> PlacedItem | None:
-        """Return the item that runs in a slot."""
+        """Return the item that occupies a slot, or None."""
         return self._by_slot.get((slot.group, slot.number))
--- a/src/wharfcart/batch/retry_policy.py
+++ b/src/wharfcart/batch/retry_policy.py
@@ -1,18 +1,18 @@
-"""When a batch item that keeps failing is given up. Pure."""
+"""Decides when a failing batch item is given up. Pure."""
 
-# An item that failed where much fails is tried more often, by this factor.
+# Multiplies the attempts of an item that failed at back ends that fail other items too.
 UNTRUSTED_ATTEMPTS_FACTOR = 2
 
 
 def has_failed_permanently(
     failures: int, failed_backends: int, trusted_backends: int, max_attempts: int
 ) -> bool:
-    """Whether an item is to be given up.
+    """Whether an item is given up.
 
     Args:
-        failures: answers that said that it failed.
-        failed_backends: different back ends that gave these.
-        trusted_backends: those of them that do well otherwise.
+        failures: number of answers that reported a failure.
+        failed_backends: number of different back ends that gave them.
+        trusted_backends: number of those back ends that are not failing otherwise.
         max_attempts: attempts that the job's route allows.
     """
     if trusted_backends >= max_attempts or failed_backends < failures:
--- a/src/wharfcart/batch/run_estimate.py
+++ b/src/wharfcart/batch/run_estimate.py
@@ -1,38 +1,39 @@
-"""How long an item still has to run, learnt from finished items.
+"""Estimates the remaining run time of an item from the items that have finished.
 
-Pure: times are handed in as seconds.
+Pure: callers pass times in seconds.
 """
 
 from dataclasses import dataclass
 
-# Each finished item moves the means by this part.
+# Weight of a finished item in the moving averages.
 LEARNING_RATE = 0.1
-# Items differ: one that has given as many events as the mean may give some more.
+# Lower bound of the remaining share: an item may produce more events than the mean.
 MIN_REMAINING_SHARE = 0.2
-# Longer items than the mean are planned for.
+# Plans for items that are longer than the mean.
 SIZE_MARGIN_FACTOR = 1.3
-# Before any item has finished, a run is taken to need this part of its job's objective.
+# Share of the job's objective that a run takes, used until an item has finished.
 DEFAULT_SHARE_OF_OBJECTIVE = 0.4
 
 
 @dataclass
 class RunEstimate:
-    """Means over the items of one service.
+    """Moving averages over the items of one service.
 
     Attributes:
-        mean_events: events of a whole item; 0 while none has finished.
-        seconds_per_event: running time, waits for a slot left out.
+        mean_events: events of a complete item; 0 until one has finished.
+        seconds_per_event: run time per event, without waiting for a slot; 0 until an item has
+            finished under this leader.
     """
 
     mean_events: float = 0.0
     seconds_per_event: float = 0.0
 
     def record_finished(self, events: int, run_time_s: float) -> None:
-        """Learn from an item that has succeeded.
+        """Update size and speed from an item that has succeeded.
 
         Args:
-            events: that it gave in all its runs.
-            run_time_s: sum of the times of its runs.
+            events: events of the item over all attempts.
+            run_time_s: total duration of its attempts.
         """
         if events <= 0:
             return
@@ -43,10 +44,12 @@
         self.seconds_per_event += LEARNING_RATE * (run_time_s / events - self.seconds_per_event)
 
     def record_earlier_result(self, events: int) -> None:
-        """Learn how large items are from one that an earlier leader had finished.
+        """Update the size from an item that finished under an earlier leader.
+
+        Has no effect once an item has finished under this leader.
 
         Args:
-            events: that it gave.
+            events: events of the item.
         """
         if not self.seconds_per_event and events > 0:
             self.mean_events += (LEARNING_RATE if self.mean_events else 1.0) * (
@@ -54,12 +57,12 @@
             )
 
     def remaining_s(self, events_done: int, objective_s: float, run_time_s: float = 0.0) -> float:
-        """Return how long an item probably still runs if nothing cuts it.
+        """Return the estimated remaining run time of an item, without interruptions.
 
         Args:
-            events_done: events that it has given so far.
-            objective_s: of its job, for the time before any item has finished.
-            run_time_s: how long it has run so far, for that time.
+            events_done: events received so far.
+            objective_s: completion objective of the job; used until an item has finished.
+            run_time_s: run time so far; used until the size of an item is known.
         """
         if not self.seconds_per_event:
             planned_s = objective_s * DEFAULT_SHARE_OF_OBJECTIVE
@@ -67,5 +70,5 @@
                 share_left = 1 - events_done / (self.mean_events * SIZE_MARGIN_FACTOR)
                 return planned_s * max(MIN_REMAINING_SHARE, share_left)
             return max(planned_s - run_time_s, planned_s * MIN_REMAINING_SHARE)
-        planned = self.mean_events * SIZE_MARGIN_FACTOR - events_done
-        return max(planned, self.mean_events * MIN_REMAINING_SHARE) * self.seconds_per_event
+        planned_events = self.mean_events * SIZE_MARGIN_FACTOR - events_done
+        return max(planned_events, self.mean_events * MIN_REMAINING_SHARE) * self.seconds_per_event
--- a/src/wharfcart/batch/runner.py
+++ b/src/wharfcart/batch/runner.py
@@ -1,7 +1,7 @@
-"""Batch runner: fills the slack of one owned back end with items.
+"""Batch runner: runs leased items in the free slots of one back end that this node owns.
 
-Polls a few shards for items its back end can serve, runs them as the gate gives slots, and commits
-results in groups. An item stopped for online work waits here and is resumed by its id.
+Polls a few shards for items that the back end can serve, runs them as the gate grants slots, and
+commits results in groups. A preempted item stays queued and resumes by its request id.
 """
 
 import asyncio
@@ -40,8 +40,7 @@
 RETRY_DELAY_S = 0.2
 SHARDS_PER_POLL = 2
 SLOT_WAIT_TIMEOUT_S = 0.05
-# An engine answers an order to stop within milliseconds; one that is starved took 1.2 to 2.1 s. Its
-# answer changes nothing for a job that was cancelled, so its caller does not wait longer for it.
+# Bounds the delay of a job's cancellation by an engine that is slow to confirm a stop.
 STOP_TIMEOUT_S = 0.5
 
 logger = logging.getLogger(__name__)
@@ -56,16 +55,25 @@
     service: Service
     line: bytes
     attempts: int = 0
-    was_sent: bool = False  # the back end may know the request
+    was_sent: bool = False  # to this back end, also under an earlier lease
 
     @property
     def request_id(self) -> str:
-        """The same on every attempt, so that an engine can resume it."""
+        """Request id, the same on every attempt so that an engine can resume the item."""
         return f"{self.lease.job_id}-{self.row}"
 
 
 class BatchRunner:
-    """Runs batch on one back end while this node owns it."""
+    """Runs batch items on one back end while this node owns it.
+
+    Args:
+        node_id: id of this node, the holder of the leases.
+        owned: the back end with its gate and client.
+        owner: runs requests on back ends of this node.
+        journal: client of the shards' leaders.
+        find_service: returns a tenant's service by name, or None.
+        metrics: counters of items.
+    """
 
     def __init__(
         self,
@@ -90,7 +98,7 @@
         self._wind_down_tasks: set[asyncio.Task[None]] = set()
         self._stopping = False
 
-    # ---- life ----
+    # ---- lifecycle ----
 
     async def run(self) -> None:
         """Run until cancelled."""
@@ -100,7 +108,7 @@
             group.create_task(self._fill_loop())
 
     async def stop(self) -> None:
-        """Let running items end, then hand everything back. :meth:`run` must still be running."""
+        """Wait for running items, then release all leases. :meth:`run` must still be running."""
         self._stopping = True
         if self._poll_task is not None:
             await asyncio.wait([self._poll_task])
@@ -132,8 +140,8 @@
     def _wants_items(self, slots: int, now: float) -> bool:
         if self._stopping or self.owned.gate.state is not BackendState.LIVE:
             return False
-        few = len(self._waiting) < MAX_ITEMS_PER_LEASE // 2
-        return few and now >= self._next_poll_at and (slots > 0 or bool(self._running))
+        is_queue_low = len(self._waiting) < MAX_ITEMS_PER_LEASE // 2
+        return is_queue_low and now >= self._next_poll_at and (slots > 0 or bool(self._running))
 
     def _start(self, item: _LeasedItem) -> None:
         task = asyncio.get_running_loop().create_task(self._run_item(item))
@@ -141,27 +149,30 @@
         task.add_done_callback(lambda _: self._running.pop(item.request_id, None))
 
     def _remove_waiting(self, predicate: Callable[[_LeasedItem], bool]) -> list[_LeasedItem]:
-        taken = [item for item in self._waiting if predicate(item)]
+        removed = [item for item in self._waiting if predicate(item)]
         self._waiting = deque(item for item in self._waiting if not predicate(item))
-        return taken
+        return removed
 
     # ---- polling ----
 
     async def _poll(self) -> None:
         try:
-            taken = 0
+            accepted = 0
             for shard in self._shards_to_poll():
-                taken += await self._poll_shard(shard)
-                if taken >= MAX_ITEMS_PER_LEASE:
+                accepted += await self._poll_shard(shard)
+                if accepted >= MAX_ITEMS_PER_LEASE:
                     break
-            pause = 0.0 if taken else IDLE_POLL_INTERVAL_S * (0.5 + random.random())
-            self._next_poll_at = monotonic() + pause
+            pause_s = 0.0 if accepted else IDLE_POLL_INTERVAL_S * (0.5 + random.random())
+            self._next_poll_at = monotonic() + pause_s
         finally:
             self._poll_task = None
             self.owned.changed.set()
 
     def _shards_to_poll(self) -> list[int]:
-        """Shards that gave work last, and a few others at random: no node asks all of them."""
+        """Return the shards that gave work last and a few others at random.
+
+        Polling all shards would not scale with their number.
+        """
         count = self._placement.shard_count
         others = random.sample(range(count), min(SHARDS_PER_POLL, count))
         return list(dict.fromkeys([*self._productive_shards, *others]))
@@ -174,11 +185,11 @@
             logger.debug("poll failed", extra={"shard": shard, "cause": str(error)})
             return 0
         self.revoke(list(grant.revoked))
-        taken = sum(self._accept_lease(shard, granted) for granted in grant.leases)
+        accepted = sum(self._accept_lease(shard, granted) for granted in grant.leases)
         self._productive_shards = [other for other in self._productive_shards if other != shard]
-        if taken:
+        if accepted:
             self._productive_shards = [shard, *self._productive_shards][:SHARDS_PER_POLL]
-        return taken
+        return accepted
 
     def _accept_lease(self, shard: int, granted: GrantedLease) -> int:
         lease = granted.lease
@@ -186,16 +197,16 @@
         service = self._find_service(granted.tenant, name)
         repeatable = service is not None and service.repeatable
         held = HeldLease(lease.lease_id, shard, lease.job_id, repeatable, set(lease.rows))
-        still_wanted = self._leases.add(held)
+        is_valid = self._leases.add(held)
         rows = zip(lease.rows, granted.lines, granted.previous_backends, strict=True)
-        for row, line, previous in rows:
+        for row, line, previous_backend in rows:
             if service is None:
                 body = error_line(line, "", "service_not_found", Outcome.NOT_RUN)
                 self._record_result(held, row, FAILED, body)
                 continue
-            known_there = previous == self.owned.backend.backend_id
-            self._waiting.append(_LeasedItem(held, row, service, line, was_sent=known_there))
-        if not still_wanted:
+            was_sent = previous_backend == self.owned.backend.backend_id
+            self._waiting.append(_LeasedItem(held, row, service, line, was_sent=was_sent))
+        if not is_valid:
             self._begin_wind_down(held)
         return len(lease.rows)
 
@@ -214,8 +225,10 @@
         except ServingError as error:
             await self._handle_failure(item, request, error)
         except Exception as error:
-            # A defect of ours must not lose the item.
-            logger.exception("item failed", extra={"request": item.request_id})
+            # An unexpected error must not lose the item.
+            logger.exception(
+                "unexpected error while running an item", extra={"request": item.request_id}
+            )
             await self._handle_failure(item, request, BackendError(repr(error), Outcome.UNKNOWN))
         else:
             self._record_answer(item, part)
@@ -236,11 +249,11 @@
             await asyncio.sleep(RETRY_DELAY_S * item.attempts)
             self._waiting.append(item)
             return
-        # Not this back end's day: another may have the item.
+        # Returns the item so that another back end can run it.
         await self._leases.return_rows(item.lease, [item.row])
 
     async def _resolve_outcome(self, item: _LeasedItem, request: BackendRequest) -> None:
-        """Find out what became of an item that must not be repeated."""
+        """Ask the back end for the outcome of an item that must not run twice."""
         for attempt in range(1, MAX_ATTEMPTS + 1):
             try:
                 part = await self.owned.client.settle(request)
@@ -270,21 +283,21 @@
             self.revoke(await self._leases.renew_all())
 
     def revoke(self, lease_ids: list[str]) -> None:
-        """Drop leases that ended or whose job was cancelled."""
+        """Wind down leases that ended or whose job was cancelled."""
         for lease_id in lease_ids:
             lease = self._leases.revoke(lease_id)
             if lease is not None:
                 self._begin_wind_down(lease)
 
     def _begin_wind_down(self, lease: HeldLease) -> None:
-        # Taken off the queue in this step: a slot that comes free now must not begin any of them.
+        # Removes the items before the task runs, so that a slot that becomes free starts none.
         dropped = self._remove_waiting(lambda item: item.lease is lease)
         task = asyncio.get_running_loop().create_task(self._wind_down(lease, dropped))
         self._wind_down_tasks.add(task)
         task.add_done_callback(self._wind_down_tasks.discard)
 
     async def _wind_down(self, lease: HeldLease, dropped: list[_LeasedItem]) -> None:
-        began_at = monotonic()
+        started_at = monotonic()
         running = [
             task
             for row in lease.open_rows
@@ -293,7 +306,7 @@
         if self.owned.backend.kind is BackendKind.ENGINE:
             unconfirmed = await self._stop_tasks(running)
         else:
-            # An application call that began is let finish: stopping it would make it unknown.
+            # Waits for application calls: stopping one would make its outcome unknown.
             unconfirmed = await _wait_for(running, None)
         stopped_at = monotonic()
         await self._leases.release(lease, [item.row for item in dropped if not item.was_sent])
@@ -305,15 +318,15 @@
                 "backend": self.owned.backend.backend_id,
                 "running": len(running),
                 "unconfirmed": unconfirmed,
-                "stop_s": round(stopped_at - began_at, 3),
+                "stop_s": round(stopped_at - started_at, 3),
                 "end_s": round(monotonic() - stopped_at, 3),
             },
         )
 
     async def _stop_tasks(self, running: list[asyncio.Task[None]]) -> int:
-        """Stop items at an engine; return how many stops it has not confirmed in time.
+        """Stop items at an engine; return the number of stops not confirmed in time.
 
-        The orders to stop go on, and the items keep their slots until the engine has answered.
+        Unconfirmed stops continue, and their items keep their slots until the engine confirms.
         """
         for task in running:
             task.cancel()
@@ -321,7 +334,7 @@
 
 
 async def _wait_for(tasks: list[asyncio.Task[None]], timeout_s: float | None) -> int:
-    """Wait for tasks; return how many have not ended in time."""
+    """Wait for tasks; return the number that are still running after the timeout."""
     if not tasks:
         return 0
     _, pending = await asyncio.wait(tasks, timeout=timeout_s)
--- a/src/wharfcart/configuration/schema.py
+++ b/src/wharfcart/configuration/schema.py
@@ -79,13 +79,13 @@
 
     def check(self, value: object) -> str | None:
         """Return what is wrong with a value, or None."""
-        wanted: dict[str, type | tuple[type, ...]] = {
+        expected_types: dict[str, type | tuple[type, ...]] = {
             "string": str,
             "integer": int,
             "number": (int, float),
             "boolean": bool,
         }
-        if not isinstance(value, wanted[self.type]):
+        if not isinstance(value, expected_types[self.type]):
             return f"is not of type {self.type}"
         if isinstance(value, bool) and self.type != "boolean":
             return f"is not of type {self.type}"
--- a/src/wharfcart/configuration/validation.py
+++ b/src/wharfcart/configuration/validation.py
@@ -28,10 +28,10 @@
         """Return the line of the deepest node on the way to ``location``."""
         node = self._root
         for step in location:
-            following = _child(node, step)
-            if following is None:
+            child = _child(node, step)
+            if child is None:
                 break
-            node = following
+            node = child
         return None if node is None else node.start_mark.line + 1
 
 
