--- a/src/wharfcart/configuration/__init__.py
+++ b/src/wharfcart/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Templates, deployments, tenants: schema, resolution, revisions, spreading."""
+"""Configuration of templates, deployments, tenants and routes: schema, validation, propagation."""
--- a/src/wharfcart/configuration/api_keys.py
+++ b/src/wharfcart/configuration/api_keys.py
@@ -1,6 +1,6 @@
-"""API keys: which tenant a caller is, by the key that it shows.
+"""API keys: maps the key of a caller to its tenant.
 
-A key itself is kept nowhere: it is looked up, and named in logs, by its digest.
+Keys are never stored; lookups and logs use their digests.
 """
 
 import hashlib
@@ -8,34 +8,34 @@
 
 KeyDigest = NewType("KeyDigest", str)
 
-# Hexadecimal digits of a digest that tell keys apart in a log, and nobody what the key is.
+# Hexadecimal digits of a digest in logs.
 SHORT_DIGEST_DIGITS = 8
 
 
 def digest_of(api_key: str) -> KeyDigest:
-    """Return the SHA-256 of a key, hexadecimal."""
+    """Return the hexadecimal SHA-256 digest of a key."""
     return KeyDigest(hashlib.sha256(api_key.encode()).hexdigest())
 
 
 def short_digest_of(api_key: str) -> str:
-    """Return what stands for a key in a log; '' for no key."""
+    """Return the shortened digest that identifies a key in logs; '' for no key."""
     return digest_of(api_key)[:SHORT_DIGEST_DIGITS] if api_key else ""
 
 
 class KeyIndex:
-    """Tenants by the digests of their keys."""
+    """Index of tenants by the digests of their keys."""
 
     def __init__(self) -> None:
         self._tenant_by_digest: dict[KeyDigest, str] = {}
 
     def add(self, digest: KeyDigest, tenant: str) -> None:
-        """Let a key stand for a tenant."""
+        """Assign a key to a tenant."""
         self._tenant_by_digest[digest] = tenant
 
     def remove(self, digest: KeyDigest) -> None:
-        """Let a key stand for nobody."""
+        """Remove a key."""
         self._tenant_by_digest.pop(digest, None)
 
     def tenant_of(self, api_key: str) -> str | None:
-        """Return the name of a key's tenant; None if nobody has the key."""
+        """Return the name of a key's tenant, or None if the key is unknown."""
         return self._tenant_by_digest.get(digest_of(api_key))
--- a/src/wharfcart/configuration/changes.py
+++ b/src/wharfcart/configuration/changes.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration: difference between two sets of entries, and their record."""
+"""Changes of the configuration: differences between two sets of entries, and their history."""
 
 import json
 from collections.abc import Sequence
@@ -14,7 +14,7 @@
 
 
 class ChangeKind(StrEnum):
-    """What happens to an entry."""
+    """Kind of change of an entry."""
 
     ADD = "add"
     UPDATE = "update"
@@ -22,7 +22,7 @@
 
 
 class EntryChange(BaseModel):
-    """One entry before and after, as JSON values."""
+    """Change of one entry, with its JSON values before and after."""
 
     kind: ChangeKind
     key: str
@@ -31,7 +31,7 @@
 
 
 class ChangeRecord(BaseModel):
-    """One accepted change, as the history keeps it."""
+    """History record of one accepted change."""
 
     revision: int
     operation_id: str
@@ -43,12 +43,12 @@
 
 @dataclass(frozen=True)
 class ChangePlan:
-    """What applying a document would do."""
+    """Changes that applying a document would make."""
 
     changes: list[EntryChange]
 
     def entries(self) -> dict[str, bytes | None]:
-        """Return key to new value; None deletes."""
+        """Return the new value of each changed key; None deletes the entry."""
         return {
             change.key: None
             if change.after is None
@@ -60,7 +60,13 @@
 def plan_changes(
     current: dict[str, bytes], wanted: dict[str, bytes], replace_all: bool
 ) -> ChangePlan:
-    """Compare entries; with ``replace_all`` what ``wanted`` lacks is deleted."""
+    """Return the changes that turn ``current`` into ``wanted``.
+
+    Args:
+        current: existing entries.
+        wanted: entries to add or update.
+        replace_all: whether to delete entries that are not in ``wanted``.
+    """
     changes: list[EntryChange] = []
     for key, value in sorted(wanted.items()):
         before = json.loads(current[key]) if key in current else None
@@ -77,7 +83,7 @@
 
 
 def plan_rollback(current: dict[str, bytes], records: list[ChangeRecord]) -> ChangePlan:
-    """Undo ``records``, newest first, as one new change."""
+    """Return one change that undoes ``records``, newest first."""
     target: dict[str, dict[str, object] | None] = {}
     for record in sorted(records, key=lambda record: -record.revision):
         for change in record.changes:
@@ -97,7 +103,7 @@
 
 
 def check_result(current: dict[str, bytes], plan: ChangePlan, file: str) -> list[Finding]:
-    """Return findings of the whole configuration as it would be after ``plan``."""
+    """Return findings of the whole configuration after ``plan`` is applied."""
     result = dict(current)
     for key, value in plan.entries().items():
         if value is None:
--- a/src/wharfcart/configuration/instances.py
+++ b/src/wharfcart/configuration/instances.py
@@ -1,19 +1,25 @@
-"""Incarnations of back ends, as service discovery tells them."""
+"""Back-end instances as reported by service discovery."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class BackendInstance:
-    """One life of one back end. An address is no identity: it may pass to another service.
+    """One instance of a back end, from its start to its end.
 
-    Parameters
-    ----------
-    slots: requests that it works on at once.
-    accepting: False while it drains.
-    cold_for_s: how much longer it is cold after a start, as it told when the entry was written.
-    started_at_ms: wall clock milliseconds of its start by its own clock; None if it reports none.
-        Distinguishes the instances of a back end that restarts under its id.
+    The address does not identify it: another service may reuse the address later.
+
+    Attributes:
+        instance_id: id of the back end.
+        service: service that the back end belongs to.
+        host: host name or IP address.
+        port: TCP port.
+        zone: zone of the back end.
+        slots: number of requests that it processes concurrently.
+        accepting: False while it drains.
+        cold_for_s: remaining cold time after a start, as of the writing of the entry.
+        started_at_ms: start time by its own wall clock, in milliseconds since the epoch, or None if
+            not reported. Distinguishes instances of a back end that restarts under the same id.
     """
 
     instance_id: str
@@ -27,7 +33,7 @@
     started_at_ms: int | None = None
 
     def is_restart_of(self, other: "BackendInstance") -> bool:
-        """Whether this has started again since another entry of the same id."""
+        """Whether this instance started later than another one of the same id."""
         if self.started_at_ms is None or other.started_at_ms is None:
             return False
         return self.started_at_ms > other.started_at_ms
--- a/src/wharfcart/configuration/residence_check.py
+++ b/src/wharfcart/configuration/residence_check.py
@@ -1,4 +1,4 @@
-"""Looks for regions that a configuration names and the fleet does not have."""
+"""Finds regions that the serving configuration names but the fleet does not have."""
 
 from collections.abc import Iterator
 
@@ -13,11 +13,11 @@
 def unknown_region_findings(
     configuration: ServingConfiguration, topology: Topology
 ) -> list[Finding]:
-    """Return a finding for each region named by a route or tenant that no zone is in.
+    """Return a finding for each region of a route or tenant that has no zone in the fleet.
 
     Args:
-        configuration: that comes into force.
-        topology: the zones of the fleet with their regions.
+        configuration: the new configuration.
+        topology: zones of the fleet with their regions.
     """
     known = set(topology.region_by_zone.values())
     findings = []
--- a/src/wharfcart/configuration/revisioned_map.py
+++ b/src/wharfcart/configuration/revisioned_map.py
@@ -1,7 +1,7 @@
-"""Spreading core: a map of entries with revisions that peers bring level by digest and pull.
+"""Propagation core: a map of entries with revisions that peers synchronize by pulling.
 
-A node tells its newest revision on its probes; a peer that knows less pulls what came since.
-Entries never go back: an entry is replaced only by one of a higher revision.
+A node sends its newest revision with its probes; a peer with an older revision pulls the newer
+entries. An entry is replaced only by one of a higher revision.
 """
 
 from collections.abc import Iterable
@@ -16,11 +16,12 @@
 class RevisionedMap:
     """Entries by key, each with the revision that set it.
 
-    Parameters
-    ----------
-    pull_overlap: how far below the own revision a pull starts. Zero if one writer issues the
-        revisions (configuration); a time span if several writers stamp entries with their clocks
-        (directory), so that an entry with a slightly earlier stamp is not missed.
+    Attributes:
+        pull_overlap: how far below the own revision a pull starts. Zero if one writer issues the
+            revisions (configuration); a time span if several writers stamp entries with their
+            clocks (directory), so that an entry with a slightly earlier stamp is not missed.
+        revision: newest known revision.
+        entries: entries by key, including deleted ones.
     """
 
     pull_overlap: int = 0
@@ -28,7 +29,7 @@
     entries: dict[str, Entry] = field(default_factory=dict)
 
     def merge(self, entries: Iterable[Entry], revision: int) -> list[Entry]:
-        """Take entries that are newer than ours; return them. ``revision`` never falls."""
+        """Apply newer entries and return them; ``revision`` never decreases."""
         changed: list[Entry] = []
         for entry in entries:
             known = self.entries.get(entry.key)
@@ -39,14 +40,14 @@
         return changed
 
     def changes_since(self, revision: int) -> list[Entry]:
-        """Return entries that a peer at ``revision`` may lack, lowest revision first."""
+        """Return entries newer than ``revision``, lowest revision first."""
         newer = [entry for entry in self.entries.values() if entry.revision > revision]
         return sorted(newer, key=lambda entry: entry.revision)
 
     def pull_revision(self) -> int:
-        """Return the revision to name in a pull."""
+        """Return the revision after which a pull requests entries."""
         return max(0, self.revision - self.pull_overlap)
 
     def live_values(self) -> dict[str, bytes]:
-        """Return the values of entries that are not deleted."""
+        """Return the values of entries that are not deleted, by key."""
         return {key: entry.value for key, entry in self.entries.items() if not entry.deleted}
--- a/src/wharfcart/configuration/schema.py
+++ b/src/wharfcart/configuration/schema.py
@@ -1,7 +1,7 @@
 """Schema of the operators' document: tenants, models, templates, deployments.
 
-The document is YAML (docs/design/0004-configuration.md); each item becomes one entry of the spread
-configuration, so that a change of one tenant's parameter moves a few hundred bytes.
+The document is YAML (docs/design/0004-configuration.md). Each item becomes one entry of the
+propagated configuration, so that a small change sends a small entry.
 """
 
 from enum import StrEnum
@@ -14,27 +14,27 @@
 
 
 class _Strict(BaseModel):
-    """Unknown keys are findings."""
+    """Base model that rejects unknown keys."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 class TemplateKind(StrEnum):
-    """What stands behind a template."""
+    """Kind of back end that serves a template."""
 
     MODEL = "model"
     APPLICATION = "application"
 
 
 class PreemptionPolicy(StrEnum):
-    """How batch gives way to online work on a server (docs/operations/yielding.md)."""
+    """How online requests preempt batch items on a server (docs/operations/yielding.md)."""
 
     TAIL = "tail"
     THROUGHPUT = "throughput"
 
 
 class Limits(_Strict):
-    """Token-bucket limits; they hold over the whole fleet."""
+    """Token-bucket limits that apply to the whole fleet."""
 
     requests_per_second: float = Field(50.0, gt=0, le=100_000)
     burst: int = Field(100, ge=1, le=1_000_000)
@@ -53,16 +53,18 @@
 
 
 class Model(_Strict):
-    """A model the engines may hold."""
+    """A model that engines can load."""
 
     name: Name
     version: str = "1"
-    least_servers: int = Field(1, ge=0, le=10_000, description="servers that hold it at the least")
+    least_servers: int = Field(
+        1, ge=0, le=10_000, description="minimum number of servers that hold it"
+    )
     adapters: list[Name] = Field(default_factory=list)
 
 
 class Parameter(_Strict):
-    """Declaration of a template's parameter."""
+    """Declaration of a template parameter."""
 
     type: Literal["string", "integer", "number", "boolean"]
     default: ParameterValue | None = None
@@ -74,11 +76,11 @@
 
     @property
     def required(self) -> bool:
-        """Whether a deployment must give a value."""
+        """Whether a deployment must set a value."""
         return self.default is None
 
     def check(self, value: object) -> str | None:
-        """Return what is wrong with a value, or None."""
+        """Return why a value is invalid, or None if it is valid."""
         expected_types: dict[str, type | tuple[type, ...]] = {
             "string": str,
             "integer": int,
@@ -102,15 +104,15 @@
 
 
 class Template(_Strict):
-    """What many small deployments have in common."""
+    """Settings that many deployments share."""
 
     name: Name
     kind: TemplateKind
     model: Name | None = None
     adapter: Name | None = None
-    application: Name | None = Field(None, description="application servers, by their name")
-    path: str = Field("", description="path prefix at the application servers")
-    system_prompt: str = Field("", description="may hold {parameter} places")
+    application: Name | None = Field(None, description="name of the application servers")
+    path: str = Field("", description="path prefix on the application servers")
+    system_prompt: str = Field("", description="may contain {parameter} placeholders")
     max_tokens: int = Field(256, ge=1, le=131_072)
     priority: int = Field(0, ge=0, le=9, description="0 is shed last")
     deadline_seconds: float = Field(30.0, gt=0, le=3600)
@@ -123,14 +125,14 @@
     @model_validator(mode="after")
     def _target_fits_kind(self) -> Self:
         if self.kind is TemplateKind.MODEL and self.model is None:
-            raise ValueError("a template of kind model names a model")
+            raise ValueError("a template of kind 'model' requires a model")
         if self.kind is TemplateKind.APPLICATION and self.application is None:
-            raise ValueError("a template of kind application names an application")
+            raise ValueError("a template of kind 'application' requires an application")
         return self
 
 
 class Deployment(_Strict):
-    """One tiny service: a template, a tenant, values."""
+    """One service of a tenant: a template with parameter values."""
 
     name: Name
     tenant: Name
@@ -139,7 +141,7 @@
 
 
 class Document(_Strict):
-    """The operators' whole document."""
+    """The operators' complete document."""
 
     tenants: list[Tenant] = Field(default_factory=list)
     models: list[Model] = Field(default_factory=list)
@@ -151,14 +153,14 @@
 
 
 def entry_key(item: DocumentItem) -> str:
-    """Return the key of the entry that carries an item."""
+    """Return the key of an item's entry."""
     if isinstance(item, Deployment):
         return f"deployment/{item.tenant}/{item.name}"
     return f"{type(item).__name__.lower()}/{item.name}"
 
 
 def document_entries(document: Document) -> dict[str, bytes]:
-    """Split a document into entries, key to JSON."""
+    """Split a document into entries; return their JSON by key."""
     items: list[DocumentItem] = [
         *document.tenants,
         *document.models,
@@ -177,12 +179,12 @@
 
 
 def parse_entry(key: str, value: bytes) -> DocumentItem:
-    """Return the item of one entry."""
+    """Parse the item of one entry."""
     return _TYPE_BY_PREFIX[key.split("/", 1)[0]].model_validate_json(value)
 
 
 def join_entries(entries: dict[str, bytes]) -> Document:
-    """Put entries together into a document, in key order."""
+    """Combine entries into a document, in key order."""
     items = [parse_entry(key, entries[key]) for key in sorted(entries)]
     return Document(
         tenants=[item for item in items if isinstance(item, Tenant)],
--- a/src/wharfcart/configuration/services.py
+++ b/src/wharfcart/configuration/services.py
@@ -1,7 +1,7 @@
-"""Services: deployments resolved with their templates, ready for the request path.
+"""Services: deployments resolved with their templates, for use by the request path.
 
-The index keeps parsed items by entry key and resolves a service when it is first asked for, so that
-a change of one entry costs one entry, not the whole document.
+The index keeps parsed items and resolves a service on its first lookup, so that a changed entry
+does not require parsing the whole document.
 """
 
 from collections.abc import Iterable
@@ -26,14 +26,19 @@
 
 @dataclass(frozen=True)
 class Service:
-    """One deployment as the request path sees it."""
+    """One deployment, resolved with its template.
+
+    Attributes:
+        target: model or adapter requested from the engine, or name of the application.
+        model: base model; '' for applications.
+    """
 
     name: str
     tenant: str
     template: str
     kind: TemplateKind
-    target: str  # model or adapter asked of the engine; application name otherwise
-    model: str  # base model; empty for applications
+    target: str
+    model: str
     path: str
     system_prompt: str
     max_tokens: int
@@ -47,12 +52,12 @@
 
     @property
     def routing_key(self) -> str:
-        """Key of the shuffle shard: tenant and template, whose prompts share a prefix."""
+        """Key for shuffle sharding: prompts of one tenant and template share a prefix."""
         return f"{self.tenant}/{self.template}"
 
 
 class ServiceIndex:
-    """All items of the configuration in force, by name."""
+    """Index of all items of the current configuration, by name."""
 
     def __init__(self) -> None:
         self.tenants: dict[str, Tenant] = {}
@@ -63,7 +68,7 @@
         self._resolved: dict[tuple[str, str], Service] = {}
 
     def update(self, entries: Iterable[Entry]) -> None:
-        """Take changed entries."""
+        """Apply changed entries."""
         for entry in entries:
             self._remove(entry.key)
             if not entry.deleted:
@@ -71,11 +76,11 @@
         self._resolved.clear()
 
     def find_tenant(self, api_key: str) -> Tenant | None:
-        """Return the tenant of an API key."""
+        """Return the tenant of an API key, or None."""
         return self.tenants.get(self._keys.tenant_of(api_key) or "")
 
     def find_service(self, tenant: str, name: str) -> Service | None:
-        """Return a tenant's service by name."""
+        """Return a tenant's service by name, or None."""
         key = (tenant, name)
         service = self._resolved.get(key)
         if service is None:
@@ -85,7 +90,7 @@
         return service
 
     def services_of(self, tenant: str) -> list[Service]:
-        """Return all services of a tenant, by name."""
+        """Return all services of a tenant, sorted by name."""
         names = sorted(name for owner, name in self.deployments if owner == tenant)
         found = [self.find_service(tenant, name) for name in names]
         return [service for service in found if service is not None]
--- a/src/wharfcart/configuration/serving.py
+++ b/src/wharfcart/configuration/serving.py
@@ -1,7 +1,7 @@
-"""The serving configuration: routes, the services behind them, tenants, limits of callers.
+"""The serving configuration: routes, their services, tenants and limits for callers.
 
-One document of one version, taken whole. A node replaces the document it has only by one of a
-higher version, so that a configuration in force never reverts.
+A configuration is one document with a version. A node replaces its configuration only by one of a
+higher version, so that it never reverts.
 """
 
 from collections.abc import Iterable
@@ -16,7 +16,7 @@
 
 
 class RouteKind(StrEnum):
-    """What may be done with a request whose outcome is not known."""
+    """How requests of a route are handled, in particular after an unknown outcome."""
 
     REPEATABLE = "repeatable"
     AT_MOST_ONCE = "at_most_once"
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficShare:
-    """Part of a route's requests that goes to one service; weights are relative."""
+    """Relative weight of a service among the services of a route."""
 
     service: str
     weight: float
@@ -36,20 +36,25 @@
 class Route:
     """Requests of one host under one path prefix.
 
-    Parameters
-    ----------
-    path_prefix: begins and ends with a slash.
-    time_limit_s: longest time that a request is held.
-    objective_s: time within which an answer (a stream: its first event) is wanted.
-    max_waiting_tokens: batch: tokens of all items without a result, over all jobs of one tenant; 0
-        for no limit.
-    caller_timeout_s: a caller that has seen nothing of its answer for so long leaves.
-    priority: 0 is the most urgent.
-    max_backends: number of back ends that one request may be sent to.
-    resumable: a broken stream may be taken up at another back end.
-    give_up_after_s: batch: age of a job at which its items may be given up.
-    public: callers need no key.
-    residence: where the data of its requests may be.
+    Attributes:
+        name: name of the route.
+        host: host of the requests.
+        path_prefix: begins and ends with a slash.
+        kind: how requests are handled.
+        shares: services of the route with their weights.
+        time_limit_s: maximum time for which a request is held.
+        objective_s: target time to the answer, or to the first event of a stream.
+        priority: 0 is the most urgent.
+        max_backends: number of back ends to which one request may be sent.
+        resumable: whether an interrupted stream may resume at another back end.
+        completion_objective_s: batch: target time to the completion of a job.
+        give_up_after_s: batch: age of a job at which its items may be given up.
+        caller_timeout_s: time without any part of the answer after which callers are expected to
+            disconnect.
+        max_waiting_tokens: batch: limit of the tokens of unfinished items over all jobs of one
+            tenant; 0 for no limit.
+        public: whether callers need no API key.
+        residence: regions that are allowed for the data of its requests.
     """
 
     name: str
@@ -71,7 +76,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may run again although an earlier run may have had its effect."""
+        """Whether a request may run again after an attempt with an unknown outcome."""
         return self.kind is RouteKind.REPEATABLE or (
             self.kind is RouteKind.STREAM and self.resumable
         )
@@ -79,11 +84,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ColdLimit:
-    """What a back end of a service bears while it is cold.
+    """Request rate that a back end of a service sustains while it is cold.
 
     Attributes:
-        requests_per_s: from all callers together; it fails at well above that.
-        duration_s: how long it stays cold after a start.
+        requests_per_s: rate of all callers together.
+        duration_s: how long a back end stays cold after a start.
     """
 
     requests_per_s: float
@@ -92,12 +97,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceSpec:
-    """A service: a group of back ends that are copies of each other.
+    """A service: a group of identical back ends.
 
     Attributes:
-        connection_limit: connections that one back end takes from all callers.
-        slots: requests that a model server works on at once; 0 for other back ends.
-        cold_limit: what one bears while it is cold; None where that is no less than usual.
+        name: name of the service.
+        connection_limit: connections that one back end accepts from all callers.
+        slots: requests that a model server processes concurrently; 0 for other back ends.
+        cold_limit: limit of a cold back end; None if cold back ends have the normal capacity.
     """
 
     name: str
@@ -108,11 +114,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestLimit:
-    """A token bucket that holds over the whole fleet.
+    """A token bucket that applies to the whole fleet.
 
     Attributes:
-        requests_per_s: requests a second.
-        burst: requests that may come at once after a rest.
+        requests_per_s: refill rate.
+        burst: capacity of the bucket, in requests.
     """
 
     requests_per_s: float
@@ -121,13 +127,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ServedTenant:
-    """A tenant as the request path sees it.
+    """A tenant of the serving configuration.
 
     Attributes:
+        name: name of the tenant.
         keys: digests of its API keys.
-        priority: 0 is the most urgent; None leaves it to the route.
-        limit: of its requests, or None.
-        residence: where the data of its requests may be.
+        priority: 0 is the most urgent; None uses the priority of the route.
+        limit: limit of its requests, or None.
+        residence: regions that are allowed for the data of its requests.
     """
 
     name: str
@@ -138,7 +145,7 @@
 
 
 class TenantIndex:
-    """The tenants of one configuration, by name and by key."""
+    """Index of the tenants of one configuration, by name and by API key."""
 
     def __init__(self, tenants: Iterable[ServedTenant]) -> None:
         self.by_name = {tenant.name: tenant for tenant in tenants}
@@ -148,14 +155,14 @@
                 self._keys.add(digest, tenant.name)
 
     def find_by_key(self, api_key: str) -> ServedTenant | None:
-        """Return the tenant that has a key."""
+        """Return the tenant of an API key, or None."""
         name = self._keys.tenant_of(api_key)
         return None if name is None else self.by_name[name]
 
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bounds on what a caller may send and for how long it may rest."""
+    """Limits of request sizes and of the idle time of caller connections."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4 * 1024 * 1024
@@ -164,10 +171,14 @@
 
 @dataclass(frozen=True)
 class ServingConfiguration:
-    """One version of the whole configuration.
+    """One version of the complete serving configuration.
 
     Attributes:
-        tenants: whose keys callers show; None where callers need no keys.
+        version: increases with each configuration.
+        routes: all routes.
+        services: services by name.
+        limits: limits for callers.
+        tenants: tenants with their API keys; None if callers need no keys.
     """
 
     version: int
@@ -200,7 +211,7 @@
 
     @property
     def cold_limits(self) -> dict[str, ColdLimit]:
-        """What a cold back end bears, by service; those left out bear as much as ever."""
+        """Limits of cold back ends, by service; services without such a limit are left out."""
         return {
             name: spec.cold_limit
             for name, spec in self.services.items()
@@ -208,20 +219,20 @@
         }
 
     def residence_of(self, route: Route, tenant: str) -> Residence:
-        """Return where the data of a tenant's requests on a route may be; both bind."""
+        """Return the regions that both the route and the tenant allow."""
         found = None if self.tenants is None else self.tenants.by_name.get(tenant)
         return route.residence if found is None else route.residence.intersect(found.residence)
 
     @property
     def restricts_residence(self) -> bool:
-        """Whether the data of any request must stay in some regions."""
+        """Whether any route or tenant has a restricted residence."""
         tenants = () if self.tenants is None else self.tenants.by_name.values()
         return any(route.residence.is_restricted for route in self.routes) or any(
             tenant.residence.is_restricted for tenant in tenants
         )
 
     def job_residences(self, host: str, tenant: str) -> frozenset[Residence]:
-        """Return where the data of a tenant's batch jobs may be, for each route of a host."""
+        """Return the residences of a tenant's batch jobs over all routes of a host."""
         routes = self._by_host.get(host, {}).values()
         return frozenset(
             self.residence_of(route, tenant) for route in routes if route.kind is RouteKind.BATCH
@@ -229,25 +240,25 @@
 
     @cached_property
     def batch_residences(self) -> frozenset[Residence]:
-        """Return where the data of batch jobs may be, for each of their routes and any tenant."""
+        """Residences of batch jobs over all batch routes and tenants."""
         tenants = () if self.tenants is None else self.tenants.by_name.values()
         of_tenants = {tenant.residence for tenant in tenants} | {ANYWHERE}
         of_routes = {route.residence for route in self.routes if route.kind is RouteKind.BATCH}
         return frozenset(own.intersect(other) for own in of_routes for other in of_tenants)
 
     def limit_of(self, tenant: str) -> RequestLimit | None:
-        """Return the limit of a tenant's requests; None for no limit or no such tenant."""
+        """Return the request limit of a tenant; None if it has none or does not exist."""
         found = None if self.tenants is None else self.tenants.by_name.get(tenant)
         return None if found is None else found.limit
 
     def has_public_jobs(self, host: str) -> bool:
-        """Whether batch jobs may be submitted at a host without a key."""
+        """Whether batch jobs may be submitted to a host without an API key."""
         return host in self._hosts_with_public_jobs
 
     def route_for(self, host: str, path: str) -> Route | None:
         """Return the route with the longest prefix of the path, or None.
 
-        Costs one look-up for each slash in the path, whatever the number of routes.
+        Needs one lookup per slash in the path, independent of the number of routes.
         """
         prefixes = self._by_host.get(host)
         if prefixes is None:
--- a/src/wharfcart/configuration/validation.py
+++ b/src/wharfcart/configuration/validation.py
@@ -1,4 +1,4 @@
-"""Checks of the operators' document: every finding, each with its place and line."""
+"""Validation of the operators' document; reports every finding with its place and line."""
 
 from collections.abc import Iterable
 from string import Formatter
@@ -19,13 +19,13 @@
 
 
 class _LineIndex:
-    """Line numbers of a YAML document's nodes."""
+    """Line numbers of the nodes of a YAML document."""
 
     def __init__(self, text: str) -> None:
         self._root = yaml.compose(text, Loader=yaml.SafeLoader)
 
     def find(self, location: Location) -> int | None:
-        """Return the line of the deepest node on the way to ``location``."""
+        """Return the line of the deepest existing node on the path to ``location``."""
         node = self._root
         for step in location:
             child = _child(node, step)
@@ -50,13 +50,14 @@
 def load_document(
     text: str, file: str, check_references: bool = True
 ) -> Result[Document, list[Finding]]:
-    """Parse and check a YAML document; return it, or every finding in it.
+    """Parse and validate a YAML document; return it, or all findings.
 
-    Parameters
-    ----------
-    check_references: False for a document whose references may lie outside it.
+    Findings cover syntax, types, unknown keys, references and parameter values.
 
-    Findings: syntax, types, unknown keys, references, parameter values.
+    Args:
+        text: the document.
+        file: name of the document in findings.
+        check_references: whether references must resolve within the document.
     """
     try:
         raw = yaml.safe_load(text) or {}
@@ -86,7 +87,7 @@
 
 
 def check_document(document: Document) -> Iterable[tuple[Location, str]]:
-    """Yield what no single item shows: duplicates, dangling references, parameter values."""
+    """Yield findings across items: duplicates, dangling references, parameter values."""
     yield from _check_duplicates(document)
     models = {model.name: model for model in document.models}
     templates = {template.name: template for template in document.templates}
@@ -123,7 +124,7 @@
         seen: set[str] = set()
         for position, name in enumerate(names):
             if name in seen:
-                yield (section, position, "name"), f"{name!r} stands twice"
+                yield (section, position, "name"), f"{name!r} is defined twice"
             seen.add(name)
 
 
@@ -131,7 +132,7 @@
     try:
         fields = [name for _, name, _, _ in Formatter().parse(template.system_prompt) if name]
     except ValueError as error:
-        yield (*place, "system_prompt"), f"bad place holder: {error}"
+        yield (*place, "system_prompt"), f"invalid placeholder: {error}"
         return
     for name in fields:
         if name not in template.parameters:
