--- a/src/wharfcart/batch/held_leases.py
+++ b/src/wharfcart/batch/held_leases.py
@@ -96,7 +96,7 @@
         """Renew the leases of a shard and request up to ``max_items`` new items.
 
         Raises:
-            ServingError: the shard's leader could not be reached.
+            ServingError: the shard's leader could not be reached or refused the poll.
         """
         poll = LeasePoll(
             shard=shard,
@@ -168,12 +168,22 @@
     # ---- ending ----
 
     async def return_rows(self, lease: HeldLease, not_run: list[int]) -> None:
-        """Return rows that certainly did not run; the lease keeps its other rows."""
+        """Return rows that may run elsewhere; the lease keeps its other rows.
+
+        Args:
+            lease: the lease.
+            not_run: rows to return.
+        """
         lease.open_rows.difference_update(not_run)
         await self._propose_lease_end(lease, LeaseEnd(rows=not_run, not_run=not_run))
 
     async def release(self, lease: HeldLease, not_run: list[int]) -> None:
-        """Commit the results of a lease and return its other rows."""
+        """Commit the results of a lease and return its other rows.
+
+        Args:
+            lease: the lease.
+            not_run: rows that never started.
+        """
         if lease.results:
             await self._commit(lease)
         if lease.results:
--- a/tests/batch/test_job_execution.py
+++ b/tests/batch/test_job_execution.py
@@ -1,4 +1,4 @@
-"""Which items a leader starts, and which one leaves when an online request needs its slot."""
+"""Start and preemption of items by a job group's leader."""
 
 import asyncio
 from collections import Counter
@@ -60,11 +60,11 @@
 
 
 class FakeItemRunner:
-    """Items run until they are cancelled or fail."""
+    """Runs items until they are cancelled or fail."""
 
     def __init__(self, choice: BackendChoice) -> None:
         self._choice = choice
-        self.running: dict[str, str] = {}  # item to back end
+        self.running: dict[str, str] = {}  # back end by item id
         self._failed: dict[str, asyncio.Event] = {}
 
     async def run(self, send: ItemAttempt) -> RunOutcome:
@@ -78,18 +78,18 @@
         return RunOutcome.FAILED
 
     def fail(self, item_id: str) -> None:
-        """Have a running item fail."""
+        """Make a running item fail."""
         self._failed[item_id].set()
 
 
 class InProcessItemSlots(ItemSlots):
-    """Slots of a granter in the same process."""
+    """Item slots of a granter in the same process."""
 
     def __init__(self, choice: BackendChoice) -> None:
         super().__init__()
         self.granter = SlotGranter(choice, lambda _instance: True)
         self._offers: Counter[Residence] = Counter()
-        self._numbers = 0
+        self._last_number = 0
         for key in (LEADER, GATEWAY):
             self.handle_event(SessionOpened(key, "z"))
 
@@ -107,18 +107,18 @@
 
     @property
     def offers(self) -> int:
-        """Slots that were offered so far."""
+        """Number of slots offered so far."""
         return self._offers.total()
 
     def occupy(self, instance_id: str, slots: int) -> None:
-        """Have a gateway come that has taken slots long ago."""
+        """Open the session of a gateway that already uses slots."""
         uses = tuple(SlotUse(SlotNumber(n), instance_id) for n in range(slots))
         self.handle_event(SessionOpened(SessionKey(HolderId("g2"), 1), "z", uses))
 
     def request_slot(self) -> SlotNumber:
-        """Have a gateway ask for a slot."""
-        self._numbers += 1
-        number = SlotNumber(self._numbers)
+        """Request a slot as a gateway."""
+        self._last_number += 1
+        number = SlotNumber(self._last_number)
         now = asyncio.get_running_loop().time()
         self.handle_event(SlotAsked(GATEWAY, number, "s", now + 9.0, now + 9.0, Manner.WAIT))
         return number
@@ -153,7 +153,7 @@
 
 
 class FakeLeadership:
-    """Stands in for the group's leadership: results count at once."""
+    """Leadership of a group that commits results at once."""
 
     epoch = 1
 
@@ -168,15 +168,15 @@
 
 
 class ExecutionHarness:
-    """A job execution before back ends that run items for ever."""
+    """A job execution with back ends whose items run until they are stopped."""
 
     def __init__(self, servers: int = 1, slots: int = 4, zones: str = "") -> None:
-        self.choice = BackendChoice("z", Random(1), Eligibility(TOPOLOGY))
+        self.selector = BackendChoice("z", Random(1), Eligibility(TOPOLOGY))
         for n in range(servers):
             zone = zones[n] if zones else "z"
-            self.choice.put(BackendInstance(f"i{n}", "s", "127.0.0.1", 1, zone, slots, True))
-        self.slots = InProcessItemSlots(self.choice)
-        self.runner = FakeItemRunner(self.choice)
+            self.selector.put(BackendInstance(f"i{n}", "s", "127.0.0.1", 1, zone, slots, True))
+        self.slots = InProcessItemSlots(self.selector)
+        self.runner = FakeItemRunner(self.selector)
         self.leadership = FakeLeadership()
         route = Route(
             "jobs",
@@ -199,7 +199,7 @@
         self.execution = JobExecution(
             self.group,
             self.runner,
-            self.choice,
+            self.selector,
             lambda: self.configuration,
             self.slots,
             60.0,
@@ -210,7 +210,7 @@
         self.execution.start()
 
     def restrict_route(self, residence: Residence) -> None:
-        """Have a configuration come into force that binds the route."""
+        """Apply a configuration that restricts the route."""
         route = replace(self.configuration.routes[0], residence=residence)
         self.configuration = replace(self.configuration, routes=(route,))
 
@@ -242,298 +242,298 @@
 
 
 def run_scenario(
-    scenario: Callable[[ExecutionHarness], Awaitable[None]], **more: int | str
+    scenario: Callable[[ExecutionHarness], Awaitable[None]], **harness_options: int | str
 ) -> None:
     async def run() -> None:
-        bench = ExecutionHarness(**more)
-        await bench.settle()
-        await scenario(bench)
-        bench.execution.stop()
+        harness = ExecutionHarness(**harness_options)
+        await harness.settle()
+        await scenario(harness)
+        harness.execution.stop()
         await asyncio.sleep(0)
 
     asyncio.run(run())
 
 
 def test_items_use_every_free_slot() -> None:
-    async def scenario(bench: ExecutionHarness) -> None:
-        bench.submit("j", 9)
-        await bench.settle()
-        assert len(bench.runner.running) == 4
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.submit("j", 9)
+        await harness.settle()
+        assert len(harness.runner.running) == 4
 
     run_scenario(scenario)
 
 
 def test_one_online_request_preempts_one_item_at_once() -> None:
-    async def scenario(bench: ExecutionHarness) -> None:
-        bench.submit("j", 9)
-        await bench.settle()
-        bench.slots.request_slot()
-        await bench.settle()
-        assert len(bench.runner.running) == 3
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.submit("j", 9)
+        await harness.settle()
+        harness.slots.request_slot()
+        await harness.settle()
+        assert len(harness.runner.running) == 3
 
     run_scenario(scenario)
 
 
 def test_the_item_with_the_most_time_left_is_preempted() -> None:
-    async def scenario(bench: ExecutionHarness) -> None:
-        bench.submit("old", 2, age_s=5.0)
-        bench.submit("new", 2)
-        await bench.settle()
-        assert len(bench.runner.running) == 4
-        bench.slots.request_slot()
-        bench.slots.request_slot()
-        await bench.settle()
-        assert sorted(bench.runner.running) == ["old-0", "old-1"]
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.submit("old", 2, age_s=5.0)
+        harness.submit("new", 2)
+        await harness.settle()
+        assert len(harness.runner.running) == 4
+        harness.slots.request_slot()
+        harness.slots.request_slot()
+        await harness.settle()
+        assert sorted(harness.runner.running) == ["old-0", "old-1"]
 
     run_scenario(scenario)
 
 
 def test_items_leave_headroom_for_the_recent_online_rate() -> None:
-    async def scenario(bench: ExecutionHarness) -> None:
+    async def scenario(harness: ExecutionHarness) -> None:
         for _ in range(round(2 * 1.5 / RESTART_COST_S)):
-            bench.slots.free_slot(bench.slots.request_slot())
-        bench.slots.request_slot()
-        bench.submit("j", 9)
-        await bench.settle()
-        assert len(bench.runner.running) == 1
+            harness.slots.free_slot(harness.slots.request_slot())
+        harness.slots.request_slot()
+        harness.submit("j", 9)
+        await harness.settle()
+        assert len(harness.runner.running) == 1
 
     run_scenario(scenario)
 
 
 def test_items_are_preempted_on_overcommitted_backends() -> None:
-    async def scenario(bench: ExecutionHarness) -> None:
-        bench.submit("j", 9)
-        await bench.settle()
-        bench.slots.occupy("i0", 2)
-        bench.slots.tick()
-        await bench.settle()
-        assert len(bench.runner.running) == 2
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.submit("j", 9)
+        await harness.settle()
+        harness.slots.occupy("i0", 2)
+        harness.slots.tick()
+        await harness.settle()
+        assert len(harness.runner.running) == 2
 
     run_scenario(scenario)
 
 
 def test_an_overdue_item_is_preempted_before_one_that_can_meet_its_objective() -> None:
-    async def scenario(bench: ExecutionHarness) -> None:
-        bench.submit("overdue", 2, age_s=OBJECTIVE_S + 5)
-        bench.submit("new", 2)
-        await bench.settle()
-        assert len(bench.runner.running) == 4
-        bench.slots.request_slot()
-        await bench.settle()
-        assert sum(item.startswith("new") for item in bench.runner.running) == 2
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.submit("overdue", 2, age_s=OBJECTIVE_S + 5)
+        harness.submit("new", 2)
+        await harness.settle()
+        assert len(harness.runner.running) == 4
+        harness.slots.request_slot()
+        await harness.settle()
+        assert sum(item.startswith("new") for item in harness.runner.running) == 2
 
     run_scenario(scenario)
 
 
 def test_jobs_that_can_meet_their_objective_start_before_an_overdue_one() -> None:
-    async def scenario(bench: ExecutionHarness) -> None:
-        bench.slots.occupy("i0", 2)
-        bench.submit("overdue", 4, age_s=OBJECTIVE_S + 5)
-        bench.submit("new", 4)
-        await bench.settle()
-        assert sorted(bench.runner.running) == ["new-0", "new-1"]
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.slots.occupy("i0", 2)
+        harness.submit("overdue", 4, age_s=OBJECTIVE_S + 5)
+        harness.submit("new", 4)
+        await harness.settle()
+        assert sorted(harness.runner.running) == ["new-0", "new-1"]
 
     run_scenario(scenario)
 
 
 def test_an_item_preempted_before_its_task_starts_is_requeued() -> None:
-    async def scenario(bench: ExecutionHarness) -> None:
-        bench.submit("j", 2)
-        while not bench.choice.state("i0").in_flight:
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.submit("j", 2)
+        while not harness.selector.state("i0").in_flight:
             await asyncio.sleep(0)
-        assert not bench.runner.running
-        numbers = [bench.slots.request_slot() for _ in range(4)]
-        await bench.settle()
-        assert bench.choice.state("i0").in_flight == 0
-        assert not bench.runner.running
+        assert not harness.runner.running
+        numbers = [harness.slots.request_slot() for _ in range(4)]
+        await harness.settle()
+        assert harness.selector.state("i0").in_flight == 0
+        assert not harness.runner.running
         await asyncio.sleep(job_execution.PREEMPTED_RETRY_DELAY_S * 2)
         for number in numbers:
-            bench.slots.free_slot(number)
+            harness.slots.free_slot(number)
         await asyncio.sleep(job_execution.DEMAND_INTERVAL_S * 2)
-        assert sorted(bench.runner.running) == ["j-0", "j-1"]
+        assert sorted(harness.runner.running) == ["j-0", "j-1"]
 
     run_scenario(scenario)
 
 
 def test_an_unused_slot_is_released() -> None:
-    async def scenario(bench: ExecutionHarness) -> None:
-        bench.slots.handle_event(ItemsWaiting(LEADER, "s", 3, 0, Urgency(9.0, 4.0)))
-        await bench.settle()
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.slots.handle_event(ItemsWaiting(LEADER, "s", 3, 0, Urgency(9.0, 4.0)))
+        await harness.settle()
         now = asyncio.get_running_loop().time()
-        assert sum(load.in_use for load in bench.slots.granter.picture(now).backends) == 0
+        assert sum(load.in_use for load in harness.slots.granter.picture(now).backends) == 0
 
     run_scenario(scenario)
 
 
 def test_a_leader_without_confirmed_leadership_starts_nothing() -> None:
-    async def scenario(bench: ExecutionHarness) -> None:
-        bench.group.is_confirmed = False
-        bench.submit("j", 4)
-        await bench.settle()
-        assert not bench.runner.running
-        bench.group.is_confirmed = True
-        await bench.settle()
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.group.is_confirmed = False
+        harness.submit("j", 4)
+        await harness.settle()
+        assert not harness.runner.running
+        harness.group.is_confirmed = True
+        await harness.settle()
         await asyncio.sleep(2 * job_execution.DEMAND_INTERVAL_S)
-        assert len(bench.runner.running) == 4
+        assert len(harness.runner.running) == 4
 
     run_scenario(scenario)
 
 
 def test_an_offer_in_a_zone_evacuated_meanwhile_is_released() -> None:
-    async def scenario(bench: ExecutionHarness) -> None:
-        take = bench.slots.on_offer
-
-        def take_later(slot: ItemSlot) -> None:
-            bench.choice.eligibility.evacuated_zones = frozenset({"z"})
-            take(slot)
-
-        bench.slots.on_offer = take_later
-        bench.submit("j", 2)
-        await bench.settle()
-        assert not bench.runner.running
-        assert not bench.slots.granter.picture(asyncio.get_running_loop().time()).backends
-        bench.slots.on_offer = take
-        bench.choice.eligibility.evacuated_zones = frozenset()
+    async def scenario(harness: ExecutionHarness) -> None:
+        handle_offer = harness.slots.on_offer
+
+        def evacuate_and_handle(slot: ItemSlot) -> None:
+            harness.selector.eligibility.evacuated_zones = frozenset({"z"})
+            handle_offer(slot)
+
+        harness.slots.on_offer = evacuate_and_handle
+        harness.submit("j", 2)
+        await harness.settle()
+        assert not harness.runner.running
+        assert not harness.slots.granter.picture(asyncio.get_running_loop().time()).backends
+        harness.slots.on_offer = handle_offer
+        harness.selector.eligibility.evacuated_zones = frozenset()
         async with asyncio.timeout(5.0):
-            while len(bench.runner.running) < 2:
-                await bench.settle()
+            while len(harness.runner.running) < 2:
+                await harness.settle()
 
     run_scenario(scenario)
 
 
 def test_a_failed_item_is_retried_on_another_backend() -> None:
-    async def scenario(bench: ExecutionHarness) -> None:
-        bench.submit("j", 1)
-        await bench.settle()
-        (first,) = bench.runner.running.values()
-        bench.runner.fail("j-0")
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.submit("j", 1)
+        await harness.settle()
+        (first,) = harness.runner.running.values()
+        harness.runner.fail("j-0")
         await asyncio.sleep(
             job_execution.FAILED_RETRY_DELAY_S + 2 * job_execution.DEMAND_INTERVAL_S
         )
-        (second,) = bench.runner.running.values()
+        (second,) = harness.runner.running.values()
         assert first != second
 
     run_scenario(scenario, servers=2, slots=1)
 
 
 def test_a_job_cancelled_before_its_items_start_leaves_nothing_in_flight() -> None:
-    async def scenario(bench: ExecutionHarness) -> None:
-        bench.submit("j", 2)
-        while not bench.choice.state("i0").in_flight:
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.submit("j", 2)
+        while not harness.selector.state("i0").in_flight:
             await asyncio.sleep(0)
-        bench.execution.job_cancelled("j")
-        await bench.settle()
-        assert bench.choice.state("i0").in_flight == 0
-        assert not bench.runner.running
+        harness.execution.job_cancelled("j")
+        await harness.settle()
+        assert harness.selector.state("i0").in_flight == 0
+        assert not harness.runner.running
 
     run_scenario(scenario)
 
 
 def test_a_leader_that_loses_leadership_leaves_nothing_in_flight() -> None:
-    async def scenario(bench: ExecutionHarness) -> None:
-        bench.submit("j", 2)
-        while not bench.choice.state("i0").in_flight:
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.submit("j", 2)
+        while not harness.selector.state("i0").in_flight:
             await asyncio.sleep(0)
-        bench.execution.stop()
-        await bench.settle()
-        assert bench.choice.state("i0").in_flight == 0
+        harness.execution.stop()
+        await harness.settle()
+        assert harness.selector.state("i0").in_flight == 0
 
     run_scenario(scenario)
 
 
 def test_failures_under_earlier_leaders_count_towards_the_attempt_limit() -> None:
-    async def scenario(bench: ExecutionHarness) -> None:
-        known = bench.group.partial_texts.of("j", "j-0")
+    async def scenario(harness: ExecutionHarness) -> None:
+        known = harness.group.partial_texts.of("j", "j-0")
         known.failed_at += ["i0", "i1", "i2"]
-        bench.submit("j", 1)
-        await bench.settle()
-        bench.runner.fail("j-0")
-        await bench.settle()
-        assert [outcome.succeeded for outcome in bench.leadership.outcomes] == [False]
+        harness.submit("j", 1)
+        await harness.settle()
+        harness.runner.fail("j-0")
+        await harness.settle()
+        assert [outcome.succeeded for outcome in harness.leadership.outcomes] == [False]
 
     run_scenario(scenario, servers=4)
 
 
 def test_items_run_only_in_the_residence_their_job_was_accepted_with() -> None:
-    async def scenario(bench: ExecutionHarness) -> None:
-        bench.submit("a", 6, residence=residence_in(["west"]))
-        await bench.settle()
-        assert bench.items_at("i0") == ["a-0", "a-1"]
-        assert bench.items_at("i1") == []
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.submit("a", 6, residence=residence_in(["west"]))
+        await harness.settle()
+        assert harness.items_at("i0") == ["a-0", "a-1"]
+        assert harness.items_at("i1") == []
 
     run_scenario(scenario, servers=2, slots=2, zones="we")
 
 
 def test_items_run_only_in_the_current_residence_of_their_route() -> None:
-    async def scenario(bench: ExecutionHarness) -> None:
-        bench.restrict_route(residence_in(["west"]))
-        bench.submit("a", 6)
-        await bench.settle()
-        assert bench.items_at("i0") == ["a-0", "a-1"]
-        assert bench.items_at("i1") == []
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.restrict_route(residence_in(["west"]))
+        harness.submit("a", 6)
+        await harness.settle()
+        assert harness.items_at("i0") == ["a-0", "a-1"]
+        assert harness.items_at("i1") == []
 
     run_scenario(scenario, servers=2, slots=2, zones="we")
 
 
 def test_an_item_with_an_empty_residence_waits_without_using_slots() -> None:
-    async def scenario(bench: ExecutionHarness) -> None:
-        bench.submit("a", 6, residence=residence_in(["west"]))
-        bench.restrict_route(residence_in(["east"]))
-        bench.submit("b", 6)
-        await bench.settle()
-        assert bench.items_at("i0") == []
-        assert bench.items_at("i1") == ["b-0", "b-1"]
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.submit("a", 6, residence=residence_in(["west"]))
+        harness.restrict_route(residence_in(["east"]))
+        harness.submit("b", 6)
+        await harness.settle()
+        assert harness.items_at("i0") == []
+        assert harness.items_at("i1") == ["b-0", "b-1"]
 
     run_scenario(scenario, servers=2, slots=2, zones="we")
 
 
 def test_jobs_of_several_residences_share_the_back_ends() -> None:
-    async def scenario(bench: ExecutionHarness) -> None:
-        bench.submit("w", 9, age_s=2.0, residence=residence_in(["west"]))
-        bench.submit("e", 1, age_s=1.0, residence=residence_in(["east"]))
-        bench.submit("any", 9)
-        await bench.settle()
-        assert bench.items_at("i0") == ["w-0", "w-1"]
-        assert bench.items_at("i1") == ["any-0", "e-0"]
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.submit("w", 9, age_s=2.0, residence=residence_in(["west"]))
+        harness.submit("e", 1, age_s=1.0, residence=residence_in(["east"]))
+        harness.submit("any", 9)
+        await harness.settle()
+        assert harness.items_at("i0") == ["w-0", "w-1"]
+        assert harness.items_at("i1") == ["any-0", "e-0"]
 
     run_scenario(scenario, servers=2, slots=2, zones="we")
 
 
 def test_an_offer_outside_the_residence_is_released_and_not_repeated() -> None:
-    """The configuration binds the route after its items were told to wait for any slot."""
-
-    async def scenario(bench: ExecutionHarness) -> None:
-        bench.submit("a", 2)
-        bench.restrict_route(residence_in(["west"]))
-        await bench.settle()
-        assert bench.items_at("i1") == []
-        offers = bench.slots.offers
+    """The route becomes restricted after the report of its waiting items."""
+
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.submit("a", 2)
+        harness.restrict_route(residence_in(["west"]))
+        await harness.settle()
+        assert harness.items_at("i1") == []
+        offers = harness.slots.offers
         await asyncio.sleep(3 * job_execution.DEMAND_INTERVAL_S)
-        assert bench.slots.offers == offers
+        assert harness.slots.offers == offers
 
     run_scenario(scenario, servers=2, slots=2, zones="we")
 
 
 def test_a_new_leader_starts_the_most_advanced_items_first() -> None:
-    """After a loss of power items far on were thought to need the whole time, and left first."""
+    """Guards against preempting advanced items first after a restart of all leaders."""
 
-    async def scenario(bench: ExecutionHarness) -> None:
-        bench.execution.stop()
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.execution.stop()
         lines = "\n".join(["x"] * 100).encode()
         results = [ItemOutcome(item_id=f"d-{n}", succeeded=True, text=lines) for n in range(2)]
         job = RequestJob(job_id="d", host="h", path="/jobs/d", objective_s=OBJECTIVE_S)
-        bench.leadership.jobs["d"] = SimpleNamespace(
+        harness.leadership.jobs["d"] = SimpleNamespace(
             job=job, results=results, ended=False, complete=True
         )
         for number in range(91):
-            bench.group.partial_texts.of("j", "j-7").add(number, "x")
-        told: list[Urgency] = []
-        bench.slots.begun = lambda slot, urgency: told.append(urgency)
-        bench.execution.start()
-        bench.submit("j", 8)
-        await bench.settle()
-        assert "j-7" in bench.runner.running
-        # Planned 0.4 of the objective: all of it, and the 39 of 130 events that are left.
-        assert sorted({round(one.remaining_s, 1) for one in told}) == [2.4, 8.0]
+            harness.group.partial_texts.of("j", "j-7").add(number, "x")
+        reported: list[Urgency] = []
+        harness.slots.begun = lambda slot, urgency: reported.append(urgency)
+        harness.execution.start()
+        harness.submit("j", 8)
+        await harness.settle()
+        assert "j-7" in harness.runner.running
+        # 0.4 of the objective for a new item, and 39 of 130 planned events of it for j-7.
+        assert sorted({round(urgency.remaining_s, 1) for urgency in reported}) == [2.4, 8.0]
 
     run_scenario(scenario)
--- a/tests/batch/test_job_service.py
+++ b/tests/batch/test_job_service.py
@@ -1,4 +1,4 @@
-"""The limit of tokens that wait on a route."""
+"""Job group service: token limit of a route, visibility to tenants, cancellation."""
 
 import asyncio
 from types import SimpleNamespace
@@ -30,7 +30,7 @@
 
 
 class SingleReplicaGroup:
-    """A group of one replica, which has everything on its disk at once."""
+    """A group of one replica that writes at once."""
 
     def __init__(self) -> None:
         self.leadership: JobLeadership | None = JobLeadership(1, 1, MEMBERS)
@@ -67,21 +67,23 @@
 
 
 class JobServiceHarness:
-    """A job service before its caller."""
+    """A job group service that reaches the services of other groups directly."""
 
     def __init__(
         self, limit: int, other_groups: "list[JobServiceHarness | None] | None" = None
     ) -> None:
         self.group = SingleReplicaGroup()
-        self.other_groups = other_groups or []  # None where the leader does not answer
+        self.other_groups = other_groups or []  # None for an unresponsive leader
         execution = SimpleNamespace(job_accepted=lambda _job: None, job_cancelled=lambda _job: None)
         others = OtherGroups(lambda: list(range(len(self.other_groups))), self)
         self.service = JobGroupService(
             self.group, execution, lambda: configuration(limit), others, DecisionLog("test")
         )
 
-    async def call_group(self, group: int, frame: Frame, *_more: object) -> Frame | JobCallFailure:
-        """Stand in for the client that calls the leaders of other groups."""
+    async def call_group(
+        self, group: int, frame: Frame, *_arguments: object
+    ) -> Frame | JobCallFailure:
+        """Call another group's service, in place of JobClient."""
         other = self.other_groups[group]
         if other is None:
             return JobCallFailure(False, "no_leader")
@@ -166,7 +168,7 @@
 
 
 def statuses_for_tenant(jobs: JobServiceHarness, tenant: str) -> list[JobStatus]:
-    """Return what a tenant is told of job ``a``: read, body, end, sent again."""
+    """Return the statuses of reading, reading a body, cancelling and resubmitting job ``a``."""
     service = jobs.service
     return [
         asyncio.run(service.read_results(ReadResults(job_id="a", tenant=tenant))).status,
@@ -199,26 +201,26 @@
 
 
 def test_cancelling_a_job_during_its_submission_is_unsure() -> None:
-    """Else its caller takes it for unknown, and it runs to its end all the same."""
+    """Guards against NOT_FOUND for a cancelled job that is accepted and runs afterwards."""
 
     async def scenario() -> tuple[JobStatus, JobStatus]:
-        others_asked = asyncio.Event()
-        answer_now = asyncio.Event()
+        other_groups_called = asyncio.Event()
+        may_answer = asyncio.Event()
 
-        class Slow(JobServiceHarness):
+        class SlowHarness(JobServiceHarness):
             async def call_group(self, *_arguments: object) -> Frame | JobCallFailure:
-                others_asked.set()
-                await answer_now.wait()
+                other_groups_called.set()
+                await may_answer.wait()
                 return JobCallFailure(False, "no_leader")
 
-        jobs = Slow(100, other_groups=[None])
+        jobs = SlowHarness(100, other_groups=[None])
         job = RequestJob(job_id="a", host="h", path="/jobs/a", items=[RequestItem(item_id="1")])
         submission = asyncio.create_task(jobs.service.submit(SubmitJob(job=job)))
-        await others_asked.wait()
-        while_taken = (await jobs.service.cancel(EndJob(job_id="a"))).status
-        answer_now.set()
+        await other_groups_called.wait()
+        status_during_submission = (await jobs.service.cancel(EndJob(job_id="a"))).status
+        may_answer.set()
         await submission
-        return while_taken, (await jobs.service.cancel(EndJob(job_id="a"))).status
+        return status_during_submission, (await jobs.service.cancel(EndJob(job_id="a"))).status
 
     assert asyncio.run(scenario()) == (UNSURE, DONE)
     assert (
--- a/tests/batch/test_job_service_residence.py
+++ b/tests/batch/test_job_service_residence.py
@@ -1,4 +1,4 @@
-"""A leader takes a job only where its data may be, and no job that another group has."""
+"""Job group service: residence of jobs, and jobs that another group already has."""
 
 import asyncio
 from types import SimpleNamespace
@@ -43,7 +43,7 @@
 
 
 class SingleReplicaGroup:
-    """A group of one replica; more disks may be written to."""
+    """A group of one replica, optionally with more disks."""
 
     def __init__(self, *more_disks: str) -> None:
         self.leadership = JobLeadership(1, 1, frozenset({"w1"}))
@@ -61,7 +61,7 @@
 
 
 class JobServiceHarness:
-    """A job service before its caller, with the services of other groups."""
+    """A job group service that reaches the services of other groups directly."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
         other_groups: "tuple[JobServiceHarness | None, ...]" = (),
     ) -> None:
         self.group = SingleReplicaGroup(*more_disks)
-        self.other_groups = other_groups  # None where the leader does not answer
+        self.other_groups = other_groups  # None for an unresponsive leader
         self.set_residence(route, tenant)
         execution = SimpleNamespace(job_accepted=lambda _job: None, job_cancelled=lambda _job: None)
         others = OtherGroups(lambda: list(range(len(self.other_groups))), self)
@@ -90,8 +90,10 @@
         tenants = TenantIndex([ServedTenant("t", residence=tenant)])
         self.configuration = ServingConfiguration(1, (jobs,), {}, tenants=tenants)
 
-    async def call_group(self, group: int, frame: Frame, *_more: object) -> Frame | JobCallFailure:
-        """Stand in for the client that calls the leaders of other groups."""
+    async def call_group(
+        self, group: int, frame: Frame, *_arguments: object
+    ) -> Frame | JobCallFailure:
+        """Call another group's service, in place of JobClient."""
         other = self.other_groups[group]
         if other is None:
             return JobCallFailure(False, "no_leader")
@@ -121,7 +123,7 @@
 
 
 def test_a_job_is_refused_if_a_disk_is_outside_its_residence() -> None:
-    """It may be a replica, one to come, or a spare that is fed."""
+    """The disk may be a current replica, a future one or a spare that receives updates."""
     jobs = JobServiceHarness("e1", route=WEST)
     assert asyncio.run(jobs.submit(WEST)) == OUTSIDE_RESIDENCE
     assert jobs.group.leadership.jobs == {}
@@ -147,13 +149,13 @@
     async def scenario() -> None:
         other = JobServiceHarness()
         jobs = JobServiceHarness(route=WEST, other_groups=(other,))
-        ask = jobs.call_group
+        original_call = jobs.call_group
 
-        async def ask_and_change(*more: object) -> Frame | JobCallFailure:
+        async def add_disk_and_call(*arguments: object) -> Frame | JobCallFailure:
             jobs.group.disks |= {"e1"}
-            return await ask(*more)
+            return await original_call(*arguments)
 
-        jobs.call_group = ask_and_change
+        jobs.call_group = add_disk_and_call
         assert await jobs.submit(WEST) == OUTSIDE_RESIDENCE
 
     asyncio.run(scenario())
@@ -203,13 +205,13 @@
     async def scenario() -> None:
         one, two = JobServiceHarness(route=WEST), JobServiceHarness(route=WEST)
         one.other_groups, two.other_groups = (two,), (one,)
-        ask = one.call_group
+        original_call = one.call_group
 
-        async def ask_while_the_other_takes_it(*more: object) -> Frame | JobCallFailure:
+        async def submit_to_other_and_call(*arguments: object) -> Frame | JobCallFailure:
             assert await two.submit(WEST, moved=True) == MAYBE_ELSEWHERE
-            return await ask(*more)
+            return await original_call(*arguments)
 
-        one.call_group = ask_while_the_other_takes_it
+        one.call_group = submit_to_other_and_call
         assert await one.submit(WEST, moved=True) == DONE
         assert list(one.group.leadership.jobs) == ["a"]
         assert two.group.leadership.jobs == {}
--- a/tests/batch/test_jobs_during_startup.py
+++ b/tests/batch/test_jobs_during_startup.py
@@ -1,14 +1,7 @@
-"""A node that starts with an emptied disk is asked for a job that was accepted.
+"""Calls to a node that does not know the placement of all journal shards yet.
 
-The node listens as soon as it knows the configuration. The placement of the journal's shards comes
-by a call of its own, up to 0.15 s later. Until then the node knew no shard, took the shard that an
-id names for one that does not exist, and answered 404 "no batch" without asking a leader: an
-accepted job, denied to its caller. The log line "record not found" told it apart from a leader that
-has no such job: ``known_shards`` was [] each time that a node which started anew said so (3 of 6
-restarts with an emptied disk, none of 3 with the disk kept).
-
-A node that holds some shards on its own disk counted just these. An idempotency key was then taken
-to the shard that the wrong number gives, which knows nothing of it: its request ran again.
+Guards against answering 404 for an existing job, and against sending an idempotency key to a wrong
+shard, which would run its request again.
 """
 
 import asyncio
@@ -34,7 +27,7 @@
 
 
 class _UnreachableTransport:
-    """Fails a test in which a shard's leader is asked."""
+    """Fails the test if the leader of a shard is called."""
 
     async def call(self, _address: object, _frame: Frame) -> Frame:
         raise AssertionError("no leader can be asked yet")
@@ -45,7 +38,7 @@
 
 
 def _client(shards_on_disk: list[int]) -> JournalClient:
-    """Return the client of a node that knows nothing but what its own disk holds."""
+    """Return the client of a node that knows only the shards on its own disk."""
     placement = PlacementMap()
     placement.merge(
         ShardPlacement(shard=shard, replicas=["a", "b", "c"], version=7) for shard in shards_on_disk
@@ -57,9 +50,9 @@
     return BatchApiService(_client(shards_on_disk), lambda _tenant, _name: None, 1024)
 
 
-def _refusal(work: Coroutine[object, object, object]) -> ServingError:
+def _refusal(call: Coroutine[object, object, object]) -> ServingError:
     with pytest.raises(ServingError) as caught:
-        asyncio.run(work)
+        asyncio.run(call)
     return caught.value
 
 
@@ -70,15 +63,15 @@
 ) -> None:
     jobs = _jobs(shards_on_disk)
     new = NewJob(FILE_ON_SHARD_2, "/v1/chat/completions", 60.0, b"", "key")
-    work: dict[str, Coroutine[object, object, object]] = {
+    coroutines: dict[str, Coroutine[object, object, object]] = {
         "find": jobs.find(TENANT, JOB_ON_SHARD_2),
         "cancel": jobs.cancel(TENANT, JOB_ON_SHARD_2),
         "find_file": jobs.find_file(TENANT, FILE_ON_SHARD_2),
         "list": jobs.list(TENANT),
         "create": jobs.create(Tenant(name=TENANT), new),
     }
-    chosen = work.pop(call)
-    for other in work.values():
+    chosen = coroutines.pop(call)
+    for other in coroutines.values():
         other.close()
     refusal = _refusal(chosen)
     assert (refusal.code, refusal.status) == ("journal_unavailable", 503)
@@ -87,7 +80,7 @@
 
 
 def test_a_node_with_a_partial_placement_sends_no_key_to_a_wrong_shard() -> None:
-    # Of three shards the node holds two: by two it would ask another shard than by three.
+    # The key maps to different shards for two known shards and for all three.
     key = next(
         key
         for key in (f"key-{number}" for number in range(100))
--- a/tests/batch/test_lease_scheduler.py
+++ b/tests/batch/test_lease_scheduler.py
@@ -1,4 +1,4 @@
-"""Which items a back end gets next."""
+"""Choice of items to lease, lease expiry and the states of leased items."""
 
 from collections import Counter
 
@@ -20,7 +20,7 @@
 
 
 def _state(jobs: list[tuple[str, str, int, int]]) -> ShardState:
-    """Return a shard with jobs: id, tenant, items, deadline."""
+    """Return a shard with jobs given as (id, tenant, number of items, deadline)."""
     state = ShardState()
     for job_id, tenant, items, deadline in jobs:
         create = JobCreate(job_id=job_id, tenant=tenant, deadline_ms=deadline)
@@ -39,10 +39,10 @@
     scheduler.release_reservation(choice)
 
 
-def _drain(state: ShardState, chunks: int) -> Counter[str]:
+def _drain(state: ShardState, chunk_count: int) -> Counter[str]:
     scheduler = _scheduler(state)
     items: Counter[str] = Counter()
-    for number in range(chunks):
+    for number in range(chunk_count):
         for choice in scheduler.choose({"model"}, 64):
             items[choice.job_id] += len(choice.rows)
             _lease(state, scheduler, choice, f"l{number}")
--- a/tests/batch/test_retry_policy.py
+++ b/tests/batch/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""When an item is given up."""
+"""Attempts after which a failing item is given up."""
 
 from wharfcart.batch.retry_policy import has_failed_permanently
 
--- a/tests/batch/test_run_estimate.py
+++ b/tests/batch/test_run_estimate.py
@@ -1,4 +1,4 @@
-"""How long an item still runs."""
+"""Estimates of the remaining run time of items."""
 
 from wharfcart.batch.run_estimate import MIN_REMAINING_SHARE, RunEstimate
 from wharfcart.slots.urgency import Urgency
@@ -33,14 +33,14 @@
 
 
 def test_without_data_the_run_time_reduces_the_estimate() -> None:
-    """After a power loss no item finishes for a while; those far on must not look hopeless."""
+    """Guards against treating advanced items as too late while no item has finished yet."""
     estimate = RunEstimate()
     assert estimate.remaining_s(80, 20.0, run_time_s=5.0) == 3.0
     assert estimate.remaining_s(200, 20.0, run_time_s=30.0) == 8.0 * MIN_REMAINING_SHARE
 
 
 def test_results_of_earlier_leaders_give_the_mean_item_size() -> None:
-    """Items that had given 63 of 144 events were taken to need the whole time, and cut."""
+    """Guards against planning the full run time for advanced items, which preempts them."""
     estimate = RunEstimate()
     for _ in range(5):
         estimate.record_earlier_result(100)
--- a/tests/batch/test_runner.py
+++ b/tests/batch/test_runner.py
@@ -1,4 +1,4 @@
-"""Leases that end before or while their items run."""
+"""Leases that are revoked before or while their items run."""
 
 import asyncio
 import json
@@ -30,7 +30,7 @@
 
 
 class _FakeJournal:
-    """Grants one lease, once the test lets it, and takes what is proposed."""
+    """Grants one lease when the test allows it and records proposed commands."""
 
     def __init__(self) -> None:
         self.placement = PlacementMap()
@@ -53,7 +53,7 @@
 
 
 class _FakeOwner:
-    """Runs nothing: notes what it is given."""
+    """Records the ids of requests and never answers them."""
 
     def __init__(self) -> None:
         self.started_ids: list[str] = []
@@ -83,7 +83,7 @@
 
 
 class _SlowToStopOwner(_FakeOwner):
-    """An engine that answers an order to stop only once the test lets it."""
+    """Confirms a stop only when the test allows it."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -148,7 +148,7 @@
         journal.granted.set()
         await runner._poll_shard(0)
         runner.revoke(["lease"])
-        # A slot comes free before the lease is wound down.
+        # A slot becomes free before the lease is wound down.
         if runner._waiting:
             runner._start(runner._waiting.popleft())
         await _settle()
@@ -161,12 +161,7 @@
 def test_a_slow_engine_does_not_delay_the_end_of_a_revoked_lease(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A cancelled job took 2.1 s of the 2 s promised beside a busy machine.
-
-    Its lease was wound down in 2.144 s, 2.12 of them spent on waiting for an engine's answers to
-    48 orders to stop ("lease wound down", stop_s). The engine's process had needed the processor
-    for 0.83 s and waited 1.27 s for it.
-    """
+    """Guards against waiting for every stop confirmation before the lease of a job ends."""
 
     async def scenario() -> None:
         journal, owner = _FakeJournal(), _SlowToStopOwner()
@@ -185,18 +180,18 @@
         assert asyncio.get_running_loop().time() - began_at < STOP_TIMEOUT_S + 0.1
         (command,) = journal.proposed
         assert command.lease_end.lease_id == "lease"
-        assert not command.lease_end.not_run  # they began
-        # Each was told to stop, and keeps its slot until the engine says that it did.
+        assert not command.lease_end.not_run  # all items had started
+        # Every item was stopped and keeps its slot until the engine confirms the stop.
         assert owner.stopping == len(runner._running) == len(ROWS)
         owner.stop_confirmed.set()
         await _settle()
         assert not runner._running
-        assert len(journal.proposed) == 1  # nothing is recorded of them
+        assert len(journal.proposed) == 1  # no results are committed
 
     run_virtually(scenario())
 
 
 async def _settle() -> None:
-    """Let every task that can go on do so."""
+    """Let all ready tasks run."""
     for _ in range(20):
         await asyncio.sleep(0)
--- a/tests/configuration/test_configuration.py
+++ b/tests/configuration/test_configuration.py
@@ -1,4 +1,4 @@
-"""Documents, services, changes and spreading."""
+"""Documents, services, changes and revisioned maps."""
 
 from pathlib import Path
 
@@ -18,14 +18,14 @@
 
 ROOT = Path(__file__).parents[2]
 
-BAD = """
+INVALID_FIELDS = """
 tenants:
   - name: t
     colour: red
   - name: T!
 models: []
 """
-DANGLING = """
+INVALID_REFERENCES = """
 tenants: [{name: t}, {name: t}]
 models: [{name: m}]
 templates:
@@ -48,12 +48,14 @@
 
 
 def test_every_invalid_field_is_reported_with_its_line() -> None:
-    found = _findings(BAD)
+    found = _findings(INVALID_FIELDS)
     assert set(found) == {"tenants.0.colour (line 4)", "tenants.1.name (line 5)"}
 
 
 def test_every_invalid_reference_is_reported() -> None:
-    found = "\n".join(f"{place}: {reason}" for place, reason in _findings(DANGLING).items())
+    found = "\n".join(
+        f"{place}: {reason}" for place, reason in _findings(INVALID_REFERENCES).items()
+    )
     for text in (
         "tenants.1.name (line 2): 't' is defined twice",
         "no model 'nothing'",
--- a/tests/configuration/test_residence.py
+++ b/tests/configuration/test_residence.py
@@ -1,4 +1,4 @@
-"""Where data may be: what a route and a tenant allow together, and as a message."""
+"""Residences: intersection, restrictions and encoding in messages."""
 
 from wharfcart.cluster.messages_pb2 import RequestJob, SlotRequest
 from wharfcart.cluster.topology import RegionName
--- a/tests/configuration/test_serving.py
+++ b/tests/configuration/test_serving.py
@@ -3,16 +3,18 @@
 from wharfcart.configuration.serving import Route, RouteKind, ServingConfiguration, TrafficShare
 
 
-def route(host: str, prefix: str, kind: RouteKind = RouteKind.REPEATABLE, **more) -> Route:
-    return Route(f"{host}{prefix}", host, prefix, kind, (TrafficShare("s", 1),), 1.0, 0.1, **more)
+def route(host: str, prefix: str, kind: RouteKind = RouteKind.REPEATABLE, **options) -> Route:
+    return Route(
+        f"{host}{prefix}", host, prefix, kind, (TrafficShare("s", 1),), 1.0, 0.1, **options
+    )
 
 
-def table(*routes: Route) -> ServingConfiguration:
+def configuration_of(*routes: Route) -> ServingConfiguration:
     return ServingConfiguration(1, routes, {})
 
 
 def test_the_longest_prefix_wins() -> None:
-    routes = table(route("h", "/"), route("h", "/a/"), route("h", "/a/b/"))
+    routes = configuration_of(route("h", "/"), route("h", "/a/"), route("h", "/a/b/"))
     found = routes.route_for("h", "/a/b/c")
     assert found is not None and found.path_prefix == "/a/b/"
     found = routes.route_for("h", "/a/x")
@@ -22,12 +24,12 @@
 
 
 def test_a_prefix_matches_whole_segments_only() -> None:
-    assert table(route("h", "/a/")).route_for("h", "/ab/c") is None
-    assert table(route("h", "/a/")).route_for("h", "/a") is None
+    assert configuration_of(route("h", "/a/")).route_for("h", "/ab/c") is None
+    assert configuration_of(route("h", "/a/")).route_for("h", "/a") is None
 
 
 def test_routes_belong_to_one_host() -> None:
-    assert table(route("h", "/a/")).route_for("g", "/a/b") is None
+    assert configuration_of(route("h", "/a/")).route_for("g", "/a/b") is None
 
 
 def test_repeatable_routes() -> None:
