--- a/src/wharfcart/batch/job_execution.py
+++ b/src/wharfcart/batch/job_execution.py
@@ -46,7 +46,7 @@
 PREEMPTED_RETRY_DELAY_S = 0.05
 # Tolerates a clock difference between the accepting gateway and a later leader.
 GIVE_UP_MARGIN_S = 6.0
-FORGET_INTERVAL_S = 5.0
+DELETION_INTERVAL_S = 5.0
 
 
 class JobExecution:
@@ -91,7 +91,7 @@
         self._reported_demand: set[tuple[str, Residence]] = set()
         self._tasks = BackgroundTasks()
         self._wake_up = asyncio.Event()
-        self._next_forget_at = 0.0
+        self._next_deletion_at = 0.0
         slots.on_offer = self._handle_offer
         slots.on_leave = self._preempt
 
@@ -287,7 +287,7 @@
             self._report_demand()
             self._metrics.open_items.set(self._scheduler.open_items)
             self._metrics.replicas_behind.set(self._group.replicas_behind)
-            self._forget_old_jobs()
+            self._delete_old_jobs()
             try:
                 async with asyncio.timeout(DEMAND_INTERVAL_S if self._scheduler.jobs else 1.0):
                     await self._wake_up.wait()
@@ -491,20 +491,20 @@
             _, item = scheduled.waiting.popitem(last=False)
             self._finish_item(scheduled, item, False, "", "too old")
 
-    def _forget_old_jobs(self) -> None:
+    def _delete_old_jobs(self) -> None:
         leadership = self._group.leadership
         now = monotonic()
-        if leadership is None or now < self._next_forget_at:
+        if leadership is None or now < self._next_deletion_at:
             return
-        self._next_forget_at = now + FORGET_INTERVAL_S
+        self._next_deletion_at = now + DELETION_INTERVAL_S
         for job_id in _expired_job_ids(leadership, time(), self._keep_jobs_s):
             leadership.forget(job_id)
         self._group.wake_sessions()
 
 
-def _expired_job_ids(leadership: JobLeadership, wall_clock: float, keep_s: float) -> list[str]:
+def _expired_job_ids(leadership: JobLeadership, now_s: float, keep_s: float) -> list[str]:
     return [
         job_id
         for job_id, record in leadership.jobs.items()
-        if (record.ended or record.complete) and wall_clock - record.job.accepted_ms / 1000 > keep_s
+        if (record.ended or record.complete) and now_s - record.job.accepted_ms / 1000 > keep_s
     ]
--- a/tests/batch/test_jobs_during_startup.py
+++ b/tests/batch/test_jobs_during_startup.py
@@ -30,7 +30,7 @@
     """Fails the test if the leader of a shard is called."""
 
     async def call(self, _address: object, _frame: Frame) -> Frame:
-        raise AssertionError("no leader can be asked yet")
+        raise AssertionError("no leader may be called")
 
 
 def _address(_identity: str) -> Address:
