--- a/src/wharfcart/batch/runner.py
+++ b/src/wharfcart/batch/runner.py
@@ -182,7 +182,7 @@
         try:
             grant = await self._leases.poll(shard, targets, MAX_ITEMS_PER_LEASE)
         except ServingError as error:
-            logger.debug("poll failed", extra={"shard": shard, "cause": str(error)})
+            logger.debug("lease poll failed", extra={"shard": shard, "cause": str(error)})
             return 0
         self.revoke(list(grant.revoked))
         accepted = sum(self._accept_lease(shard, granted) for granted in grant.leases)
--- a/tests/batch/test_job_execution.py
+++ b/tests/batch/test_job_execution.py
@@ -62,8 +62,8 @@
 class FakeItemRunner:
     """Runs items until they are cancelled or fail."""
 
-    def __init__(self, choice: BackendChoice) -> None:
-        self._choice = choice
+    def __init__(self, selector: BackendChoice) -> None:
+        self._selector = selector
         self.running: dict[str, str] = {}  # back end by item id
         self._failed: dict[str, asyncio.Event] = {}
 
@@ -74,7 +74,7 @@
         finally:
             del self.running[send.item.item_id]
             del self._failed[send.item.item_id]
-            self._choice.ended(send.state, send.send_id)
+            self._selector.ended(send.state, send.send_id)
         return RunOutcome.FAILED
 
     def fail(self, item_id: str) -> None:
@@ -85,9 +85,9 @@
 class InProcessItemSlots(ItemSlots):
     """Item slots of a granter in the same process."""
 
-    def __init__(self, choice: BackendChoice) -> None:
+    def __init__(self, selector: BackendChoice) -> None:
         super().__init__()
-        self.granter = SlotGranter(choice, lambda _instance: True)
+        self.granter = SlotGranter(selector, lambda _instance: True)
         self._offers: Counter[Residence] = Counter()
         self._last_number = 0
         for key in (LEADER, GATEWAY):
--- a/tests/batch/test_run_estimate.py
+++ b/tests/batch/test_run_estimate.py
@@ -8,7 +8,7 @@
     assert RunEstimate().remaining_s(0, 20.0) == 8.0
 
 
-def test_an_item_needs_less_the_more_events_it_has_given() -> None:
+def test_more_events_reduce_the_estimate() -> None:
     estimate = RunEstimate()
     estimate.record_finished(100, 2.0)
     assert estimate.remaining_s(0, 20.0) > 2.0
@@ -29,7 +29,7 @@
     urgent = Urgency(left_s=4.5, remaining_s=4.0)
     early = Urgency(left_s=15.0, remaining_s=4.0)
     assert (late.urgent, urgent.urgent, early.urgent) == (False, True, False)
-    assert sorted([urgent, early, late], key=lambda one: one.order) == [late, early, urgent]
+    assert sorted([urgent, early, late], key=lambda urgency: urgency.order) == [late, early, urgent]
 
 
 def test_without_data_the_run_time_reduces_the_estimate() -> None:
