--- a/src/wharfcart/batch/job_execution.py
+++ b/src/wharfcart/batch/job_execution.py
@@ -25,7 +25,7 @@
 from wharfcart.observability.serving_metrics import ServingMetrics
 from wharfcart.observability.tasks import BackgroundTasks
 from wharfcart.routing.backend_choice import BackendChoice, InstanceState
-from wharfcart.slots.events import LeaveCause, Verdict
+from wharfcart.slots.events import PreemptionCause, RunResult
 from wharfcart.slots.item_slots import ItemDemand, ItemSlot, ItemSlots
 from wharfcart.slots.session import HeldSlot
 from wharfcart.slots.urgency import Urgency
@@ -93,7 +93,7 @@
         self._wake_up = asyncio.Event()
         self._next_deletion_at = 0.0
         slots.on_offer = self._handle_offer
-        slots.on_leave = self._preempt
+        slots.on_preempted = self._preempt
 
     # ---- calls of the job service ----
 
@@ -127,7 +127,7 @@
         self._start_item(scheduled, item, state, slot)
         self._wake_up.set()
 
-    def _preempt(self, slot: HeldSlot, cause: LeaveCause) -> None:
+    def _preempt(self, slot: HeldSlot, cause: PreemptionCause) -> None:
         """Stop the item in a slot; it resumes later after its last event."""
         placed = self._placed.get_by_slot(slot)
         if placed is None or placed.is_stopping:
@@ -180,7 +180,7 @@
 
         def can_meet_objective(scheduled: ScheduledJob) -> bool:
             item = next(iter(scheduled.waiting.values()))
-            return not self._urgency(scheduled, item, service).too_late
+            return not self._urgency(scheduled, item, service).is_too_late
 
         jobs = [
             scheduled
@@ -209,7 +209,7 @@
             if (service := self._service_of(scheduled.job))
         }
         for service, residence in current_demand | self._reported_demand:
-            self._slots.items_wait(service, self._demand(service, residence), residence)
+            self._slots.report_demand(service, self._demand(service, residence), residence)
         self._reported_demand = current_demand
 
     def _demand(self, service: str, residence: Residence) -> ItemDemand:
@@ -232,7 +232,7 @@
                     for scheduled, item in found
                 )
             )
-        urgent = sum(urgency.urgent for urgency in urgencies)
+        urgent = sum(urgency.is_urgent for urgency in urgencies)
         return ItemDemand(len(found), urgent, urgencies[0], frozenset(excluded))
 
     def _urgency(self, scheduled: ScheduledJob, item: RequestItem, service: str) -> Urgency:
@@ -332,7 +332,7 @@
         self._scheduler.start_item(scheduled, item)
         placed = PlacedItem(scheduled, item, state, self._selector.sent(state, monotonic()), slot)
         self._placed.add(placed)
-        self._slots.begun(slot, urgency)
+        self._slots.report_started(slot, urgency)
         placed.task = self._tasks.spawn(self._run_item(placed))
         self._log.write(
             Event.ITEM_STARTED,
@@ -341,7 +341,7 @@
             backend=state.instance.instance_id,
             group=slot.group,
             after_event=scheduled.progress_of(item.item_id).partial_text.last_event,
-            due_in_s=round(urgency.left_s, 2),
+            due_in_s=round(urgency.until_due_s, 2),
             slack_s=round(urgency.slack_s, 2),
         )
 
@@ -349,7 +349,7 @@
         scheduled, item = placed.scheduled, placed.item
         progress = scheduled.progress_of(item.item_id)
         started_at = monotonic()
-        backend_result = Verdict.UNKNOWN
+        backend_result = RunResult.UNKNOWN
         try:
             outcome = await self._attempt_item(placed, progress)
             backend_result = self._assess_backends(progress, placed.slot.instance_id, outcome)
@@ -392,7 +392,7 @@
 
     def _assess_backends(
         self, progress: ItemProgress, instance_id: str, outcome: RunOutcome
-    ) -> Verdict:
+    ) -> RunResult:
         """Return the result for the back end of an attempt.
 
         A failure may be the fault of the item itself, so it counts against the back ends only
@@ -401,12 +401,12 @@
         if outcome is RunOutcome.FAILED:
             progress.partial_text.failed_at.append(instance_id)
         elif outcome is RunOutcome.INTERRUPTED:
-            return Verdict.BAD
+            return RunResult.BACKEND_FAILED
         elif outcome is RunOutcome.SUCCEEDED:
             for failed_id in progress.failed_instance_ids:
-                self._slots.blame(failed_id)
-            return Verdict.GOOD
-        return Verdict.UNKNOWN
+                self._slots.report_backend_failure(failed_id)
+            return RunResult.BACKEND_OK
+        return RunResult.UNKNOWN
 
     def _has_failed_permanently(self, scheduled: ScheduledJob, progress: ItemProgress) -> bool:
         """Whether an item has used up its attempts."""
--- a/tests/batch/test_job_execution.py
+++ b/tests/batch/test_job_execution.py
@@ -34,18 +34,18 @@
 from wharfcart.routing.eligibility import Eligibility
 from wharfcart.slots.events import (
     HolderId,
-    ItemBegun,
-    ItemMustLeave,
     ItemOffered,
+    ItemPreempted,
+    ItemStarted,
     ItemsWaiting,
-    Manner,
+    RequestMode,
+    RunResult,
     SessionKey,
     SessionOpened,
-    SlotAsked,
     SlotNumber,
     SlotReleased,
+    SlotRequested,
     SlotUse,
-    Verdict,
 )
 from wharfcart.slots.granter import RESTART_COST_S, SlotGranter
 from wharfcart.slots.item_slots import ItemDemand, ItemSlot, ItemSlots
@@ -101,9 +101,9 @@
                     self._offers[instruction.residence] += 1
                     slot = ItemSlot(0, instruction.number, "s", instruction.instance_id)
                     loop.call_soon(self.on_offer, slot)
-                case ItemMustLeave():
+                case ItemPreempted():
                     slot = HeldSlot(0, instruction.number)
-                    loop.call_soon(self.on_leave, slot, instruction.cause)
+                    loop.call_soon(self.on_preempted, slot, instruction.cause)
 
     @property
     def offers(self) -> int:
@@ -120,36 +120,38 @@
         self._last_number += 1
         number = SlotNumber(self._last_number)
         now = asyncio.get_running_loop().time()
-        self.handle_event(SlotAsked(GATEWAY, number, "s", now + 9.0, now + 9.0, Manner.WAIT))
+        self.handle_event(SlotRequested(GATEWAY, number, "s", now + 9.0, now + 9.0, RequestMode.WAIT))
         return number
 
     def free_slot(self, number: SlotNumber) -> None:
         self.handle_event(SlotReleased(GATEWAY, number))
 
-    def items_wait(self, service: str, demand: ItemDemand, residence: Residence = ANYWHERE) -> None:
+    def report_demand(
+        self, service: str, demand: ItemDemand, residence: Residence = ANYWHERE
+    ) -> None:
         self.handle_event(
             ItemsWaiting(
                 LEADER,
                 service,
                 demand.count,
-                demand.urgent,
-                demand.first,
+                demand.urgent_count,
+                demand.first_urgency,
                 demand.excluded,
                 self._offers[residence],
                 residence,
             )
         )
 
-    def begun(self, slot: ItemSlot, urgency: Urgency) -> None:
-        self.handle_event(ItemBegun(LEADER, slot.number, urgency))
+    def report_started(self, slot: ItemSlot, urgency: Urgency) -> None:
+        self.handle_event(ItemStarted(LEADER, slot.number, urgency))
 
-    def release(self, slot: HeldSlot, verdict: Verdict = Verdict.UNKNOWN) -> None:
-        self.handle_event(SlotReleased(LEADER, slot.number, verdict))
+    def release(self, slot: HeldSlot, result: RunResult = RunResult.UNKNOWN) -> None:
+        self.handle_event(SlotReleased(LEADER, slot.number, result))
 
     def tick(self) -> None:
         for instruction in self.granter.tick(asyncio.get_running_loop().time()):
-            assert isinstance(instruction, ItemMustLeave)
-            self.on_leave(HeldSlot(0, instruction.number), instruction.cause)
+            assert isinstance(instruction, ItemPreempted)
+            self.on_preempted(HeldSlot(0, instruction.number), instruction.cause)
 
 
 class FakeLeadership:
@@ -360,7 +362,7 @@
         harness.slots.handle_event(ItemsWaiting(LEADER, "s", 3, 0, Urgency(9.0, 4.0)))
         await harness.settle()
         now = asyncio.get_running_loop().time()
-        assert sum(load.in_use for load in harness.slots.granter.picture(now).backends) == 0
+        assert sum(load.in_use for load in harness.slots.granter.snapshot(now).backends) == 0
 
     run_scenario(scenario)
 
@@ -391,7 +393,7 @@
         harness.submit("j", 2)
         await harness.settle()
         assert not harness.runner.running
-        assert not harness.slots.granter.picture(asyncio.get_running_loop().time()).backends
+        assert not harness.slots.granter.snapshot(asyncio.get_running_loop().time()).backends
         harness.slots.on_offer = handle_offer
         harness.selector.eligibility.evacuated_zones = frozenset()
         async with asyncio.timeout(5.0):
@@ -528,7 +530,7 @@
         for number in range(91):
             harness.group.partial_texts.of("j", "j-7").add(number, "x")
         reported: list[Urgency] = []
-        harness.slots.begun = lambda slot, urgency: reported.append(urgency)
+        harness.slots.report_started = lambda slot, urgency: reported.append(urgency)
         harness.execution.start()
         harness.submit("j", 8)
         await harness.settle()
--- a/tests/batch/test_run_estimate.py
+++ b/tests/batch/test_run_estimate.py
@@ -25,10 +25,10 @@
 
 
 def test_an_item_past_its_objective_is_not_urgent_and_is_preempted_first() -> None:
-    late = Urgency(left_s=-3.0, remaining_s=4.0)
-    urgent = Urgency(left_s=4.5, remaining_s=4.0)
-    early = Urgency(left_s=15.0, remaining_s=4.0)
-    assert (late.urgent, urgent.urgent, early.urgent) == (False, True, False)
+    late = Urgency(until_due_s=-3.0, remaining_s=4.0)
+    urgent = Urgency(until_due_s=4.5, remaining_s=4.0)
+    early = Urgency(until_due_s=15.0, remaining_s=4.0)
+    assert (late.is_urgent, urgent.is_urgent, early.is_urgent) == (False, True, False)
     assert sorted([urgent, early, late], key=lambda urgency: urgency.order) == [late, early, urgent]
 
 
