--- a/src/wharfcart/batch/item_run.py
+++ b/src/wharfcart/batch/item_run.py
@@ -6,7 +6,7 @@
 from enum import StrEnum
 from time import time
 
-from wharfcart.admission.request_content import ContentId, content_of
+from wharfcart.admission.request_fingerprint import RequestFingerprint, fingerprint_of
 from wharfcart.backends.connection_pool import ConnectionLimitError, ConnectionPool
 from wharfcart.clock import monotonic
 from wharfcart.cluster.messages_pb2 import RequestItem
@@ -17,8 +17,8 @@
     HttpConnection,
 )
 from wharfcart.platform import exchanges
-from wharfcart.routing.backend_choice import BackendChoice, InstanceState
-from wharfcart.routing.broken_runs import BrokenRun, BrokenRuns
+from wharfcart.routing.backend_selection import BackendSelector, InstanceState
+from wharfcart.routing.crash_detection import CrashDetector, InterruptedRun
 from wharfcart.routing.event_stream import EventSplitter
 from wharfcart.storage.partial_texts import RunningText
 
@@ -61,9 +61,9 @@
     last_instance_id: str = ""
     attempts: int = 0
     run_time_s: float = 0.0
-    _fingerprint: ContentId | None = None
+    _fingerprint: RequestFingerprint | None = None
 
-    def fingerprint_of(self, item: RequestItem, host: str, tenant: str) -> ContentId:
+    def fingerprint_of(self, item: RequestItem, host: str, tenant: str) -> RequestFingerprint:
         """Return the item's fingerprint, equal to that of an identical request of its tenant.
 
         Args:
@@ -72,7 +72,7 @@
             tenant: tenant of the job, or ''.
         """
         if self._fingerprint is None:
-            self._fingerprint = content_of(host, ITEM_METHOD, item.path, tenant, item.body)
+            self._fingerprint = fingerprint_of(host, ITEM_METHOD, item.path, tenant, item.body)
         return self._fingerprint
 
     @property
@@ -108,7 +108,7 @@
     progress: ItemProgress
     give_up_at: float
 
-    def fingerprint(self) -> ContentId:
+    def fingerprint(self) -> RequestFingerprint:
         """Return the item's fingerprint, which is the same for all attempts."""
         return self.progress.fingerprint_of(self.item, self.host, self.tenant)
 
@@ -125,10 +125,10 @@
 
     def __init__(
         self,
-        selector: BackendChoice,
+        selector: BackendSelector,
         pool: ConnectionPool,
         connection_limit: Callable[[str], int],
-        crash_detector: BrokenRuns,
+        crash_detector: CrashDetector,
     ) -> None:
         self._selector = selector
         self._pool = pool
@@ -137,7 +137,9 @@
 
     def _is_quarantined(self, attempt: ItemAttempt) -> bool:
         """Whether the item is suspected of crashing back ends."""
-        return self._crash_detector.suspects.held_for_s(attempt.fingerprint, time()) > 0
+        return (
+            self._crash_detector.poison_requests.quarantine_left_s(attempt.fingerprint, time()) > 0
+        )
 
     async def run(self, attempt: ItemAttempt) -> RunOutcome:
         """Run an item once and add its events to its progress.
@@ -148,20 +150,22 @@
         try:
             return await self._connect_and_send(attempt)
         except ConnectFailedError:
-            self._selector.failed(attempt.state, monotonic())
+            self._selector.record_failure(attempt.state, monotonic())
             return RunOutcome.REFUSED
         except ConnectionLimitError:
             return RunOutcome.REFUSED
         finally:
-            self._selector.ended(attempt.state, attempt.send_id)
+            self._selector.record_finished(attempt.state, attempt.send_id)
 
     async def _connect_and_send(self, attempt: ItemAttempt) -> RunOutcome:
         instance = attempt.state.instance
         placed_at = monotonic()
-        connection = await self._pool.take(instance, self._connection_limit(instance.service))
-        is_excluded = self._selector.held_back(attempt.state, placed_at, monotonic()) is not None
+        connection = await self._pool.acquire(instance, self._connection_limit(instance.service))
+        is_excluded = (
+            self._selector.exclusion_before_send(attempt.state, placed_at, monotonic()) is not None
+        )
         if is_excluded or self._is_quarantined(attempt):
-            self._pool.give_back(instance, connection)
+            self._pool.release(instance, connection)
             return RunOutcome.REFUSED
         started_at = monotonic()
         events_before = len(attempt.progress.partial_text.texts)
@@ -173,8 +177,8 @@
         except ConnectionBrokenError as error:
             self._pool.discard(instance, connection)
             answer_started = len(attempt.progress.partial_text.texts) > events_before
-            await self._crash_detector.look_into(
-                BrokenRun(
+            await self._crash_detector.inspect(
+                InterruptedRun(
                     attempt.item.item_id,
                     attempt.fingerprint(),
                     instance,
@@ -187,9 +191,9 @@
         except BaseException:
             self._pool.discard(instance, connection)
             raise
-        self._pool.give_back(instance, connection)
+        self._pool.release(instance, connection)
         if outcome in _FINISHED_RUNS:
-            self._crash_detector.suspects.note_answer(attempt.fingerprint)
+            self._crash_detector.poison_requests.record_answer(attempt.fingerprint)
         return outcome
 
     async def _send_and_receive(
@@ -198,10 +202,12 @@
         self._send_request(connection, attempt)
         async with asyncio.timeout(READ_TIMEOUT_S):
             head = await connection.read_head()
-        self._selector.answered(attempt.state, attempt.send_id)
+        self._selector.record_first_byte(attempt.state, attempt.send_id)
         load = exchanges.reported_load(head)
         if load is not None:
-            self._selector.reported(attempt.state, load.running, load.waiting, monotonic())
+            self._selector.record_reported_load(
+                attempt.state, load.running, load.waiting, monotonic()
+            )
         if head.status >= 300:
             await connection.read_body()
             return self._outcome_of_error(head, attempt.state)
@@ -234,7 +240,7 @@
     def _outcome_of_error(self, head: AnswerHead, state: InstanceState) -> RunOutcome:
         if exchanges.was_not_run(head):
             if head.status == STATUS_UNAVAILABLE:
-                self._selector.full(state, monotonic())
+                self._selector.record_full(state, monotonic())
             return RunOutcome.REFUSED
         if head.status == STATUS_UNPROCESSABLE:
             return RunOutcome.UNPROCESSABLE
@@ -256,4 +262,4 @@
                 if last_event is not None and event.number > last_event + 1:
                     return RunOutcome.INTERRUPTED
                 progress.partial_text.add(event.number, event.data)
-        return RunOutcome.INTERRUPTED if splitter.rest else RunOutcome.SUCCEEDED
+        return RunOutcome.INTERRUPTED if splitter.remainder else RunOutcome.SUCCEEDED
--- a/src/wharfcart/batch/job_execution.py
+++ b/src/wharfcart/batch/job_execution.py
@@ -11,7 +11,7 @@
 from itertools import islice
 from time import time
 
-from wharfcart.admission.suspects import Suspects
+from wharfcart.admission.poison_requests import PoisonRequests
 from wharfcart.batch.item_run import ItemAttempt, ItemProgress, ItemRunner, RunOutcome
 from wharfcart.batch.job_scheduler import JobScheduler, ScheduledJob
 from wharfcart.batch.placed_items import PlacedItem, PlacedItems
@@ -24,7 +24,7 @@
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.observability.serving_metrics import ServingMetrics
 from wharfcart.observability.tasks import BackgroundTasks
-from wharfcart.routing.backend_choice import BackendChoice, InstanceState
+from wharfcart.routing.backend_selection import BackendSelector, InstanceState
 from wharfcart.slots.events import PreemptionCause, RunResult
 from wharfcart.slots.item_slots import ItemDemand, ItemSlot, ItemSlots
 from wharfcart.slots.session import HeldSlot
@@ -68,13 +68,13 @@
         self,
         group: JobGroup,
         runner: ItemRunner,
-        selector: BackendChoice,
+        selector: BackendSelector,
         configuration: Callable[[], ServingConfiguration | None],
         slots: ItemSlots,
         keep_jobs_s: float,
         log: DecisionLog,
         metrics: ServingMetrics,
-        poison_requests: Suspects,
+        poison_requests: PoisonRequests,
     ) -> None:
         self._group = group
         self._runner = runner
@@ -120,7 +120,7 @@
         """Start the first suitable item in an offered slot, or release the slot."""
         state = self._selector.state(slot.instance_id)
         found = None if state is None else self._next_item(slot.service, state)
-        if state is None or self._selector.ruled_out(state) or found is None:
+        if state is None or self._selector.exclusion_reason(state) or found is None:
             self._slots.release(slot)
             return
         scheduled, item = found
@@ -153,7 +153,7 @@
         instance_id = state.instance.instance_id
         for scheduled in self._jobs_by_due_time(service):
             residence = self._residence_of(scheduled.job)
-            if self._selector.eligibility.ruled_out(state.instance, residence) is not None:
+            if self._selector.eligibility.exclusion_reason(state.instance, residence) is not None:
                 continue
             for item in self._startable_items(scheduled, now):
                 if instance_id not in self._excluded_instances(scheduled, item, service, now):
@@ -172,7 +172,7 @@
         for item in self._scheduler.startable_items(scheduled, now):
             progress = scheduled.progress_of(item.item_id)
             fingerprint = partial(progress.fingerprint_of, item, job.host, job.tenant)
-            if not self._poison_requests.held_for_s(fingerprint, time()):
+            if not self._poison_requests.quarantine_left_s(fingerprint, time()):
                 yield item
 
     def _jobs_by_due_time(self, service: str) -> list[ScheduledJob]:
@@ -198,7 +198,7 @@
         if not excluded:
             return excluded
         residence = self._residence_of(scheduled.job)
-        usable = self._selector.usable(service, now, excluded, residence=residence)
+        usable = self._selector.usable_instances(service, now, excluded, residence=residence)
         return excluded if usable else set()
 
     def _report_demand(self) -> None:
@@ -274,7 +274,7 @@
         self._reported_demand = set()
         for placed in self._placed.clear():
             if not placed.started:
-                self._selector.ended(placed.state, placed.send_id)
+                self._selector.record_finished(placed.state, placed.send_id)
 
     def _add_job(self, job: RequestJob, finished_item_ids: set[str]) -> None:
         age_s = max(0.0, time() - job.accepted_ms / 1000)
@@ -330,7 +330,9 @@
     ) -> None:
         urgency = self._urgency(scheduled, item, slot.service)
         self._scheduler.start_item(scheduled, item)
-        placed = PlacedItem(scheduled, item, state, self._selector.sent(state, monotonic()), slot)
+        placed = PlacedItem(
+            scheduled, item, state, self._selector.record_sent(state, monotonic()), slot
+        )
         self._placed.add(placed)
         self._slots.report_started(slot, urgency)
         placed.task = self._tasks.spawn(self._run_item(placed))
@@ -373,7 +375,7 @@
 
     async def _attempt_item(self, placed: PlacedItem, progress: ItemProgress) -> RunOutcome:
         if placed.is_stopping:
-            self._selector.ended(placed.state, placed.send_id)
+            self._selector.record_finished(placed.state, placed.send_id)
             raise asyncio.CancelledError
         placed.started = True
         job = placed.scheduled.job
--- a/src/wharfcart/batch/runner.py
+++ b/src/wharfcart/batch/runner.py
@@ -14,7 +14,7 @@
 
 from wharfcart.admission.backend_gate import BackendState
 from wharfcart.backends.interface import BackendError, BackendPart, BackendRequest
-from wharfcart.backends.requests import batch_request
+from wharfcart.backends.requests import build_batch_request
 from wharfcart.batch.held_leases import HeldLease, HeldLeases
 from wharfcart.batch.lease_scheduler import MAX_ITEMS_PER_LEASE
 from wharfcart.batch.lines import error_line, output_line, service_name_of
@@ -30,7 +30,7 @@
 from wharfcart.configuration.services import Service
 from wharfcart.errors import Outcome, ServingError
 from wharfcart.observability.metrics import Metrics
-from wharfcart.routing.owner import BatchStoppedError, OwnedBackend, Owner
+from wharfcart.routing.owner import BackendOwner, BatchPreemptedError, OwnedBackend
 from wharfcart.routing.router import BackendKind
 from wharfcart.storage.client import JournalClient
 
@@ -79,7 +79,7 @@
         self,
         node_id: str,
         owned: OwnedBackend,
-        owner: Owner,
+        owner: BackendOwner,
         journal: JournalClient,
         find_service: FindService,
         metrics: Metrics,
@@ -125,15 +125,15 @@
     async def _fill_loop(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            self.owned.changed.clear()
-            slots = 0 if self._stopping else self.owned.gate.batch_slots(monotonic())
+            self.owned.capacity_changed.clear()
+            slots = 0 if self._stopping else self.owned.gate.available_batch_slots(monotonic())
             for _ in range(min(slots, len(self._waiting))):
                 self._start(self._waiting.popleft())
             if self._poll_task is None and self._wants_items(slots, monotonic()):
                 self._poll_task = loop.create_task(self._poll())
             try:
                 async with asyncio.timeout(SLOT_WAIT_TIMEOUT_S):
-                    await self.owned.changed.wait()
+                    await self.owned.capacity_changed.wait()
             except TimeoutError:
                 continue
 
@@ -166,7 +166,7 @@
             self._next_poll_at = monotonic() + pause_s
         finally:
             self._poll_task = None
-            self.owned.changed.set()
+            self.owned.capacity_changed.set()
 
     def _shards_to_poll(self) -> list[int]:
         """Return the shards that gave work last and a few others at random.
@@ -215,12 +215,12 @@
     async def _run_item(self, item: _LeasedItem) -> None:
         if item.lease.revoked:
             return
-        request = batch_request(item.service, item.line, item.request_id)
+        request = build_batch_request(item.service, item.line, item.request_id)
         request = replace(request, resume=item.was_sent)
         item.was_sent = True
         try:
             part = await self._owner.run_batch(self.owned, request)
-        except BatchStoppedError:
+        except BatchPreemptedError:
             self._waiting.appendleft(item)
         except ServingError as error:
             await self._handle_failure(item, request, error)
--- a/src/wharfcart/experiments/limits.py
+++ b/src/wharfcart/experiments/limits.py
@@ -21,8 +21,13 @@
 from random import Random
 from typing import Any
 
-from wharfcart.admission.limits import BucketHome, TakenTokens, TokenBucket, tokens_to_take
-from wharfcart.admission.tenant_limits import WINDOW_S, TenantLimits, TenantSends, TenantUsage
+from wharfcart.admission.limits import BucketCoordinator, GrantedTokens, TokenBucket, grant_size
+from wharfcart.admission.tenant_limits import (
+    WINDOW_S,
+    SendHistory,
+    TenantLimitCoordinator,
+    TenantUsage,
+)
 from wharfcart.configuration.serving import RequestLimit
 
 PICTURE_S = 0.25
@@ -113,7 +118,7 @@
 
     def __init__(self, load: LimitLoad) -> None:
         super().__init__(load)
-        self._sends = [TenantSends() for _ in range(load.gateways)]
+        self._sends = [SendHistory() for _ in range(load.gateways)]
         self._usage: dict[str, int] = {}
         self._heard_at = 0.0
         self._next_picture = 0.0
@@ -126,28 +131,30 @@
         if self.load.home_is_lost(at):
             limit = self.load.limit_of(tenant)
             usage = self._usage.get(tenant, 0)
-            permitted = sends.may_send_alone(tenant, limit, self._heard_at, usage, at)
+            permitted = sends.may_send_disconnected(tenant, limit, self._heard_at, usage, at)
         else:
             self._tell(at)
-            permitted = self._home.take(str(gateway), tenant, at) == 0.0
+            permitted = self._home.acquire(str(gateway), tenant, at) == 0.0
         if permitted:
-            sends.sent(tenant, at)
+            sends.record(tenant, at)
         return permitted
 
     def _tell(self, at: float) -> None:
         if self._heard_at < self.load.home_lost[0] <= at:
             self._home = self._new_home(at)
         if at >= self._next_picture:
-            self._usage = self._home.usage(at)
+            self._usage = self._home.usage_by_tenant(at)
             self._next_picture = at + PICTURE_S
         self._heard_at = at
 
-    def _new_home(self, at: float) -> TenantLimits:
-        home = TenantLimits(self.load.limit_of, at)
+    def _new_home(self, at: float) -> TenantLimitCoordinator:
+        home = TenantLimitCoordinator(self.load.limit_of, at)
         usage = [TenantUsage(tenant, count) for tenant, count in self._usage.items()]
         age_s = at - self._heard_at
         for gateway, sends in enumerate(self._sends):
-            home.holder_opened(str(gateway), sends.recent(at), usage, age_s, self.load.gateways, at)
+            home.holder_connected(
+                str(gateway), sends.recent(at), usage, age_s, self.load.gateways, at
+            )
         return home
 
 
@@ -156,8 +163,8 @@
 
     def __init__(self, load: LimitLoad) -> None:
         super().__init__(load)
-        self._home = BucketHome()
-        self._taken: defaultdict[tuple[int, str], TakenTokens] = defaultdict(TakenTokens)
+        self._home = BucketCoordinator()
+        self._taken: defaultdict[tuple[int, str], GrantedTokens] = defaultdict(GrantedTokens)
         self._lost = False
 
     def permits(self, arrival: Arrival) -> bool:
@@ -171,17 +178,17 @@
             self._lost = True
             return taken.spend_fallback(limit.requests_per_s, limit.burst, self.load.gateways, at)
         if self._lost:
-            self._home, self._lost = BucketHome(), False
+            self._home, self._lost = BucketCoordinator(), False
         if at < taken.refused_until:
             return False
         self.messages += 2
         self.round_trips += 1
-        wanted = tokens_to_take(limit.requests_per_s, limit.burst)
+        wanted = grant_size(limit.requests_per_s, limit.burst)
         granted, seconds = self._home.take(tenant, wanted, limit.requests_per_s, limit.burst, at)
         if granted < 1.0:
             taken.refused_until = at + seconds
             return False
-        taken.put(granted, at)
+        taken.replace(granted, at)
         return taken.spend(at)
 
 
--- a/src/wharfcart/node/gateway_process.py
+++ b/src/wharfcart/node/gateway_process.py
@@ -12,7 +12,7 @@
 from wharfcart.node.early_listening import EarlySockets
 from wharfcart.node.serving_node import ServingNode
 from wharfcart.observability.decisions import DecisionLog, Event
-from wharfcart.routing.cold_rates import OwnColdShares
+from wharfcart.routing.cold_backends import LocalColdShares
 from wharfcart.routing.forwarder import Forwarder
 from wharfcart.settings.base import split_endpoint
 from wharfcart.settings.serving import GatewaySettings, ServingSettings
@@ -25,16 +25,16 @@
 from wharfcart.storage.job_client import JobClient
 
 # The entry looks at readiness each second and needs two misses; until then connections still come.
-UNREADY_LEAD_S = 2.6
+UNREADY_DELAY_S = 2.6
 STOP_MARGIN_S = 0.7
-IDLE_CLOSE_PERIOD_S = 0.1
-POLL_S = 0.02
+IDLE_CLOSE_INTERVAL_S = 0.1
+POLL_INTERVAL_S = 0.02
 # A start that has no configuration yet leaves callers to other gateways for so long; then it tells
 # them that it can't serve.
-MOST_UNCONFIGURED_S = 1.0
+MAX_CONFIGURATION_WAIT_S = 1.0
 # What waited for a start comes in at once: it is worth a moment that the granting nodes put it in
 # order, rather than have it fill the back ends' queues.
-MOST_WITHOUT_SLOTS_S = 0.3
+MAX_SESSIONS_WAIT_S = 0.3
 
 
 class GatewayProcess:
@@ -52,45 +52,45 @@
         self._node = ServingNode(settings, log)
         self._sessions = SlotSessions(
             HolderId(settings.node_id),
-            self._node.choice,
+            self._node.selector,
             self._node.transport,
-            lambda: self._node.groups,
+            lambda: self._node.group_count,
             self._node.leader_address,
             self._node.group_of_instance,
-            FleetLoad(self._node.choice),
+            FleetLoad(self._node.selector),
             log,
-            self._node.stand_in_addresses,
+            self._node.backup_coordinator_addresses,
             settings.cluster_address,
             self._node.grants_in,
         )
-        self._node.fleet_size = self._sessions.holder_count
-        self._node.choice.own_cold_shares = OwnColdShares(
+        self._node.count_nodes = self._sessions.holder_count
+        self._node.selector.local_cold_shares = LocalColdShares(
             settings.node_id, self._sessions.holder_count
         )
         self._relays = PermitRelays(self._node.transport, self._sessions.relays)
-        self._node.handle_other = self._handle
+        self._node.role_handler = self._handle_call
         placement = GrantedPlacement(
-            self._node.choice,
+            self._node.selector,
             self._sessions,
             self._node.distance_to_group,
-            self._node.pool.kept,
+            self._node.pool.idle_instances,
             self._node.metrics.placements,
             self._relays,
         )
         forwarder = Forwarder(
-            self._node.choice,
+            self._node.selector,
             placement,
             self._node.pool,
             self._node.connection_limit,
             log,
             self._node.metrics,
-            self._node.broken_runs,
+            self._node.crash_detector,
         )
-        self._node.suspension_watch.on_resumed = forwarder.deadlines.resumed
+        self._node.suspension_watch.on_resumed = forwarder.deadlines.reschedule_all
         jobs = JobCalls(
             JobClient(
                 self._node.transport,
-                lambda: self._node.groups,
+                lambda: self._node.group_count,
                 self._node.records_by_group.get,
                 self._node.storage_address,
                 self._node.storage_region,
@@ -101,7 +101,7 @@
         )
         self._ingress = Ingress(
             lambda: self._node.configuration,
-            lambda: self._node.link.age_s,
+            lambda: self._node.mirror_sync.age_s,
             forwarder,
             jobs.submit,
             jobs.handle,
@@ -112,12 +112,12 @@
         """Begin to serve; ready once a configuration is known."""
         await self._node.start()
         self._node.tasks.spawn(self._sessions.run())
-        await self._wait_for_configuration(MOST_UNCONFIGURED_S)
-        await _until(lambda: self._sessions.all_open, MOST_WITHOUT_SLOTS_S)
+        await self._wait_for_configuration(MAX_CONFIGURATION_WAIT_S)
+        await _wait_until(lambda: self._sessions.all_open, MAX_SESSIONS_WAIT_S)
         await self._ingress.start(
             self._endpoint(self._settings.listen),
             self._endpoint(self._settings.readiness_listen),
-            self._sockets.since if self._sockets.by_endpoint else None,
+            self._sockets.opened_at if self._sockets.by_endpoint else None,
         )
         self._node.tasks.spawn(self._become_ready())
 
@@ -130,23 +130,23 @@
         stop_at = monotonic() + self._node.settings.stop_within_s - STOP_MARGIN_S
         self._log.write(Event.STOPPING, in_progress=self._ingress.in_progress)
         self._ingress.drain()
-        await asyncio.sleep(UNREADY_LEAD_S)
+        await asyncio.sleep(UNREADY_DELAY_S)
         self._ingress.stop_listening()
         while monotonic() < stop_at:
             self._ingress.close_idle()
             if not self._ingress.in_progress:
                 break
-            await asyncio.sleep(IDLE_CLOSE_PERIOD_S)
+            await asyncio.sleep(IDLE_CLOSE_INTERVAL_S)
         await self._node.stop()
         self._log.write(Event.STOPPED, in_progress=self._ingress.in_progress)
 
-    async def _handle(self, frame: Frame, respond: Responder) -> None:
+    async def _handle_call(self, frame: Frame, respond: Responder) -> None:
         """Answer a call of another gateway."""
         if frame.WhichOneof("body") == "relay_permit":
-            answer = await self._permit_for_other(frame.relay_permit.tenant)
+            answer = await self._answer_permit_relay(frame.relay_permit.tenant)
             await respond(Frame(permit_answer=answer, last=True))
 
-    async def _permit_for_other(self, tenant: str) -> PermitAnswer:
+    async def _answer_permit_relay(self, tenant: str) -> PermitAnswer:
         if self._node.configuration is None:
             return PermitAnswer(unsure=True)
         permit = Permit(self._sessions, self._relays, tenant, self._node.limit_of(tenant))
@@ -159,12 +159,12 @@
         await self._wait_for_configuration(math.inf)
         self._ingress.ready = not self._ingress.draining
 
-    async def _wait_for_configuration(self, seconds: float) -> None:
-        await _until(lambda: self._node.configuration is not None, seconds)
+    async def _wait_for_configuration(self, timeout_s: float) -> None:
+        await _wait_until(lambda: self._node.configuration is not None, timeout_s)
 
 
-async def _until(condition: Callable[[], bool], seconds: float) -> None:
+async def _wait_until(condition: Callable[[], bool], timeout_s: float) -> None:
     """Wait for a condition, or until the time is over."""
-    until = monotonic() + seconds
+    until = monotonic() + timeout_s
     while not condition() and monotonic() < until:
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
--- a/src/wharfcart/slots/fleet_load.py
+++ b/src/wharfcart/slots/fleet_load.py
@@ -1,7 +1,7 @@
 """The load of all back ends as the granting nodes tell it, for a gateway's own choices."""
 
 from wharfcart.clock import monotonic
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_selection import BackendSelector
 from wharfcart.slots.session import SlotUpdateListener
 from wharfcart.slots.snapshot import BackendLoad, SlotSnapshot
 
@@ -9,7 +9,7 @@
 class FleetLoad(SlotUpdateListener):
     """Hands pictures of the load to a choice."""
 
-    def __init__(self, selector: BackendChoice) -> None:
+    def __init__(self, selector: BackendSelector) -> None:
         self._selector = selector
         self._rates_by_group: dict[int, dict[str, float]] = {}
         self._instances_by_group: dict[int, set[str]] = {}
@@ -24,10 +24,10 @@
             self._apply_load(load, now)
         self._instances_by_group[group] = named
         self._rates_by_group[group] = snapshot.sends_per_s
-        self._selector.rates_told(self._total_rates(), now)
+        self._selector.rates_received(self._total_rates(), now)
 
     def _apply_load(self, load: BackendLoad, now: float) -> None:
-        self._selector.load_told(
+        self._selector.load_received(
             load.instance_id, load.in_use, load.unread_tokens, load.avoided, now
         )
 
--- a/src/wharfcart/slots/group_backends.py
+++ b/src/wharfcart/slots/group_backends.py
@@ -11,8 +11,12 @@
 
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.residence import Residence
-from wharfcart.routing.backend_choice import TOKENS_A_FULL_LOAD, BackendChoice, InstanceState
-from wharfcart.routing.cold_rates import ColdBuckets, granted_rate
+from wharfcart.routing.backend_selection import (
+    UNREAD_TOKENS_PER_LOAD,
+    BackendSelector,
+    InstanceState,
+)
+from wharfcart.routing.cold_backends import ColdBuckets, granted_rate
 from wharfcart.slots.ledger import SlotLedger, TakenSlot
 from wharfcart.slots.snapshot import BackendLoad
 
@@ -36,7 +40,7 @@
         ledger: what is taken.
     """
 
-    selector: BackendChoice
+    selector: BackendSelector
     owns: Callable[[BackendInstance], bool]
     is_leadership_confirmed: Callable[[], bool]
     ledger: SlotLedger
@@ -58,14 +62,14 @@
         left = [state for state in usable if state.instance.instance_id not in excluded]
         if left:
             return left
-        return self.selector.usable(
+        return self.selector.usable_instances(
             service, now, excluded, self.owns, self._is_unresponsive, residence
         )
 
     def _usable_in(self, service: str, residence: Residence, now: float) -> list[InstanceState]:
         looked_at, usable = self._usable.get((service, residence), (-USABLE_TTL_S, []))
         if now - looked_at >= USABLE_TTL_S:
-            usable = self.selector.usable(
+            usable = self.selector.usable_instances(
                 service, now, (), self.owns, self._is_unresponsive, residence
             )
             self._usable[service, residence] = (now, usable)
@@ -77,7 +81,7 @@
 
     def record_grant(self, instance_id: str) -> None:
         """Note that a back end gets a request."""
-        self._cold_buckets.take(instance_id)
+        self._cold_buckets.spend(instance_id)
 
     # ---- items ----
 
@@ -102,7 +106,7 @@
 
     def accepting(self, candidates: list[InstanceState], now: float) -> list[InstanceState]:
         """Return the back ends that bear one more request now: of cold ones, by their rate."""
-        if not self.selector.cold.any_cold(now):
+        if not self.selector.cold.may_have_cold(now):
             return candidates
         return [state for state in candidates if self._accepts_one_more(state, now)]
 
@@ -121,7 +125,7 @@
         self, candidates: list[InstanceState], now: float
     ) -> list[InstanceState]:
         """Return the back ends that are warm and have a slot; all while none is cold."""
-        if not self.selector.cold.any_cold(now):
+        if not self.selector.cold.may_have_cold(now):
             return candidates
         return [
             state
@@ -131,8 +135,8 @@
 
     def fill_cold_buckets(self, now: float) -> None:
         """Have the buckets of cold back ends fill from the time on at which they turned cold."""
-        cold = [state for state in self.selector.cold_states(now) if self.owns(state.instance)]
-        self._cold_buckets.keep_only({state.instance.instance_id for state in cold})
+        cold = [state for state in self.selector.cold_instances(now) if self.owns(state.instance)]
+        self._cold_buckets.retain({state.instance.instance_id for state in cold})
         for state in cold:
             self._accepts_one_more(state, now)
 
@@ -174,7 +178,7 @@
         distance = self.selector.distance_cost(zone, state.instance.zone) if zone else 0.0
         unread = self.ledger.unread_tokens(state.instance.instance_id, now)
         cold = COLD_COST if self.selector.is_cold(state, now) else 0.0
-        return self._load(state) + distance + unread / TOKENS_A_FULL_LOAD + cold
+        return self._load(state) + distance + unread / UNREAD_TOKENS_PER_LOAD + cold
 
     def load_of(self, state: InstanceState, now: float) -> BackendLoad:
         """Return what holders are told of a back end."""
@@ -188,7 +192,7 @@
 
     def is_avoided(self, state: InstanceState, now: float) -> bool:
         """Whether failures or silence speak against a back end, as far as anybody told."""
-        return state.avoided(now) or self._is_unresponsive(state.instance.instance_id)
+        return state.should_avoid(now) or self._is_unresponsive(state.instance.instance_id)
 
     def _is_unresponsive(self, instance_id: str) -> bool:
         """Whether a back end answers nobody although it has a slot free.
--- a/tests/batch/test_job_execution.py
+++ b/tests/batch/test_job_execution.py
@@ -8,7 +8,7 @@
 from time import time
 from types import SimpleNamespace
 
-from wharfcart.admission.suspects import Suspects
+from wharfcart.admission.poison_requests import PoisonRequests
 from wharfcart.batch import job_execution
 from wharfcart.batch.item_run import ItemAttempt, RunOutcome
 from wharfcart.batch.job_execution import JobExecution
@@ -30,7 +30,7 @@
 )
 from wharfcart.observability.decisions import DecisionLog
 from wharfcart.observability.serving_metrics import ServingMetrics
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_selection import BackendSelector
 from wharfcart.routing.eligibility import Eligibility
 from wharfcart.slots.events import (
     HolderId,
@@ -62,7 +62,7 @@
 class FakeItemRunner:
     """Runs items until they are cancelled or fail."""
 
-    def __init__(self, selector: BackendChoice) -> None:
+    def __init__(self, selector: BackendSelector) -> None:
         self._selector = selector
         self.running: dict[str, str] = {}  # back end by item id
         self._failed: dict[str, asyncio.Event] = {}
@@ -74,7 +74,7 @@
         finally:
             del self.running[send.item.item_id]
             del self._failed[send.item.item_id]
-            self._selector.ended(send.state, send.send_id)
+            self._selector.record_finished(send.state, send.send_id)
         return RunOutcome.FAILED
 
     def fail(self, item_id: str) -> None:
@@ -85,7 +85,7 @@
 class InProcessItemSlots(ItemSlots):
     """Item slots of a granter in the same process."""
 
-    def __init__(self, selector: BackendChoice) -> None:
+    def __init__(self, selector: BackendSelector) -> None:
         super().__init__()
         self.granter = SlotGranter(selector, lambda _instance: True)
         self._offers: Counter[Residence] = Counter()
@@ -120,7 +120,9 @@
         self._last_number += 1
         number = SlotNumber(self._last_number)
         now = asyncio.get_running_loop().time()
-        self.handle_event(SlotRequested(GATEWAY, number, "s", now + 9.0, now + 9.0, RequestMode.WAIT))
+        self.handle_event(
+            SlotRequested(GATEWAY, number, "s", now + 9.0, now + 9.0, RequestMode.WAIT)
+        )
         return number
 
     def free_slot(self, number: SlotNumber) -> None:
@@ -173,7 +175,7 @@
     """A job execution with back ends whose items run until they are stopped."""
 
     def __init__(self, servers: int = 1, slots: int = 4, zones: str = "") -> None:
-        self.selector = BackendChoice("z", Random(1), Eligibility(TOPOLOGY))
+        self.selector = BackendSelector("z", Random(1), Eligibility(TOPOLOGY))
         for n in range(servers):
             zone = zones[n] if zones else "z"
             self.selector.put(BackendInstance(f"i{n}", "s", "127.0.0.1", 1, zone, slots, True))
@@ -207,7 +209,7 @@
             60.0,
             DecisionLog("test"),
             ServingMetrics(),
-            Suspects(),
+            PoisonRequests(),
         )
         self.execution.start()
 
--- a/tests/slots/test_cold_granting.py
+++ b/tests/slots/test_cold_granting.py
@@ -4,8 +4,8 @@
 
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.serving import ColdLimit
-from wharfcart.routing.backend_choice import BackendChoice
-from wharfcart.routing.cold_rates import GRANTED_SHARE, UNSURE_SHARE
+from wharfcart.routing.backend_selection import BackendSelector
+from wharfcart.routing.cold_backends import GRANTED_SHARE, UNCONFIRMED_SHARE
 from wharfcart.slots.events import (
     Granted,
     HolderId,
@@ -39,7 +39,7 @@
         self.leadership_confirmed = True
         self.number = 0
         self.offers = 0
-        self.selector = BackendChoice("z", Random(1))
+        self.selector = BackendSelector("z", Random(1))
         self.selector.cold.limits = {"s": ColdLimit(COLD_RATE_PER_S, 60.0)}
         for n in range(warm):
             self.selector.put(BackendInstance(f"w{n}", "s", "h", 1, "z", slots, True))
@@ -118,7 +118,7 @@
     for _ in range(30):
         bench.request()
     served = sum(len(granted_instances(bench.tick(0.05))) for _ in range(40))
-    assert 0 < served <= 2.0 * COLD_RATE_PER_S * UNSURE_SHARE + 1
+    assert 0 < served <= 2.0 * COLD_RATE_PER_S * UNCONFIRMED_SHARE + 1
 
 
 def test_refusal_at_cold_back_ends_returns_retry_after_from_their_rate() -> None:
--- a/tests/slots/test_cold_property.py
+++ b/tests/slots/test_cold_property.py
@@ -10,8 +10,8 @@
 
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.serving import ColdLimit
-from wharfcart.routing.backend_choice import BackendChoice
-from wharfcart.routing.cold_rates import PERMIT_KEPT_S, OwnColdShares
+from wharfcart.routing.backend_selection import BackendSelector
+from wharfcart.routing.cold_backends import PERMIT_TTL_S, LocalColdShares
 from wharfcart.slots.events import (
     Granted,
     HolderId,
@@ -84,9 +84,9 @@
         self.sessions = {name: SessionKey(HolderId(name), 1) for name in names}
         self.elect_granter()
 
-    def _new_selector(self, name: str, names: list[str]) -> BackendChoice:
-        choice = BackendChoice("z", Random(1))
-        choice.own_cold_shares = OwnColdShares(name, lambda: len(names)) if name else None
+    def _new_selector(self, name: str, names: list[str]) -> BackendSelector:
+        choice = BackendSelector("z", Random(1))
+        choice.local_cold_shares = LocalColdShares(name, lambda: len(names)) if name else None
         choice.cold.limits = {"s": ColdLimit(self.rate, 3.0)}
         return choice
 
@@ -149,15 +149,15 @@
                     self._record_arrival(told.instance_id, segment)
             granter.handle(SlotReleased(session, number), self.now)
 
-    def _select_all(self, choice: BackendChoice, segment: Segment) -> None:
+    def _select_all(self, choice: BackendSelector, segment: Segment) -> None:
         for name in segment.cold:
             others = frozenset(INSTANCE_IDS) - {name}
-            while (state := choice.choose("s", self.now, others)) is not None:
+            while (state := choice.select("s", self.now, others)) is not None:
                 self._record_arrival(state.instance.instance_id, segment)
 
     def _record_arrival(self, name: str, segment: Segment) -> None:
         if name in segment.cold:
-            self.arrivals[name].append(self.now + segment.delay_fraction * PERMIT_KEPT_S)
+            self.arrivals[name].append(self.now + segment.delay_fraction * PERMIT_TTL_S)
 
     def max_arrivals_per_second(self) -> int:
         """Return the most arrivals at one back end within a second."""
--- a/tests/slots/test_evacuated_zones.py
+++ b/tests/slots/test_evacuated_zones.py
@@ -8,9 +8,9 @@
 from tests.slots.network import SETTLE_S, Fleet, play, request
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.serving import ColdLimit
-from wharfcart.routing.backend_choice import BackendChoice
-from wharfcart.routing.cold_rates import OwnColdShares
-from wharfcart.routing.placement import NoSlotError, Placed, SendVerdict
+from wharfcart.routing.backend_selection import BackendSelector
+from wharfcart.routing.cold_backends import LocalColdShares
+from wharfcart.routing.placement import NoSlotError, PlacementDecision, SendResult
 from wharfcart.slots.events import PreemptionCause
 from wharfcart.slots.item_slots import ItemDemand, ItemSlot
 from wharfcart.slots.session import HeldSlot
@@ -20,7 +20,7 @@
 ZONES = {"i0": "a", "i1": "b", "i2": "c"}
 
 
-def selectors(fleet: Fleet) -> list[BackendChoice]:
+def selectors(fleet: Fleet) -> list[BackendSelector]:
     return [
         *(node.selector for node in fleet.nodes),
         *(holder.selector for holder in fleet.holders.values()),
@@ -35,12 +35,12 @@
             choice.put(entry, now)
 
 
-def evacuate_zones(known_to: Iterable[BackendChoice], *zones: str) -> None:
+def evacuate_zones(known_to: Iterable[BackendSelector], *zones: str) -> None:
     for choice in known_to:
         choice.eligibility.evacuated_zones = frozenset(zones)
 
 
-def instance_id_of(placed: Placed | None) -> str:
+def instance_id_of(placed: PlacementDecision | None) -> str:
     return "" if placed is None else placed.state.instance.instance_id
 
 
@@ -123,7 +123,7 @@
         began_at = asyncio.get_running_loop().time()
         assert await gateway.placement.place(request(9.0)) is None
         assert asyncio.get_running_loop().time() - began_at < 0.1
-        assert gateway.selector.is_all_evacuated("s")
+        assert gateway.selector.is_fully_evacuated("s")
 
     play(scenario, servers=3, slots=4)
 
@@ -209,7 +209,7 @@
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
         set_cold_limit(fleet, 4.0)
-        gateway.selector.own_cold_shares = OwnColdShares("g1", lambda: 1)
+        gateway.selector.local_cold_shares = LocalColdShares("g1", lambda: 1)
         put_in_zones(fleet, cold_for_s=60.0)
         fleet.network.unreachable.add(fleet.leader.address)
         sent = 0
@@ -220,7 +220,7 @@
                 assert error.retry_after_s > 0
             else:
                 assert placed is not None
-                gateway.placement.ended(placed, SendVerdict.GOOD)
+                gateway.placement.send_finished(placed, SendResult.BACKEND_OK)
                 sent += 1
             await asyncio.sleep(0.05)
         assert 0 < sent <= 3 * (5.0 * 0.4 + 1)
@@ -239,11 +239,11 @@
         now = asyncio.get_running_loop().time()
         for choice in selectors(fleet):
             for zone in ZONES.values():
-                choice.cold.given_back(zone, now, revision=50)
+                choice.cold.zone_restored(zone, now, revision=50)
             for name, zone in ZONES.items():
                 entry = BackendInstance(name, "s", "127.0.0.1", 1, zone, 8, True)
                 choice.put(entry, now, revision=51 if heard else 49)
-        assert len(gateway.selector.cold_states(now)) == (0 if heard else 3)
-        assert not gateway.selector.cold_states(now + 3.0)
+        assert len(gateway.selector.cold_instances(now)) == (0 if heard else 3)
+        assert not gateway.selector.cold_instances(now + 3.0)
 
     play(scenario, servers=3, slots=8)
--- a/tests/slots/test_granter.py
+++ b/tests/slots/test_granter.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from wharfcart.configuration.instances import BackendInstance
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_selection import BackendSelector
 from wharfcart.slots.events import (
     BackendFailureReported,
     Granted,
@@ -50,7 +50,7 @@
     """A granter, time and numbers."""
 
     def __init__(self, *names: str, slots: int = 2, zones: str = "", owns: str = "") -> None:
-        self.selector = BackendChoice("z", Random(1))
+        self.selector = BackendSelector("z", Random(1))
         for n, name in enumerate(names):
             zone = zones[n] if zones else "z"
             self.selector.put(BackendInstance(name, "s", "127.0.0.1", 1, zone, slots, True))
