--- a/src/wharfcart/batch/item_run.py
+++ b/src/wharfcart/batch/item_run.py
@@ -117,7 +117,7 @@
     """Runs items at back ends.
 
     Args:
-        selector: state of the back ends.
+        selector: tracks the state of the back ends.
         pool: connections to the back ends.
         connection_limit: returns the connection limit of a service.
         crash_detector: decides whether an interrupted run means a crashed back end.
--- a/src/wharfcart/batch/job_execution.py
+++ b/src/wharfcart/batch/job_execution.py
@@ -55,7 +55,7 @@
     Args:
         group: the job group.
         runner: sends items to back ends.
-        selector: state of the back ends as this node knows it.
+        selector: tracks the state of the back ends on this node.
         configuration: returns the current configuration, or None.
         slots: receives slot offers and preemptions for items.
         keep_jobs_s: age up to which a completed or cancelled job stays readable.
--- a/tests/batch/test_job_execution.py
+++ b/tests/batch/test_job_execution.py
@@ -67,14 +67,14 @@
         self.running: dict[str, str] = {}  # back end by item id
         self._failed: dict[str, asyncio.Event] = {}
 
-    async def run(self, send: ItemAttempt) -> RunOutcome:
-        self.running[send.item.item_id] = send.state.instance.instance_id
+    async def run(self, attempt: ItemAttempt) -> RunOutcome:
+        self.running[attempt.item.item_id] = attempt.state.instance.instance_id
         try:
-            await self._failed.setdefault(send.item.item_id, asyncio.Event()).wait()
+            await self._failed.setdefault(attempt.item.item_id, asyncio.Event()).wait()
         finally:
-            del self.running[send.item.item_id]
-            del self._failed[send.item.item_id]
-            self._selector.record_finished(send.state, send.send_id)
+            del self.running[attempt.item.item_id]
+            del self._failed[attempt.item.item_id]
+            self._selector.record_finished(attempt.state, attempt.send_id)
         return RunOutcome.FAILED
 
     def fail(self, item_id: str) -> None:
