--- a/src/wharfcart/clock.py
+++ b/src/wharfcart/clock.py
@@ -1,41 +1,41 @@
-"""Time that decisions are made by: it goes on while the machine is suspended.
+"""Monotonic clock that keeps counting while the machine is suspended.
 
-A machine may be suspended for seconds. The system's monotonic clock, and with it every timer of the
-event loop, stands still meanwhile; to the rest of the fleet the time passes. A lease, a permit or a
-picture of the load that was fresh before is old after it, whatever that clock says. So nothing here
-is measured by the event loop's time but how long a call waits (see :class:`SuspensionDetector`).
+A machine may be suspended for seconds. The system's monotonic clock and every timer of the event
+loop stop meanwhile, while time passes for the rest of the fleet: leases, permits and load snapshots
+expire. Decisions therefore use this clock, and the event loop's time only limits how long a call
+waits (see :class:`SuspensionDetector`).
 """
 
 import math
 import time
 
-# Linux has a clock that counts suspensions; where there is none, suspensions are not noticed.
+# Linux's clock that includes suspended time; without it, suspensions are not detected.
 _BOOT_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
-# Two clocks that are read one after the other differ by less than this.
+# Shorter differences come from reading the two clocks one after the other.
 MIN_SUSPENSION_S = 0.05
 
 
 def monotonic() -> float:
-    """Return seconds since some moment in the past, time in which the machine was suspended too."""
+    """Return seconds since an arbitrary point in the past, including suspended time."""
     return time.clock_gettime(_BOOT_CLOCK)
 
 
 def suspended_s() -> float:
-    """Return for how long the machine has been suspended since it started."""
+    """Return the total time in seconds that the machine has been suspended since it started."""
     return monotonic() - time.clock_gettime(time.CLOCK_MONOTONIC)
 
 
 class SuspensionDetector:
-    """Notices that the machine was suspended, whenever it is asked."""
+    """Detects suspensions of the machine by comparing the two clocks on each query."""
 
     def __init__(self) -> None:
         self._last_total_s = suspended_s()
         self._resumed_at = -math.inf
 
     def resumed_at(self) -> float:
-        """Return the monotonic time at which the last suspension was noticed; -inf if none was.
+        """Return the monotonic time at which the last suspension was detected; -inf if none was.
 
-        What was confirmed before that is not sure any more.
+        Leases and leaderships that were confirmed before this time must be confirmed again.
         """
         known_s, self._last_total_s = self._last_total_s, suspended_s()
         if self._last_total_s - known_s > MIN_SUSPENSION_S:
--- a/src/wharfcart/cluster/__init__.py
+++ b/src/wharfcart/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""Membership, ownership and calls between nodes."""
+"""Cluster membership, synchronization of shared state, and calls between nodes."""
--- a/src/wharfcart/cluster/address.py
+++ b/src/wharfcart/cluster/address.py
@@ -1,11 +1,11 @@
-"""Where a node is reached by other nodes."""
+"""Network address of a node."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class Address:
-    """Where a node listens, TCP and UDP alike."""
+    """Host and port on which a node listens, for both TCP and UDP."""
 
     host: str
     port: int
@@ -16,10 +16,10 @@
 
     @classmethod
     def parse(cls, text: str) -> "Address":
-        """Read ``host:port``.
+        """Parse ``host:port``.
 
         Raises:
-            ValueError: the text is none.
+            ValueError: the port is not a number.
         """
         host, _, port = text.rpartition(":")
         return cls(host, int(port))
--- a/src/wharfcart/cluster/coordination.py
+++ b/src/wharfcart/cluster/coordination.py
@@ -1,7 +1,8 @@
 """Interface to the coordination service: small keys, revisions, conditions and watches.
 
-What must outlast every machine and is small lives there: configuration, service discovery, who
-leads a job group, which replicas it has. Another service is another implementation.
+The service stores small data that must survive the loss of any machine: configuration, service
+discovery, and the leader and replicas of each job group. Each supported service has its own
+implementation.
 """
 
 from dataclasses import dataclass, field
@@ -10,9 +11,13 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyChange:
-    """A key as it was written at a revision; ``value`` None means that it was removed.
+    """One write or removal of a key.
 
-    ``last_value`` is the value that a removed key had, where that is known.
+    Attributes:
+        key: the key.
+        revision: revision of the write.
+        value: value written; None if the key was removed.
+        last_value: value that a removed key had, if known.
     """
 
     key: str
@@ -23,9 +28,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeBatch:
-    """Changes up to and including revision ``last_revision``.
+    """Changes up to and including a revision.
 
-    ``complete`` tells that these are all keys there are, so that any other key is gone.
+    Attributes:
+        changes: the changes.
+        last_revision: revision up to which the batch is complete.
+        complete: whether the batch lists all existing keys, so that any other key is removed.
     """
 
     changes: tuple[KeyChange, ...]
@@ -35,11 +43,12 @@
 
 @dataclass(frozen=True)
 class Transaction:
-    """Everything or nothing.
+    """Set of writes that is applied atomically.
 
-    Parameters
-    ----------
-    expected: key to the revision it must have; 0 means that it must not exist.
+    Attributes:
+        expected: required revision by key; 0 means that the key must not exist.
+        put: values to write by key.
+        remove: keys to remove.
     """
 
     expected: dict[str, int]
@@ -48,9 +57,11 @@
 
 
 class CoordinationUnavailableError(Exception):
-    """The service did not answer or refused.
+    """Raised when the service does not respond or rejects the call.
 
-    ``may_have_taken_effect`` is False only on proof that a write did not and will not happen.
+    Attributes:
+        reason: human-readable cause.
+        may_have_taken_effect: False only if the write certainly did not and will not happen.
     """
 
     def __init__(self, reason: str, may_have_taken_effect: bool = False) -> None:
@@ -60,50 +71,49 @@
 
 
 class HistoryLostError(Exception):
-    """The changes after a revision are no longer known: everything must be read anew."""
+    """Raised when the service no longer has the changes after a revision; read all keys again."""
 
 
 class ConditionFailedError(Exception):
-    """An expectation of a transaction did not hold, so nothing was done."""
+    """Raised when a condition of a transaction does not hold; nothing was written."""
 
 
 class CoordinationService(Protocol):
-    """What wharfcart asks of the service."""
+    """Operations that wharfcart needs from a coordination service."""
 
     async def read_all(self, stale: bool = False) -> ChangeBatch:
-        """Return every key.
+        """Return all keys.
 
-        ``stale`` allows an answer that is seconds old, which costs the service little.
+        Args:
+            stale: whether the result may be seconds old, which is cheaper for the service.
 
-        Raises
-        ------
-        CoordinationUnavailableError
+        Raises:
+            CoordinationUnavailableError: the service does not respond or rejects the call.
         """
         ...
 
     async def wait_for_changes(self, after: int, wait_s: float) -> ChangeBatch:
         """Return the changes after a revision as soon as one exists, or none after ``wait_s``.
 
-        Raises
-        ------
-        CoordinationUnavailableError, HistoryLostError
+        Raises:
+            CoordinationUnavailableError: the service does not respond or rejects the call.
+            HistoryLostError: the service no longer has all changes after the revision.
         """
         ...
 
     async def read(self, key: str) -> KeyChange | None:
-        """Return one key, never an older state than the service has acknowledged.
+        """Return the current state of one key (linearizable read); None if it does not exist.
 
-        Raises
-        ------
-        CoordinationUnavailableError
+        Raises:
+            CoordinationUnavailableError: the service does not respond or rejects the call.
         """
         ...
 
     async def commit(self, transaction: Transaction) -> int:
-        """Carry out a transaction and return its revision.
+        """Execute a transaction and return its revision.
 
-        Raises
-        ------
-        CoordinationUnavailableError, ConditionFailedError
+        Raises:
+            CoordinationUnavailableError: the service does not respond or rejects the call.
+            ConditionFailedError: a condition does not hold.
         """
         ...
--- a/src/wharfcart/cluster/gossip.py
+++ b/src/wharfcart/cluster/gossip.py
@@ -1,4 +1,4 @@
-"""Membership driver: the core over UDP datagrams and a timer."""
+"""Membership driver: runs the membership core over UDP datagrams and a timer."""
 
 import asyncio
 import logging
@@ -23,7 +23,15 @@
 
 
 class GossipDriver(asyncio.DatagramProtocol):
-    """Runs one node's membership."""
+    """Runs the membership protocol of one node.
+
+    Args:
+        local_member: this node's member record.
+        seeds: addresses of nodes to join through.
+        member_changed: called when the state of a member changes.
+        peer_revision: called with the revisions that a peer reports.
+        bytes_sent: called with the size of each datagram sent.
+    """
 
     def __init__(
         self,
@@ -41,25 +49,31 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self, listen: Address) -> None:
-        """Listen and join."""
+        """Open the socket and join the cluster through the seeds."""
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=(listen.host, listen.port))
         self._execute(self.membership.start(monotonic()))
         self._task = loop.create_task(self._run())
 
     async def leave(self) -> None:
-        """Announce a planned stop."""
+        """Announce that this node leaves."""
         self._execute(self.membership.leave(monotonic()))
 
     async def stop(self) -> None:
-        """Close the socket."""
+        """Stop the timer and close the socket."""
         if self._task is not None:
             self._task.cancel()
         if self._transport is not None:
             self._transport.close()
 
     def announce(self, configuration: int, placement_digest: int, directory: int) -> None:
-        """Tell peers a new digest of what this node knows."""
+        """Announce the revisions known here to peers, if any has changed.
+
+        Args:
+            configuration: revision of the configuration.
+            placement_digest: digest of the shard placement.
+            directory: revision of the directory.
+        """
         membership = self.membership
         before = (
             membership.configuration_revision,
@@ -74,29 +88,29 @@
         self._execute(membership.announce_revision())
 
     def address_of(self, node_id: str) -> Address | None:
-        """Return a node's address."""
+        """Return the address of a node; None if it is unknown."""
         member = self.membership.find(node_id)
         return None if member is None else Address(member.host, member.port)
 
     def address_of_storage(self, identity: str) -> Address | None:
-        """Return the address of the node that holds a disk."""
+        """Return the address of the node with a storage identity; None if there is none."""
         for member in [self.membership.local_member, *self.membership.members.values()]:
-            # A leaving node still replicates until it is gone.
+            # A node that has left still replicates until it stops.
             if member.storage_identity == identity and member.state != DEAD:
                 return Address(member.host, member.port)
         return None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the socket."""
-        # uvloop's UDP transport is no subclass of asyncio's.
+        """Store the transport."""
+        # uvloop's UDP transport does not subclass asyncio's.
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Handle one datagram; garbage is dropped."""
+        """Handle one datagram; malformed datagrams are dropped."""
         try:
             message = Gossip.FromString(data)
         except Exception:
-            logger.warning("bad datagram", extra={"sender": addr[0]})
+            logger.warning("dropped a malformed datagram", extra={"sender": addr[0]})
             return
         now = monotonic()
         sender = Address(addr[0], addr[1])
@@ -105,8 +119,8 @@
     async def _run(self) -> None:
         while True:
             now = monotonic()
-            wait = self.membership.next_deadline(now) - now
-            await asyncio.sleep(min(MAX_TICK_INTERVAL_S, max(0.005, wait)))
+            delay_s = self.membership.next_deadline(now) - now
+            await asyncio.sleep(min(MAX_TICK_INTERVAL_S, max(0.005, delay_s)))
             self._execute(self.membership.tick(monotonic()))
 
     def _execute(self, actions: Sequence[MembershipAction]) -> None:
--- a/src/wharfcart/cluster/membership.py
+++ b/src/wharfcart/cluster/membership.py
@@ -1,12 +1,12 @@
-"""Membership core: failure detection and spreading among nodes.
+"""Membership core: failure detection and dissemination of membership changes.
 
-SWIM (Das, Gupta, Motivala 2002) with the suspicion subprotocol and incarnation numbers, and the
-local-health multiplier of Lifeguard (Dadgar, Phillips, Currey 2017): a node that misses
-acknowledgements slows its own probes before it blames others. Rumours ride on probes, a bounded
-number on each, so that the bytes a node sends do not grow with the number of nodes.
+Implements SWIM (Das, Gupta, Motivala 2002) with the suspicion subprotocol and incarnation numbers,
+and the local health multiplier of Lifeguard (Dadgar, Phillips, Currey 2017): a node that misses
+acknowledgements slows its own probes before it suspects others. Rumours are piggybacked on probes,
+a bounded number on each, so that the bytes a node sends do not grow with the number of nodes.
 
-Pure: time comes in as seconds, randomness as a seeded generator, and everything to do comes out as
-actions.
+Performs no I/O: callers pass in the time in seconds and a seeded random source, and execute the
+returned actions.
 """
 
 from dataclasses import dataclass, field
@@ -38,16 +38,16 @@
 SUSPICION_TIMEOUT_S = 2.0
 PUSH_ROUNDS = 2
 PUSH_INTERVAL_S = 0.3
-PUSH_DELAY_S = 0.1  # news of failures is pushed on after this, several together
-MIN_SYNC_INTERVAL_S = 5.0  # between two whole member lists asked for
-PAUSE_THRESHOLD_S = 1.0  # a longer gap between ticks means that this process was stopped
+PUSH_DELAY_S = 0.1  # changes within this time are pushed together
+MIN_SYNC_INTERVAL_S = 5.0  # between two requests for a full member list
+PAUSE_THRESHOLD_S = 1.0  # a longer gap between ticks means that this process was paused
 INDIRECT_PROBES = 3
 MAX_UPDATES_PER_MESSAGE = 12
 RETRANSMIT_FACTOR = 4
 MAX_LOCAL_HEALTH = 8
-DEAD_RETENTION_S = 7200.0  # regions lose each other for an hour
-RECONNECT_INTERVAL_S = 5.0  # between two probes of a member that was declared dead
-MASS_SUSPICION_COUNT = 20  # with more at once, it is a zone or a link, and refutations take longer
+DEAD_RETENTION_S = 7200.0  # longer than a partition between regions
+RECONNECT_INTERVAL_S = 5.0  # between two probes of dead members
+MASS_SUSPICION_COUNT = 20  # suspects that double the timeout, as refutations take longer then
 JOIN_RETRY_INTERVAL_S = 0.5
 DIGEST_FANOUT = 3
 RING_SIZE = 2**64
@@ -55,7 +55,7 @@
 
 
 class ShufflingRandomSource(Protocol):
-    """The part of :class:`random.Random` that the core draws on."""
+    """Subset of :class:`random.Random` that the core uses."""
 
     def random(self) -> float:
         """Return a float in [0, 1)."""
@@ -76,14 +76,14 @@
 
 @dataclass(frozen=True)
 class MemberChanged:
-    """Action: tell the node that a member's state changed."""
+    """Action: notify the node that a member's state changed."""
 
     member: Member
 
 
 @dataclass(frozen=True)
 class PeerRevisions:
-    """Action: a peer told its configuration revision and placement version."""
+    """Action: notify the node of the revisions that a peer reported."""
 
     node_id: str
     configuration_revision: int
@@ -126,6 +126,15 @@
 
     Call :meth:`start` once, then :meth:`receive` for each datagram and :meth:`tick` at or after
     :meth:`next_deadline`.
+
+    Attributes:
+        local_member: this node's member record.
+        seeds: addresses of nodes to join through.
+        random: random source.
+        configuration_revision: configuration revision that this node announces.
+        placement_version: placement digest that this node announces.
+        directory_revision: directory revision that this node announces.
+        members: all other known members by node id, including dead ones.
     """
 
     local_member: Member
@@ -157,37 +166,37 @@
     # ---- views ----
 
     def live(self) -> list[Member]:
-        """Return members that may be given work: alive or merely suspected, self included."""
+        """Return members that may receive work: alive or suspected, including this node."""
         alive = [m for m in self.members.values() if m.state in (ALIVE, SUSPECT)]
         return [*alive, self.local_member] if self.local_member.state == ALIVE else alive
 
     def find(self, node_id: str) -> Member | None:
-        """Return the member of that id, or None."""
+        """Return the member with a node id; None if it is unknown."""
         if node_id == self.local_member.node_id:
             return self.local_member
         return self.members.get(node_id)
 
     def next_deadline(self, now: float) -> float:
-        """Return when :meth:`tick` must be called again at the latest."""
-        deadlines = [self._next_probe_at]
+        """Return the latest time at which :meth:`tick` must be called again."""
+        candidates = [self._next_probe_at]
         if self._probe is not None:
-            deadlines = [self._probe.deadline]
+            candidates = [self._probe.deadline]
         if not self.members:
-            deadlines.append(self._next_join_at)
+            candidates.append(self._next_join_at)
         if self._next_push_at is not None:
-            deadlines.append(self._next_push_at)
-        deadlines.extend(self._suspected_until.values())
-        return max(now, min(deadlines))
+            candidates.append(self._next_push_at)
+        candidates.extend(self._suspected_until.values())
+        return max(now, min(candidates))
 
     # ---- inputs ----
 
     def start(self, now: float) -> list[MembershipAction]:
-        """Ask the seeds for the member list."""
+        """Request the member list from the seeds."""
         self._next_probe_at = now + PROBE_PERIOD_S * self.random.random()
         return self._join(now)
 
     def leave(self, now: float) -> list[MembershipAction]:
-        """Announce a planned stop to a few peers at once; probes spread the rest."""
+        """Announce that this node leaves to a few peers; probes disseminate it further."""
         self.local_member.state = LEFT
         self.local_member.incarnation += 1
         self._add_rumour(self.local_member)
@@ -195,14 +204,14 @@
         return [self._send(peer, PING) for peer in peers]
 
     def announce_revision(self) -> list[MembershipAction]:
-        """Push the revision digest to a few random peers after it rose here."""
+        """Push this node's revisions to a few random peers after one has changed."""
         return [self._send(peer, DIGEST) for peer in self._random_peers(DIGEST_FANOUT, "")]
 
     def receive(self, message: Gossip, sender: Address, now: float) -> list[MembershipAction]:
         """Handle one datagram."""
         actions: list[MembershipAction] = []
         for update in message.updates:
-            # A whole list is old news to others: it is taken, not passed on.
+            # Other nodes know the contents of a full list already, so it is not propagated.
             actions.extend(self._merge(update, now, propagate=message.kind != MEMBERS))
         if message.sender != self.local_member.node_id:
             actions.append(
@@ -225,10 +234,10 @@
         return actions
 
     def tick(self, now: float) -> list[MembershipAction]:
-        """Advance timers: probes, suspicion, joining, forgetting the dead."""
+        """Run due timers: probes, suspicion timeouts, joins, and removal of dead members."""
         actions: list[MembershipAction] = []
         if self._last_tick_at is not None and now - self._last_tick_at > PAUSE_THRESHOLD_S:
-            self._probe = None  # the answer may have come while we were stopped: blame nobody
+            self._probe = None  # the acknowledgement may have been lost during the pause
         self._last_tick_at = now
         if not self.members and now >= self._next_join_at:
             actions.extend(self._join(now))
@@ -246,12 +255,13 @@
             actions.extend(self._push(now))
         return actions
 
-    # ---- whole lists ----
+    # ---- full lists ----
 
     def _request_sync(self, message: Gossip, sender: Address, now: float) -> list[MembershipAction]:
-        """Ask a peer for its whole list when it differs though no news came: rumours were lost.
+        """Request a peer's full member list if it differs from ours and no change came recently.
 
-        That others agree with us tells nothing: they may lack the same member.
+        A difference without recent changes means that rumours were lost. Agreement with one peer
+        proves nothing, because both may lack the same member.
         """
         if message.members_digest in (0, self.members_digest):
             return []
@@ -261,7 +271,7 @@
         return [SendGossip(sender, self._join_message())]
 
     def _join_message(self) -> Gossip:
-        """Ask for a whole list, telling of ourselves: it may be us whom the others lack."""
+        """Return a request for a full list; it contains this node, which others may lack."""
         message = self._message(JOIN, 0, None)
         message.updates.append(self.local_member)
         return message
@@ -278,7 +288,7 @@
 
     @property
     def members_digest(self) -> int:
-        """Hash of the whole member list, this node included."""
+        """Hash of the member list, including this node."""
         return self._digest ^ _member_hash(self.local_member)
 
     # ---- probing ----
@@ -296,20 +306,20 @@
         return [self._send(self.members[target], PING, self._sequence)]
 
     def _next_target(self) -> str | None:
-        # Every other probe goes to the successor on a ring of hashes. Random probes alone leave a
-        # node unprobed for five seconds with a chance of one in 150, too often for a whole rack.
+        # Random probes alone may leave a node unprobed for seconds, so that a rack failure is
+        # detected late. Every second probe therefore goes to the successor on a hash ring.
         self._probe_count += 1
         if self._probe_count % 2 == 0:
             return self._ring_successor()
         return self._shuffled_target()
 
     def _ring_successor(self) -> str | None:
-        mine = _ring_position(self.local_member.node_id)
-        # Past a suspect: when a rack goes, the next one may be dead, too.
-        unsuspected = [m.node_id for m in self.members.values() if m.state == ALIVE]
+        own_position = _ring_position(self.local_member.node_id)
+        # Skip suspects: when a rack fails, the next successor may be dead as well.
+        alive_ids = [m.node_id for m in self.members.values() if m.state == ALIVE]
         return min(
-            unsuspected,
-            key=lambda name: (_ring_position(name) - mine) % RING_SIZE,
+            alive_ids,
+            key=lambda name: (_ring_position(name) - own_position) % RING_SIZE,
             default=None,
         )
 
@@ -344,20 +354,23 @@
         return self._suspect(probe.target, now)
 
     def _indirect_probers(self, target: Member) -> list[Member]:
-        """Choose who probes for us: first from the target's zone, which a cut link leaves whole."""
+        """Choose members for indirect probes, preferring the target's zone.
+
+        A failed link between zones does not affect the members of the target's zone.
+        """
         peers = self._random_peers(len(self.members), target.node_id)
         peers.sort(key=lambda peer: peer.zone != target.zone)
-        near = peers[: INDIRECT_PROBES - 1]
-        return near + self._random_peers(1, target.node_id)
+        same_zone_first = peers[: INDIRECT_PROBES - 1]
+        return same_zone_first + self._random_peers(1, target.node_id)
 
     def _reconnect(self, now: float) -> list[MembershipAction]:
-        """Probe one dead member: it answers if it was only cut off, and refutes what we say."""
+        """Probe one dead member; if it was only partitioned, it responds and refutes its death."""
         self._next_reconnect_at = now + RECONNECT_INTERVAL_S * (0.5 + self.random.random())
-        dead = [m.node_id for m in self.members.values() if m.state == DEAD]
-        if not dead:
+        dead_ids = [m.node_id for m in self.members.values() if m.state == DEAD]
+        if not dead_ids:
             return []
-        chosen = dead[int(self.random.random() * len(dead))]
-        return [self._send(self.members[chosen], PING)]
+        target = dead_ids[int(self.random.random() * len(dead_ids))]
+        return [self._send(self.members[target], PING)]
 
     def _handle_ack(self, message: Gossip, now: float) -> list[MembershipAction]:
         relay = self._relays.pop(message.sequence, None)
@@ -389,12 +402,12 @@
         suspected = _copy(member)
         suspected.state = SUSPECT
         actions = self._merge(suspected, now)
-        # Tell it at once: it is the one that can refute.
+        # Notify the suspect at once, as only it can refute the suspicion.
         return [*actions, self._send(suspected, PING)]
 
     def _suspicion_timeout_s(self) -> float:
-        crowd = min(2.0, len(self._suspected_until) / MASS_SUSPICION_COUNT)
-        return SUSPICION_TIMEOUT_S * (1 + max(crowd, self._local_health / MAX_LOCAL_HEALTH))
+        load_factor = min(2.0, len(self._suspected_until) / MASS_SUSPICION_COUNT)
+        return SUSPICION_TIMEOUT_S * (1 + max(load_factor, self._local_health / MAX_LOCAL_HEALTH))
 
     def _declare_dead(self, node_id: str, now: float) -> list[MembershipAction]:
         member = self.members.get(node_id)
@@ -447,16 +460,16 @@
             self._next_push_at = now + PUSH_DELAY_S
 
     def _push(self, now: float) -> list[MembershipAction]:
-        # One round of three leaves one node in twenty out, and those would not hear a refutation.
+        # A single round misses some nodes, which would then not receive a refutation.
         self._push_rounds_left -= 1
         self._next_push_at = now + PUSH_INTERVAL_S if self._push_rounds_left else None
         return [self._send(peer, DIGEST) for peer in self._random_peers(DIGEST_FANOUT, "")]
 
     def _refute(self, update: Member, now: float) -> None:
-        # A rumour against us, or an old life of ours: outbid it with a higher incarnation.
-        outdated = update.incarnation > self.local_member.incarnation
-        accused = update.state != ALIVE and update.incarnation >= self.local_member.incarnation
-        if self.local_member.state == ALIVE and (accused or outdated):
+        # Override a false rumour, or a record of an earlier run, with a higher incarnation.
+        is_outdated = update.incarnation > self.local_member.incarnation
+        is_accused = update.state != ALIVE and update.incarnation >= self.local_member.incarnation
+        if self.local_member.state == ALIVE and (is_accused or is_outdated):
             self.local_member.incarnation = update.incarnation + 1
             self._local_health = min(MAX_LOCAL_HEALTH, self._local_health + 1)
             self._add_rumour(self.local_member)
@@ -467,18 +480,18 @@
 
     def _select_rumours(self, receiver: str | None) -> list[Member]:
         limit = RETRANSMIT_FACTOR * ceil(log10(len(self.members) + 2))
-        # Life before death: a refutation must overtake the suspicion that it answers.
-        fresh_first = sorted(
+        # Send alive and suspect states first: a refutation must overtake the death it refutes.
+        least_sent_first = sorted(
             self._rumours.values(),
             key=lambda rumour: (rumour.sent, rumour.member.state not in (ALIVE, SUSPECT)),
         )
-        taken = fresh_first[:MAX_UPDATES_PER_MESSAGE]
-        for rumour in taken:
+        selected = least_sent_first[:MAX_UPDATES_PER_MESSAGE]
+        for rumour in selected:
             rumour.sent += 1
             if rumour.sent >= limit:
                 del self._rumours[rumour.member.node_id]
-        updates = [rumour.member for rumour in taken]
-        # Tell a suspected node first, so that it can refute (Lifeguard's buddy system).
+        updates = [rumour.member for rumour in selected]
+        # Notify a suspected receiver first, so that it can refute (Lifeguard's buddy system).
         accused = self.members.get(receiver) if receiver else None
         if accused is not None and accused.state != ALIVE and accused not in updates:
             updates.insert(0, accused)
@@ -489,11 +502,11 @@
     def _join(self, now: float) -> list[MembershipAction]:
         self._next_join_at = now + JOIN_RETRY_INTERVAL_S * (1 + self.random.random())
         message = self._join_message()
-        mine = Address(self.local_member.host, self.local_member.port)
-        return [SendGossip(seed, message) for seed in self.seeds if seed != mine]
+        own_address = Address(self.local_member.host, self.local_member.port)
+        return [SendGossip(seed, message) for seed in self.seeds if seed != own_address]
 
     def _member_list_messages(self) -> list[Gossip]:
-        """Return the whole member list in datagrams of moderate size."""
+        """Return the full member list, split into messages of moderate size."""
         everyone = [self.local_member, *self.members.values()]
         parts: list[Gossip] = []
         for start in range(0, len(everyone), MEMBERS_PER_DATAGRAM):
@@ -526,13 +539,13 @@
         return message
 
     def _random_peers(self, max_count: int, excluded_id: str) -> list[Member]:
-        names = [
+        node_ids = [
             m.node_id
             for m in self.members.values()
             if m.state in (ALIVE, SUSPECT) and m.node_id != excluded_id
         ]
-        self.random.shuffle(names)
-        return [self.members[name] for name in names[:max_count]]
+        self.random.shuffle(node_ids)
+        return [self.members[name] for name in node_ids[:max_count]]
 
 
 def _copy(member: Member) -> Member:
@@ -552,7 +565,10 @@
 
 
 def _supersedes(update: Member, known: Member) -> bool:
-    """Order of SWIM section 4.2: higher incarnation first, then the worse state."""
+    """Whether an update overrides the known state, in the order of SWIM section 4.2.
+
+    A higher incarnation wins; at the same incarnation the worse state wins.
+    """
     if update.incarnation != known.incarnation:
         return update.incarnation > known.incarnation
     return update.state > known.state
--- a/src/wharfcart/cluster/mirror.py
+++ b/src/wharfcart/cluster/mirror.py
@@ -1,8 +1,8 @@
 """Mirror core: one node's copy of the coordination service's keys.
 
-Fed with changes from the service itself or from a peer's mirror. A key never goes back to an older
-revision, whatever order answers arrive in. Removed keys are remembered for a bounded time, so that
-a peer that lags can be brought up to date by changes alone.
+The mirror applies changes from the service or from a peer's mirror. A key never returns to an older
+revision, regardless of the order in which batches arrive. A bounded number of removed keys is kept
+as tombstones, so that changes alone can bring a lagging peer up to date.
 """
 
 from dataclasses import dataclass, field, replace
@@ -14,7 +14,11 @@
 
 @dataclass
 class Mirror:
-    """Keys, the revision up to which they are complete, and what was removed lately."""
+    """Copy of all keys, with tombstones of recently removed ones.
+
+    Attributes:
+        last_revision: revision up to which the mirror is complete.
+    """
 
     last_revision: int = 0
     _entries: dict[str, KeyChange] = field(default_factory=dict)
@@ -23,34 +27,38 @@
 
     @property
     def loaded(self) -> bool:
-        """Whether any complete state was ever taken."""
+        """Whether a complete state has been applied."""
         return self.last_revision > 0
 
     def get(self, key: str) -> KeyChange | None:
-        """Return a key's newest known state, or None where it does not exist."""
+        """Return the newest known state of a key; None if it does not exist."""
         return self._entries.get(key)
 
     def with_prefix(self, prefix: str) -> list[KeyChange]:
-        """Return the keys that begin with a prefix."""
+        """Return the entries whose keys start with a prefix."""
         return [entry for key, entry in self._entries.items() if key.startswith(prefix)]
 
     def apply(self, batch: ChangeBatch) -> list[KeyChange]:
-        """Take changes; return those that were news, removals among them."""
+        """Apply a batch and return the changes that took effect, including removals."""
         if batch.complete and batch.last_revision < self.last_revision:
             return []
-        news = [change for change in batch.changes if self._apply_change(change)]
+        applied = [change for change in batch.changes if self._apply_change(change)]
         if batch.complete:
-            news += self._remove_unlisted(
+            applied += self._remove_unlisted(
                 {change.key for change in batch.changes}, batch.last_revision
             )
-            # A key that came and went before this listing is not known here: whoever is complete
-            # up to an older revision only may still hold it.
+            # Removals between the previous revision and this listing are unknown here, so peers
+            # at an older revision need a complete listing.
             self._tombstone_horizon = max(self._tombstone_horizon, batch.last_revision)
         self.last_revision = max(self.last_revision, batch.last_revision)
-        return news
+        return applied
 
     def changes_since(self, after: int) -> ChangeBatch:
-        """Return what a peer that is complete up to ``after`` lacks."""
+        """Return the changes that a peer lacks.
+
+        Args:
+            after: revision up to which the peer is complete.
+        """
         if after < self._tombstone_horizon or after == 0:
             return ChangeBatch(tuple(self._entries.values()), self.last_revision, complete=True)
         changed = [entry for entry in self._entries.values() if entry.revision > after]
@@ -73,7 +81,7 @@
         return True
 
     def _remove_unlisted(self, listed: set[str], at: int) -> list[KeyChange]:
-        # A key written after `at` is not in an answer as of `at`, and yet exists.
+        # A key written after the listing's revision is not listed but still exists.
         gone = [
             KeyChange(key, at, None, entry.value)
             for key, entry in self._entries.items()
--- a/src/wharfcart/cluster/mirror_sync.py
+++ b/src/wharfcart/cluster/mirror_sync.py
@@ -1,8 +1,8 @@
-"""Keeps one node's mirror up to date: from peers, or from the coordination service.
+"""Keeps one node's mirror up to date, from peers or from the coordination service.
 
-A node follows two peers with calls that wait for news. A peer that is followed watches the service;
-so does a node that finds no fresh peer. All others leave the service alone: at any size, a handful
-of nodes read it. No node ever takes an older state of a key.
+Each node follows two peers by long polling. A node watches the service only while peers follow it
+or while it finds no up-to-date peer, so that only a few nodes read the service at any fleet size.
+A key never returns to an older state.
 """
 
 import asyncio
@@ -26,29 +26,29 @@
 from wharfcart.observability.decisions import DecisionLog, Event
 
 FOLLOWED_PEERS = 2
-# A watch that ends without news confirms that there was none: so often that is done.
+# A watch that times out confirms that there was no change.
 WATCH_TIMEOUT_S = 0.9
-# Changes that come in close succession are told by one answer.
+# Batches changes in quick succession into one response.
 WATCH_PAUSE_S = 0.08
 PULL_WAIT_S = 1.0
 PULL_TIMEOUT_MARGIN_S = 0.5
 RESPONSE_MARGIN_S = 0.15
 MIN_PULL_TIMEOUT_S = 0.3
-# A node that was followed goes on watching for so long.
+# A node continues to watch the service for this time after a peer's last pull.
 WATCH_AFTER_PULL_S = 3.0
-# A node that found no fresh peer watches itself for so long.
+# A node without an up-to-date peer watches the service for this time.
 WATCH_WITHOUT_PEERS_S = 3.0
-# After its start a node has so long to find a fresh peer.
+# Time after loading in which a node must find an up-to-date peer.
 FIRST_CONTACT_TIMEOUT_S = 1.5
 MIN_RETRY_S = 0.1
 MAX_RETRY_S = 1.5
 CHECK_INTERVAL_S = 0.1
 OUTAGE_HOLD_S = 3.0
 UNREACHABLE_AFTER_S = 3.0
-# A starting node asks its seeds if the service has not answered by then.
+# A starting node pulls from its seeds if the service has not responded by then.
 SEED_FALLBACK_DELAY_S = 0.25
 SEED_TIMEOUT_S = 0.5
-# At the first start of a fleet peers announce themselves within this time.
+# Time in which peers announce themselves at the first start of a fleet.
 FIRST_PEERS_TIMEOUT_S = 4.0
 FIRST_PEERS_POLL_INTERVAL_S = 0.5
 DEPENDENCY = "coordination_service"
@@ -58,10 +58,11 @@
 
 @dataclass(frozen=True)
 class PeerUpdates:
-    """What a peer answers.
+    """Response of a peer to a pull.
 
     Attributes:
-        age_s: seconds since the peer itself was surely up to date.
+        changes: changes that this node lacks.
+        age_s: seconds since the peer was last confirmed to be up to date.
     """
 
     changes: ChangeBatch
@@ -69,34 +70,34 @@
 
 
 class PeerClient(Protocol):
-    """How peers are asked."""
+    """Pulls changes from peers."""
 
     async def pull(self, peer: Peer, after: int, wait_s: float) -> PeerUpdates | None:
-        """Return what a peer knows beyond a revision; None if it does not answer.
+        """Return a peer's changes after a revision; None if it does not respond.
 
         Args:
-            peer: whom to ask.
-            after: revision up to which this node knows everything.
-            wait_s: how long the peer may wait for news.
+            peer: the peer.
+            after: revision up to which this node is complete.
+            wait_s: how long in seconds the peer may wait for changes.
         """
         ...
 
     def disconnect(self, peer: Peer) -> None:
-        """Give up the connection to a peer that did not answer in time."""
+        """Close the connection to a peer that did not respond in time."""
         ...
 
 
 class MirrorSync:
-    """Feeds a mirror and tells of news.
+    """Keeps a mirror up to date and reports the changes that took effect.
 
     Args:
         mirror: the node's copy of the service's keys.
         service: the coordination service.
-        sources: the peers that may be followed.
-        calls: how they are asked.
-        on_changes: called with changes that were news.
+        peer_selector: selects the peers to follow.
+        peer_client: pulls changes from peers.
+        on_changes: called with the changes that took effect.
         log: the decision log.
-        seeds: peers to ask at the start, when the service does not answer.
+        seeds: peers to pull from at the start if the service does not respond.
     """
 
     def __init__(
@@ -129,7 +130,7 @@
 
     @property
     def in_outage(self) -> bool:
-        """Whether, a moment ago, neither the service nor any peer confirmed the mirror."""
+        """Whether the mirror was recently stale: neither the service nor a peer confirmed it."""
         return monotonic() - self._last_stale_at < OUTAGE_HOLD_S
 
     @property
@@ -137,14 +138,16 @@
         """Seconds since the service or a peer last confirmed the mirror."""
         return monotonic() - self._peer_selector.confirmed_at
 
-    # -- as a peer that is followed ------------------------------------
+    # -- serving followers ---------------------------------------------
 
     async def serve_pull(self, after: int, wait_s: float) -> PeerUpdates:
-        """Tell what a peer lacks, as soon as there is any or this node's state is confirmed anew.
+        """Return the changes that a peer lacks.
+
+        Waits until there is a change or this node's state is confirmed again.
 
         Args:
-            after: revision up to which the peer knows everything.
-            wait_s: how long to wait at most.
+            after: revision up to which the peer is complete.
+            wait_s: how long to wait at most, in seconds.
         """
         self._last_pulled_at = monotonic()
         confirmed_at = self._peer_selector.confirmed_at
@@ -160,12 +163,12 @@
     # -- following -----------------------------------------------------
 
     async def run(self) -> None:
-        """Keep the mirror up to date until cancelled; a defect begins it anew."""
+        """Keep the mirror up to date until cancelled; restart after an unexpected error."""
         while True:
             try:
                 await self._run_once()
             except Exception:
-                logger.exception("following failed")
+                logger.exception("synchronization failed; restarting it")
                 await _sleep_jittered(MAX_RETRY_S)
 
     async def _run_once(self) -> None:
@@ -178,7 +181,7 @@
             group.create_task(self._log_reachability())
 
     async def _load(self) -> None:
-        """Begin with a state that may be seconds old; peers tell what has come since."""
+        """Load an initial state, which may be seconds old; peers provide the changes since."""
         retry_s = MIN_RETRY_S
         while True:
             changes = await self._initial_state()
@@ -194,7 +197,7 @@
             await _sleep_jittered(FIRST_PEERS_POLL_INTERVAL_S)
 
     async def _initial_state(self) -> ChangeBatch | None:
-        """Return the state that the service tells, or a seed if the service takes long."""
+        """Return the state from the service, or from a seed if the service is slow."""
         pending = {
             asyncio.create_task(self._read_stale_state()),
             asyncio.create_task(self._pull_from_seeds()),
@@ -220,13 +223,13 @@
     async def _pull_from_seeds(self) -> ChangeBatch | None:
         await asyncio.sleep(SEED_FALLBACK_DELAY_S)
         for seed in sample(self._seeds, len(self._seeds)):
-            news = await self._pull(seed, SEED_TIMEOUT_S)
-            if news is not None and news.changes.last_revision > 0:
-                return news.changes
+            response = await self._pull(seed, SEED_TIMEOUT_S)
+            if response is not None and response.changes.last_revision > 0:
+                return response.changes
         return None
 
     async def _follow(self) -> None:
-        """Follow one peer after the other."""
+        """Follow one peer after another."""
         while True:
             peer = (
                 None
@@ -243,20 +246,22 @@
                 self._followed_ids.discard(peer.node_id)
 
     async def _follow_peer(self, peer: Peer) -> None:
-        """Follow a peer until it is silent or behind, or this node watches itself."""
-        fresh_at = monotonic()
+        """Follow a peer until it is unresponsive or stale, or this node watches the service."""
+        up_to_date_at = monotonic()
         while not self._has_working_watch():
-            fresh_for_s = fresh_at + STALE_AFTER_S - monotonic()
-            limit_s = max(MIN_PULL_TIMEOUT_S, min(PULL_WAIT_S + PULL_TIMEOUT_MARGIN_S, fresh_for_s))
-            news = await self._pull(peer, limit_s)
+            remaining_s = up_to_date_at + STALE_AFTER_S - monotonic()
+            timeout_s = max(
+                MIN_PULL_TIMEOUT_S, min(PULL_WAIT_S + PULL_TIMEOUT_MARGIN_S, remaining_s)
+            )
+            response = await self._pull(peer, timeout_s)
             now = monotonic()
-            if news is not None:
-                self._apply(news.changes)
-                self._record_confirmation(now, news.age_s)
-                fresh_at = max(fresh_at, now - news.age_s)
-                if news.age_s < STALE_AFTER_S:
-                    self._watch_until = now  # a peer reads the service again
-            if now - fresh_at >= STALE_AFTER_S or news is None:
+            if response is not None:
+                self._apply(response.changes)
+                self._record_confirmation(now, response.age_s)
+                up_to_date_at = max(up_to_date_at, now - response.age_s)
+                if response.age_s < STALE_AFTER_S:
+                    self._watch_until = now  # a peer watches the service again
+            if now - up_to_date_at >= STALE_AFTER_S or response is None:
                 self._peer_selector.record_failure(peer.node_id, now)
                 return
             if self._peer_selector.should_replace(peer.node_id, now, self._followed_ids):
@@ -302,7 +307,7 @@
         return now - self._last_pulled_at < WATCH_AFTER_PULL_S
 
     def _has_working_watch(self) -> bool:
-        """Whether this node reads the service for others, so that it need not follow any."""
+        """Whether this node watches the service successfully for followers."""
         now = monotonic()
         return self._is_followed(now) and now - self._watch_confirmed_at < STALE_AFTER_S
 
@@ -311,10 +316,10 @@
         self._record_watch()
 
     async def _wait_for_changes(self) -> None:
-        known_at = self.mirror.last_revision
-        changes = await self._service.wait_for_changes(known_at, WATCH_TIMEOUT_S)
-        if changes.last_revision > known_at and not changes.changes:
-            raise HistoryLostError  # something changed that was not told
+        previous_revision = self.mirror.last_revision
+        changes = await self._service.wait_for_changes(previous_revision, WATCH_TIMEOUT_S)
+        if changes.last_revision > previous_revision and not changes.changes:
+            raise HistoryLostError  # the revision rose, but the changes are missing
         self._apply(changes)
         self._record_watch()
 
@@ -326,30 +331,30 @@
     # -- state ---------------------------------------------------------
 
     def _apply(self, changes: ChangeBatch) -> None:
-        known_at = self.mirror.last_revision
-        news = self.mirror.apply(changes)
-        if news:
-            self._on_changes(news)
-        if self.mirror.last_revision > known_at:
+        previous_revision = self.mirror.last_revision
+        applied = self.mirror.apply(changes)
+        if applied:
+            self._on_changes(applied)
+        if self.mirror.last_revision > previous_revision:
             self._notify_waiters()
 
     def _record_confirmation(self, now: float, age_s: float) -> None:
-        known = self._peer_selector.confirmed_at
+        previous = self._peer_selector.confirmed_at
         self._peer_selector.record_confirmation(now, age_s)
-        if self._peer_selector.confirmed_at > known:
+        if self._peer_selector.confirmed_at > previous:
             self._notify_waiters()
 
     def _notify_waiters(self) -> None:
-        progress, self._advanced = self._advanced, asyncio.Event()
-        progress.set()
+        previous, self._advanced = self._advanced, asyncio.Event()
+        previous.set()
 
     async def _log_reachability(self) -> None:
-        """Log once when neither the service nor a peer confirms the mirror, and once it is over."""
+        """Log when neither the service nor a peer confirms the mirror, and when one does again."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
             if self._peer_selector.is_stale(monotonic()):
                 self._last_stale_at = monotonic()
-            # At first the state is as old as the process.
+            # Before the first confirmation, the state is as old as the process.
             age_s = min(self.age_s, monotonic() - self._started_at)
             reachable = age_s < UNREACHABLE_AFTER_S
             if reachable == self._reachable:
--- a/src/wharfcart/cluster/peer_selection.py
+++ b/src/wharfcart/cluster/peer_selection.py
@@ -1,14 +1,14 @@
-"""Core of following: which peers a node learns the coordination service's state from.
+"""Selects the peers from which a node pulls the coordination service's state.
 
-Every node ranks the peers that may read the service in the same order, by a hash of their ids, and
-asks the first few that answer freshly. So a handful of peers read the service, whoever they are,
-and all the others follow these; a peer that falls silent or behind is passed over by everybody.
+All nodes rank the peers in the same order, by a hash of their ids, and follow the first few usable
+ones, the readers. So only a few peers read the service and all others follow these. Peers that are
+unresponsive or stale are skipped for a while.
 
-In a fleet over several regions each region has readers of its own, so that news crosses its border
-once a reader, not once a node. Where those fail, the region itself may be cut off from the service,
-and readers of other regions are followed.
+In a fleet with several regions, each region has its own readers, so that a change enters a region
+once per reader instead of once per node. If these fail, the region may be cut off from the service,
+and its nodes follow readers of other regions.
 
-Pure: time is handed in as seconds.
+Performs no I/O; callers pass in the time in seconds.
 """
 
 import math
@@ -21,16 +21,15 @@
 from wharfcart.cluster.topology import Distance, RegionName, Topology
 
 MIN_READERS = 2
-# A reader's watch costs a call a second; a follower costs its reader two small messages a second.
 PEERS_PER_READER = 10
-# What was confirmed longer ago than this may lack a change that others act on already.
+# State confirmed longer ago than this may lack changes that other nodes have applied.
 STALE_AFTER_S = 1.5
 AVOID_FAILED_S = 2.0
-# So many readers of the own region that failed within AVOID_S speak against the region, not them.
+# Failed readers of the own region at which the region itself counts as cut off.
 REGION_FAILURE_THRESHOLD = 2
-# A peer is left for a better ranked one after so long without a failure in the own region; the
-# second of two of another region only once the first that was found at home has held for a while.
+# Time without failures in the own region before a peer is replaced by a better ranked one.
 SWITCH_DELAY_S = 5.0
+# Further time before the last peer of another region is replaced.
 TRIAL_PERIOD_S = 3.0
 
 
@@ -45,13 +44,13 @@
 
 @dataclass
 class PeerSelector:
-    """The peers that one node may follow.
+    """Selects peers for one node and tracks when its state was last confirmed.
 
     Attributes:
-        node_id: of the node itself, which is never chosen.
-        zone: of the node; peers of the same zone are preferred.
+        node_id: id of this node, which is never selected.
+        zone: zone of this node; peers of the same zone are preferred.
         topology: regions of the zones.
-        confirmed_at: time at which the node's state was surely complete.
+        confirmed_at: latest time at which the node's state is known to have been complete.
     """
 
     node_id: str
@@ -63,63 +62,71 @@
     _own_region_failed_at: float = -math.inf
 
     def set_peers(self, peers: Mapping[str, Peer]) -> None:
-        """Take the peers that are known now, by node id."""
+        """Replace the known peers.
+
+        Args:
+            peers: all peers by node id.
+        """
         self._peers = {key: peer for key, peer in peers.items() if key != self.node_id}
         self._avoid_until = {
             key: until for key, until in self._avoid_until.items() if key in self._peers
         }
 
     def choose(self, now: float, followed: Collection[str]) -> Peer | None:
-        """Return a peer to follow, or None where none is left.
+        """Return a peer to follow; None if there is no usable one.
 
         Args:
-            now: the time.
-            followed: ids of peers that are followed already.
+            now: current time in seconds.
+            followed: ids of the peers that are followed already.
         """
-        near = self._own_region_peers()
-        if len(near) < MIN_READERS:
+        own_region = self._own_region_peers()
+        if len(own_region) < MIN_READERS:
             return self._preferred_reader(self._readers(self._peers, now), followed)
-        if self._count_failed(near, now) >= REGION_FAILURE_THRESHOLD:
-            reader = self._preferred_reader(self._other_region_readers(near, now), followed)
+        if self._count_failed(own_region, now) >= REGION_FAILURE_THRESHOLD:
+            reader = self._preferred_reader(self._other_region_readers(own_region, now), followed)
             if reader is not None:
                 return reader
-        return self._preferred_reader(self._readers(near, now), followed)
+        return self._preferred_reader(self._readers(own_region, now), followed)
 
     def record_confirmation(self, now: float, age_s: float) -> None:
-        """Note that everything up to ``age_s`` ago is known."""
+        """Record that the state was complete ``age_s`` seconds ago."""
         self.confirmed_at = max(self.confirmed_at, now - age_s)
 
     def record_failure(self, node_id: str, now: float) -> None:
-        """Pass a peer over for a while: it is silent, or behind."""
+        """Record that a peer is unresponsive or stale, and skip it for a while."""
         self._avoid_until[node_id] = now + AVOID_FAILED_S
         if node_id in self._own_region_peers():
             self._own_region_failed_at = now
 
     def should_replace(self, node_id: str, now: float, followed: Collection[str]) -> bool:
-        """Whether a peer that is followed well is to be left for a reader that others follow.
+        """Whether a working peer should be replaced by one of the region's readers.
 
-        Such is one of another region, and one that was chosen while better ranked ones were not
-        known yet or had failed: it would go on reading the service for few.
+        This holds for a peer of another region, and for one that was chosen while better ranked
+        peers were unknown or had failed. It would otherwise keep reading the service for only a
+        few followers.
 
         Args:
-            node_id: the peer that is followed.
-            now: the time.
-            followed: ids of all peers that are followed.
+            node_id: id of the followed peer.
+            now: current time in seconds.
+            followed: ids of all followed peers.
         """
-        near = self._own_region_peers()
-        if len(near) < MIN_READERS or now - self._own_region_failed_at <= SWITCH_DELAY_S:
+        own_region = self._own_region_peers()
+        if len(own_region) < MIN_READERS or now - self._own_region_failed_at <= SWITCH_DELAY_S:
             return False
-        if node_id in near:
-            return node_id not in {reader.node_id for reader in self._readers(near, now)}
-        on_trial = not near.keys().isdisjoint(followed)
-        return not on_trial or now - self._own_region_failed_at > SWITCH_DELAY_S + TRIAL_PERIOD_S
+        if node_id in own_region:
+            return node_id not in {reader.node_id for reader in self._readers(own_region, now)}
+        follows_own_region = not own_region.keys().isdisjoint(followed)
+        return (
+            not follows_own_region
+            or now - self._own_region_failed_at > SWITCH_DELAY_S + TRIAL_PERIOD_S
+        )
 
     def is_stale(self, now: float) -> bool:
         """Whether this node may lack changes."""
         return now - self.confirmed_at > STALE_AFTER_S
 
     def _own_region_peers(self) -> dict[str, Peer]:
-        """Return the peers of the own region."""
+        """Return the peers in this node's region."""
         return {
             key: peer
             for key, peer in self._peers.items()
@@ -130,7 +137,7 @@
         return sum(self._avoid_until.get(key, -math.inf) > now for key in peers)
 
     def _other_region_readers(self, own_region: Collection[str], now: float) -> list[Peer]:
-        """Return the readers of all other regions, the same that are followed there."""
+        """Return the readers of all other regions, which the nodes there follow as well."""
         by_region: dict[RegionName | None, dict[str, Peer]] = {}
         for key, peer in self._peers.items():
             if key not in own_region:
@@ -138,7 +145,7 @@
         return [reader for peers in by_region.values() for reader in self._readers(peers, now)]
 
     def _readers(self, peers: Mapping[str, Peer], now: float) -> list[Peer]:
-        """Return those of some peers that read the service for them, the first in rank."""
+        """Return the readers among a group of peers: the first usable ones in rank order."""
         usable = [
             peer
             for key, peer in sorted(peers.items(), key=lambda entry: _rank(entry[0]))
@@ -147,9 +154,11 @@
         return usable[: max(MIN_READERS, math.ceil(len(peers) / PEERS_PER_READER))]
 
     def _preferred_reader(self, readers: Iterable[Peer], followed: Collection[str]) -> Peer | None:
-        left = [peer for peer in readers if peer.node_id not in followed]
+        candidates = [peer for peer in readers if peer.node_id not in followed]
         return min(
-            left, key=lambda peer: (peer.zone != self.zone, self._local_rank(peer)), default=None
+            candidates,
+            key=lambda peer: (peer.zone != self.zone, self._local_rank(peer)),
+            default=None,
         )
 
     def _local_rank(self, peer: Peer) -> int:
--- a/src/wharfcart/cluster/peer_updates.py
+++ b/src/wharfcart/cluster/peer_updates.py
@@ -1,4 +1,4 @@
-"""Messages by which nodes tell each other the coordination service's state."""
+"""Messages by which nodes exchange the coordination service's state."""
 
 import zlib
 
@@ -15,19 +15,18 @@
 from wharfcart.errors import ServingError
 
 MAX_AGE_MS = 10**9
-# Smaller values are not worth compressing. Servers' entries are far below, configurations above.
-MIN_DEFLATED_BYTES = 2048
+MIN_DEFLATED_BYTES = 2048  # smaller values are sent uncompressed
 DEFLATE_LEVEL = 1
 
 
 class TransportPeerClient:
-    """Asks peers over the transport."""
+    """Pulls changes from peers over the transport."""
 
     def __init__(self, transport: Transport) -> None:
         self._transport = transport
 
     async def pull(self, peer: Peer, after: int, wait_s: float) -> PeerUpdates | None:
-        """Return what a peer knows beyond a revision; None if it does not answer."""
+        """Return a peer's changes after a revision; None if it does not respond."""
         request = CoordinationPull(after=after, wait_ms=int(wait_s * 1000))
         try:
             answer = await self._transport.call(
@@ -38,18 +37,18 @@
         return decode_peer_updates(answer.coordination_changes)
 
     def disconnect(self, peer: Peer) -> None:
-        """Give up the connection to a peer that did not answer in time."""
+        """Close the connection to a peer that did not respond in time."""
         self._transport.drop(peer.address, TrafficClass.ONLINE)
 
 
 class PeerUpdatesEncoder:
-    """Writes news as they travel; large values are compressed, once for all followers."""
+    """Encodes updates for peers; each large value is compressed once for all followers."""
 
     def __init__(self) -> None:
         self._deflated_by_key: dict[str, tuple[int, bytes]] = {}
 
     def encode(self, updates: PeerUpdates) -> CoordinationChanges:
-        """Return news as they travel."""
+        """Return the updates as a message."""
         return CoordinationChanges(
             at=updates.changes.last_revision,
             complete=updates.changes.complete,
@@ -78,7 +77,7 @@
 
 
 def decode_peer_updates(message: CoordinationChanges) -> PeerUpdates:
-    """Return news as they arrived."""
+    """Return the updates in a message."""
     changes = tuple(_decode_change(change) for change in message.changes)
     return PeerUpdates(ChangeBatch(changes, message.at, message.complete), message.age_ms / 1000)
 
--- a/src/wharfcart/cluster/placement_map.py
+++ b/src/wharfcart/cluster/placement_map.py
@@ -1,7 +1,7 @@
-"""Placement of the journal's shards, as every node knows it.
+"""Known placement of the journal's shards on one node.
 
-Each shard's replicas change only through its own log; the index of that log entry is the version,
-so that any two nodes agree which of two placements of a shard is newer, without the key-value
+The replicas of a shard change only through the shard's own log. The index of that log entry is the
+version of the placement, so that nodes agree on the newer of two placements without the key-value
 service.
 """
 
@@ -15,10 +15,13 @@
 class PlacementMap:
     """Newest known placement of each shard.
 
-    A node knows the shards on its own disk before it knows how many there are. A number that is
-    counted from these is wrong: it denied accepted jobs (404) and took idempotency keys to shards
-    that know nothing of them. So the number is known only from who knows all shards: the first
-    placement in the key-value service, or a peer that has it.
+    A node knows the shards on its own disk before it knows how many shards exist. A count taken
+    from these would map jobs and idempotency keys to the wrong shards. The count is therefore set
+    only by a source that knows all shards: the first placement in the key-value service, or a peer
+    that has read it.
+
+    Attributes:
+        shards: newest known placement by shard number.
     """
 
     def __init__(self) -> None:
@@ -27,32 +30,32 @@
 
     @property
     def digest(self) -> int:
-        """A hash that differs between nodes that know different placements, 0 for none."""
+        """Hash of the known placements, to detect differences between nodes; 0 for none."""
         if not self.shards:
             return 0
         known = sorted((p.shard, p.version) for p in self.shards.values())
-        whole = "" if self._shard_count else "incomplete"
-        return xxhash.xxh3_64_intdigest((repr(known) + whole).encode())
+        completeness = "" if self._shard_count else "incomplete"
+        return xxhash.xxh3_64_intdigest((repr(known) + completeness).encode())
 
     @property
     def shard_count(self) -> int:
-        """Number of shards of the journal, 0 while this node does not know all of them."""
+        """Number of shards of the journal; 0 while it is unknown."""
         return self._shard_count
 
     def merge(
         self, placements: Iterable[ShardPlacement], shard_count: int = 0
     ) -> list[ShardPlacement]:
-        """Take newer placements; return them.
+        """Apply the placements that are newer and return them.
 
         Args:
-            placements: of all shards, or of some.
-            shard_count: number of shards; 0 if who tells does not know it.
+            placements: placements of some or all shards.
+            shard_count: number of shards; 0 if the source does not know it.
         """
         changed = []
         for placement in placements:
             known = self.shards.get(placement.shard)
-            newer = known is None or placement.version > known.version
-            if newer and placement.replicas:
+            is_newer = known is None or placement.version > known.version
+            if is_newer and placement.replicas:
                 self.shards[placement.shard] = placement
                 changed.append(placement)
         if shard_count and self.shards.keys() >= set(range(shard_count)):
@@ -60,7 +63,7 @@
         return changed
 
     def to_message(self) -> Placement:
-        """Return all placements, and the number of shards if it is known, as one message."""
+        """Return all placements and the number of shards as a message."""
         return Placement(shards=self.shards.values(), shard_count=self._shard_count)
 
     def replicas(self, shard: int) -> list[str]:
--- a/src/wharfcart/cluster/randomness.py
+++ b/src/wharfcart/cluster/randomness.py
@@ -1,10 +1,10 @@
-"""Randomness as decision cores take it: handed in, so that a seed repeats a run."""
+"""Source of randomness that decision cores receive, so that a seed makes a run reproducible."""
 
 from typing import Protocol
 
 
 class RandomSource(Protocol):
-    """The part of :class:`random.Random` that cores draw on."""
+    """Subset of :class:`random.Random` that decision cores use."""
 
     def random(self) -> float:
         """Return a float in [0, 1)."""
--- a/src/wharfcart/cluster/round_trips.py
+++ b/src/wharfcart/cluster/round_trips.py
@@ -1,20 +1,20 @@
-"""Core: how far each peer is, as the least time that something took to it and back lately.
+"""Core that estimates network round-trip times to peers as recent minimums.
 
-Time-outs that are meant for a peer's work add this, so that they mean the same for a peer next door
-and for one in another region. The least of some seconds leaves out what a peer or a queue delayed.
+Timeouts for a peer's work add the round-trip time, so that they allow the same time for work in any
+region. The minimum over a time window excludes delays by busy peers and queues.
 
-Pure: time is handed in as seconds.
+Performs no I/O; callers pass in the time in seconds.
 """
 
 from dataclasses import dataclass, field
 
 from wharfcart.cluster.address import Address
 
-# A path that has become longer is believed after one of these spans, or two at most.
+# A longer round trip takes effect after one to two windows.
 WINDOW_S = 10.0
-# A peer that takes longer is slow or overloaded, not far: half way round the earth and back.
+# Longer times mean that the peer is overloaded, not distant.
 MAX_ROUND_TRIP_S = 0.3
-# Peers that left are forgotten once there are so many.
+# The oldest entry is removed beyond this number.
 MAX_PEERS = 1024
 
 
@@ -27,27 +27,27 @@
 
 @dataclass
 class RoundTripTimes:
-    """The least round trip to each peer, over the present span and the one before."""
+    """Minimum round-trip time to each peer over the current and the previous window."""
 
     _by_address: dict[Address, _WindowedMinimum] = field(default_factory=dict)
 
     def observe(self, address: Address, round_trip_s: float, now: float) -> None:
-        """Note that something took so long to a peer and back."""
-        least = self._by_address.get(address)
-        if least is None:
+        """Record the round-trip time of one exchange with a peer."""
+        minimum = self._by_address.get(address)
+        if minimum is None:
             if len(self._by_address) >= MAX_PEERS:
                 del self._by_address[next(iter(self._by_address))]
             self._by_address[address] = _WindowedMinimum(now, round_trip_s, round_trip_s)
-        elif now - least.started_at < WINDOW_S:
-            least.current_s = min(least.current_s, round_trip_s)
+        elif now - minimum.started_at < WINDOW_S:
+            minimum.current_s = min(minimum.current_s, round_trip_s)
         else:
-            self._by_address[address] = _WindowedMinimum(now, round_trip_s, least.current_s)
+            self._by_address[address] = _WindowedMinimum(now, round_trip_s, minimum.current_s)
 
     def min_s(self, address: Address, now: float) -> float:
-        """Return the round trip to a peer; 0 for one that nothing is known of."""
-        least = self._by_address.get(address)
-        if least is None:
+        """Return the round-trip time to a peer in seconds; 0 if it is unknown."""
+        minimum = self._by_address.get(address)
+        if minimum is None:
             return 0.0
-        if now - least.started_at >= 2 * WINDOW_S:
-            return min(MAX_ROUND_TRIP_S, least.current_s)
-        return min(MAX_ROUND_TRIP_S, least.current_s, least.previous_s)
+        if now - minimum.started_at >= 2 * WINDOW_S:
+            return min(MAX_ROUND_TRIP_S, minimum.current_s)
+        return min(MAX_ROUND_TRIP_S, minimum.current_s, minimum.previous_s)
--- a/src/wharfcart/cluster/topology.py
+++ b/src/wharfcart/cluster/topology.py
@@ -1,10 +1,10 @@
-"""Topology core: which region a zone is in, and how far two zones are from each other.
+"""Topology core: regions of zones and distances between zones.
 
-Settings name the zones of the fleet with their regions. A zone that they do not name, as one that a
-back end was started in later, is in no known region: it is far from all others, and nothing that
-must stay in a region goes there.
+The settings map zones to regions. A zone without an entry, for example one added later, has no
+known region: it counts as another region than every other zone, and data that must stay in a
+region is not sent there.
 
-Pure.
+Pure functions without I/O.
 """
 
 from collections.abc import Mapping
@@ -16,7 +16,7 @@
 
 
 class Distance(IntEnum):
-    """How far two zones are from each other, the least first."""
+    """Distance between two zones, nearest first."""
 
     SAME_ZONE = 0
     SAME_REGION = 1
@@ -25,21 +25,20 @@
 
 @dataclass(frozen=True)
 class Topology:
-    """The zones of a fleet.
+    """Zones of a fleet and their regions.
 
     Attributes:
-        region_by_zone: region of each zone; empty for a fleet of which no regions are known, which
-            counts as one region.
+        region_by_zone: region of each zone; if empty, the whole fleet counts as one region.
     """
 
     region_by_zone: Mapping[str, RegionName] = field(default_factory=dict)
 
     def region(self, zone: str) -> RegionName | None:
-        """Return a zone's region, or None where it is not known."""
+        """Return the region of a zone; None if it is unknown."""
         return self.region_by_zone.get(zone)
 
     def distance(self, zone: str, other: str) -> Distance:
-        """Return how far two zones are from each other."""
+        """Return the distance between two zones."""
         if zone == other:
             return Distance.SAME_ZONE
         if not self.region_by_zone:
--- a/src/wharfcart/cluster/transport.py
+++ b/src/wharfcart/cluster/transport.py
@@ -1,9 +1,9 @@
-"""Calls between nodes: persistent TCP connections that carry length-prefixed protobuf frames.
+"""Calls between nodes over persistent TCP connections with length-prefixed protobuf frames.
 
-One connection a pair and a traffic class: online calls and everything else share none, so that a
-large batch answer never stands before an online token. A call is one request frame and one or more
-response frames; a cancel frame ends it early. Writes respect the socket's flow control for each
-call, and frames to a peer that cannot take them are refused rather than queued without bound.
+There is one connection per peer and traffic class, so that a large batch response does not delay an
+online token (head-of-line blocking). A call consists of one request frame and one or more response
+frames; a cancel frame aborts it. Writes respect the socket's flow control, and frames to a peer
+that does not read are rejected instead of queued without limit.
 """
 
 import asyncio
@@ -26,8 +26,7 @@
 MAX_FRAME_BYTES = 32 * 1024 * 1024
 MAX_BUFFERED_BYTES = 16 * 1024 * 1024
 CONNECT_TIMEOUT_S = 1.0
-# A peer whose machine is gone says nothing: a connection ends once bytes were not acknowledged for
-# so long. A machine that stands still for less is waited for.
+# A connection is closed once sent bytes stay unacknowledged for this time, as by a failed machine.
 UNACKNOWLEDGED_TIMEOUT_MS = 2500
 ROUND_TRIP_SAMPLE_KINDS = frozenset(("slot_request", "permit_request", "replicate_jobs"))
 
@@ -35,7 +34,7 @@
 
 
 class TrafficClass(StrEnum):
-    """Calls of different classes never share a connection."""
+    """Class of a call; different classes never share a connection."""
 
     ONLINE = "online"
     SLOTS = "slots"
@@ -43,9 +42,10 @@
 
 
 class PeerUnreachableError(Exception):
-    """The peer could not be reached, or the connection broke.
+    """Raised when a peer cannot be reached or the connection is lost.
 
-    ``sent`` tells whether the request may have reached it.
+    Attributes:
+        sent: whether the request may have reached the peer.
     """
 
     def __init__(self, address: Address, sent: bool) -> None:
@@ -55,7 +55,7 @@
 
 Responder = Callable[[Frame], Awaitable[None]]
 Handler = Callable[[Frame, Responder], Awaitable[None]]
-# Is told of each frame that is sent: host of the peer, kind of the frame, bytes.
+# Called for each frame sent: host of the peer, kind of the frame, size in bytes.
 OnSent = Callable[[str, str, int], None]
 
 
@@ -78,7 +78,7 @@
 
 
 class _FrameProtocol(asyncio.Protocol):
-    """Splits the byte stream into frames, with write flow control."""
+    """Splits the byte stream into frames and applies write flow control."""
 
     def __init__(
         self, on_frame: Callable[[Frame], None], on_lost: Callable[[], None], on_sent: OnSent
@@ -93,7 +93,7 @@
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # uvloop's transports are no subclasses of asyncio's.
+        # uvloop's transports do not subclass asyncio's.
         self.transport = cast(asyncio.Transport, transport)
         peer = transport.get_extra_info("peername")
         self._host = str(peer[0]) if peer else ""
@@ -116,7 +116,7 @@
         while len(self._buffer) - offset >= LENGTH_PREFIX.size:
             (length,) = LENGTH_PREFIX.unpack_from(self._buffer, offset)
             if length > MAX_FRAME_BYTES:
-                logger.warning("frame too long", extra={"bytes": length})
+                logger.warning("frame exceeds the size limit", extra={"bytes": length})
                 self.close()
                 return
             end = offset + LENGTH_PREFIX.size + length
@@ -128,7 +128,7 @@
         del self._buffer[:offset]
 
     def write(self, frame: Frame) -> bool:
-        """Write without waiting; False when the peer is gone or takes nothing."""
+        """Write without waiting; False if the connection is closed or its buffer is full."""
         transport = self.transport
         if transport is None or transport.is_closing():
             return False
@@ -140,7 +140,7 @@
         return True
 
     async def write_when_ready(self, frame: Frame) -> bool:
-        """Write, waiting for the peer to take what was written before."""
+        """Wait until the connection is writable, then write."""
         await self._writable.wait()
         return self.write(frame)
 
@@ -151,7 +151,7 @@
 
 
 class _Connection:
-    """Client side of one connection: matches responses to calls."""
+    """Client side of one connection; matches responses to calls."""
 
     def __init__(self, address: Address, on_sent: OnSent) -> None:
         self.address = address
@@ -195,11 +195,11 @@
 
 
 class Transport:
-    """All TCP traffic of one node with its peers.
+    """Client and server for all calls between one node and its peers.
 
     Args:
-        handler: answers calls of peers.
-        on_sent: is told of each frame that is sent.
+        handler: handles calls from peers.
+        on_sent: called for each frame sent.
     """
 
     def __init__(self, handler: Handler, on_sent: OnSent = _ignore_sent) -> None:
@@ -218,7 +218,7 @@
         self._server = await loop.create_server(self._accept, address.host, address.port)
 
     async def stop(self) -> None:
-        """Close every connection and cancel the handlers still running."""
+        """Close all connections and cancel the running handlers."""
         if self._server is not None:
             self._server.close()
         self._tasks.cancel()
@@ -230,11 +230,11 @@
     async def call(
         self, address: Address, frame: Frame, traffic: TrafficClass = TrafficClass.BULK
     ) -> Frame:
-        """Send one request and return its only response.
+        """Send one request and return its first response.
 
-        Raises
-        ------
-        PeerUnreachableError, ServingError
+        Raises:
+            PeerUnreachableError: the peer cannot be reached or the connection is lost.
+            ServingError: the peer responded with an error.
         """
         async with aclosing(self.stream(address, frame, traffic)) as answers:
             async for answer in answers:
@@ -244,15 +244,20 @@
     async def stream(
         self, address: Address, frame: Frame, traffic: TrafficClass = TrafficClass.BULK
     ) -> AsyncGenerator[Frame, None]:
-        """Send one request and yield its responses; an error frame is raised."""
+        """Send one request and yield its responses.
+
+        Raises:
+            PeerUnreachableError: the peer cannot be reached or the connection is lost.
+            ServingError: the peer responded with an error.
+        """
         connection = await self._connect(address, traffic)
-        # Only what is answered at once tells how far a peer is.
-        asked_at = monotonic() if frame.WhichOneof("body") in ROUND_TRIP_SAMPLE_KINDS else None
+        # Only requests that are answered without work measure the round-trip time.
+        sent_at = monotonic() if frame.WhichOneof("body") in ROUND_TRIP_SAMPLE_KINDS else None
         async with aclosing(connection.call(frame)) as answers:
             async for answer in answers:
-                if asked_at is not None:
-                    self._round_trip_times.observe(address, monotonic() - asked_at, monotonic())
-                    asked_at = None
+                if sent_at is not None:
+                    self._round_trip_times.observe(address, monotonic() - sent_at, monotonic())
+                    sent_at = None
                 if answer.WhichOneof("body") == "error":
                     raise _serving_error(answer.error)
                 yield answer
@@ -260,7 +265,7 @@
     def send(
         self, address: Address, frame: Frame, traffic: TrafficClass = TrafficClass.BULK
     ) -> None:
-        """Send without an answer; dropped when the peer cannot be reached at once."""
+        """Send a frame without waiting for a response; it is dropped if the peer is unreachable."""
         connection = self._connections.get((address, traffic))
         if connection is not None and not connection.lost:
             connection.protocol.write(frame)
@@ -268,13 +273,15 @@
         self._tasks.spawn(self._connect_and_send(address, frame, traffic))
 
     def round_trip_s(self, address: Address) -> float:
-        """Return the least time that a message to a peer and back took lately; 0 if unknown."""
+        """Return the recent minimum round-trip time to a peer in seconds; 0 if it is unknown."""
         return self._round_trip_times.min_s(address, monotonic())
 
     def drop(self, address: Address, only: TrafficClass | None = None) -> None:
-        """Close the connections to a peer that has fallen silent; the next call connects anew.
+        """Close the connections to an unresponsive peer; the next call reconnects.
 
-        ``only`` names the one class whose connection is closed.
+        Args:
+            address: address of the peer.
+            only: the one traffic class to close; None for all.
         """
         for traffic in TrafficClass if only is None else (only,):
             connection = self._connections.pop((address, traffic), None)
@@ -299,7 +306,7 @@
                 return connection
             connection = _Connection(address, self._on_sent)
             loop = asyncio.get_running_loop()
-            began_at = monotonic()
+            started_at = monotonic()
             try:
                 async with asyncio.timeout(CONNECT_TIMEOUT_S):
                     await loop.create_connection(
@@ -307,7 +314,7 @@
                     )
             except (OSError, TimeoutError) as error:
                 raise PeerUnreachableError(address, sent=False) from error
-            self._round_trip_times.observe(address, monotonic() - began_at, monotonic())
+            self._round_trip_times.observe(address, monotonic() - started_at, monotonic())
             self._connections[key] = connection
             return connection
 
@@ -349,10 +356,10 @@
         except asyncio.CancelledError:
             raise
         except Exception:
-            logger.exception("call failed", extra={"call": frame.WhichOneof("body")})
-            # The request may have had its effect before the defect struck.
-            defect = ServingError("internal", "internal error", 500, Outcome.UNKNOWN)
-            answer = error_frame(defect)
+            logger.exception("call handler failed", extra={"call": frame.WhichOneof("body")})
+            # The request may have taken effect before the error.
+            failure = ServingError("internal", "internal error", 500, Outcome.UNKNOWN)
+            answer = error_frame(failure)
             answer.last = True
             await respond(answer)
 
--- a/src/wharfcart/errors.py
+++ b/src/wharfcart/errors.py
@@ -1,8 +1,8 @@
 """Errors and findings shared by every layer.
 
-Two kinds exist. A :class:`Finding` is one thing wrong with a document and its place; findings are
-collected and reported together. A :class:`ServingError` ends one request and always states its
-:class:`Outcome`, because a caller must know whether the effect may have happened.
+A :class:`Finding` is one problem in a document, with its location; findings are collected and
+reported together. A :class:`ServingError` fails one request and always states its
+:class:`Outcome`, because the caller must know whether the request may have taken effect.
 """
 
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 
 class Outcome(StrEnum):
-    """What is known of the effect of a request that ended in an error."""
+    """Whether a request that failed took effect, as far as is known."""
 
     NOT_RUN = "not_run"
     UNKNOWN = "unknown"
@@ -19,13 +19,12 @@
 
 @dataclass(frozen=True)
 class Finding:
-    """One thing wrong with a document.
+    """One problem in a document.
 
-    Parameters
-    ----------
-    file: name of the document, or of the flag or variable that set the value.
-    place: key path, with a line number where one is known.
-    reason: what is wrong, for a person.
+    Attributes:
+        file: name of the document, or of the flag or variable that set the value.
+        place: key path, with a line number if known.
+        reason: human-readable description of the problem.
     """
 
     file: str
@@ -37,7 +36,7 @@
 
 
 class FindingsError(Exception):
-    """A document was refused; carries every finding in it."""
+    """Raised when a document is rejected; carries all of its findings."""
 
     def __init__(self, findings: list[Finding]) -> None:
         super().__init__("\n".join(str(finding) for finding in findings))
@@ -45,15 +44,14 @@
 
 
 class ServingError(Exception):
-    """One request ended without a whole answer.
-
-    Parameters
-    ----------
-    code: stable name of the cause, for programs.
-    message: the cause, for a person.
-    status: HTTP status.
-    outcome: whether the effect may have happened.
-    retry_after_seconds: when the caller may come back, if that helps.
+    """Raised when a request fails or its response is incomplete.
+
+    Args:
+        code: stable, machine-readable name of the cause.
+        message: human-readable cause.
+        status: HTTP status.
+        outcome: whether the request may have taken effect.
+        retry_after_seconds: when the caller may retry, if a retry can help.
     """
 
     def __init__(
