--- a/src/wharfcart/clock.py
+++ b/src/wharfcart/clock.py
@@ -37,7 +37,7 @@
 
         Leases and leaderships that were confirmed before this time must be confirmed again.
         """
-        known_s, self._last_total_s = self._last_total_s, suspended_s()
-        if self._last_total_s - known_s > MIN_SUSPENSION_S:
+        previous_s, self._last_total_s = self._last_total_s, suspended_s()
+        if self._last_total_s - previous_s > MIN_SUSPENSION_S:
             self._resumed_at = monotonic()
         return self._resumed_at
--- a/src/wharfcart/node/__init__.py
+++ b/src/wharfcart/node/__init__.py
@@ -1,1 +1,1 @@
-"""Processes of a fleet: nodes, gateways, storage nodes."""
+"""Processes of a fleet: nodes, gateways and storage nodes."""
--- a/src/wharfcart/node/backend_updates.py
+++ b/src/wharfcart/node/backend_updates.py
@@ -1,7 +1,7 @@
-"""What discovery tells of back ends: taken over into the choice and the pool, and logged.
+"""Applies service discovery entries of back ends to the selector and the connection pool.
 
-Changes that come together are told in one line for each event and service: on a large fleet a
-start, a release or an outage changes many back ends for every node at once.
+Changes that arrive together share one log line per event and service, because a start, a release
+or an outage changes many back ends at once.
 """
 
 from collections.abc import Callable
@@ -15,8 +15,7 @@
 from wharfcart.platform import documents, names, server_entry
 from wharfcart.routing.backend_choice import BackendChoice
 
-# So many back ends get a line each; more are told together.
-MAX_UNGROUPED_LINES = 2
+MAX_UNGROUPED_LINES = 2  # more back ends share one log line
 
 
 @dataclass(frozen=True)
@@ -29,14 +28,15 @@
 
 
 class BackendUpdates:
-    """Takes the entries of back ends.
+    """Applies entries of back ends and logs their lifecycle.
 
     Args:
-        choice: what this node knows of them.
-        pool: connections to them.
-        in_outage: whether neither the coordination service nor a peer confirmed anything lately.
-        age_s: seconds since the state was last confirmed.
-        log: takes a line for each back end that is seen, drains or has gone.
+        selector: holds this node's state of the back ends.
+        pool: connections to the back ends.
+        in_outage: returns whether neither the coordination service nor a peer has recently
+            confirmed the state.
+        age_s: returns the seconds since the state was last confirmed.
+        log: receives a line for each lifecycle event of a back end.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self._pending_events: list[_BackendEvent] = []
 
     def apply(self, change: KeyChange) -> None:
-        """Take a change of one back end's entry."""
+        """Apply a change of one back end's entry."""
         instance_id = change.key.removeprefix(names.SERVER_PREFIX)
         known = self._selector.state(instance_id)
         instance = self._parse(change)
@@ -68,7 +68,7 @@
                 self._add_event(Event.BACKEND_GONE, instance_id, service, change, drained)
             return
         if known is not None and known.instance.is_later_life_of(instance):
-            return  # told late
+            return  # a late entry of an earlier instance
         if known is not None and instance.is_later_life_of(known.instance):
             self._pool.drop_instance(instance_id)
             self._add_event(Event.BACKEND_RESTARTED, instance_id, instance.service, change)
@@ -84,10 +84,10 @@
             self._add_event(Event.BACKEND_COLD, instance_id, instance.service, change)
 
     def _parse(self, change: KeyChange) -> BackendInstance | None:
-        """Return what an entry names; None if it was removed, or names no back end.
+        """Return the instance in an entry; None if the entry was removed or is invalid.
 
-        One that turns bad takes out what it named at once: who wrote it is not known, and whether
-        the back end is still there neither.
+        An entry that becomes invalid removes its back end at once, because neither its author nor
+        the state of the back end is known.
         """
         try:
             return server_entry.instance_from(change)
@@ -101,17 +101,17 @@
             return None
 
     def log_pending(self) -> None:
-        """Log what was taken since this was called last."""
-        untold, self._pending_events = self._pending_events, []
+        """Log the events since the last call."""
+        events, self._pending_events = self._pending_events, []
         by_kind: dict[tuple[Event, str, bool], list[_BackendEvent]] = {}
-        for one in untold:
-            by_kind.setdefault((one.event, one.service, one.drained), []).append(one)
-        for alike in by_kind.values():
-            if len(alike) <= MAX_UNGROUPED_LINES:
-                for one in alike:
-                    self._write(one, {"backend": one.instance_id})
+        for item in events:
+            by_kind.setdefault((item.event, item.service, item.drained), []).append(item)
+        for group in by_kind.values():
+            if len(group) <= MAX_UNGROUPED_LINES:
+                for item in group:
+                    self._write(item, {"backend": item.instance_id})
             else:
-                self._write(alike[-1], {"backends": [one.instance_id for one in alike]})
+                self._write(group[-1], {"backends": [item.instance_id for item in group]})
 
     def _add_event(
         self, event: Event, instance_id: str, service: str, change: KeyChange, drained: bool = False
@@ -120,12 +120,12 @@
             _BackendEvent(event, instance_id, service, change.revision, drained)
         )
 
-    def _write(self, one: _BackendEvent, named: dict[str, object]) -> None:
+    def _write(self, item: _BackendEvent, backend_fields: dict[str, object]) -> None:
         self._log.write(
-            one.event,
-            **named,
-            service=one.service,
-            revision=one.revision,
-            drained=one.drained,
+            item.event,
+            **backend_fields,
+            service=item.service,
+            revision=item.revision,
+            drained=item.drained,
             age_s=round(self._age_s(), 2),
         )
--- a/src/wharfcart/node/call_handler.py
+++ b/src/wharfcart/node/call_handler.py
@@ -1,4 +1,4 @@
-"""Calls of other nodes, handed to the parts that answer them."""
+"""Dispatches calls from other nodes to the components that answer them."""
 
 import asyncio
 from collections.abc import Callable
@@ -30,7 +30,11 @@
 
 
 class CallHandler:
-    """Answers the calls of one node's peers."""
+    """Answers calls from a node's peers.
+
+    Attributes:
+        active_dispatches: number of dispatched requests that are running.
+    """
 
     def __init__(
         self,
@@ -56,10 +60,8 @@
     async def handle(self, frame: Frame, respond: Responder) -> None:
         """Answer one call.
 
-        Raises
-        ------
-        ServingError
-            Sent back by the transport.
+        Raises:
+            ServingError: the call fails; the transport sends the error to the caller.
         """
         kind = frame.WhichOneof("body")
         if kind == "dispatch":
--- a/src/wharfcart/node/early_listening.py
+++ b/src/wharfcart/node/early_listening.py
@@ -1,11 +1,11 @@
 """Opens a gateway's listening sockets before the rest of the program is loaded.
 
-Loading takes most of a start. While it lasts the kernel refuses new connections, and a caller tries
-another gateway, which is right as long as there is one. When the whole fleet was stopped at once
-there is none: callers would use up their tries within milliseconds. Then the sockets are opened
-first, the kernel keeps the connections, and they are served as soon as the program has started.
+Loading takes most of the start-up time. Meanwhile the kernel refuses connections, and callers retry
+at another gateway. If the whole fleet was stopped, there is no other gateway, and callers would
+exhaust their retries within milliseconds. In that case the sockets are opened first, so that the
+kernel queues the connections until the program serves them.
 
-Imports the standard library only, as it runs before everything else.
+Imports only the standard library, because it runs before everything else.
 """
 
 import selectors
@@ -18,21 +18,19 @@
 
 from wharfcart.clock import monotonic
 
-# A peer of the same region answers a connection in a few milliseconds.
-PEER_CONNECT_TIMEOUT_S = 0.06
-# Connections that come while the program loads; the system may allow fewer.
-BACKLOG = 1024
+PEER_CONNECT_TIMEOUT_S = 0.06  # longer than a connection within a region takes
+BACKLOG = 1024  # connections queued while the program loads; the system may allow fewer
 LISTEN_KEYS = ("listen", "readiness_listen")
 VARIABLE_PREFIX = "WHARFCART_"
 
 
 @dataclass(frozen=True)
 class EarlySockets:
-    """Sockets that listen.
+    """Listening sockets that were opened early.
 
     Attributes:
-        by_endpoint: the sockets, none if callers are to go elsewhere.
-        since: monotonic time at which they were opened.
+        by_endpoint: the sockets by endpoint; empty if callers should use another gateway.
+        opened_at: monotonic time at which they were opened.
     """
 
     by_endpoint: dict[str, socket.socket]
@@ -40,13 +38,13 @@
 
 
 def open_unless_peer_responds(path: Path, environment: Mapping[str, str]) -> EarlySockets:
-    """Return listening sockets if no seed answers; none otherwise.
+    """Open listening sockets unless a seed accepts a connection.
 
-    Settings that can't be read are left to the check that follows, which tells every finding.
+    Invalid settings open no sockets; the check of the settings reports the findings later.
 
     Args:
-        path: of the gateway's settings file.
-        environment: variables, which go before the file.
+        path: path of the gateway's settings file.
+        environment: environment variables, which override the file.
     """
     try:
         values = tomllib.loads(path.read_text(encoding="utf-8"))
@@ -60,39 +58,39 @@
         return EarlySockets({}, monotonic())
     opened = {}
     for endpoint in endpoints:
-        listening = _listen(endpoint) if isinstance(endpoint, str) else None
-        if listening is not None:
-            opened[str(endpoint)] = listening
+        listener = _listen(endpoint) if isinstance(endpoint, str) else None
+        if listener is not None:
+            opened[str(endpoint)] = listener
     return EarlySockets(opened, monotonic())
 
 
 def _any_accepts(endpoints: Iterable[str]) -> bool:
-    """Whether a connection to one of several nodes comes up within a moment."""
+    """Whether any of several nodes accepts a connection in time."""
     selector = selectors.DefaultSelector()
-    connecting = []
+    sockets = []
     try:
         for endpoint in endpoints:
             peer = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             peer.setblocking(False)
-            connecting.append(peer)
+            sockets.append(peer)
             if _start_connect(peer, endpoint):
                 selector.register(peer, selectors.EVENT_WRITE)
-        until = monotonic() + PEER_CONNECT_TIMEOUT_S
-        while selector.get_map() and (left_s := until - monotonic()) > 0:
-            for key, _ in selector.select(left_s):
+        deadline = monotonic() + PEER_CONNECT_TIMEOUT_S
+        while selector.get_map() and (remaining_s := deadline - monotonic()) > 0:
+            for key, _ in selector.select(remaining_s):
                 connected = cast(socket.socket, key.fileobj)
                 if connected.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) == 0:
                     return True
                 selector.unregister(connected)
         return False
     finally:
-        for peer in connecting:
+        for peer in sockets:
             peer.close()
         selector.close()
 
 
 def _start_connect(peer: socket.socket, endpoint: str) -> bool:
-    """Begin to connect; False if that fails at once."""
+    """Start to connect; False if that fails immediately."""
     host, _, port = endpoint.rpartition(":")
     try:
         peer.connect((host, int(port)))
@@ -104,15 +102,15 @@
 
 
 def _listen(endpoint: str) -> socket.socket | None:
-    """Listen on an endpoint; None if that fails, which the program's own attempt then tells."""
+    """Listen on an endpoint; None on failure, which the regular start reports later."""
     host, _, port = endpoint.rpartition(":")
-    listening = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        listening.bind((host, int(port)))
-        listening.listen(BACKLOG)
-        listening.setblocking(False)
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listener.bind((host, int(port)))
+        listener.listen(BACKLOG)
+        listener.setblocking(False)
     except (OSError, ValueError):
-        listening.close()
+        listener.close()
         return None
-    return listening
+    return listener
--- a/src/wharfcart/node/evacuations.py
+++ b/src/wharfcart/node/evacuations.py
@@ -1,7 +1,7 @@
-"""Zones that the operator asks to empty, as this node takes, shows and logs them.
+"""Applies, logs and shows the operator's orders to evacuate zones.
 
-An order is in force here in the step in which it comes with the mirror's changes; what runs in the
-zone ends where it is. A line tells when nothing of this node runs there any more.
+An order takes effect as soon as it arrives with the mirror's changes; requests in flight in the
+zone complete there. A log line reports when none of this node's requests run there any more.
 """
 
 import asyncio
@@ -18,13 +18,13 @@
 
 
 class ZoneEvacuations:
-    """Orders to empty zones, on one node.
+    """Evacuation orders as applied by one node.
 
     Args:
-        choice: is told which zones get nothing, and which are given back.
-        log: takes a line as a zone's order comes, as the zone is quiet, and as it is given back.
-        metrics: show both by zone.
-        age_s: seconds since the node's state was last confirmed.
+        selector: excludes the back ends of evacuated zones.
+        log: receives a line when an evacuation starts, when the zone is idle, and when it ends.
+        metrics: shows evacuations and requests in flight by zone.
+        age_s: returns the seconds since the node's state was last confirmed.
     """
 
     def __init__(
@@ -38,11 +38,11 @@
         self._log = log
         self._metrics = metrics
         self._age_s = age_s
-        self._started_at_by_zone: dict[str, float] = {}  # by zone
+        self._started_at_by_zone: dict[str, float] = {}
         self._idle_zones: set[str] = set()
 
     def apply(self, change: KeyChange) -> None:
-        """Take an order to empty a zone, or that it was taken back."""
+        """Apply an order to evacuate a zone, or its withdrawal."""
         zone = change.key.removeprefix(names.EVACUATE_PREFIX)
         if change.value is None:
             self._finish(zone, change.revision)
@@ -50,19 +50,19 @@
             self._start(zone, change.revision)
 
     def check_in_flight(self, now: float) -> None:
-        """Show what still runs in emptied zones, and tell which have become quiet."""
-        for zone, begun_at in self._started_at_by_zone.items():
+        """Update the metrics of evacuated zones and log which have become idle."""
+        for zone, started_at in self._started_at_by_zone.items():
             in_flight = self._selector.in_flight_in(zone)
             self._metrics.evacuated_in_flight.set(zone, in_flight)
             if in_flight:
                 self._idle_zones.discard(zone)
             elif zone not in self._idle_zones:
                 self._idle_zones.add(zone)
-                after_s = round(now - begun_at, 2)
+                after_s = round(now - started_at, 2)
                 self._log.write(Event.EVACUATION_QUIET, zone=zone, after_s=after_s)
 
     async def run(self) -> None:
-        """Look from time to time until cancelled."""
+        """Check the evacuated zones periodically until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
             self.check_in_flight(monotonic())
@@ -78,7 +78,7 @@
             return
         self._idle_zones.discard(zone)
         self._update_eligibility()
-        # Its back ends may have turned cold just before, which their entries tell only later.
+        # Back ends of the zone may have become cold, which their entries show only later.
         self._selector.cold.given_back(zone, monotonic(), revision)
         self._metrics.evacuated.set(zone, 0)
         self._metrics.evacuated_in_flight.set(zone, 0)
--- a/src/wharfcart/node/fleet.py
+++ b/src/wharfcart/node/fleet.py
@@ -1,4 +1,4 @@
-"""Fleet driver: which back ends this node owns, what they hold, and orders to engines."""
+"""Fleet driver: ownership and probes of back ends, and orders to engines."""
 
 import asyncio
 import json
@@ -28,8 +28,8 @@
 OWNERSHIP_CHECK_INTERVAL_S = 0.5
 PROBE_INTERVAL_S = 1.0
 RECONCILE_INTERVAL_S = 2.0
-DRAIN_PERIOD_S = 5.0  # from saying that a server drains to changing its base model
-DRAIN_TTL_S = 8.0  # after this the owner ends a drain that its leader forgot
+DRAIN_PERIOD_S = 5.0  # from announcing a drain to replacing the server's base model
+DRAIN_TTL_S = 8.0  # the owner removes a drain after this time if its leader has not
 DOWN_AFTER_FAILURES = 2
 
 logger = logging.getLogger(__name__)
@@ -37,7 +37,15 @@
 
 @dataclass(frozen=True)
 class BackendStatus:
-    """What a back end's owner published of it."""
+    """State of a back end as its owner published it.
+
+    Attributes:
+        model: name of the loaded base model; '' if none.
+        version: version of the base model.
+        adapters: names of the loaded adapters.
+        loading: whether the back end is loading a model.
+        down: whether the back end fails its probes.
+    """
 
     model: str = ""
     version: str = ""
@@ -46,7 +54,7 @@
     down: bool = False
 
     def targets(self) -> frozenset[str]:
-        """Return what requests may ask of it."""
+        """Return the models and adapters that requests may use."""
         if self.loading or self.down:
             return frozenset()
         return frozenset({self.model, *self.adapters} - {""})
@@ -56,7 +64,7 @@
 class _KnownBackend:
     machine: ListedMachine | None = None
     status: BackendStatus | None = None
-    drain_until: float | None = None  # wall clock, seconds
+    drain_until: float | None = None  # wall-clock time in seconds
 
 
 @dataclass
@@ -70,7 +78,20 @@
 
 @dataclass(frozen=True)
 class FleetContext:
-    """Parts of a node that the fleet driver uses."""
+    """Dependencies of the fleet driver.
+
+    Attributes:
+        zone: zone of this node.
+        node_id: id of this node.
+        live_in_zone: returns the ids of live nodes that may own back ends of a zone.
+        services: index of the configured services.
+        router: routes requests to back ends.
+        owner: runs requests on owned back ends.
+        session: HTTP client session.
+        make_runner: creates the batch runner of an owned back end.
+        publish: sets a directory entry; None deletes it.
+        leader_epoch: returns the epoch of shard 0's leader; None unless that is this node.
+    """
 
     zone: str
     node_id: str
@@ -81,11 +102,11 @@
     session: aiohttp.ClientSession
     make_runner: Callable[[OwnedBackend], BatchRunner]
     publish: Callable[[str, bytes | None], None]
-    leader_epoch: Callable[[], int | None]  # epoch of shard 0's leader if that is this node
+    leader_epoch: Callable[[], int | None]
 
 
 class FleetDriver:
-    """Back ends as one node sees, owns and orders them."""
+    """Tracks, owns and controls back ends on behalf of one node."""
 
     def __init__(self, context: FleetContext) -> None:
         self._context = context
@@ -99,7 +120,7 @@
     # ---- directory ----
 
     def directory_changed(self, entries: list[Entry]) -> None:
-        """Take changed entries of the directory."""
+        """Apply changed entries of the directory."""
         for entry in entries:
             kind, backend_id = entry.key.split("/", 1)
             known = self._known.setdefault(backend_id, _KnownBackend())
@@ -122,13 +143,13 @@
             self._context.router.put_backend(backend, now)
 
     def membership_changed(self) -> None:
-        """Check ownership anew."""
+        """Trigger a check of ownership."""
         self._wake.set()
 
     # ---- ownership ----
 
     async def run(self) -> None:
-        """Keep ownership, probes and orders up to date, for ever."""
+        """Keep ownership, probes and orders up to date until cancelled."""
         reconciled_at = 0.0
         while True:
             self._wake.clear()
@@ -144,14 +165,14 @@
                 continue
 
     def _check_ownership(self) -> None:
-        wanted: set[str] = set()
+        owned_ids: set[str] = set()
         for backend_id, backend in self._context.router.backends.items():
             nodes = self._context.live_in_zone(backend.zone)
             if choose_owner(backend_id, nodes) == self._context.node_id and not self._stopping:
-                wanted.add(backend_id)
+                owned_ids.add(backend_id)
                 self._acquire(backend)
         for backend_id in list(self._running):
-            if backend_id not in wanted:
+            if backend_id not in owned_ids:
                 self._release(backend_id)
 
     def _acquire(self, backend: Backend) -> None:
@@ -162,7 +183,7 @@
             self._release(backend.backend_id)
             running = None
         if running is not None and running.task.done():
-            logger.error("batch runner ended", exc_info=running.task.exception())
+            logger.error("batch runner exited unexpectedly", exc_info=running.task.exception())
             del self._running[backend.backend_id]
             running = None
         if running is None:
@@ -175,13 +196,13 @@
             self._release(backend.backend_id)
 
     def _remove_expired_drain(self, backend_id: str) -> None:
-        # By the owner, not by the leader that began it: leaders die.
+        # The owner does this, because the leader that started the drain may have failed.
         known = self._known.get(backend_id)
         if known is not None and known.drain_until is not None and time.time() > known.drain_until:
             self._context.publish(f"drain/{backend_id}", None)
 
     def _policy(self, backend: Backend) -> YieldingPolicy:
-        """Return the stricter policy of the templates that the back end serves."""
+        """Return the strictest policy among the templates that the back end serves."""
         policies = {
             template.yielding
             for template in self._context.services.templates.values()
@@ -203,18 +224,18 @@
         running.task.cancel()
 
     async def release_all(self) -> None:
-        """Give every back end up; what runs there is let finish."""
+        """Release all back ends after their running requests have completed."""
         self._stopping = True
         await asyncio.gather(*(self._stop_runner(running) for running in self._running.values()))
         self._running.clear()
 
     def revoke(self, lease_ids: list[str]) -> None:
-        """Pass a leader's revocation on to the runners."""
+        """Revoke leases of the runners on behalf of a leader."""
         for running in self._running.values():
             running.runner.revoke(lease_ids)
 
     def backend_views(self) -> list[BackendView]:
-        """Return what operators see of the owned back ends."""
+        """Return the state of the owned back ends for operators."""
         return [
             BackendView(
                 backend_id=backend_id,
@@ -285,7 +306,7 @@
                 await self._send_order(order)
 
     async def _drain_then_send(self, order: Order) -> None:
-        """Have a server finish what it runs before its model is taken away."""
+        """Drain a server before replacing its base model."""
         value = json.dumps({"until": time.time() + DRAIN_TTL_S}).encode()
         self._context.publish(f"drain/{order.backend_id}", value)
         await asyncio.sleep(DRAIN_PERIOD_S)
@@ -296,11 +317,11 @@
         machine = self._known[order.backend_id].machine
         if machine is None:
             return
-        logger.info("order", extra={"order": str(order)})
+        logger.info("sending an order", extra={"order": str(order)})
         try:
             await EngineClient(machine.address, self._context.session).order(order)
         except BackendError as error:
-            logger.info("order not answered", extra={"cause": str(error)})
+            logger.info("order failed", extra={"cause": str(error)})
 
     def _engine_statuses(self) -> list[EngineStatus]:
         return [
--- a/src/wharfcart/node/fleet_keys.py
+++ b/src/wharfcart/node/fleet_keys.py
@@ -1,4 +1,4 @@
-"""The fleet's own keys in the coordination service, and what stands under them."""
+"""Keys and entries that the fleet itself stores in the coordination service."""
 
 import json
 from dataclasses import asdict, dataclass
@@ -18,7 +18,7 @@
 
 
 class NodeKind(StrEnum):
-    """What a node does."""
+    """Role of a node."""
 
     GATEWAY = "gateway"
     STORAGE = "storage"
@@ -26,11 +26,15 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeEntry:
-    """A node as it announced itself.
-
-    Parameters
-    ----------
-    identity: of a storage node's disk; '' for others.
+    """Entry by which a node announces itself.
+
+    Attributes:
+        node_id: id of the node.
+        kind: value of its :class:`NodeKind`.
+        host: host at which other nodes reach it.
+        port: port at which other nodes reach it.
+        zone: zone of the node.
+        identity: identity of a storage node's disk; '' for other nodes.
     """
 
     node_id: str
@@ -42,21 +46,21 @@
 
     @property
     def address(self) -> Address:
-        """Where other nodes reach it."""
+        """Address at which other nodes reach it."""
         return Address(self.host, self.port)
 
     @property
     def key(self) -> str:
-        """Key of this entry; a storage node that returns with an empty disk replaces it."""
+        """Key of this entry; a storage node that restarts with an empty disk overwrites it."""
         return NODE_PREFIX + self.node_id
 
     def to_bytes(self) -> bytes:
-        """Write the entry."""
+        """Serialize the entry."""
         return json.dumps(asdict(self), sort_keys=True).encode()
 
 
 def node_entry_from(value: bytes | None) -> NodeEntry | None:
-    """Read an entry; None if it was removed or is of another form."""
+    """Parse an entry; None if it was removed or is malformed."""
     if value is None:
         return None
     try:
--- a/src/wharfcart/node/gateway_process.py
+++ b/src/wharfcart/node/gateway_process.py
@@ -1,4 +1,4 @@
-"""A gateway: takes callers' requests and passes them on. It keeps nothing."""
+"""Gateway process: accepts callers' requests and forwards them; it stores no state."""
 
 import asyncio
 import math
@@ -24,21 +24,25 @@
 from wharfcart.slots.sessions import SlotSessions
 from wharfcart.storage.job_client import JobClient
 
-# The entry looks at readiness each second and needs two misses; until then connections still come.
+# The load balancer needs two failed readiness checks to stop sending connections.
 UNREADY_DELAY_S = 2.6
 STOP_MARGIN_S = 0.7
 IDLE_CLOSE_INTERVAL_S = 0.1
 POLL_INTERVAL_S = 0.02
-# A start that has no configuration yet leaves callers to other gateways for so long; then it tells
-# them that it can't serve.
+# Without a configuration, a gateway listens after this time and responds with an error.
 MAX_CONFIGURATION_WAIT_S = 1.0
-# What waited for a start comes in at once: it is worth a moment that the granting nodes put it in
-# order, rather than have it fill the back ends' queues.
+# Queued requests arrive all at once; with slot sessions open, they do not overload the back ends.
 MAX_SESSIONS_WAIT_S = 0.3
 
 
 class GatewayProcess:
-    """One gateway from start to stop."""
+    """Lifecycle of one gateway.
+
+    Args:
+        settings: settings of the gateway.
+        log: the decision log.
+        sockets: listening sockets that were opened early.
+    """
 
     def __init__(
         self,
@@ -109,7 +113,7 @@
         )
 
     async def start(self) -> None:
-        """Begin to serve; ready once a configuration is known."""
+        """Start to serve; the gateway is ready once it has a configuration."""
         await self._node.start()
         self._node.tasks.spawn(self._sessions.run())
         await self._wait_for_configuration(MAX_CONFIGURATION_WAIT_S)
@@ -122,17 +126,17 @@
         self._node.tasks.spawn(self._become_ready())
 
     def reload(self, settings: ServingSettings) -> None:
-        """Take changed settings."""
+        """Apply changed settings."""
         self._node.reload(settings)
 
     async def stop(self) -> None:
-        """Leave without cutting a request in progress."""
-        stop_at = monotonic() + self._node.settings.stop_within_s - STOP_MARGIN_S
+        """Stop gracefully: let requests in progress complete within the stop timeout."""
+        stop_deadline = monotonic() + self._node.settings.stop_within_s - STOP_MARGIN_S
         self._log.write(Event.STOPPING, in_progress=self._ingress.in_progress)
         self._ingress.drain()
         await asyncio.sleep(UNREADY_DELAY_S)
         self._ingress.stop_listening()
-        while monotonic() < stop_at:
+        while monotonic() < stop_deadline:
             self._ingress.close_idle()
             if not self._ingress.in_progress:
                 break
@@ -141,7 +145,7 @@
         self._log.write(Event.STOPPED, in_progress=self._ingress.in_progress)
 
     async def _handle_call(self, frame: Frame, respond: Responder) -> None:
-        """Answer a call of another gateway."""
+        """Handle a call from another gateway."""
         if frame.WhichOneof("body") == "relay_permit":
             answer = await self._answer_permit_relay(frame.relay_permit.tenant)
             await respond(Frame(permit_answer=answer, last=True))
@@ -164,7 +168,7 @@
 
 
 async def _wait_until(condition: Callable[[], bool], timeout_s: float) -> None:
-    """Wait for a condition, or until the time is over."""
-    until = monotonic() + timeout_s
-    while not condition() and monotonic() < until:
+    """Wait until a condition holds or the timeout expires."""
+    deadline = monotonic() + timeout_s
+    while not condition() and monotonic() < deadline:
         await asyncio.sleep(POLL_INTERVAL_S)
--- a/src/wharfcart/node/group_placement.py
+++ b/src/wharfcart/node/group_placement.py
@@ -1,4 +1,4 @@
-"""Where the replicas of a job group should be, by what one storage node knows of the fleet."""
+"""Desired replica placement of a job group, based on one storage node's view of the fleet."""
 
 from collections.abc import Callable
 
@@ -9,11 +9,11 @@
 
 
 class GroupPlacement:
-    """Builds the core's input for one group, anew for each decision.
+    """Builds the input of the placement core for a group from the current state.
 
     Args:
         node: this node.
-        tolerance: what may be lost at once.
+        tolerance: simultaneous failures to tolerate.
     """
 
     def __init__(self, node: ServingNode, tolerance: ToleranceSettings) -> None:
@@ -21,11 +21,11 @@
         self._tolerance = tolerance
 
     def __call__(self, group: int, layout: Layout | None = None) -> ReplicaSpread:
-        """Return where a group's replicas should be.
+        """Return the desired replica placement of a group.
 
         Args:
-            group: the group.
-            layout: the layout that it belongs to; None for the one in force.
+            group: number of the group.
+            layout: layout of the group; None for the current one.
         """
         layout = layout or self._node.layout
         copies = self._tolerance.storage_nodes + 1
@@ -41,10 +41,10 @@
         )
 
     def _residence_filter(self, group: int, layout: Layout | None) -> Callable[[str], bool]:
-        """Return whether a disk may hold a group.
+        """Return a predicate that tells whether a storage identity may hold the group.
 
-        Where data is bound to regions, a group that belongs to one stays there with all of its
-        replicas.
+        If the configuration restricts residence, all replicas of a regional group stay in its
+        region.
         """
         node = self._node
         region = None if layout is None else layout.region(group)
--- a/src/wharfcart/node/hosted_group.py
+++ b/src/wharfcart/node/hosted_group.py
@@ -1,4 +1,4 @@
-"""One job group on one storage node, with what its leader does besides: items, calls, slots."""
+"""One job group on one storage node, with the duties of its leader: items, calls and slots."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -22,12 +22,14 @@
 
 @dataclass(frozen=True)
 class GroupParts:
-    """What a node's groups are made of.
+    """Components shared by all groups of a node.
 
     Attributes:
+        node: this node.
+        context: dependencies of the replicas.
         runner: sends items to back ends.
-        jobs: calls of this node to the leaders of other groups.
-        keep_jobs_s: how long an ended job stays readable.
+        jobs: client for calls to the leaders of other groups.
+        keep_jobs_s: how long in seconds a finished job stays readable.
     """
 
     node: ServingNode
@@ -38,11 +40,18 @@
 
 
 class HostedGroup:
-    """A job group; while this node leads it, its items run and its back ends' slots are granted.
+    """A job group on this node.
+
+    While this node leads the group, it runs the group's items and grants slots of its back ends.
 
     Args:
-        number: of the group.
-        parts: what it is made of.
+        number: number of the group.
+        parts: components shared by the node's groups.
+
+    Attributes:
+        replica: this node's replica of the group.
+        slots: grants slots while this node leads the group.
+        service: answers calls about the group's jobs.
     """
 
     def __init__(self, number: int, parts: GroupParts) -> None:
@@ -115,7 +124,7 @@
         self._execution.begin()
 
     async def _watch_orphaned_runs(self) -> None:
-        """Find what earlier leaders left at the model servers."""
+        """Watch runs that earlier leaders left on the model servers."""
         granter = self.slots.granter
         configuration = self._node.configuration
         if granter is None or configuration is None:
--- a/src/wharfcart/node/node.py
+++ b/src/wharfcart/node/node.py
@@ -1,4 +1,4 @@
-"""One node: its drivers put together, started and stopped in order."""
+"""One node: assembles its components and starts and stops them in order."""
 
 import asyncio
 import json
@@ -68,7 +68,11 @@
 
 
 class Node:
-    """A running node."""
+    """A node of the fleet.
+
+    Args:
+        settings: settings of the node.
+    """
 
     def __init__(self, settings: NodeSettings) -> None:
         self.settings = settings
@@ -82,9 +86,9 @@
     # ---- starting ----
 
     async def start(self) -> None:
-        """Start everything and join."""
+        """Start all components and join the cluster."""
         settings = self.settings
-        # Callers of batch and online share no connections: the pool has no bound to queue at.
+        # The connection pool is unbounded, so that online calls never queue behind batch calls.
         connector = aiohttp.TCPConnector(limit=0, limit_per_host=0, keepalive_timeout=30)
         self._session = aiohttp.ClientSession(connector=connector, auto_decompress=False)
         self._transport = Transport(self._handle_call)
@@ -223,13 +227,13 @@
 
     @property
     def ready(self) -> bool:
-        """Whether this node may take callers' requests."""
+        """Whether this node can serve callers' requests."""
         return self._propagation.ready and not self._stopping
 
     # ---- stopping ----
 
     async def stop(self) -> None:
-        """Leave without cutting anything: planned stop."""
+        """Stop gracefully: leave the cluster and let running requests complete."""
         logger.info("node leaving")
         self._stopping = True
         if self._journal is not None:
@@ -237,7 +241,7 @@
         await self._gossip.leave()
         await self.gateway.drain()
         await self._fleet.release_all()
-        # Peers that have not heard yet may still send; let the word spread before the end.
+        # Peers may still send requests until the departure has propagated.
         await asyncio.sleep(LEAVE_PROPAGATION_S)
         while self._calls.active_dispatches:
             await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
@@ -246,7 +250,7 @@
         logger.info("node stopped")
 
     async def close(self) -> None:
-        """Close files and sockets at once."""
+        """Close files and sockets immediately."""
         await self._tasks.stop()
         await self._propagation.stop()
         if self._journal is not None:
@@ -258,7 +262,7 @@
     # ---- membership ----
 
     def _member_changed(self, member: Member) -> None:
-        logger.info("member", extra={"member": member.node_id, "state": member.state})
+        logger.info("member changed", extra={"member": member.node_id, "state": member.state})
         if self._journal is not None:
             self._update_storage_members()
         self._fleet.membership_changed()
@@ -287,12 +291,12 @@
         return [member.node_id for member in self._gossip.membership.live()]
 
     def _live_in_zone(self, zone: str) -> list[str]:
-        """Live nodes of a zone; of all zones where that zone has none."""
+        """Return the live nodes of a zone; those of all zones if the zone has none."""
         live = self._gossip.membership.live()
-        near = [member.node_id for member in live if member.zone == zone]
-        return near or [member.node_id for member in live]
+        in_zone = [member.node_id for member in live if member.zone == zone]
+        return in_zone or [member.node_id for member in live]
 
-    # ---- spreading ----
+    # ---- propagation ----
 
     def _configuration_changed(self, entries: list[Entry]) -> None:
         self.services.update(entries)
@@ -305,12 +309,12 @@
         if self._journal is None:
             return
         for placement in placements:
-            # Only the first placement makes replicas; later ones come through a leader's log.
+            # Only the first placement creates replicas; a leader's log makes later changes.
             if placement.version == 1 and self._journal.identity in placement.replicas:
                 self._journal.create_shard(placement.shard, list(placement.replicas))
 
     async def _placement_loop(self) -> None:
-        """Learn of all shards, then keep the journal informed of the storage nodes."""
+        """Load the placement of all shards, then keep the journal's storage members current."""
         assert self._journal is not None
         while self._propagation.placement.shard_count == 0:
             await asyncio.sleep(PLACEMENT_CHECK_INTERVAL_S * (0.5 + random.random()))
@@ -318,13 +322,13 @@
             try:
                 await self._load_or_create_placement()
             except KeyValueUnavailableError as error:
-                logger.info("no placement yet", extra={"cause": str(error)})
+                logger.info("shard placement unavailable", extra={"cause": str(error)})
         while True:
             self._update_storage_members()
             await asyncio.sleep(1.0)
 
     async def _load_or_create_placement(self) -> None:
-        """Read the first placement, or write it once enough storage nodes are there."""
+        """Read the first placement, or write it once enough storage nodes are live."""
         found = await self._key_value.get(PLACEMENT_KEY)
         storage = self._live_storage()
         if found is None and len(storage) >= self.settings.journal.replicas:
@@ -353,7 +357,7 @@
             self._transport.send(address, frame)
 
     def _leadership_changed(self, shard: int, leads: bool) -> None:
-        logger.info("leadership", extra={"shard": shard, "leads": leads})
+        logger.info("shard leadership changed", extra={"shard": shard, "leads": leads})
         if self._batch_leader is not None:
             self._batch_leader.leadership_changed(shard, leads)
 
@@ -388,7 +392,7 @@
         await self._calls.handle(frame, respond)
 
     def view(self) -> FleetView:
-        """Return what this node says of itself."""
+        """Return this node's part of the fleet view."""
         shards = self._journal.shards.values() if self._journal is not None else ()
         return FleetView(
             node_id=self.settings.node_id,
@@ -451,5 +455,5 @@
 
 
 def _boot_incarnation() -> int:
-    """Return an incarnation above those of this node's earlier lives: seconds of the wall clock."""
+    """Return wall-clock seconds, which exceed the incarnations of this node's earlier runs."""
     return int(time.time())
--- a/src/wharfcart/node/poison_evidence_sync.py
+++ b/src/wharfcart/node/poison_evidence_sync.py
@@ -1,9 +1,9 @@
-"""What nodes share of requests that back ends ended under: kept in the coordination service.
+"""Shares evidence of poison requests between nodes through the coordination service.
 
-One key a content. It reaches every node with the mirror, also one that starts later or that
-another region's storage nodes grant slots to. A node that the service refuses tells some storage
-nodes, and these tell it or others in turn. While the service is away from all, each node goes by
-what it knows.
+The service stores one key per request fingerprint. The mirror delivers it to all nodes, including
+ones that start later and ones in other regions. A node that cannot write to the service relays its
+evidence to some storage nodes, which write it or relay it further. During an outage of the service,
+each node uses the evidence it has.
 """
 
 import asyncio
@@ -26,29 +26,29 @@
 from wharfcart.cluster.randomness import RandomSource
 from wharfcart.node.fleet_keys import POISON_REQUEST_PREFIX
 
-# All runs of a back end that ended break off within this time; they are told together.
+# All interrupted runs of a crashed back end are written together.
 BATCH_DELAY_S = 0.01
-# A condition fails when another node was faster; its change arrives within this time.
+# After a conflict, the other node's change arrives within this time.
 CONFLICT_RETRY_S = 0.1
 UNAVAILABLE_RETRY_S = 0.5
-# Each further try waits twice as long, up to this.
+# Upper limit of the exponential delay.
 MAX_RETRY_S = 4.0
-# So often a node looks for evidence that is old, so that none is kept for ever.
+# Between two removals of expired evidence.
 CLEANUP_INTERVAL_S = 60.0
-# A transaction has so many entries at most: conditions, keys that are written and that go.
+# Limits of one transaction.
 MAX_KEYS_WRITTEN = 10
 MAX_KEYS_REMOVED = 6
 
 
 class PoisonEvidenceSync:
-    """Tells the others what this node has seen, and takes what they tell.
+    """Writes this node's evidence to the service and applies the evidence of other nodes.
 
     Args:
-        suspects: of this node.
-        service: where evidence is kept.
-        mirror: of the service's keys.
-        random: spreads further tries.
-        relay: tells some storage nodes what the service would not take.
+        poison_requests: evidence known to this node.
+        service: the coordination service.
+        mirror: mirror of the service's keys.
+        random: source of the retries' jitter.
+        relay: sends evidence that could not be written to some storage nodes.
     """
 
     def __init__(
@@ -69,20 +69,24 @@
         poison_requests.on_news = self._pending.set
 
     def apply_change(self, change: KeyChange) -> None:
-        """Take what was shared of a content."""
-        content = ContentId(change.key.removeprefix(POISON_REQUEST_PREFIX))
+        """Apply a change of the shared evidence on a request fingerprint."""
+        fingerprint = ContentId(change.key.removeprefix(POISON_REQUEST_PREFIX))
         record = record_from(change.value)
-        self._poison_requests.take(content, None if record is None else record.not_after(time()))
+        self._poison_requests.take(
+            fingerprint, None if record is None else record.not_after(time())
+        )
 
     def apply_relayed(self, message: BackendEnds) -> None:
-        """Take what another node could not tell the service."""
-        for told in message.contents:
-            ends = {end.instance_id: BackendEnd(end.at, end.weight) for end in told.ends}
-            record = SuspectRecord(ends).not_after(time())
-            self._poison_requests.note_heard(ContentId(told.content), record)
+        """Apply evidence that another node could not write to the service."""
+        for evidence in message.contents:
+            crashes = {
+                crash.instance_id: BackendEnd(crash.at, crash.weight) for crash in evidence.ends
+            }
+            record = SuspectRecord(crashes).not_after(time())
+            self._poison_requests.note_heard(ContentId(evidence.content), record)
 
     async def run(self) -> None:
-        """Tell what there is to tell, until cancelled."""
+        """Write pending evidence and remove expired evidence until cancelled."""
         while True:
             with suppress(TimeoutError):
                 async with asyncio.timeout(CLEANUP_INTERVAL_S * self._jitter()):
@@ -93,21 +97,25 @@
                 pass
 
     async def _write_pending(self) -> bool:
-        """Tell what is untold; False if there is more, or it has to be tried again."""
-        untold = self._poison_requests.untold(MAX_KEYS_WRITTEN)
-        over = [
-            content
-            for content in self._poison_requests.no_longer_suspect(time(), MAX_KEYS_REMOVED)
-            if content not in untold
+        """Write pending evidence; False if there is more or a retry is needed."""
+        pending = self._poison_requests.untold(MAX_KEYS_WRITTEN)
+        expired = [
+            fingerprint
+            for fingerprint in self._poison_requests.no_longer_suspect(time(), MAX_KEYS_REMOVED)
+            if fingerprint not in pending
+        ]
+        stored = [
+            fingerprint
+            for fingerprint in expired
+            if self._mirror.get(_key(fingerprint)) is not None
         ]
-        there = [content for content in over if self._mirror.get(_key(content)) is not None]
-        if not untold and not there:
-            self._poison_requests.forgotten(over)
+        if not pending and not stored:
+            self._poison_requests.forgotten(expired)
             return True
         transaction = Transaction(
-            {_key(content): self._revision(content) for content in (*untold, *there)},
-            {_key(content): record_to_bytes(record) for content, record in untold.items()},
-            tuple(_key(content) for content in there),
+            {_key(fingerprint): self._revision(fingerprint) for fingerprint in (*pending, *stored)},
+            {_key(fingerprint): record_to_bytes(record) for fingerprint, record in pending.items()},
+            tuple(_key(fingerprint) for fingerprint in stored),
         )
         try:
             await self._service.commit(transaction)
@@ -115,14 +123,14 @@
             await self._back_off(CONFLICT_RETRY_S)
             return False
         except CoordinationUnavailableError:
-            # Whether it was done or not: the mirror tells, and the same may be written twice.
-            if untold:
-                self._relay(crashes_to_message(untold))
+            # The write may have happened; repeating it is harmless.
+            if pending:
+                self._relay(crashes_to_message(pending))
             await self._back_off(UNAVAILABLE_RETRY_S)
             return False
         self._failures = 0
-        self._poison_requests.told(untold)
-        self._poison_requests.forgotten(over)
+        self._poison_requests.told(pending)
+        self._poison_requests.forgotten(expired)
         return False
 
     def _revision(self, fingerprint: ContentId) -> int:
@@ -139,39 +147,41 @@
 
 
 def crashes_to_message(record_by_fingerprint: dict[ContentId, SuspectRecord]) -> BackendEnds:
-    """Write what is known of some contents, for another node."""
+    """Serialize evidence for another node."""
     return BackendEnds(
         contents=[
             ContentEnds(
-                content=content,
+                content=fingerprint,
                 ends=[
-                    InstanceEnd(instance_id=instance_id, at=end.at, weight=end.weight)
-                    for instance_id, end in record.ends_by_instance.items()
+                    InstanceEnd(instance_id=instance_id, at=crash.at, weight=crash.weight)
+                    for instance_id, crash in record.ends_by_instance.items()
                 ],
             )
-            for content, record in record_by_fingerprint.items()
+            for fingerprint, record in record_by_fingerprint.items()
         ]
     )
 
 
 def record_to_bytes(record: SuspectRecord) -> bytes:
-    """Write what is known of a content."""
-    ends = {key: [round(end.at, 3), end.weight] for key, end in record.ends_by_instance.items()}
-    return json.dumps(ends, sort_keys=True).encode()
+    """Serialize the evidence on a request fingerprint."""
+    crashes = {
+        key: [round(crash.at, 3), crash.weight] for key, crash in record.ends_by_instance.items()
+    }
+    return json.dumps(crashes, sort_keys=True).encode()
 
 
 def record_from(value: bytes | None) -> SuspectRecord | None:
-    """Read what is known of a content; None if nothing is, or it is of another form."""
+    """Parse the evidence on a request fingerprint; None if it was removed or is malformed."""
     if value is None:
         return None
     try:
-        ends = {
+        crashes = {
             str(key): BackendEnd(float(at), float(weight))
             for key, (at, weight) in json.loads(value).items()
         }
     except (ValueError, TypeError, AttributeError):
         return None
-    return SuspectRecord(ends)
+    return SuspectRecord(crashes)
 
 
 def _key(fingerprint: ContentId) -> str:
--- a/src/wharfcart/node/process.py
+++ b/src/wharfcart/node/process.py
@@ -1,8 +1,8 @@
-"""Entry of the serving processes: ``python -m wharfcart.node.process gateway|storage``.
+"""Entry point of the serving processes: ``python -m wharfcart.node.process gateway|storage``.
 
-Apart from the command line of operators, so that a process loads only what its role needs. A
-gateway may have to listen before anything else is loaded: this module imports what that takes, and
-everything else once it is done.
+It is separate from the operators' command line, so that a process loads only what its role needs.
+Because a gateway may have to listen before the rest is loaded, this module imports only what
+listening requires and loads everything else afterwards.
 """
 
 import gc
@@ -12,15 +12,15 @@
 
 from wharfcart.node.early_listening import open_unless_peer_responds
 
-SETTINGS_VARIABLE = "WHARFCART_SETTINGS"  # names the settings file
+SETTINGS_VARIABLE = "WHARFCART_SETTINGS"  # path of the settings file
 DEFAULT_SETTINGS = "wharfcart.toml"
 EXIT_USAGE = 2
 
 
 def main() -> None:
-    """Run the role named by the first argument until SIGTERM."""
-    # Nearly everything that is made while a process starts stays: to look through it for garbage
-    # again and again takes an eighth of the start. ``roles`` switches it on again.
+    """Run the role given by the first argument until SIGTERM."""
+    # Nearly all objects created at the start are permanent, so collecting garbage would only slow
+    # the start down. ``roles`` enables it again.
     gc.disable()
     role = sys.argv[1] if len(sys.argv) > 1 else ""
     path = Path(os.environ.get(SETTINGS_VARIABLE, DEFAULT_SETTINGS))
@@ -34,7 +34,7 @@
 
 
 def run_gateway(path: Path) -> None:
-    """Run a gateway with the settings of a file."""
+    """Run a gateway with the settings in a file."""
     sockets = open_unless_peer_responds(path, os.environ)
     from wharfcart.node import roles
 
@@ -42,7 +42,7 @@
 
 
 def run_storage(path: Path) -> None:
-    """Run a storage node with the settings of a file."""
+    """Run a storage node with the settings in a file."""
     from wharfcart.node import roles
 
     roles.run_storage(path)
--- a/src/wharfcart/node/propagation.py
+++ b/src/wharfcart/node/propagation.py
@@ -1,7 +1,7 @@
-"""Spreading driver: brings configuration, directory and placement level with the peers.
+"""Propagation driver: synchronizes configuration, directory and placement between nodes.
 
-Two nodes, chosen by rendezvous hashing, read the key-value service and the machine list; the rest
-learn by digest and pull.
+Two nodes, chosen by rendezvous hashing, read the key-value service and the machine list; the others
+compare announced revisions and pull what they lack.
 """
 
 import asyncio
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True)
 class PropagationHooks:
-    """What the node does with news."""
+    """Callbacks of the node for changes that took effect."""
 
     configuration_changed: Callable[[list[Entry]], None]
     directory_changed: Callable[[list[Entry]], None]
@@ -60,7 +60,21 @@
 
 
 class PropagationDriver:
-    """What one node knows of the shared state, and how it learns more."""
+    """One node's copy of the shared state, kept up to date from peers and the platform.
+
+    Args:
+        gossip: announces this node's revisions and reports those of peers.
+        transport: calls to peers.
+        store: the configuration in the key-value service.
+        machine_list: the platform's list of machines.
+        hooks: callbacks for changes.
+
+    Attributes:
+        configuration: entries of the configuration.
+        directory: entries of the directory of back ends.
+        placement: placement of the journal's shards.
+        has_read_key_value: whether this node has read the configuration from the service itself.
+    """
 
     def __init__(
         self,
@@ -86,27 +100,27 @@
 
     @property
     def ready(self) -> bool:
-        """Whether this node knows the newest revision that its peers know.
+        """Whether this node has the newest configuration that its peers know.
 
-        A peer that has no configuration either tells nothing: all callers' keys would be refused
-        while the key-value service is down and all nodes start.
+        Peers without a configuration do not count. Otherwise, if all nodes start while the
+        key-value service is down, they would become ready and reject all callers' keys.
         """
         informed = self.configuration.revision > 0 or self.has_read_key_value
         return informed and self.configuration.revision >= self._newest_known_revision
 
     def start(self) -> None:
-        """Start reading."""
+        """Start to read from the platform."""
         self._tasks.spawn(self._read_key_value())
         self._tasks.spawn(self._read_machines())
 
     async def stop(self) -> None:
-        """Stop reading."""
+        """Stop all reads and pulls."""
         self._tasks.cancel()
 
-    # ---- news from here ----
+    # ---- local updates ----
 
     def apply_configuration(self, entries: Iterable[Entry], revision: int) -> None:
-        """Take entries of the configuration, and tell peers if they are news."""
+        """Apply entries of the configuration and announce the new revision to peers."""
         changed = self.configuration.merge(entries, revision)
         self._newest_known_revision = max(self._newest_known_revision, revision)
         if changed:
@@ -116,13 +130,18 @@
     def publish(self, key: str, value: bytes | None) -> None:
         """Set a directory entry; None deletes it."""
         known = self.directory.entries.get(key)
-        after_known = known.revision + 1 if known is not None else 0
-        revision = max(int(time.time() * 1000), after_known)
+        min_revision = known.revision + 1 if known is not None else 0
+        revision = max(int(time.time() * 1000), min_revision)
         entry = Entry(key=key, value=value or b"", deleted=value is None, revision=revision)
         self._apply_directory([entry], revision)
 
     def apply_placement(self, placements: Iterable[ShardPlacement], shard_count: int = 0) -> None:
-        """Take placements of shards, and their number if who tells knows it."""
+        """Apply placements of shards.
+
+        Args:
+            placements: placements of some or all shards.
+            shard_count: number of shards; 0 if the source does not know it.
+        """
         changed = self.placement.merge(placements, shard_count)
         if changed:
             self._hooks.placement_changed(changed)
@@ -139,10 +158,10 @@
             self.configuration.revision, self.placement.digest, self.directory.revision
         )
 
-    # ---- news from peers ----
+    # ---- updates from peers ----
 
     def peer_revisions_received(self, peer: PeerRevisions) -> None:
-        """Pull from a peer that knows something else."""
+        """Pull what a peer has and this node lacks."""
         self._newest_known_revision = max(self._newest_known_revision, peer.configuration_revision)
         address = self._gossip.address_of(peer.node_id)
         if address is None:
@@ -200,7 +219,7 @@
     def _map_of(self, namespace: Namespace) -> RevisionedMap:
         return self.configuration if namespace == CONFIGURATION else self.directory
 
-    # ---- news from the platform ----
+    # ---- updates from the platform ----
 
     def _is_reader(self, role: str) -> bool:
         live = [member.node_id for member in self._gossip.membership.live()]
@@ -211,7 +230,7 @@
 
     async def _read_key_value(self) -> None:
         while True:
-            # A node that nobody has told reads for itself, or it would never become ready.
+            # A node without up-to-date peers reads the service itself to become ready.
             if self._is_reader("key-value-reader") or not self.ready:
                 try:
                     await self._read_configuration()
@@ -222,7 +241,7 @@
     async def _read_configuration(self) -> None:
         head = await self._store.read_head()
         known = self.configuration.revision
-        # A service restored from an old copy may show a lower revision: never go back.
+        # A service restored from a backup may have a lower revision, which is ignored.
         if head.revision > known:
             entries = await self._store.read_entries(known)
             self.apply_configuration(entries, head.revision)
@@ -240,20 +259,20 @@
             await asyncio.sleep(MACHINE_POLL_INTERVAL_S * _jitter())
 
     def _apply_machine_list(self, machines: list[ListedMachine]) -> None:
-        # Only what changed between two readings of this reader is news: two readers whose lists lag
-        # differently would else overwrite each other for ever.
-        newest = {machine.machine_id: machine for machine in machines}
-        before = (
+        # Publish only changes between two reads of this reader; otherwise two readers whose lists
+        # lag differently would overwrite each other's entries forever.
+        current = {machine.machine_id: machine for machine in machines}
+        previous = (
             self._last_machines
             if self._last_machines is not None
             else self._machines_in_directory()
         )
-        for machine_id, machine in newest.items():
-            if before.get(machine_id) != machine:
+        for machine_id, machine in current.items():
+            if previous.get(machine_id) != machine:
                 self.publish(f"machine/{machine_id}", json.dumps(asdict(machine)).encode())
-        for machine_id in before.keys() - newest.keys():
+        for machine_id in previous.keys() - current.keys():
             self.publish(f"machine/{machine_id}", None)
-        self._last_machines = newest
+        self._last_machines = current
 
     def _machines_in_directory(self) -> dict[str, ListedMachine]:
         return {
--- a/src/wharfcart/node/roles.py
+++ b/src/wharfcart/node/roles.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Protocol, TypeVar
 
-# libuv opens an io_uring otherwise (docs/design/0001); it must stand before the loop is made.
+# Keeps libuv from using io_uring (docs/design/0001); must be set before the loop is created.
 os.environ.setdefault("UV_USE_IO_URING", "0")
 
 import uvloop
@@ -34,30 +34,30 @@
     """A serving process."""
 
     def reload(self, settings: ServingSettings) -> None:
-        """Take settings that may change while the process runs."""
+        """Apply the settings that may change at run time."""
         ...
 
     async def start(self) -> None:
-        """Begin to serve."""
+        """Start to serve."""
         ...
 
     async def stop(self) -> None:
-        """Leave without cutting anything."""
+        """Stop gracefully."""
         ...
 
 
 def run_gateway(path: Path, sockets: EarlySockets) -> None:
-    """Run a gateway with the settings of a file.
+    """Run a gateway with the settings in a file.
 
     Args:
-        path: of the settings file.
-        sockets: that listen already.
+        path: path of the settings file.
+        sockets: listening sockets that were opened early.
     """
     uvloop.run(_run_gateway(_load_settings(GatewaySettings, path), path, sockets))
 
 
 def run_storage(path: Path) -> None:
-    """Run a storage node with the settings of a file."""
+    """Run a storage node with the settings in a file."""
     uvloop.run(_run_storage(_load_settings(StorageSettings, path), path))
 
 
@@ -95,7 +95,7 @@
 
 
 def _enable_garbage_collection() -> None:
-    """End what ``process`` began; what the start made is never looked through again."""
+    """Enable garbage collection, excluding the permanent objects created at the start."""
     gc.freeze()
     gc.enable()
 
--- a/src/wharfcart/node/serving_node.py
+++ b/src/wharfcart/node/serving_node.py
@@ -1,6 +1,6 @@
-"""What gateways and storage nodes have in common: mirror, peers, back ends, own entry.
+"""State shared by gateways and storage nodes: mirror, peers, back ends and the own entry.
 
-Everything a node believes about the fleet comes from its mirror of the coordination service.
+All knowledge of the fleet comes from the node's mirror of the coordination service.
 """
 
 import asyncio
@@ -56,19 +56,32 @@
 from wharfcart.storage.layout import Layout, layout_from
 
 ANNOUNCE_RETRY_S = 0.5
-# One wrong name in many routes need not fill the log.
-MAX_LOGGED_FINDINGS = 20
+MAX_LOGGED_FINDINGS = 20  # of one configuration
 MIN_CONNECTIONS = 2
-MAX_AGE_S = 1e6  # told while nothing was ever confirmed
-# Storage nodes that are told in place of the coordination service: if it refuses a third of all
-# nodes, one of two drawn by lot reaches it nine times in ten, and who does not tells two others.
+MAX_AGE_S = 1e6  # shown by the metric until the mirror is first confirmed
+# Storage nodes that receive evidence when the coordination service is unavailable here.
 MAX_RELAYS = 2
-# Until it is known how many nodes there are.
+# Assumed until the number of nodes is known.
 MIN_ASSUMED_NODES = 8
 
 
 class ServingNode:
-    """State and links of one node; a gateway or storage process adds its own work."""
+    """State and connections of one node; gateway and storage processes build on it.
+
+    Args:
+        settings: settings of the node.
+        log: the decision log.
+
+    Attributes:
+        selector: selects back ends and holds what this node knows about them.
+        configuration: the configuration in force; None until it is loaded.
+        nodes: entries of all nodes by node id.
+        storage_by_identity: entries of storage nodes by identity of their disk.
+        layout: the layout of the job groups; None until it is loaded.
+        records_by_group: records of the job groups by number.
+        role_handler: handles calls that only a gateway or a storage node answers.
+        count_nodes: returns the number of nodes that share each back end's connections.
+    """
 
     def __init__(self, settings: ServingSettings, log: DecisionLog) -> None:
         self.settings = settings
@@ -126,7 +139,7 @@
         self.count_nodes: Callable[[], int] = lambda: len(self.nodes)
 
     async def start(self) -> None:
-        """Listen for peers and begin to follow the coordination service."""
+        """Listen for peers and start to synchronize with the coordination service."""
         host, port = split_endpoint(self.settings.cluster_listen)
         await self.transport.start(Address(host, port))
         if self.settings.metrics_listen is not None:
@@ -138,25 +151,25 @@
         self.tasks.spawn(self.suspension_watch.run())
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Stop all tasks and close all connections."""
         await self.tasks.stop()
         await self.transport.stop()
         self.pool.close()
 
     def reload(self, settings: ServingSettings) -> None:
-        """Take what may change while the process runs: the seeds and the time to stop in."""
+        """Apply the settings that may change at run time: the seeds and the stop timeout."""
         self.settings = replace(
             self.settings, seeds=settings.seeds, stop_within_s=settings.stop_within_s
         )
 
     async def announce(self, entry: NodeEntry) -> None:
-        """Write this node's entry unless it stands there already."""
+        """Write this node's entry to the coordination service unless it is there already."""
         while True:
             try:
-                known = await self.coordination.read(entry.key)
-                if known is not None and known.value == entry.to_bytes():
+                current = await self.coordination.read(entry.key)
+                if current is not None and current.value == entry.to_bytes():
                     return
-                revision = 0 if known is None else known.revision
+                revision = 0 if current is None else current.revision
                 await self.coordination.commit(
                     Transaction({entry.key: revision}, {entry.key: entry.to_bytes()})
                 )
@@ -165,30 +178,30 @@
                 await asyncio.sleep(ANNOUNCE_RETRY_S * (0.5 + self.random.random()))
 
     def connection_limit(self, service: str) -> int:
-        """Return this node's share of the connections that one back end takes."""
+        """Return this node's share of the connections that one back end accepts."""
         if self.configuration is None or service not in self.configuration.services:
             return MIN_CONNECTIONS
-        whole = self.configuration.services[service].connection_limit
-        return max(MIN_CONNECTIONS, whole // max(MIN_ASSUMED_NODES, self.count_nodes()))
+        total = self.configuration.services[service].connection_limit
+        return max(MIN_CONNECTIONS, total // max(MIN_ASSUMED_NODES, self.count_nodes()))
 
     def limit_of(self, tenant: str) -> RequestLimit | None:
-        """Return the limit of a tenant's requests; None for no limit."""
+        """Return a tenant's request limit; None if it has none."""
         return None if self.configuration is None else self.configuration.limit_of(tenant)
 
     # ---- the job groups ----
 
     @property
     def group_count(self) -> int:
-        """Number of job groups; 0 while it is not known."""
+        """Number of job groups; 0 while it is unknown."""
         return 0 if self.layout is None else self.layout.groups
 
     def leader_address(self, group: int) -> Address | None:
-        """Return where a group's leader is reached, as far as this node knows."""
+        """Return the address of a group's leader; None if it is unknown."""
         record = self.records_by_group.get(group)
         return None if record is None else self.storage_address(record.leader)
 
     def backup_coordinator_addresses(self, group: int) -> list[Address]:
-        """Return where a group's replicas but its leader are reached, the same order everywhere."""
+        """Return the addresses of a group's replicas except its leader, in a fleet-wide order."""
         record = self.records_by_group.get(group)
         if record is None:
             return []
@@ -197,38 +210,43 @@
         return [address for address in addresses if address is not None]
 
     def storage_region(self, identity: str) -> RegionName | None:
-        """Return the region of the disk of an identity; None where it is not known."""
+        """Return the region of a storage identity; None if it is unknown."""
         entry = self.storage_by_identity.get(identity)
         return None if entry is None else self.topology.region(entry.zone)
 
     def storage_address(self, identity: str) -> Address | None:
-        """Return where the disk of an identity is reached."""
+        """Return the address of a storage identity; None if it is unknown."""
         entry = self.storage_by_identity.get(identity)
         return None if entry is None else entry.address
 
     def group_of_instance(self, instance_id: str) -> int | None:
-        """Return the group that grants a back end's slots; None while that is not known."""
+        """Return the group that grants a back end's slots; None if it is unknown."""
         state = self.selector.state(instance_id)
         if self.layout is None or state is None:
             return None
         return self.layout.group_of(state.instance, self.topology)
 
     def distance_to_group(self, group: int, zone: str | None = None) -> Distance:
-        """Return how far the nearest back ends of a group are from a zone, this node's at first."""
+        """Return the distance from a zone to a group's nearest back ends.
+
+        Args:
+            group: number of the group.
+            zone: the zone; None for this node's zone.
+        """
         if self.layout is None:
             return Distance.OTHER_REGION
         return self.layout.distance(group, zone or self.settings.zone, self.topology)
 
     def grants_in(self, group: int, residence: Residence) -> bool:
-        """Whether a group may grant slots of back ends in the regions of a residence."""
+        """Whether a group can grant slots of back ends in the regions of a residence."""
         return self.layout is None or self.layout.grants_in(group, residence, self.topology)
 
     async def handle(self, frame: Frame, respond: Responder) -> None:
-        """Answer a peer's call."""
+        """Handle a peer's call."""
         if frame.WhichOneof("body") == "coordination_pull":
             pull = frame.coordination_pull
-            news = await self.mirror_sync.serve_pull(pull.after, pull.wait_ms / 1000)
-            message = self._updates_encoder.encode(news)
+            updates = await self.mirror_sync.serve_pull(pull.after, pull.wait_ms / 1000)
+            message = self._updates_encoder.encode(updates)
             await respond(Frame(last=True, coordination_changes=message))
             return
         if frame.WhichOneof("body") == "backend_ends":
@@ -237,7 +255,7 @@
         await self.role_handler(frame, respond)
 
     def _relay_crashes(self, message: BackendEnds) -> None:
-        """Tell some storage nodes what the coordination service would not take from this node."""
+        """Send evidence that this node could not write to random storage nodes."""
         others = [
             entry
             for entry in self.storage_by_identity.values()
@@ -256,8 +274,8 @@
 
     # ---- mirror ----
 
-    def _apply_changes(self, news: list[KeyChange]) -> None:
-        for change in news:
+    def _apply_changes(self, changes: list[KeyChange]) -> None:
+        for change in changes:
             if change.key == names.CONFIGURATION_KEY:
                 self._apply_configuration(change)
             elif change.key.startswith(names.SERVER_PREFIX):
@@ -308,9 +326,9 @@
     def _apply_node_entry(self, change: KeyChange) -> None:
         entry = node_entry_from(change.value)
         if entry is None:
-            left = self.nodes.pop(change.key.removeprefix(NODE_PREFIX), None)
-            if left is not None:
-                self._zones_by_host.pop(left.host, None)
+            removed = self.nodes.pop(change.key.removeprefix(NODE_PREFIX), None)
+            if removed is not None:
+                self._zones_by_host.pop(removed.host, None)
         else:
             self.nodes[entry.node_id] = entry
             self._zones_by_host[entry.host] = entry.zone
@@ -329,6 +347,6 @@
 
 
 def _seed_peers(settings: ServingSettings) -> list[Peer]:
-    """Return the seeds but this node itself; their zones are not known."""
+    """Return the seeds except this node; their zones are unknown."""
     others = [seed for seed in settings.seeds if seed != settings.cluster_address]
     return [Peer(seed, "", Address(*split_endpoint(seed))) for seed in others]
--- a/src/wharfcart/node/settings_reloader.py
+++ b/src/wharfcart/node/settings_reloader.py
@@ -1,4 +1,4 @@
-"""Takes changed settings while a process runs: on SIGHUP, and when the file is seen to differ."""
+"""Reloads settings at run time, on SIGHUP and when the file has changed."""
 
 import asyncio
 import os
@@ -13,7 +13,14 @@
 
 
 class SettingsReloader:
-    """Reads a settings file anew; one with findings is passed over and told."""
+    """Reloads a settings file; invalid settings are logged and ignored.
+
+    Args:
+        model: class of the settings.
+        path: path of the settings file.
+        apply: called with valid new settings.
+        log: receives the outcome of each reload.
+    """
 
     def __init__(
         self,
@@ -29,14 +36,14 @@
         self._last_stat = self._read_stat()
 
     async def run(self) -> None:
-        """Look at the file now and then until cancelled."""
+        """Check the file for changes periodically until cancelled."""
         while True:
             await asyncio.sleep(POLL_INTERVAL_S)
             if self._read_stat() != self._last_stat:
                 self.reload()
 
     def reload(self) -> None:
-        """Read the file and hand the settings on."""
+        """Read the file and apply the settings."""
         self._last_stat = self._read_stat()
         try:
             settings = load_serving_settings(self._model, self._path, os.environ)
@@ -49,7 +56,7 @@
 
     def _read_stat(self) -> tuple[int, int]:
         try:
-            found = self._path.stat()
+            file_stat = self._path.stat()
         except OSError:
             return (0, 0)
-        return (found.st_mtime_ns, found.st_size)
+        return (file_stat.st_mtime_ns, file_stat.st_size)
--- a/src/wharfcart/node/storage_process.py
+++ b/src/wharfcart/node/storage_process.py
@@ -1,4 +1,4 @@
-"""A storage node: keeps batch jobs on its disk and, as a group's leader, runs their items."""
+"""Storage node process: stores batch jobs on disk and, as a group's leader, runs their items."""
 
 import asyncio
 
@@ -36,7 +36,12 @@
 
 
 class StorageProcess:
-    """One storage node from start to stop."""
+    """Lifecycle of one storage node.
+
+    Args:
+        settings: settings of the storage node.
+        log: the decision log.
+    """
 
     def __init__(self, settings: StorageSettings, log: DecisionLog) -> None:
         self._settings = settings
@@ -47,7 +52,7 @@
         self._groups: list[HostedGroup] = []
 
     async def start(self) -> None:
-        """Open the disk, join the fleet, follow the groups."""
+        """Open the disk, join the fleet and start the replicas of the job groups."""
         identity = await self._open_disk()
         await self._node.start()
         host, port = split_endpoint(self._settings.cluster_address)
@@ -84,21 +89,21 @@
         self._node.tasks.spawn(self._report_retirements())
 
     def reload(self, settings: ServingSettings) -> None:
-        """Take changed settings."""
+        """Apply changed settings."""
         self._node.reload(settings)
 
     async def stop(self) -> None:
-        """Hand leaderships over and leave."""
+        """Hand over leaderships and stop."""
         self._log.write(Event.STOPPING, leading=sum(group.is_leader for group in self._groups))
-        began_at = monotonic()
+        started_at = monotonic()
         await asyncio.gather(*(group.replica.stop() for group in self._groups))
-        await asyncio.sleep(max(0.0, STOP_LINGER_S - (monotonic() - began_at)))
+        await asyncio.sleep(max(0.0, STOP_LINGER_S - (monotonic() - started_at)))
         await self._node.stop()
         await self._disk.close()
         self._log.write(Event.STOPPED)
 
     async def _open_groups(self, context: GroupContext) -> None:
-        """Follow the groups, once it is known how many there are."""
+        """Start the replicas of all groups once the layout is known."""
         while self._node.layout is None:
             await asyncio.sleep(LAYOUT_POLL_INTERVAL_S)
         node = self._node
@@ -143,13 +148,15 @@
         return frozenset() if configuration is None else configuration.batch_residences
 
     def _retiring_identities(self) -> set[str]:
-        ordered = {
+        retiring_ids = {
             change.key.removeprefix(names.RETIRE_PREFIX)
             for change in self._node.mirror.with_prefix(names.RETIRE_PREFIX)
         }
-        return {entry.identity for entry in self._node.nodes.values() if entry.node_id in ordered}
+        return {
+            entry.identity for entry in self._node.nodes.values() if entry.node_id in retiring_ids
+        }
 
-    # ---- calls of other nodes ----
+    # ---- calls from other nodes ----
 
     async def _handle_call(self, frame: Frame, respond: Responder) -> None:
         match frame.WhichOneof("body"):
@@ -202,7 +209,7 @@
         return None
 
     def _group(self, number: int) -> HostedGroup:
-        """Return a group of this node.
+        """Return a group by its number.
 
         Raises:
             ServingError: this node does not know the fleet's groups yet.
@@ -214,7 +221,7 @@
     def _service_of(
         self, call: SubmitJob | ReadResults | ReadItemBody | EndJob, job_id: str
     ) -> JobService:
-        """Return the service of the group that a call on a job names.
+        """Return the service of the group to which a call about a job belongs.
 
         Raises:
             ServingError: this node does not know the fleet's groups yet.
@@ -222,10 +229,10 @@
         number = call.group if call.HasField("group") else group_of(job_id, len(self._groups))
         return self._group(number).service
 
-    # ---- emptied nodes ----
+    # ---- retired nodes ----
 
     async def _report_retirements(self) -> None:
-        """As leader of the first group, tell the operator how far each emptying has come."""
+        """Report the progress of each retirement while this node leads the first group."""
         while True:
             await asyncio.sleep(RETIREMENT_REPORT_INTERVAL_S)
             if not self._groups or not self._groups[0].is_leader:
@@ -236,10 +243,10 @@
     async def _report_retirement(self, node_id: str) -> None:
         entry = self._node.nodes.get(node_id)
         records = [group.replica.record for group in self._groups]
-        holds = entry is not None and any(
+        holds_replicas = entry is not None and any(
             record is None or entry.identity in record.members for record in records
         )
-        state = documents.RETIRE_RUNNING if holds else documents.RETIRE_DONE
+        state = documents.RETIRE_RUNNING if holds_replicas else documents.RETIRE_DONE
         key = names.RETIRE_STATUS_PREFIX + node_id
         known = self._node.mirror.get(key)
         if known is not None and known.value in (state, documents.RETIRE_DONE):
@@ -250,5 +257,5 @@
             )
         except (CoordinationUnavailableError, ConditionFailedError):
             return
-        if not holds:
+        if not holds_replicas:
             self._log.write(Event.STORAGE_RETIRED, retired=node_id)
--- a/src/wharfcart/node/suspension_watch.py
+++ b/src/wharfcart/node/suspension_watch.py
@@ -1,4 +1,4 @@
-"""Notices that the machine was suspended, and tells those whose timers stood still."""
+"""Detects suspensions of the machine and notifies code whose timers stopped meanwhile."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,16 +6,16 @@
 from wharfcart.clock import SuspensionDetector, suspended_s
 from wharfcart.observability.decisions import DecisionLog, Event
 
-# A suspension is noticed so late at most: timers go on from where they stood.
+# Longest delay from the end of a suspension to its detection.
 CHECK_INTERVAL_S = 0.2
 
 
 class SuspensionWatch:
-    """Looks from time to time.
+    """Checks for suspensions periodically.
 
     Args:
-        suspensions: of the machine.
-        log: takes a line for each suspension.
+        detector: detects suspensions of the machine.
+        log: receives a line for each suspension.
 
     Attributes:
         on_resumed: called after each suspension.
@@ -29,17 +29,19 @@
         self.on_resumed: Callable[[], None] = lambda: None
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Check periodically until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
             self.check()
 
     def check(self) -> None:
-        """Tell if the machine was suspended since this was called last."""
+        """Log a suspension since the last call, and notify its listener."""
         resumed_at = self._detector.resumed_at()
         if resumed_at == self._resumed_at:
             return
         self._resumed_at = resumed_at
-        known_s, self._last_total_s = self._last_total_s, suspended_s()
-        self._log.write(Event.MACHINE_RESUMED, suspended_s=round(self._last_total_s - known_s, 2))
+        previous_s, self._last_total_s = self._last_total_s, suspended_s()
+        self._log.write(
+            Event.MACHINE_RESUMED, suspended_s=round(self._last_total_s - previous_s, 2)
+        )
         self.on_resumed()
