--- a/src/wharfcart/node/node.py
+++ b/src/wharfcart/node/node.py
@@ -405,7 +405,7 @@
     async def _node_statuses(self) -> list[NodeStatus]:
         limit = asyncio.Semaphore(MAX_CONCURRENT_STATUS_CALLS)
 
-        async def ask(member: Member) -> NodeStatus:
+        async def fetch_status(member: Member) -> NodeStatus:
             view: FleetView | None = None
             if member.node_id == self.settings.node_id:
                 view = self.view()
@@ -415,7 +415,7 @@
             return NodeStatus(member.node_id, member.zone, member.storage_identity, view)
 
         members = sorted(self._gossip.membership.live(), key=lambda member: member.node_id)
-        return list(await asyncio.gather(*(ask(member) for member in members)))
+        return list(await asyncio.gather(*(fetch_status(member) for member in members)))
 
     async def _fetch_view(self, address: Address) -> FleetView | None:
         try:
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership on hollow fleets: seeded, virtual time."""
+"""Membership protocol on a simulated fleet with seeded randomness and virtual time."""
 
 import random
 
@@ -87,6 +87,6 @@
 
 def test_no_suspicion_after_this_process_was_paused() -> None:
     membership = _membership()
-    membership.tick(1.5)  # a probe of b goes out
+    membership.tick(1.5)  # sends a probe to b
     membership.tick(30.0)
     assert membership.members["b"].state == ALIVE
--- a/tests/cluster/test_mirror.py
+++ b/tests/cluster/test_mirror.py
@@ -1,4 +1,4 @@
-"""The mirror of the coordination service."""
+"""Convergence of mirrors and updates between them."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -30,8 +30,8 @@
 def test_complete_listing_removes_unlisted_keys() -> None:
     mirror = Mirror()
     mirror.apply(ChangeBatch((change("a", 2), change("b", 3)), 3))
-    news = mirror.apply(ChangeBatch((change("b", 3),), 7, complete=True))
-    assert [(item.key, item.value) for item in news] == [("a", None)]
+    applied = mirror.apply(ChangeBatch((change("b", 3),), 7, complete=True))
+    assert [(item.key, item.value) for item in applied] == [("a", None)]
 
 
 def test_older_complete_listing_is_ignored() -> None:
@@ -52,9 +52,9 @@
     mirror = Mirror()
     mirror.apply(ChangeBatch((change("a", 2), change("b", 3)), 3, complete=True))
     mirror.apply(ChangeBatch((change("a", 4, None), change("c", 5)), 5))
-    told = mirror.changes_since(3)
-    assert {(item.key, item.value) for item in told.changes} == {("a", None), ("c", b"v")}
-    assert not told.complete and told.last_revision == 5
+    batch = mirror.changes_since(3)
+    assert {(item.key, item.value) for item in batch.changes} == {("a", None), ("c", b"v")}
+    assert not batch.complete and batch.last_revision == 5
 
 
 def test_empty_peer_gets_a_complete_listing() -> None:
@@ -72,18 +72,18 @@
         change(key, number, None if removed else str(number).encode())
         for number, (key, removed) in enumerate(writes, 1)
     ]
-    whole = Mirror()
-    whole.apply(ChangeBatch(tuple(history), len(history)))
-    other = Mirror()
-    parts = [ChangeBatch((item,), item.revision) for item in history]
-    random.shuffle(parts)
-    for part in parts:
-        other.apply(part)
-    assert sorted(other.with_prefix(""), key=str) == sorted(whole.with_prefix(""), key=str)
+    in_order = Mirror()
+    in_order.apply(ChangeBatch(tuple(history), len(history)))
+    shuffled = Mirror()
+    batches = [ChangeBatch((item,), item.revision) for item in history]
+    random.shuffle(batches)
+    for batch in batches:
+        shuffled.apply(batch)
+    assert sorted(shuffled.with_prefix(""), key=str) == sorted(in_order.with_prefix(""), key=str)
 
 
 def test_peer_older_than_a_listing_gets_a_complete_listing() -> None:
-    # A key that was removed before the listing is not known to the peer that began with it.
+    # A peer that starts from a listing does not know keys removed before it.
     peer = Mirror()
     peer.apply(ChangeBatch((change("a", 2),), 9, complete=True))
     lagging = Mirror()
--- a/tests/cluster/test_mirror_sync.py
+++ b/tests/cluster/test_mirror_sync.py
@@ -1,4 +1,4 @@
-"""How a node's mirror stays up to date: peers first, the service where no peer is fresh."""
+"""Synchronization of mirrors from peers, with the service as a fallback."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -22,7 +22,7 @@
 
 
 class Service:
-    """A coordination service; its calls are counted."""
+    """Fake coordination service that counts its calls."""
 
     def __init__(self) -> None:
         self.entries: dict[str, KeyChange] = {}
@@ -35,8 +35,8 @@
     def put(self, key: str) -> None:
         self.revision += 1
         self.entries[key] = KeyChange(key, self.revision, b"v")
-        changed, self._changed = self._changed, asyncio.Event()
-        changed.set()
+        previous, self._changed = self._changed, asyncio.Event()
+        previous.set()
 
     async def read_all(self, stale: bool = False) -> ChangeBatch:
         self.stale_reads += stale
@@ -53,12 +53,12 @@
                     await self._changed.wait()
         except TimeoutError:
             pass
-        news = tuple(entry for entry in self.entries.values() if entry.revision > after)
-        return ChangeBatch(news, self.revision)
+        changes = tuple(entry for entry in self.entries.values() if entry.revision > after)
+        return ChangeBatch(changes, self.revision)
 
 
 class Peers:
-    """Calls to other links, by node id; those in ``silent`` never answer."""
+    """Peer client that calls other nodes directly; nodes in ``unresponsive`` never respond."""
 
     def __init__(self) -> None:
         self.syncs: dict[str, MirrorSync] = {}
@@ -70,28 +70,33 @@
         return await self.syncs[peer.node_id].serve_pull(after, wait_s)
 
     def disconnect(self, peer: Peer) -> None:
-        """Nothing to close."""
+        """Do nothing, as there is no connection."""
 
 
 class Fleet:
-    """Storage nodes s0..s4 and gateways, each with a link of its own."""
+    """Storage nodes s0 to s4 and gateways, each with its own synchronization."""
 
     def __init__(self, gateways: int = 20) -> None:
         self.shared = Service()
         self.peers = Peers()
         self.services: dict[str, Service] = {}
-        known = {f"s{n}": Peer(f"s{n}", "a", Address("", n)) for n in range(5)}
+        storage_peers = {f"s{n}": Peer(f"s{n}", "a", Address("", n)) for n in range(5)}
         self.syncs: dict[str, MirrorSync] = {}
-        for node_id in [*known, *(f"g{n}" for n in range(gateways))]:
-            sources = PeerSelector(node_id, "a")
-            sources.set_peers(known)
+        for node_id in [*storage_peers, *(f"g{n}" for n in range(gateways))]:
+            selector = PeerSelector(node_id, "a")
+            selector.set_peers(storage_peers)
             self.syncs[node_id] = MirrorSync(
-                Mirror(), self.shared, sources, self.peers, lambda news: None, DecisionLog(node_id)
+                Mirror(),
+                self.shared,
+                selector,
+                self.peers,
+                lambda _changes: None,
+                DecisionLog(node_id),
             )
-        self.peers.syncs = {key: self.syncs[key] for key in known}
+        self.peers.syncs = {key: self.syncs[key] for key in storage_peers}
 
     async def run(self, scenario: Callable[[], Awaitable[None]]) -> None:
-        tasks = [asyncio.create_task(link.run()) for link in self.syncs.values()]
+        tasks = [asyncio.create_task(sync.run()) for sync in self.syncs.values()]
         try:
             await scenario()
         finally:
@@ -100,7 +105,7 @@
             await asyncio.gather(*tasks, return_exceptions=True)
 
     def nodes_with_key(self, key: str) -> set[str]:
-        return {name for name, link in self.syncs.items() if link.mirror.get(key) is not None}
+        return {name for name, sync in self.syncs.items() if sync.mirror.get(key) is not None}
 
 
 def run_scenario(scenario: Callable[[Fleet], Awaitable[None]]) -> None:
@@ -116,7 +121,7 @@
         await asyncio.sleep(5)
         before = fleet.shared.calls
         await asyncio.sleep(10)
-        # Two readers, each with a watch that ends about once a second.
+        # Two readers, each with about one watch per second.
         assert fleet.shared.calls - before < 2 * 12
         fleet.shared.put("news")
         await asyncio.sleep(0.3)
@@ -147,15 +152,15 @@
 
 def test_node_cut_off_from_the_service_follows_peers() -> None:
     async def scenario(fleet: Fleet) -> None:
-        refused = fleet.syncs["s0"]
-        own = Service()
-        own.is_unavailable = True
-        refused._service = own
+        cut_off = fleet.syncs["s0"]
+        unavailable = Service()
+        unavailable.is_unavailable = True
+        cut_off._service = unavailable
         await asyncio.sleep(5)
         fleet.shared.put("news")
         await asyncio.sleep(1.9)
         assert fleet.nodes_with_key("news") == set(fleet.syncs)
-        assert not refused.in_outage
+        assert not cut_off.in_outage
 
     run_scenario(scenario)
 
@@ -163,10 +168,10 @@
 def test_every_node_detects_an_outage() -> None:
     async def scenario(fleet: Fleet) -> None:
         await asyncio.sleep(5)
-        assert not any(link.in_outage for link in fleet.syncs.values())
+        assert not any(sync.in_outage for sync in fleet.syncs.values())
         fleet.shared.is_unavailable = True
         await asyncio.sleep(4)
-        assert all(link.in_outage for link in fleet.syncs.values())
+        assert all(sync.in_outage for sync in fleet.syncs.values())
         fleet.shared.is_unavailable = False
         fleet.shared.put("news")
         await asyncio.sleep(2.5)
@@ -181,13 +186,13 @@
         fleet.shared.is_unavailable = True
         await asyncio.sleep(4)
         fleet.shared.is_unavailable = False
-        # A node that is refused tries again after 1.5 s or less, about half as much longer.
+        # Wait for the longest retry delay, 1.5 s plus jitter.
         await asyncio.sleep(2.5)
         before = fleet.shared.calls
         for _ in range(10):
             fleet.shared.put("news")
             await asyncio.sleep(0.1)
-        # Two readers, each with a call for each of ten changes, and few that were followed besides.
+        # Two readers, each with one call per change, and a few nodes that were followed before.
         assert fleet.shared.calls - before < 5 * 12
 
     run_scenario(scenario)
@@ -197,14 +202,14 @@
     async def scenario(fleet: Fleet) -> None:
         await asyncio.sleep(5)
         watch = fleet.shared.wait_for_changes
-        broken = iter([True] * 4)
+        malformed = iter([True] * 4)
 
-        async def odd(after: int, wait_s: float) -> ChangeBatch:
-            if next(broken, False):
+        async def fail_at_first(after: int, wait_s: float) -> ChangeBatch:
+            if next(malformed, False):
                 raise ValueError("not an answer")
             return await watch(after, wait_s)
 
-        fleet.shared.wait_for_changes = odd  # type: ignore[method-assign]
+        fleet.shared.wait_for_changes = fail_at_first  # type: ignore[method-assign]
         await asyncio.sleep(5)
         fleet.shared.put("news")
         await asyncio.sleep(1)
@@ -214,69 +219,75 @@
 
 
 def test_node_starting_during_an_outage_loads_state_from_a_seed() -> None:
-    """Read in the code: a start during an outage waited for the service to come back."""
+    """A start during an outage must not wait for the service."""
 
     async def scenario(fleet: Fleet) -> None:
         await asyncio.sleep(5)
         fleet.shared.put("before")
         await asyncio.sleep(0.5)
-        silent = Service()
+        unresponsive_service = Service()
 
-        async def never(*_arguments: object, **_options: object) -> ChangeBatch:
+        async def wait_forever(*_arguments: object, **_options: object) -> ChangeBatch:
             await asyncio.sleep(3600)
             raise AssertionError
 
-        silent.read_all = silent.wait_for_changes = never  # type: ignore[method-assign]
-        known = {f"s{n}": Peer(f"s{n}", "a", Address("", n)) for n in range(5)}
-        sources = PeerSelector("new", "a")
-        seeds = [Peer("gone", "", Address("", 9)), known["s3"]]
+        unresponsive_service.read_all = unresponsive_service.wait_for_changes = wait_forever  # type: ignore[method-assign]
+        storage_peers = {f"s{n}": Peer(f"s{n}", "a", Address("", n)) for n in range(5)}
+        selector = PeerSelector("new", "a")
+        seeds = [Peer("gone", "", Address("", 9)), storage_peers["s3"]]
         fleet.peers.unresponsive.add("gone")
 
-        def on_changes(_news: list[KeyChange]) -> None:
-            sources.set_peers(known)
-
-        started = MirrorSync(
-            Mirror(), silent, sources, fleet.peers, on_changes, DecisionLog("new"), seeds
+        def on_changes(_changes: list[KeyChange]) -> None:
+            selector.set_peers(storage_peers)
+
+        sync = MirrorSync(
+            Mirror(),
+            unresponsive_service,
+            selector,
+            fleet.peers,
+            on_changes,
+            DecisionLog("new"),
+            seeds,
         )
-        task = asyncio.create_task(started.run())
+        task = asyncio.create_task(sync.run())
         await asyncio.sleep(1.5)
-        assert started.mirror.get("before") is not None
+        assert sync.mirror.get("before") is not None
         fleet.shared.put("news")
         await asyncio.sleep(1.0)
-        assert started.mirror.get("news") is not None
+        assert sync.mirror.get("news") is not None
         task.cancel()
 
     run_scenario(scenario)
 
 
 def test_fleet_started_gradually_converges_on_the_readers_of_each_region() -> None:
-    """Nodes kept whom they had chosen while they knew few: 14 of 84 read the service, not 9."""
+    """Nodes must not keep peers that they chose while few peers were known."""
     topology = Topology({"a": RegionName("west"), "b": RegionName("east")})
     known: dict[str, Peer] = {}
     service, peers = Service(), Peers()
 
     def followed() -> set[str]:
-        return {name for link in peers.syncs.values() for name in link._followed_ids}
+        return {name for sync in peers.syncs.values() for name in sync._followed_ids}
 
     async def scenario() -> None:
-        all_sources, tasks = [], []
+        selectors, tasks = [], []
         for n in range(40):
             node = Peer(f"s{n}", "ab"[n % 2], Address("", n))
             known[node.node_id] = node
-            sources = PeerSelector(node.node_id, node.zone, topology)
-            all_sources.append(sources)
-            link = MirrorSync(
-                Mirror(), service, sources, peers, lambda news: None, DecisionLog(node.node_id)
+            selector = PeerSelector(node.node_id, node.zone, topology)
+            selectors.append(selector)
+            sync = MirrorSync(
+                Mirror(), service, selector, peers, lambda _changes: None, DecisionLog(node.node_id)
             )
-            peers.syncs[node.node_id] = link
-            for one in all_sources:
-                one.set_peers(known)
-            tasks.append(asyncio.create_task(link.run()))
+            peers.syncs[node.node_id] = sync
+            for other_selector in selectors:
+                other_selector.set_peers(known)
+            tasks.append(asyncio.create_task(sync.run()))
             await asyncio.sleep(0.2)
         await asyncio.sleep(15.0)
         assert sorted(known[name].zone for name in followed()) == ["a", "a", "b", "b"]
-        for name, link in peers.syncs.items():
-            assert {known[other].zone for other in link._followed_ids} <= {known[name].zone}
+        for name, sync in peers.syncs.items():
+            assert {known[other].zone for other in sync._followed_ids} <= {known[name].zone}
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
--- a/tests/cluster/test_peer_updates.py
+++ b/tests/cluster/test_peer_updates.py
@@ -1,4 +1,4 @@
-"""News between nodes."""
+"""Encoding of updates between nodes."""
 
 from wharfcart.cluster.coordination import ChangeBatch, KeyChange
 from wharfcart.cluster.mirror_sync import PeerUpdates
@@ -19,17 +19,17 @@
         12,
         complete=True,
     )
-    news = decode_peer_updates(PeerUpdatesEncoder().encode(PeerUpdates(changes, 0.25)))
-    assert news.changes == changes
-    assert news.age_s == 0.25
+    updates = decode_peer_updates(PeerUpdatesEncoder().encode(PeerUpdates(changes, 0.25)))
+    assert updates.changes == changes
+    assert updates.age_s == 0.25
 
 
 def test_large_values_are_compressed_once() -> None:
     writer = PeerUpdatesEncoder()
-    news = PeerUpdates(ChangeBatch((KeyChange("op/config", 7, LARGE),), 7), 0.0)
-    first = writer.encode(news)
+    updates = PeerUpdates(ChangeBatch((KeyChange("op/config", 7, LARGE),), 7), 0.0)
+    first = writer.encode(updates)
     assert first.ByteSize() < len(LARGE) / 10
-    assert writer.encode(news).changes[0].value is not None
-    newer = PeerUpdates(ChangeBatch((KeyChange("op/config", 8, LARGE + b" "),), 8), 0.0)
-    (change,) = decode_peer_updates(writer.encode(newer)).changes.changes
+    assert writer.encode(updates).changes[0].value is not None
+    newer_updates = PeerUpdates(ChangeBatch((KeyChange("op/config", 8, LARGE + b" "),), 8), 0.0)
+    (change,) = decode_peer_updates(writer.encode(newer_updates)).changes.changes
     assert change.value == LARGE + b" "
--- a/tests/cluster/test_topology.py
+++ b/tests/cluster/test_topology.py
@@ -1,4 +1,4 @@
-"""How far zones are from each other, known and unknown ones."""
+"""Distances between known and unknown zones."""
 
 from wharfcart.cluster.topology import Distance, RegionName, Topology
 
--- a/tests/node/test_backend_updates.py
+++ b/tests/node/test_backend_updates.py
@@ -1,4 +1,4 @@
-"""Entries of back ends that start again under their id, turn bad, or come late."""
+"""Entries of back ends that restart under the same id, become invalid, or arrive late."""
 
 import json
 from random import Random
@@ -11,13 +11,15 @@
 
 
 class Node:
-    """What one node knows of back ends."""
+    """One node's state of the back ends."""
 
     def __init__(self) -> None:
-        self.choice = BackendChoice("z", Random(1))
+        self.selector = BackendChoice("z", Random(1))
         self.pool = mock.Mock()
         self.log = mock.Mock(spec=DecisionLog)
-        self.updates = BackendUpdates(self.choice, self.pool, lambda: False, lambda: 0.0, self.log)
+        self.updates = BackendUpdates(
+            self.selector, self.pool, lambda: False, lambda: 0.0, self.log
+        )
         self.revision = 0
 
     def apply(self, name: str = "a", **entry: object) -> None:
@@ -31,19 +33,19 @@
         return [call.args[0] for call in self.log.write.call_args_list]
 
     def chosen_instance(self) -> str | None:
-        state = self.choice.choose("s", 0.0)
+        state = self.selector.choose("s", 0.0)
         return None if state is None else state.instance.instance_id
 
 
 def test_restarted_back_end_starts_with_fresh_state() -> None:
     node = Node()
     node.apply(born=1_000)
-    before = node.choice.state("a")
+    before = node.selector.state("a")
     assert before is not None
-    node.choice.sent(before, 0.0)
-    node.choice.failed(before, 0.0)
+    node.selector.sent(before, 0.0)
+    node.selector.failed(before, 0.0)
     node.apply(born=5_000)
-    state = node.choice.state("a")
+    state = node.selector.state("a")
     assert state is not None and state is not before
     assert (state.in_flight, state.failures, state.waiting_since) == (0, 0, {})
     node.pool.drop_instance.assert_called_once_with("a")
@@ -54,10 +56,10 @@
 def test_changed_entry_keeps_the_same_instance() -> None:
     node = Node()
     node.apply(born=1_000)
-    before = node.choice.state("a")
+    before = node.selector.state("a")
     node.apply(born=1_000, slots=5)
     node.apply(slots=6)
-    assert node.choice.state("a") is before
+    assert node.selector.state("a") is before
     assert before is not None and (before.instance.slots, before.instance.born_ms) == (6, 1_000)
     node.pool.drop_instance.assert_not_called()
 
@@ -66,7 +68,7 @@
     node = Node()
     node.apply(born=5_000)
     node.apply(born=1_000, state="draining")
-    state = node.choice.state("a")
+    state = node.selector.state("a")
     assert state is not None and state.instance.accepting
     assert state.instance.born_ms == 5_000
     assert Event.BACKEND_DRAINING not in node.logged_events()
@@ -77,8 +79,8 @@
     node.apply("a")
     node.apply("b")
     node.apply("a", slots=-1)
-    assert node.choice.state("a") is None
+    assert node.selector.state("a") is None
     assert node.chosen_instance() == "b"
     assert Event.BACKEND_ENTRY_REFUSED in node.logged_events()
     node.apply("a")
-    assert node.choice.state("a") is not None
+    assert node.selector.state("a") is not None
--- a/tests/node/test_early_listening.py
+++ b/tests/node/test_early_listening.py
@@ -1,4 +1,4 @@
-"""Sockets that listen before a gateway is loaded."""
+"""Listening sockets that are opened before a gateway is loaded."""
 
 import socket
 from pathlib import Path
@@ -36,8 +36,8 @@
         for endpoint in endpoints:
             connect(endpoint)
     finally:
-        for listening in opened.values():
-            listening.close()
+        for listener in opened.values():
+            listener.close()
 
 
 def test_sockets_are_not_opened_when_a_peer_responds(tmp_path: Path) -> None:
@@ -59,8 +59,8 @@
     try:
         assert list(opened) == [other, endpoints[1]]
     finally:
-        for listening in opened.values():
-            listening.close()
+        for listener in opened.values():
+            listener.close()
 
 
 @pytest.mark.parametrize("text", ["", "seeds = []", "not TOML", 'seeds = ["nonsense"]\nlisten = 3'])
--- a/tests/node/test_garbage_at_start.py
+++ b/tests/node/test_garbage_at_start.py
@@ -1,4 +1,4 @@
-"""Garbage is not looked for while a process starts, and is afterwards."""
+"""Garbage collection is disabled during the start of a process and enabled afterwards."""
 
 import gc
 import os
@@ -21,7 +21,7 @@
 
 
 class StopsAfterStart:
-    """A process that is told to stop as soon as it has started."""
+    """A process that receives SIGTERM as soon as it has started."""
 
     def __init__(self) -> None:
         self.collected_in_start = True
@@ -41,15 +41,15 @@
 def test_garbage_collection_is_enabled_after_the_start(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    ran = StopsAfterStart()
+    stopping_process = StopsAfterStart()
 
     def run_gateway(path: Path) -> None:
-        roles.uvloop.run(roles._run(ran, DecisionLog("n"), ServingSettings, path))
+        roles.uvloop.run(roles._run(stopping_process, DecisionLog("n"), ServingSettings, path))
 
     monkeypatch.setattr(process, "run_gateway", run_gateway)
     monkeypatch.setattr(process.sys, "argv", ["process", "gateway"])
     monkeypatch.setenv(process.SETTINGS_VARIABLE, str(tmp_path / "gateway.toml"))
     process.main()
-    assert not ran.collected_in_start
-    assert ran.collected_after
+    assert not stopping_process.collected_in_start
+    assert stopping_process.collected_after
     assert gc.get_freeze_count() > 0
--- a/tests/node/test_loading.py
+++ b/tests/node/test_loading.py
@@ -1,4 +1,4 @@
-"""What a start loads: its length decides when a fleet that lost all power serves again."""
+"""Serving processes must not import slow libraries, which would delay a restart of the fleet."""
 
 import subprocess
 import sys
--- a/tests/node/test_poison_evidence_sync.py
+++ b/tests/node/test_poison_evidence_sync.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other of requests that back ends ended under."""
+"""Exchange of poison request evidence between nodes."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -25,7 +25,7 @@
 
 
 class Service:
-    """Keys and conditions; nodes hear of changes a moment later."""
+    """Fake coordination service; nodes receive changes after a short delay."""
 
     def __init__(self) -> None:
         self.revision = 1
@@ -88,7 +88,7 @@
             self.sync.apply_change(change)
 
     def load_all(self, service: Service) -> None:
-        """List everything, as a node does that starts."""
+        """Apply a full listing, like a starting node."""
         self.apply_changes(list(service.keys.values()), service.revision)
 
     def crashed_instances(self) -> set[str]:
@@ -149,17 +149,17 @@
 
 
 def test_refused_node_relays_evidence_through_others() -> None:
-    """Also if the first that is told is refused, too."""
+    """The relay works even if the first relaying node is refused as well."""
 
     async def scenario(service: Service) -> None:
-        refused, refused_too, third, fourth = (Node(service, seed) for seed in range(4))
-        refused.relays, refused_too.relays = [refused_too], [third]
-        service.refused_nodes = {refused.number, refused_too.number}
+        refused, refused_relay, third, fourth = (Node(service, seed) for seed in range(4))
+        refused.relays, refused_relay.relays = [refused_relay], [third]
+        service.refused_nodes = {refused.number, refused_relay.number}
         refused.poison_requests.note_end(FINGERPRINT, "a", 1.0, time())
         await asyncio.sleep(1.0)
         assert fourth.crashed_instances() == {"a"}
         await asyncio.sleep(5.0)
-        assert service.calls == 1, "it is told once"
+        assert service.calls == 1, "the evidence must be written once"
 
     run_scenario(scenario)
 
--- a/tests/node/test_propagation_ready.py
+++ b/tests/node/test_propagation_ready.py
@@ -1,9 +1,7 @@
-"""When a node knows enough of the configuration to judge callers' keys.
+"""Readiness of a node depends on its configuration.
 
-All nodes start at once while the key-value service is down. They hear each other, and none of them
-has a configuration: what the peers know is no newer than nothing. The node called itself ready,
-found no tenant for any key and answered 401 to callers whose keys are valid. Who has neither a
-configuration nor the service's word that there is none can't know that a key is wrong.
+Guards against nodes that start during an outage of the key-value service, become ready without a
+configuration, and reject valid keys with 401.
 """
 
 from typing import Any, cast
--- a/tests/node/test_serving_node.py
+++ b/tests/node/test_serving_node.py
@@ -1,4 +1,4 @@
-"""What a node believes of back ends, and what it logs when that changes."""
+"""A node's state of back ends and zones, and the log lines when it changes."""
 
 import json
 from time import monotonic
@@ -35,7 +35,7 @@
 
 
 def test_each_lifecycle_step_of_a_back_end_is_logged() -> None:
-    """Incident inc-1cac: no line told that a back end drained."""
+    """Each step must be logged, including the start of a drain."""
     node, log = node_and_log()
     node._apply_changes([entry(1, "ready")])
     node._apply_changes([entry(2, "draining")])
@@ -148,7 +148,7 @@
     listing = ChangeBatch((entry_in_zone(1, "a", "i-a"),), last_revision=9, complete=True)
     node._apply_changes(node.mirror.apply(listing))
     assert accepting_ids(node) == ["i-a"]
-    # It may have turned cold before: its entry is older than the order's end.
+    # The entry is older than the end of the evacuation, so the back end may be cold.
     assert len(node.selector.cold_states(monotonic())) == 1
     node._apply_changes([entry_in_zone(10, "a", "i-a")])
     assert not node.selector.cold_states(monotonic())
--- a/tests/node/test_settings_reloader.py
+++ b/tests/node/test_settings_reloader.py
@@ -1,4 +1,4 @@
-"""Settings that change while a process runs."""
+"""Reloading of settings at run time."""
 
 from pathlib import Path
 
@@ -18,14 +18,14 @@
 def test_changed_settings_are_applied_and_invalid_ones_rejected(tmp_path: Path, capfd) -> None:
     path = tmp_path / "s.toml"
     path.write_text(TEXT)
-    taken: list[ServingSettings] = []
+    applied: list[ServingSettings] = []
     log = DecisionLog("n")
-    reloader = SettingsReloader(ServingSettings, path, taken.append, log)
+    reloader = SettingsReloader(ServingSettings, path, applied.append, log)
     path.write_text(TEXT.replace(":3", ":4"))
     reloader.reload()
-    assert taken[-1].seeds == ["127.0.0.1:4"]
+    assert applied[-1].seeds == ["127.0.0.1:4"]
     path.write_text("zone = 3\nunknown = 1")
     reloader.reload()
-    assert len(taken) == 1
+    assert len(applied) == 1
     log.flush()
     assert '"outcome": "refused"' in capfd.readouterr().out
--- a/tests/node/test_suspension_watch.py
+++ b/tests/node/test_suspension_watch.py
@@ -1,4 +1,4 @@
-"""A suspension is told once, and those whose timers stood still hear of it."""
+"""A suspension is logged once and reported to the listener."""
 
 import time
 
@@ -22,16 +22,16 @@
     now = {time.CLOCK_MONOTONIC: 10.0, time.CLOCK_BOOTTIME: 10.0}
     monkeypatch.setattr(time, "clock_gettime", lambda clock: now[clock])
     log = RecordingLog()
-    suspensions = SuspensionDetector()
-    watch = SuspensionWatch(suspensions, log)
-    heard: list[float] = []
-    watch.on_resumed = lambda: heard.append(suspensions.resumed_at())
+    detector = SuspensionDetector()
+    watch = SuspensionWatch(detector, log)
+    resumed_times: list[float] = []
+    watch.on_resumed = lambda: resumed_times.append(detector.resumed_at())
     watch.check()
-    assert not heard
+    assert not resumed_times
     now[time.CLOCK_BOOTTIME] += 4.0
-    # Whoever asks first notices it; it is told all the same.
-    suspensions.resumed_at()
+    # The watch reports the suspension even if another query detected it first.
+    detector.resumed_at()
     watch.check()
     watch.check()
-    assert heard == [14.0]
+    assert resumed_times == [14.0]
     assert log.lines == [(Event.MACHINE_RESUMED, {"suspended_s": 4.0})]
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,7 +1,6 @@
-"""Time that decides goes on while the machine is suspended.
+"""The clock for decisions counts suspended time.
 
-Seen by the users: machines are suspended for seconds; the steady clock does not count that time.
-Whatever is true for a while (a lease, a permit, news of a peer) was taken for fresh after it.
+Guards against leases, permits and peer updates that still count as valid after a suspension.
 """
 
 import ast
@@ -14,14 +13,14 @@
 from wharfcart.clock import SuspensionDetector, monotonic, suspended_s
 
 SOURCE = Path(wharfcart.__file__).parent
-# What runs beside a fleet, not in it; the one module that reads the clocks; and the one that sets
-# the event loop's timers anew after a suspension, for which it needs the loop's own time.
+# Tools outside the fleet, the clock module itself, and the module that resets the event loop's
+# timers after a suspension and therefore needs the loop's time.
 EXEMPT_PATHS = ("experiments/", "emulator/", "soak/", "cli/", "clock.py", "routing/deadlines.py")
 SUSPENDABLE_CLOCKS = ("monotonic", "perf_counter", "monotonic_ns")
 
 
 class Machine:
-    """Clocks of a machine that can be suspended."""
+    """Fake clocks of a machine that can be suspended."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.now = {time.CLOCK_MONOTONIC: 100.0, time.CLOCK_BOOTTIME: 130.0}
@@ -46,30 +45,31 @@
 
 def test_detector_reports_a_suspension_on_the_next_query(monkeypatch: pytest.MonkeyPatch) -> None:
     machine = Machine(monkeypatch)
-    suspensions = SuspensionDetector()
+    detector = SuspensionDetector()
     machine.run(50.0)
-    assert suspensions.resumed_at() < 0
+    assert detector.resumed_at() < 0
     machine.suspend(2.0)
-    resumed_at = suspensions.resumed_at()
+    resumed_at = detector.resumed_at()
     assert resumed_at == monotonic()
     machine.run(1.0)
-    assert suspensions.resumed_at() == resumed_at
+    assert detector.resumed_at() == resumed_at
 
 
 def test_decisions_use_the_suspension_aware_clock() -> None:
     found = []
     for path in sorted(SOURCE.rglob("*.py")):
-        place = str(path.relative_to(SOURCE))
-        if place.startswith(EXEMPT_PATHS):
+        relative_path = str(path.relative_to(SOURCE))
+        if relative_path.startswith(EXEMPT_PATHS):
             continue
         found += [
-            f"{place}:{line}" for line in _suspendable_clock_lines(ast.parse(path.read_text()))
+            f"{relative_path}:{line}"
+            for line in _suspendable_clock_lines(ast.parse(path.read_text()))
         ]
     assert found == []
 
 
 def _suspendable_clock_lines(module: ast.Module) -> list[int]:
-    """Return the lines that read a clock which stands still in a suspension."""
+    """Return the lines that read a clock which stops during a suspension."""
     lines = []
     for node in ast.walk(module):
         if isinstance(node, ast.ImportFrom) and node.module == "time":
@@ -78,7 +78,7 @@
             lines.append(node.lineno)
         if isinstance(node, ast.Attribute) and node.attr in ("timeout_at", "call_at"):
             lines.append(node.lineno)
-        # The event loop's time: ``loop.time()``, ``get_running_loop().time()``.
+        # The event loop's clock: ``loop.time()``, ``get_running_loop().time()``.
         if isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute):
             owner = ast.unparse(node.func.value)
             if node.func.attr == "time" and "loop" in owner:
