--- a/src/wharfcart/cluster/membership.py
+++ b/src/wharfcart/cluster/membership.py
@@ -83,7 +83,14 @@
 
 @dataclass(frozen=True)
 class PeerRevisions:
-    """Action: notify the node of the revisions that a peer reported."""
+    """Action: notify the node of the revisions that a peer reported.
+
+    Attributes:
+        node_id: id of the peer.
+        configuration_revision: revision of its configuration.
+        placement_version: digest of its shard placement.
+        directory_revision: revision of its directory.
+    """
 
     node_id: str
     configuration_revision: int
@@ -237,7 +244,7 @@
         """Run due timers: probes, suspicion timeouts, joins, and removal of dead members."""
         actions: list[MembershipAction] = []
         if self._last_tick_at is not None and now - self._last_tick_at > PAUSE_THRESHOLD_S:
-            self._probe = None  # the acknowledgement may have been lost during the pause
+            self._probe = None  # the acknowledgement may have arrived during the pause
         self._last_tick_at = now
         if not self.members and now >= self._next_join_at:
             actions.extend(self._join(now))
--- a/src/wharfcart/cluster/mirror_sync.py
+++ b/src/wharfcart/cluster/mirror_sync.py
@@ -26,9 +26,9 @@
 from wharfcart.observability.decisions import DecisionLog, Event
 
 FOLLOWED_PEERS = 2
-# A watch that times out confirms that there was no change.
+# A watch that times out without changes confirms the mirror.
 WATCH_TIMEOUT_S = 0.9
-# Batches changes in quick succession into one response.
+# Pause after a watch, so that one watch returns several changes in quick succession.
 WATCH_PAUSE_S = 0.08
 PULL_WAIT_S = 1.0
 PULL_TIMEOUT_MARGIN_S = 0.5
--- a/src/wharfcart/errors.py
+++ b/src/wharfcart/errors.py
@@ -10,7 +10,7 @@
 
 
 class Outcome(StrEnum):
-    """Whether a request that failed took effect, as far as is known."""
+    """Whether a failed request may have taken effect."""
 
     NOT_RUN = "not_run"
     UNKNOWN = "unknown"
