--- a/src/wharfcart/experiments/simulated_slots.py
+++ b/src/wharfcart/experiments/simulated_slots.py
@@ -37,18 +37,18 @@
 from wharfcart.observability.serving_metrics import ServingMetrics
 from wharfcart.routing.backend_choice import BackendChoice, InstanceState
 from wharfcart.routing.placement import NoSlotError, PlacementRequest, SendVerdict
-from wharfcart.slots.asking_order import Step
 from wharfcart.slots.events import HolderId
 from wharfcart.slots.fleet_load import FleetLoad
 from wharfcart.slots.granted_placement import GrantedPlacement
 from wharfcart.slots.granter import SlotGranter
+from wharfcart.slots.group_backends import GroupBackends
+from wharfcart.slots.group_order import RequestStep
 from wharfcart.slots.item_slots import ItemSlots
 from wharfcart.slots.ledger import TakenSlot
 from wharfcart.slots.permit_relays import PermitRelays
 from wharfcart.slots.service import SlotService
-from wharfcart.slots.session import SlotNewsTaker
+from wharfcart.slots.session import SlotUpdateListener
 from wharfcart.slots.sessions import SlotSessions
-from wharfcart.slots.slot_room import SlotRoom
 from wharfcart.storage.job_group import JobGroup
 from wharfcart.storage.partial_texts import PartialTexts
 
@@ -168,7 +168,7 @@
     def send(self, _address: Address, frame: Frame, _traffic: TrafficClass) -> None:
         """Tell what happens within a session."""
         loop = asyncio.get_running_loop()
-        loop.call_later(ONE_WAY_S, self._service.take_events, frame.slot_events)
+        loop.call_later(ONE_WAY_S, self._service.handle_events, frame.slot_events)
 
     def round_trip_s(self, _address: Address) -> float:
         """Return the time of a message there and back."""
@@ -181,26 +181,26 @@
 class OwnChoicePlacement(GrantedPlacement):
     """A gateway that asks for no slot, but tells which ones it takes."""
 
-    def _steps(self, request: PlacementRequest) -> list[Step]:
+    def _steps(self, request: PlacementRequest) -> list[RequestStep]:
         return []
 
 
-class _KeepingRoom(SlotRoom):
+class _KeepingRoom(GroupBackends):
     """Items stay where they are until they are done."""
 
-    def yielding(self, state: InstanceState, now: float) -> list[TakenSlot]:
+    def preemption_order(self, state: InstanceState, now: float) -> list[TakenSlot]:
         """Return no item: none leaves."""
         return []
 
 
 class _KeepingGranter(SlotGranter):
-    def new_room(self) -> SlotRoom:
-        return _KeepingRoom(self.choice, self.owns, self.leads_surely, self._ledger)
+    def new_backends(self) -> GroupBackends:
+        return _KeepingRoom(self.selector, self.owns, self.is_leadership_confirmed, self._ledger)
 
 
 class _KeepingService(SlotService):
     def new_granter(self) -> SlotGranter:
-        return _KeepingGranter(self._choice, self._owns)
+        return _KeepingGranter(self._selector, self._owns)
 
 
 class SlotFleet:
@@ -357,7 +357,9 @@
         )
         return choice, placement, sessions
 
-    def _sessions(self, holder: str, choice: BackendChoice, taker: SlotNewsTaker) -> SlotSessions:
+    def _sessions(
+        self, holder: str, choice: BackendChoice, taker: SlotUpdateListener
+    ) -> SlotSessions:
         return SlotSessions(
             HolderId(holder),
             choice,
--- a/src/wharfcart/slots/granted_placement.py
+++ b/src/wharfcart/slots/granted_placement.py
@@ -19,20 +19,20 @@
     SendVerdict,
 )
 from wharfcart.routing.running_quantile import RunningQuantile
-from wharfcart.slots.asking_order import Step, asking_order, asking_order_by_affinity
-from wharfcart.slots.events import Manner, SlotAsked, SlotUse, Verdict
+from wharfcart.slots.events import RequestMode, RunResult, SlotRequested, SlotUse
+from wharfcart.slots.group_order import RequestStep, order_groups, order_groups_by_affinity
 from wharfcart.slots.permit_relays import PermitRelays
 from wharfcart.slots.permits import Permit
 from wharfcart.slots.session import HeldSlot, SlotSession
 from wharfcart.slots.sessions import SlotSessions
 
 # Part of the requests whose answers begin within the time that is planned for it.
-FIRST_BYTE_SHARE = 0.8
+FIRST_BYTE_QUANTILE = 0.8
 
-_VERDICTS = {
-    SendVerdict.UNKNOWN: Verdict.UNKNOWN,
-    SendVerdict.GOOD: Verdict.GOOD,
-    SendVerdict.BAD: Verdict.BAD,
+_RESULTS = {
+    SendVerdict.UNKNOWN: RunResult.UNKNOWN,
+    SendVerdict.GOOD: RunResult.BACKEND_OK,
+    SendVerdict.BAD: RunResult.BACKEND_FAILED,
 }
 
 
@@ -57,20 +57,20 @@
 
     def __init__(
         self,
-        choice: BackendChoice,
+        selector: BackendChoice,
         sessions: SlotSessions,
         distance: Callable[[int], Distance],
         connected: Callable[[], Collection[str]],
         counter: Counter,
         relays: PermitRelays,
     ) -> None:
-        self._choice = choice
+        self._selector = selector
         self._sessions = sessions
         self._distance = distance
         self._connected = connected
         self._counter = counter
         self._relays = relays
-        self._local = LocalPlacement(choice)
+        self._local = LocalPlacement(selector)
         self._first_byte_by_route: dict[str, RunningQuantile] = {}
 
     async def place(self, request: PlacementRequest) -> Placed | None:
@@ -83,25 +83,25 @@
         permit = Permit(self._sessions, self._relays, request.tenant, request.limit)
         for group, manner in self._steps(request):
             session = self._sessions.by_group[group]
-            if not session.answers(monotonic()):
+            if not session.is_available(monotonic()):
                 continue
-            placed = await self._ask(session, request, manner, permit)
+            placed = await self._request_slot(session, request, manner, permit)
             if placed is not None:
                 self._counter.add("grant")
                 return placed
         self._counter.add("own_choice")
         await permit.obtain()
-        return await self._place_by_own_choice(request)
+        return await self._place_locally(request)
 
     def reaches(self, service: str, residence: Residence) -> bool:
         """Whether a node that grants slots of a service in some regions is heard from there."""
-        return bool(self._sessions.rooms(service, residence))
+        return bool(self._sessions.available_capacities(service, residence))
 
     def ended(self, placed: Placed, verdict: SendVerdict) -> None:
         """Note that a request is no longer at its back end, and what the send told of that."""
         if isinstance(placed, PlacedInSlot):
             session = self._sessions.by_group[placed.slot.group]
-            session.release(placed.slot.number, _VERDICTS[verdict])
+            session.release(placed.slot.number, _RESULTS[verdict])
 
     def answer_begun(self, route_name: str, seconds: float) -> None:
         """Note how long after it was sent a request's answer began."""
@@ -109,34 +109,36 @@
 
     # ---- inner ----
 
-    def _steps(self, request: PlacementRequest) -> list[Step]:
-        rooms = self._sessions.rooms(request.service, request.residence)
+    def _steps(self, request: PlacementRequest) -> list[RequestStep]:
+        rooms = self._sessions.available_capacities(request.service, request.residence)
         distances = {group: self._distance(group) for group in rooms}
         if request.affinity_key:
-            return asking_order_by_affinity(rooms, request.affinity_key, distances)
-        return asking_order(rooms, distances)
+            return order_groups_by_affinity(rooms, request.affinity_key, distances)
+        return order_groups(rooms, distances)
 
-    async def _ask(
-        self, session: SlotSession, request: PlacementRequest, manner: Manner, permit: Permit
+    async def _request_slot(
+        self, session: SlotSession, request: PlacementRequest, mode: RequestMode, permit: Permit
     ) -> Placed | None:
         if not permit.comes_with_slot(session):
             await permit.obtain()
-        asked = self._asked(session, request, manner)
-        grant = await session.ask(asked, request.tenant if permit.needed else "")
+        asked = self._slot_request(session, request, mode)
+        grant = await session.request_slot(asked, request.tenant if permit.needed else "")
         if grant is not None and grant.unsure:
             await permit.obtain_elsewhere()
-            asked = self._asked(session, request, manner)
-            grant = await session.ask(asked)
-        return None if grant is None else self._take(session, asked, grant, permit)
-
-    def _asked(self, session: SlotSession, request: PlacementRequest, manner: Manner) -> SlotAsked:
-        return SlotAsked(
+            asked = self._slot_request(session, request, mode)
+            grant = await session.request_slot(asked)
+        return None if grant is None else self._accept_grant(session, asked, grant, permit)
+
+    def _slot_request(
+        self, session: SlotSession, request: PlacementRequest, mode: RequestMode
+    ) -> SlotRequested:
+        return SlotRequested(
             session=session.key,
             number=session.new_number(),
             service=request.service,
-            in_time_until=request.in_time_until - self._first_byte_s(request.route_name).value,
-            leave_at=request.leave_at,
-            manner=manner,
+            start_deadline=request.in_time_until - self._first_byte_s(request.route_name).value,
+            queue_deadline=request.leave_at,
+            mode=mode,
             affinity_key=request.affinity_key,
             excluded=request.excluded,
             connected=self._connected_of(session.group, request.service),
@@ -150,14 +152,14 @@
         """Return the back ends of a service and group that a connection is kept to."""
         found = []
         for instance_id in self._connected():
-            state = self._choice.state(instance_id)
+            state = self._selector.state(instance_id)
             in_group = self._sessions.group_of(instance_id) == group
             if state is not None and in_group and state.instance.service == service:
                 found.append(instance_id)
         return frozenset(found)
 
-    def _take(
-        self, session: SlotSession, asked: SlotAsked, grant: SlotGrant, permit: Permit
+    def _accept_grant(
+        self, session: SlotSession, asked: SlotRequested, grant: SlotGrant, permit: Permit
     ) -> Placed | None:
         if grant.limited:
             raise OverLimitError(grant.retry_after_ms / 1000, surely=True)
@@ -165,19 +167,19 @@
             raise NoSlotError(grant.retry_after_ms / 1000)
         if not grant.instance_id:
             return None
-        permit.taken()
-        slot = session.hold(SlotUse(asked.number, grant.instance_id, asked.unread_tokens))
-        state = self._choice.state(grant.instance_id)
+        permit.record_obtained()
+        slot = session.record_granted(SlotUse(asked.number, grant.instance_id, asked.unread_tokens))
+        state = self._selector.state(grant.instance_id)
         if (
             state is None
-            or self._choice.ruled_out(state, asked.residence)
+            or self._selector.ruled_out(state, asked.residence)
             or state.failed_lately(monotonic())
         ):
             session.release(slot.number)
             return None
         return PlacedInSlot(state, True, slot)
 
-    async def _place_by_own_choice(self, request: PlacementRequest) -> Placed | None:
+    async def _place_locally(self, request: PlacementRequest) -> Placed | None:
         placed = await self._local.place(request)
         if placed is None:
             return None
@@ -186,7 +188,9 @@
         if session is None:
             return placed
         use = SlotUse(session.new_number(), instance_id, request.unread_tokens)
-        return PlacedInSlot(placed.state, False, session.take(use))
+        return PlacedInSlot(placed.state, False, session.take_without_grant(use))
 
     def _first_byte_s(self, route_name: str) -> RunningQuantile:
-        return self._first_byte_by_route.setdefault(route_name, RunningQuantile(FIRST_BYTE_SHARE))
+        return self._first_byte_by_route.setdefault(
+            route_name, RunningQuantile(FIRST_BYTE_QUANTILE)
+        )
--- a/src/wharfcart/slots/granter.py
+++ b/src/wharfcart/slots/granter.py
@@ -16,35 +16,35 @@
 from wharfcart.routing.backend_choice import BackendChoice, InstanceState, by_affinity
 from wharfcart.routing.send_rates import SendRates
 from wharfcart.slots.events import (
-    BackendBlamed,
+    BackendFailureReported,
     Granted,
     HolderId,
-    ItemBegun,
-    ItemMustLeave,
     ItemOffered,
+    ItemPreempted,
+    ItemStarted,
     ItemsWaiting,
-    LeaveCause,
-    Manner,
-    NoneHere,
+    NoSlot,
+    PreemptionCause,
     RefusalCause,
     Refused,
+    RequestMode,
+    ResponsivenessChanged,
+    RunResult,
     SessionClosed,
     SessionKey,
     SessionOpened,
-    SilenceChanged,
-    SlotAsked,
     SlotEvent,
     SlotInstruction,
     SlotNumber,
     SlotReleased,
+    SlotRequested,
     SlotTaken,
     SlotUse,
-    Verdict,
 )
+from wharfcart.slots.group_backends import GroupBackends
 from wharfcart.slots.ledger import SlotLedger, TakenSlot
-from wharfcart.slots.picture import ServiceRoom, SlotPicture
-from wharfcart.slots.queue import SlotQueue, Waiting
-from wharfcart.slots.slot_room import SlotRoom
+from wharfcart.slots.queue import SlotQueue, WaitingRequest
+from wharfcart.slots.snapshot import ServiceCapacity, SlotSnapshot
 from wharfcart.slots.urgency import Urgency
 
 # A new connection takes a round trip and a moment of the back end; a back end runs a request hardly
@@ -52,12 +52,12 @@
 NEW_CONNECTION_COST = 0.25
 # An item that must leave within this time has cost more than it has done.
 RESTART_COST_S = 0.06
-FEWEST_RETRY_AFTER_S = 0.2
-MOST_RETRY_AFTER_S = 1.5
+MIN_RETRY_AFTER_S = 0.2
+MAX_RETRY_AFTER_S = 1.5
 # A picture names the most loaded back ends: those left out have less, or nothing.
-MOST_BACKENDS_A_PICTURE = 48
+MAX_BACKENDS_PER_SNAPSHOT = 48
 # Slots that are offered to items have numbers from here on; holders draw theirs below.
-FIRST_OFFER = 1 << 40
+FIRST_OFFER_NUMBER = 1 << 40
 
 
 # Whose items wait, for which service, and where their data may be.
@@ -73,20 +73,20 @@
         offered: slots that were offered since.
     """
 
-    told: ItemsWaiting
-    told_at: float
+    reported: ItemsWaiting
+    reported_at: float
     offered: int = 0
 
     @property
     def count(self) -> int:
-        return self.told.count - self.offered
+        return self.reported.count - self.offered
 
     @property
-    def urgent(self) -> bool:
-        return self.told.urgent > self.offered
+    def has_urgent(self) -> bool:
+        return self.reported.urgent_count > self.offered
 
-    def first(self, now: float) -> Urgency:
-        return self.told.first.after_waiting(now - self.told_at)
+    def current_urgency(self, now: float) -> Urgency:
+        return self.reported.first_urgency.after_waiting(now - self.reported_at)
 
 
 @dataclass
@@ -99,25 +99,29 @@
         leads_surely: whether no other node can grant yet.
     """
 
-    choice: BackendChoice
+    selector: BackendChoice
     owns: Callable[[BackendInstance], bool]
-    leads_surely: Callable[[], bool] = lambda: True
+    is_leadership_confirmed: Callable[[], bool] = lambda: True
     _ledger: SlotLedger = field(default_factory=SlotLedger)
     _queue: SlotQueue = field(default_factory=SlotQueue)
-    _asked_by_place: dict[int, SlotAsked] = field(default_factory=dict)  # by place in the queue
-    _waiting_by_slot: dict[tuple[SessionKey, SlotNumber], Waiting] = field(default_factory=dict)
+    _request_by_queue_number: dict[int, SlotRequested] = field(
+        default_factory=dict
+    )  # by place in the queue
+    _waiting_by_slot: dict[tuple[SessionKey, SlotNumber], WaitingRequest] = field(
+        default_factory=dict
+    )
     _demands: dict[DemandKey, _Demand] = field(default_factory=dict)
-    _offers: dict[DemandKey, int] = field(default_factory=dict)
-    _next_offer: int = FIRST_OFFER
+    _offer_counts: dict[DemandKey, int] = field(default_factory=dict)
+    _next_offer: int = FIRST_OFFER_NUMBER
     _rates: SendRates = field(default_factory=SendRates)
-    _room: SlotRoom = field(init=False)
+    _backends: GroupBackends = field(init=False)
 
     def __post_init__(self) -> None:
-        self._room = self.new_room()
+        self._backends = self.new_backends()
 
-    def new_room(self) -> SlotRoom:
+    def new_backends(self) -> GroupBackends:
         """Return the view of the back ends that decisions are made by."""
-        return SlotRoom(self.choice, self.owns, self.leads_surely, self._ledger)
+        return GroupBackends(self.selector, self.owns, self.is_leadership_confirmed, self._ledger)
 
     # ---- events ----
 
@@ -128,40 +132,40 @@
                 self._open(event, now)
             case SessionClosed():
                 self._close(event.session)
-            case SlotAsked():
-                return self._ask(event, now)
+            case SlotRequested():
+                return self._handle_request(event, now)
             case SlotTaken():
-                self._take(event, now)
+                self._record_taken(event, now)
                 return []
             case SlotReleased():
                 self._release(event, now)
-            case SilenceChanged():
-                self._room.look_anew()
-                self._ledger.silence(event.session, event.instance_id, event.silent)
-            case BackendBlamed():
-                self._judge(event.instance_id, Verdict.BAD, now)
+            case ResponsivenessChanged():
+                self._backends.refresh()
+                self._ledger.set_unresponsive(event.session, event.instance_id, event.unresponsive)
+            case BackendFailureReported():
+                self._record_result(event.instance_id, RunResult.BACKEND_FAILED, now)
                 return []
             case ItemsWaiting():
-                self._note_demand(event, now)
-            case ItemBegun():
-                self._note_item(event)
+                self._update_demand(event, now)
+            case ItemStarted():
+                self._start_item(event)
                 return []
-        return self._hand_out(now)
+        return self._assign_free_slots(now)
 
     def tick(self, now: float) -> list[SlotInstruction]:
         """Do what time alone brings: refuse who waited long enough, try again what was avoided."""
-        self._room.fill_cold_buckets(now)
+        self._backends.fill_cold_buckets(now)
         refused = [
-            self._refuse(asked, RefusalCause.WAITED, now)
-            for asked in list(self._asked_by_place.values())
-            if now >= asked.leave_at
+            self._refuse(asked, RefusalCause.TIMED_OUT, now)
+            for asked in list(self._request_by_queue_number.values())
+            if now >= asked.queue_deadline
         ]
-        return [*refused, *self._relieve(now), *self._hand_out(now)]
+        return [*refused, *self._preempt_excess_items(now), *self._assign_free_slots(now)]
 
-    def backend_reported(self, instance_id: str, present: int) -> int:
+    def backend_reported(self, instance_id: str, request_count: int) -> int:
         """Take how many requests a back end has; return how many of them no session tells of."""
-        leftover = max(0, present - self._ledger.told(instance_id))
-        self._ledger.set_leftover(instance_id, leftover)
+        leftover = max(0, request_count - self._ledger.taken_count(instance_id))
+        self._ledger.set_orphaned_runs(instance_id, leftover)
         return leftover
 
     def is_open(self, session: SessionKey) -> bool:
@@ -180,26 +184,26 @@
         """Return how many requests wait."""
         return self._queue.total()
 
-    def picture(self, now: float) -> SlotPicture:
+    def snapshot(self, now: float) -> SlotSnapshot:
         """Return what the holders are told: the load of each back end, and where there is room."""
-        states = [state for state in self.choice.states() if self.owns(state.instance)]
+        states = [state for state in self.selector.states() if self.owns(state.instance)]
         services = {state.instance.service for state in states}
-        loads = [self._room.load_of(state, now) for state in states]
+        loads = [self._backends.load_of(state, now) for state in states]
         loads = [load for load in loads if load.in_use or load.avoided]
         loads.sort(key=lambda load: (load.avoided, load.in_use), reverse=True)
-        return SlotPicture(
-            backends=tuple(loads[:MOST_BACKENDS_A_PICTURE]),
-            rooms=tuple(self._room_of(service, now) for service in sorted(services)),
+        return SlotSnapshot(
+            backends=tuple(loads[:MAX_BACKENDS_PER_SNAPSHOT]),
+            capacities=tuple(self._capacity_of(service, now) for service in sorted(services)),
             sends_per_s=self._rates.rates(now),
-            holders=self._ledger.holders,
+            holders=self._ledger.session_count,
         )
 
     def avoided(self, now: float) -> frozenset[str]:
         """Return the back ends that are left out for now."""
         return frozenset(
             state.instance.instance_id
-            for state in self.choice.states()
-            if self.owns(state.instance) and self._room.is_avoided(state, now)
+            for state in self.selector.states()
+            if self.owns(state.instance) and self._backends.is_avoided(state, now)
         )
 
     # ---- sessions and slots ----
@@ -209,22 +213,24 @@
         if older is not None:
             self._close(older)
         self._ledger.open(event.session, event.zone, event.uses, now)
-        offered_elsewhere = [use.number + 1 for use in event.uses if use.number >= FIRST_OFFER]
+        offered_elsewhere = [
+            use.number + 1 for use in event.uses if use.number >= FIRST_OFFER_NUMBER
+        ]
         self._next_offer = max([self._next_offer, *offered_elsewhere])
 
     def _close(self, session: SessionKey) -> None:
         self._ledger.close(session)
-        self._room.look_anew()
+        self._backends.refresh()
         for key, waiting in list(self._waiting_by_slot.items()):
             if key[0] == session:
-                self._leave_queue(key, waiting)
+                self._dequeue(key, waiting)
         for demand in [key for key in self._demands if key[0] == session]:
             del self._demands[demand]
-        for offers in [key for key in self._offers if key[0] == session]:
-            del self._offers[offers]
+        for offers in [key for key in self._offer_counts if key[0] == session]:
+            del self._offer_counts[offers]
 
-    def _take(self, event: SlotTaken, now: float) -> None:
-        state = self.choice.state(event.use.instance_id)
+    def _record_taken(self, event: SlotTaken, now: float) -> None:
+        state = self.selector.state(event.use.instance_id)
         if state is not None:
             self._rates.sent(state.instance.service, now)
         self._ledger.take(event.session, event.use, now)
@@ -233,105 +239,113 @@
         key = (event.session, event.number)
         waiting = self._waiting_by_slot.get(key)
         if waiting is not None:
-            self._leave_queue(key, waiting)
+            self._dequeue(key, waiting)
             return
         taken = self._ledger.release(event.session, event.number)
         if taken is not None:
-            self._judge(taken.use.instance_id, event.verdict, now)
+            self._record_result(taken.use.instance_id, event.result, now)
 
-    def _judge(self, instance_id: str, verdict: Verdict, now: float) -> None:
-        state = self.choice.state(instance_id)
-        if verdict is Verdict.BAD:
-            self._room.look_anew()
-        if state is not None and verdict is not Verdict.UNKNOWN:
-            self.choice.turned_out(state, verdict is Verdict.GOOD, now)
+    def _record_result(self, instance_id: str, result: RunResult, now: float) -> None:
+        state = self.selector.state(instance_id)
+        if result is RunResult.BACKEND_FAILED:
+            self._backends.refresh()
+        if state is not None and result is not RunResult.UNKNOWN:
+            self.selector.turned_out(state, result is RunResult.BACKEND_OK, now)
 
     # ---- online requests ----
 
-    def _ask(self, asked: SlotAsked, now: float) -> list[SlotInstruction]:
-        candidates = self._room.candidates(asked.service, asked.residence, now, asked.excluded)
-        if not candidates or not self._ledger.is_open(asked.session):
-            return [NoneHere(asked.session, asked.number)]
-        others_wait = self._queue.count_in(asked.service, asked.residence) > 0
-        if not others_wait and self._has_room(candidates, asked.manner, now):
-            return self._grant(asked, candidates, now)
-        if asked.manner is not Manner.WAIT:
-            return [NoneHere(asked.session, asked.number)]
+    def _handle_request(self, request: SlotRequested, now: float) -> list[SlotInstruction]:
+        candidates = self._backends.candidates(
+            request.service, request.residence, now, request.excluded
+        )
+        if not candidates or not self._ledger.is_open(request.session):
+            return [NoSlot(request.session, request.number)]
+        others_wait = self._queue.count_in(request.service, request.residence) > 0
+        if not others_wait and self._has_slot(candidates, request.mode, now):
+            return self._grant(request, candidates, now)
+        if request.mode is not RequestMode.WAIT:
+            return [NoSlot(request.session, request.number)]
         waiting = self._queue.add(
-            asked.service, asked.in_time_until, asked.leave_at, asked.priority, asked.residence
+            request.service,
+            request.start_deadline,
+            request.queue_deadline,
+            request.priority,
+            request.residence,
         )
         if waiting is None:
-            return [self._refuse(asked, RefusalCause.QUEUE_FULL, now)]
-        self._asked_by_place[waiting.number] = asked
-        self._waiting_by_slot[asked.session, asked.number] = waiting
-        return self._hand_out(now)
-
-    def _has_room(self, candidates: list[InstanceState], manner: Manner, now: float) -> bool:
-        candidates = self._room.bearing(candidates, now)
-        if any(self._room.has_free_slot(state) for state in candidates):
+            return [self._refuse(request, RefusalCause.QUEUE_FULL, now)]
+        self._request_by_queue_number[waiting.number] = request
+        self._waiting_by_slot[request.session, request.number] = waiting
+        return self._assign_free_slots(now)
+
+    def _has_slot(self, candidates: list[InstanceState], mode: RequestMode, now: float) -> bool:
+        candidates = self._backends.accepting(candidates, now)
+        if any(self._backends.has_free_slot(state) for state in candidates):
             return True
-        if manner is Manner.FREE:
+        if mode is RequestMode.FREE:
             return False
-        return any(self._room.has_yielding(state) for state in candidates)
+        return any(self._backends.has_preemptible(state) for state in candidates)
 
     def _grant(
-        self, asked: SlotAsked, candidates: list[InstanceState], now: float
+        self, request: SlotRequested, candidates: list[InstanceState], now: float
     ) -> list[SlotInstruction]:
         """Give a request the best slot; an item leaves where none is free."""
-        state = self._best(asked, self._room.bearing(candidates, now), now)
+        state = self._best_backend(request, self._backends.accepting(candidates, now), now)
         instructions: list[SlotInstruction] = []
-        if not self._room.has_free_slot(state):
-            leaving = next(iter(self._room.yielding(state, now)), None)
+        if not self._backends.has_free_slot(state):
+            leaving = next(iter(self._backends.preemption_order(state, now)), None)
             if leaving is not None:
-                instructions.append(self._have_leave(leaving, LeaveCause.GRANTED))
-        use = SlotUse(asked.number, state.instance.instance_id, asked.unread_tokens)
-        self._room.granted(use.instance_id)
-        self._ledger.take(asked.session, use, now)
-        self._rates.sent(asked.service, now)
-        instructions.append(Granted(asked.session, asked.number, use.instance_id))
+                instructions.append(self._preempt(leaving, PreemptionCause.GRANTED))
+        use = SlotUse(request.number, state.instance.instance_id, request.unread_tokens)
+        self._backends.record_grant(use.instance_id)
+        self._ledger.take(request.session, use, now)
+        self._rates.sent(request.service, now)
+        instructions.append(Granted(request.session, request.number, use.instance_id))
         return instructions
 
-    def _best(self, asked: SlotAsked, candidates: list[InstanceState], now: float) -> InstanceState:
+    def _best_backend(
+        self, request: SlotRequested, candidates: list[InstanceState], now: float
+    ) -> InstanceState:
         """Return where a request goes: a free slot, then one that an item gives up, then any."""
-        if asked.affinity_key:
+        if request.affinity_key:
             return by_affinity(
-                self._room.warm_with_room(candidates, now) or candidates,
-                asked.affinity_key,
-                lambda state: self._room.load_without_items(state, now),
+                self._backends.warm_with_free_slot(candidates, now) or candidates,
+                request.affinity_key,
+                lambda state: self._backends.load_without_items(state, now),
             )
-        zone = self._ledger.zone(asked.session)
+        zone = self._ledger.zone(request.session)
 
         def cost(state: InstanceState) -> float:
-            new = state.instance.instance_id not in asked.connected
-            return self._room.cost(state, zone, now) + (NEW_CONNECTION_COST if new else 0.0)
+            new = state.instance.instance_id not in request.connected
+            return self._backends.cost(state, zone, now) + (NEW_CONNECTION_COST if new else 0.0)
 
-        free = [state for state in candidates if self._room.has_free_slot(state)]
+        free = [state for state in candidates if self._backends.has_free_slot(state)]
         if free:
             return min(free, key=cost)
-        yielding = [state for state in candidates if self._room.has_yielding(state)]
+        yielding = [state for state in candidates if self._backends.has_preemptible(state)]
         return min(yielding or candidates, key=cost)
 
-    def _refuse(self, asked: SlotAsked, cause: RefusalCause, now: float) -> Refused:
-        key = (asked.session, asked.number)
+    def _refuse(self, request: SlotRequested, cause: RefusalCause, now: float) -> Refused:
+        key = (request.session, request.number)
         waiting = self._waiting_by_slot.get(key)
         if waiting is not None:
-            self._leave_queue(key, waiting)
-        candidates = self._room.candidates(asked.service, asked.residence, now)
+            self._dequeue(key, waiting)
+        candidates = self._backends.candidates(request.service, request.residence, now)
         slots = sum(state.instance.slots for state in candidates)
-        others = self._queue.count_in(asked.service, asked.residence)
-        per_s = sum(self._room.turnover_per_s(state, now) for state in candidates)
+        others = self._queue.count_in(request.service, request.residence)
+        per_s = sum(self._backends.turnover_per_s(state, now) for state in candidates)
         retry_after_s = (1 + others) / max(1.0, per_s)
-        retry_after_s = min(MOST_RETRY_AFTER_S, max(FEWEST_RETRY_AFTER_S, retry_after_s))
-        return Refused(asked.session, asked.number, cause, retry_after_s, others, slots)
+        retry_after_s = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, retry_after_s))
+        return Refused(request.session, request.number, cause, retry_after_s, others, slots)
 
-    def _leave_queue(self, key: tuple[SessionKey, SlotNumber], waiting: Waiting) -> None:
+    def _dequeue(self, key: tuple[SessionKey, SlotNumber], waiting: WaitingRequest) -> None:
         self._queue.remove(waiting)
-        del self._asked_by_place[waiting.number]
+        del self._request_by_queue_number[waiting.number]
         del self._waiting_by_slot[key]
 
     # ---- what has come free ----
 
-    def _hand_out(self, now: float) -> list[SlotInstruction]:
+    def _assign_free_slots(self, now: float) -> list[SlotInstruction]:
         """Give slots that are free to the requests that wait, then to batch items."""
         return [*self._serve_queue(now), *self._offer_to_items(now)]
 
@@ -339,21 +353,23 @@
         for service in self._queue.services():
             full: set[Residence] = set()
             while (waiting := self._queue.next(service, now, full)) is not None:
-                asked = self._asked_by_place[waiting.number]
-                candidates = self._room.candidates(service, asked.residence, now, asked.excluded)
-                if candidates and not self._has_room(candidates, Manner.WAIT, now):
+                asked = self._request_by_queue_number[waiting.number]
+                candidates = self._backends.candidates(
+                    service, asked.residence, now, asked.excluded
+                )
+                if candidates and not self._has_slot(candidates, RequestMode.WAIT, now):
                     full.add(asked.residence)
                     continue
-                self._leave_queue((asked.session, asked.number), waiting)
+                self._dequeue((asked.session, asked.number), waiting)
                 if not candidates:
                     # Its back ends are gone or were emptied while it waited: others may have some.
-                    yield NoneHere(asked.session, asked.number)
+                    yield NoSlot(asked.session, asked.number)
                     continue
                 yield from self._grant(asked, candidates, now)
 
     # ---- batch items ----
 
-    def _note_demand(self, event: ItemsWaiting, now: float) -> None:
+    def _update_demand(self, event: ItemsWaiting, now: float) -> None:
         key = (event.session, event.service, event.residence)
         if not self._ledger.is_open(event.session):
             return
@@ -361,11 +377,11 @@
             self._demands.pop(key, None)
             return
         # Offers that were on their way when it was told are not in its count yet.
-        on_their_way = self._offers.get(key, 0) - event.offers_seen
+        on_their_way = self._offer_counts.get(key, 0) - event.offers_seen
         self._demands[key] = _Demand(event, now, max(0, on_their_way))
 
-    def _note_item(self, event: ItemBegun) -> None:
-        self._ledger.item_begun(event.session, event.number, event.urgency)
+    def _start_item(self, event: ItemStarted) -> None:
+        self._ledger.item_started(event.session, event.number, event.urgency)
 
     def _offer_to_items(self, now: float) -> Iterator[SlotInstruction]:
         for service in {service for _, service, _ in self._demands}:
@@ -374,23 +390,25 @@
 
     def _next_item_offer(self, service: str, now: float) -> ItemOffered | None:
         """Offer a free slot to the items that go first, if it is worth starting one."""
-        for key, demand in self._in_order(service, now):
+        for key, demand in self._demands_in_order(service, now):
             residence = key[2]
-            candidates = self._room.bearing(self._room.candidates(service, residence, now), now)
-            free = [state for state in candidates if self._room.has_free_slot(state)]
+            candidates = self._backends.accepting(
+                self._backends.candidates(service, residence, now), now
+            )
+            free = [state for state in candidates if self._backends.has_free_slot(state)]
             if not free:
                 continue
-            warm = [state for state in free if not self.choice.is_cold(state, now)]
-            if self._held_back(service, residence, free, now) and not demand.urgent:
+            warm = [state for state in free if not self.selector.is_cold(state, now)]
+            if self._reserved_for_online(service, residence, free, now) and not demand.has_urgent:
                 continue
-            state = self._emptiest(warm, demand.told.excluded, now)
-            if state is None and demand.urgent:
-                state = self._emptiest(free, demand.told.excluded, now)
+            state = self._least_costly(warm, demand.reported.excluded, now)
+            if state is None and demand.has_urgent:
+                state = self._least_costly(free, demand.reported.excluded, now)
             if state is not None:
                 return self._offer(key, demand, state, now)
         return None
 
-    def _held_back(
+    def _reserved_for_online(
         self, service: str, residence: Residence, free: list[InstanceState], now: float
     ) -> bool:
         """Whether free slots are kept from items that have time left, for online requests.
@@ -399,12 +417,12 @@
         """
         free_ids = {state.instance.instance_id for state in free}
         for waits_in in self._queue.residences(service):
-            usable = self._room.candidates(service, waits_in, now)
+            usable = self._backends.candidates(service, waits_in, now)
             if any(state.instance.instance_id in free_ids for state in usable):
                 return True
         return not self._worth_starting(service, residence, now)
 
-    def _in_order(self, service: str, now: float) -> list[tuple[DemandKey, _Demand]]:
+    def _demands_in_order(self, service: str, now: float) -> list[tuple[DemandKey, _Demand]]:
         waiting = [
             (key, demand)
             for key, demand in self._demands.items()
@@ -412,16 +430,16 @@
         ]
 
         def order(entry: tuple[DemandKey, _Demand]) -> tuple[bool, float]:
-            first = entry[1].first(now)
-            return first.too_late, first.left_s
+            first = entry[1].current_urgency(now)
+            return first.is_too_late, first.until_due_s
 
         return sorted(waiting, key=order)
 
-    def _emptiest(
+    def _least_costly(
         self, free: list[InstanceState], excluded: Collection[str], now: float
     ) -> InstanceState | None:
         usable = [state for state in free if state.instance.instance_id not in excluded]
-        return min(usable, key=lambda state: self._room.cost(state, "", now), default=None)
+        return min(usable, key=lambda state: self._backends.cost(state, "", now), default=None)
 
     def _offer(
         self, key: DemandKey, demand: _Demand, state: InstanceState, now: float
@@ -429,43 +447,43 @@
         session, service, residence = key
         number = SlotNumber(self._next_offer)
         self._next_offer += 1
-        use = SlotUse(number, state.instance.instance_id, item=demand.first(now))
-        self._room.granted(use.instance_id)
+        use = SlotUse(number, state.instance.instance_id, item=demand.current_urgency(now))
+        self._backends.record_grant(use.instance_id)
         self._ledger.take(session, use, now)
         demand.offered += 1
-        self._offers[key] = self._offers.get(key, 0) + 1
+        self._offer_counts[key] = self._offer_counts.get(key, 0) + 1
         return ItemOffered(session, number, service, use.instance_id, residence)
 
     def _worth_starting(self, service: str, residence: Residence, now: float) -> bool:
         """Whether the last free slot is probably not needed before a start has paid off."""
         needed_soon = self._rates.rates(now).get(service, 0.0) * RESTART_COST_S
-        return self._room.free_slots(service, residence, now) >= 1 + needed_soon
+        return self._backends.free_slots(service, residence, now) >= 1 + needed_soon
 
-    def _relieve(self, now: float) -> Iterator[SlotInstruction]:
+    def _preempt_excess_items(self, now: float) -> Iterator[SlotInstruction]:
         """Have items leave back ends that are fuller than they can be."""
         for instance_id in self._ledger.instances():
-            state = self.choice.state(instance_id)
+            state = self.selector.state(instance_id)
             if state is None:
                 continue
-            staying = self._ledger.in_use(instance_id) - self._ledger.leaving(instance_id)
+            staying = self._ledger.in_use(instance_id) - self._ledger.preempted_count(instance_id)
             excess = staying - state.instance.slots
-            for slot in self._room.yielding(state, now)[: max(0, excess)]:
-                yield self._have_leave(slot, LeaveCause.OVERFULL)
+            for slot in self._backends.preemption_order(state, now)[: max(0, excess)]:
+                yield self._preempt(slot, PreemptionCause.OVERCOMMITTED)
 
-    def _have_leave(self, slot: TakenSlot, cause: LeaveCause) -> ItemMustLeave:
-        self._ledger.item_leaves(slot)
-        return ItemMustLeave(slot.session, slot.use.number, cause)
+    def _preempt(self, slot: TakenSlot, cause: PreemptionCause) -> ItemPreempted:
+        self._ledger.mark_preempted(slot)
+        return ItemPreempted(slot.session, slot.use.number, cause)
 
-    def _room_of(self, service: str, now: float) -> ServiceRoom:
-        candidates = self._room.candidates(service, ANYWHERE, now)
+    def _capacity_of(self, service: str, now: float) -> ServiceCapacity:
+        candidates = self._backends.candidates(service, ANYWHERE, now)
         yielding = sum(
-            self._ledger.staying_items(state.instance.instance_id)
-            for state in self._room.bearing(candidates, now)
+            self._ledger.preemptible_count(state.instance.instance_id)
+            for state in self._backends.accepting(candidates, now)
         )
-        return ServiceRoom(
+        return ServiceCapacity(
             service,
             sum(state.instance.slots for state in candidates),
-            self._room.free_slots(service, ANYWHERE, now),
+            self._backends.free_slots(service, ANYWHERE, now),
             yielding,
             self._queue.count(service),
         )
--- a/src/wharfcart/slots/service.py
+++ b/src/wharfcart/slots/service.py
@@ -33,11 +33,11 @@
 from wharfcart.slots.events import (
     Granted,
     HolderId,
-    ItemMustLeave,
     ItemOffered,
-    NoneHere,
+    ItemPreempted,
+    NoSlot,
     Refused,
-    SentUnasked,
+    SentWithoutPermit,
     SessionClosed,
     SessionKey,
     SessionOpened,
@@ -48,33 +48,33 @@
 )
 from wharfcart.slots.granter import SlotGranter
 from wharfcart.slots.messages import (
-    asked_from_message,
     event_from_message,
-    picture_to_message,
+    request_from_message,
     send_from_message,
+    snapshot_to_message,
     usage_from_message,
     use_from_message,
 )
-from wharfcart.slots.picture import SlotPicture
+from wharfcart.slots.snapshot import SlotSnapshot
 
 # What time alone brings is looked at so often: who has waited long enough, who is avoided no more.
 TICK_S = 0.05
 # A holder that waits for a slot hears at least so often that it still waits.
-SIGN_OF_LIFE_S = 0.1
+WAIT_HEARTBEAT_S = 0.1
 # Holders in the zone of the group's back ends hear of the load so often, more seldom where they are
 # many. Those elsewhere send few requests here, and their pictures travel between zones. Holders in
 # other regions ask only where their own region is full: they hear as seldom, nothing at once, and
 # not the load of each back end, since bytes between regions cost most.
-PICTURE_S = 0.25
-PICTURE_FAR_S = 1.0
-PICTURE_ABROAD_S = 1.0
-MOST_PICTURES_A_SECOND = 400
+SNAPSHOT_INTERVAL_S = 0.25
+OTHER_ZONE_SNAPSHOT_INTERVAL_S = 1.0
+OTHER_REGION_SNAPSHOT_INTERVAL_S = 1.0
+MAX_SNAPSHOTS_PER_SECOND = 400
 # Gateways that are cut off ask by way of others; of six drawn by lot one has contact even if a
 # third of all gateways is cut off.
-RELAYS_S = 5.0
-MOST_RELAYS = 6
+RELAYS_INTERVAL_S = 5.0
+MAX_RELAYS = 6
 # A back end that must be avoided is told at once, but no more often than this.
-FEWEST_PICTURE_GAP_S = 0.05
+MIN_SNAPSHOT_GAP_S = 0.05
 
 Respond = Callable[[Frame], Awaitable[None]]
 
@@ -90,14 +90,14 @@
     """
 
     distance: Distance
-    heard_at: float
+    last_contact_at: float
     address: str
-    news: SlotNews = field(default_factory=SlotNews)
+    updates: SlotNews = field(default_factory=SlotNews)
     wake: asyncio.Event = field(default_factory=asyncio.Event)
 
     def take(self) -> SlotNews:
         """Return the news, and begin anew."""
-        news, self.news = self.news, SlotNews()
+        news, self.updates = self.updates, SlotNews()
         self.wake.clear()
         return news
 
@@ -119,31 +119,31 @@
     def __init__(
         self,
         group: int,
-        choice: BackendChoice,
+        selector: BackendChoice,
         owns: Callable[[BackendInstance], bool],
         distance: Callable[[str], Distance],
         log: DecisionLog,
         requests_waiting: Gauge,
         limit_of: Callable[[str], RequestLimit | None] = lambda _tenant: None,
-        leads_freshly: Callable[[], bool] = lambda: True,
+        is_leadership_confirmed: Callable[[], bool] = lambda: True,
     ) -> None:
         self.group = group
-        self._choice = choice
+        self._selector = selector
         self._owns = owns
         self._distance = distance
         self._log = log
         self._requests_waiting = requests_waiting
         self._limit_of = limit_of
-        self._leads_freshly = leads_freshly
+        self._is_leadership_confirmed = is_leadership_confirmed
         self._limits = TenantLimits(limit_of, monotonic())
-        self._permit_sessions: dict[SessionKey, float] = {}  # without slots; when heard last
+        self._permit_contact_at: dict[SessionKey, float] = {}  # without slots; when heard last
         self._granter: SlotGranter | None = None
         self._outboxes: dict[SessionKey, _Outbox] = {}
         self._answers: dict[tuple[SessionKey, SlotNumber], asyncio.Future[SlotInstruction]] = {}
-        self._near_told_at = 0.0
-        self._far_told_at = 0.0
-        self._abroad_told_at = 0.0
-        self._relays_told_at = 0.0
+        self._same_zone_sent_at = 0.0
+        self._same_region_sent_at = 0.0
+        self._other_region_sent_at = 0.0
+        self._relays_sent_at = 0.0
         self._avoided: frozenset[str] = frozenset()
 
     @property
@@ -159,7 +159,7 @@
 
     def new_granter(self) -> SlotGranter:
         """Return the decisions of a new leadership."""
-        return SlotGranter(self._choice, self._owns, self._leads_freshly)
+        return SlotGranter(self._selector, self._owns, self._is_leadership_confirmed)
 
     def end(self) -> None:
         """Grant no longer: another node does."""
@@ -171,7 +171,7 @@
             outbox.wake.set()
         for (session, number), answer in list(self._answers.items()):
             if not answer.done():
-                answer.set_result(NoneHere(session, number))
+                answer.set_result(NoSlot(session, number))
 
     async def run(self) -> None:
         """Do what time brings until cancelled."""
@@ -181,10 +181,10 @@
             if granter is None:
                 continue
             now = monotonic()
-            self._carry_out(granter.tick(now))
+            self._execute(granter.tick(now))
             self._requests_waiting.set(granter.total_waiting())
-            self._tell_picture(granter, now)
-            self._tell_relays(now)
+            self._send_due_snapshots(granter, now)
+            self._send_relays(now)
 
     # ---- calls of holders ----
 
@@ -203,10 +203,10 @@
         uses = tuple(use_from_message(use) for use in message.uses)
         limits = self._open_limits(message)
         self._apply(granter, SessionOpened(key, message.zone, uses))
-        picture = granter.picture(monotonic())
+        picture = granter.snapshot(monotonic())
         if outbox.distance is Distance.OTHER_REGION:
-            picture = picture.brief()
-        outbox.news.picture.CopyFrom(picture_to_message(picture))
+            picture = picture.for_other_region()
+        outbox.updates.picture.CopyFrom(snapshot_to_message(picture))
         try:
             while self._granter is granter and granter.is_open(key):
                 await respond(Frame(slot_news=outbox.take()))
@@ -216,27 +216,27 @@
             del self._outboxes[key]
             if granter.session_of(key.holder) in (None, key):
                 now = monotonic()
-                limits.holder_lost(key.holder, now - outbox.heard_at, now)
+                limits.holder_lost(key.holder, now - outbox.last_contact_at, now)
             if self._granter is granter:
                 self._apply(granter, SessionClosed(key))
 
     async def _serve_permits_only(self, message: OpenSlotSession, respond: Respond) -> None:
         """Keep limits for a gateway that does not reach the granting node."""
-        if not self._permit_sessions:
+        if not self._permit_contact_at:
             self._begin_limits()
         key = SessionKey(HolderId(message.holder), message.session)
         limits = self._open_limits(message)
-        self._permit_sessions[key] = monotonic()
+        self._permit_contact_at[key] = monotonic()
         try:
             while self._limits is limits:
                 now = monotonic()
-                picture = SlotPicture(usage=limits.usage(now), gateways=limits.gateways(now))
-                await respond(Frame(slot_news=SlotNews(picture=picture_to_message(picture))))
-                await asyncio.sleep(PICTURE_S)
+                picture = SlotSnapshot(usage=limits.usage(now), gateways=limits.gateways(now))
+                await respond(Frame(slot_news=SlotNews(picture=snapshot_to_message(picture))))
+                await asyncio.sleep(SNAPSHOT_INTERVAL_S)
             await respond(Frame(slot_news=SlotNews(refused=True), last=True))
         finally:
             now = monotonic()
-            limits.holder_lost(key.holder, now - self._permit_sessions.pop(key), now)
+            limits.holder_lost(key.holder, now - self._permit_contact_at.pop(key), now)
 
     async def serve_request(self, message: SlotRequest, respond: Respond) -> None:
         """Answer a gateway that asks for a slot; cancelled if it wants none any more."""
@@ -245,10 +245,10 @@
         if granter is None or not granter.is_open(key):
             await respond(Frame(slot_grant=SlotGrant(no_session=True), last=True))
             return
-        self._hear(key)
-        asked = asked_from_message(key, message, monotonic())
+        self._record_contact(key)
+        asked = request_from_message(key, message, monotonic())
         if message.tenant:
-            unpermitted = self._permit_surely(key, message.tenant, message.request_id)
+            unpermitted = self._permit_if_confirmed(key, message.tenant, message.request_id)
             if unpermitted is not None:
                 await respond(Frame(slot_grant=unpermitted, last=True))
                 return
@@ -260,8 +260,8 @@
             self._apply(granter, asked)
             while not answer.done():
                 await respond(Frame(slot_grant=SlotGrant(waiting=True)))
-                await asyncio.wait((answer,), timeout=SIGN_OF_LIFE_S)
-            self._note_refusal(asked.service, asked.request_id, answer.result())
+                await asyncio.wait((answer,), timeout=WAIT_HEARTBEAT_S)
+            self._log_refusal(asked.service, asked.request_id, answer.result())
             await respond(Frame(slot_grant=_grant_message(answer.result()), last=True))
             told = True
         finally:
@@ -275,27 +275,27 @@
         """Answer a gateway that asks whether a tenant may send one more request."""
         key = SessionKey(HolderId(message.holder), message.session)
         grant: SlotGrant | None = SlotGrant(unsure=True)
-        if key in self._permit_sessions:
-            self._permit_sessions[key] = monotonic()
+        if key in self._permit_contact_at:
+            self._permit_contact_at[key] = monotonic()
             grant = self._permit(key, message.tenant, "")
         elif self._granter is not None and self._granter.is_open(key):
-            self._hear(key)
-            grant = self._permit_surely(key, message.tenant, "")
+            self._record_contact(key)
+            grant = self._permit_if_confirmed(key, message.tenant, "")
         answer = PermitAnswer(permitted=True)
         if grant is not None:
             answer = PermitAnswer(retry_after_ms=grant.retry_after_ms, unsure=grant.unsure)
         await respond(Frame(permit_answer=answer, last=True))
 
-    def take_events(self, message: SlotEvents) -> None:
+    def handle_events(self, message: SlotEvents) -> None:
         """Take what a holder tells within its session; a session that has ended tells nothing."""
         granter = self._granter
         key = SessionKey(HolderId(message.holder), message.session)
         if granter is None or not granter.is_open(key):
             return
-        self._hear(key)
+        self._record_contact(key)
         for event in message.events:
             told = event_from_message(key, event)
-            if isinstance(told, SentUnasked):
+            if isinstance(told, SentWithoutPermit):
                 self._limits.count_unasked(key.holder, told.tenant, monotonic())
             else:
                 self._apply(granter, told)
@@ -317,14 +317,16 @@
         )
         return self._limits
 
-    def _hear(self, key: SessionKey) -> None:
+    def _record_contact(self, key: SessionKey) -> None:
         outbox = self._outboxes.get(key)
         if outbox is not None:
-            outbox.heard_at = monotonic()
+            outbox.last_contact_at = monotonic()
 
-    def _permit_surely(self, key: SessionKey, tenant: str, request_id: str) -> SlotGrant | None:
+    def _permit_if_confirmed(
+        self, key: SessionKey, tenant: str, request_id: str
+    ) -> SlotGrant | None:
         """Permit a tenant's request unless another node may grant by now."""
-        if not self._leads_freshly():
+        if not self._is_leadership_confirmed():
             return SlotGrant(unsure=True)
         return self._permit(key, tenant, request_id)
 
@@ -348,12 +350,12 @@
         return SlotGrant(limited=True, retry_after_ms=int(retry_after_s * 1000) + 1)
 
     def _apply(self, granter: SlotGranter, event: SlotEvent) -> None:
-        self._carry_out(granter.handle(event, monotonic()))
+        self._execute(granter.handle(event, monotonic()))
 
-    def _carry_out(self, instructions: Iterable[SlotInstruction]) -> None:
+    def _execute(self, instructions: Iterable[SlotInstruction]) -> None:
         for instruction in instructions:
             match instruction:
-                case Granted() | NoneHere() | Refused():
+                case Granted() | NoSlot() | Refused():
                     answer = self._answers.get((instruction.session, instruction.number))
                     if answer is not None and not answer.done():
                         answer.set_result(instruction)
@@ -364,64 +366,68 @@
                         instance_id=instruction.instance_id,
                         residence=residence_to_message(instruction.residence),
                     )
-                    self._tell(instruction.session, SlotNews(offers=[offer]))
-                case ItemMustLeave():
+                    self._send_updates(instruction.session, SlotNews(offers=[offer]))
+                case ItemPreempted():
                     leave = ItemLeave(number=instruction.number, cause=instruction.cause.value)
-                    self._tell(instruction.session, SlotNews(leaving=[leave]))
+                    self._send_updates(instruction.session, SlotNews(leaving=[leave]))
 
-    def _tell(self, session: SessionKey, news: SlotNews) -> None:
+    def _send_updates(self, session: SessionKey, updates: SlotNews) -> None:
         outbox = self._outboxes.get(session)
         if outbox is not None:
-            outbox.news.MergeFrom(news)
+            outbox.updates.MergeFrom(updates)
             outbox.wake.set()
 
-    def _tell_picture(self, granter: SlotGranter, now: float) -> None:
+    def _send_due_snapshots(self, granter: SlotGranter, now: float) -> None:
         """Tell holders of the load, from time to time or when what is avoided has changed."""
         avoided = granter.avoided(now)
-        changed = avoided != self._avoided and now - self._near_told_at >= FEWEST_PICTURE_GAP_S
-        period_s = max(PICTURE_S, len(self._outboxes) / MOST_PICTURES_A_SECOND)
-        near_due = changed or now - self._near_told_at >= period_s
-        far_due = changed or now - self._far_told_at >= max(PICTURE_FAR_S, period_s)
-        abroad_due = now - self._abroad_told_at >= max(PICTURE_ABROAD_S, period_s)
+        changed = avoided != self._avoided and now - self._same_zone_sent_at >= MIN_SNAPSHOT_GAP_S
+        period_s = max(SNAPSHOT_INTERVAL_S, len(self._outboxes) / MAX_SNAPSHOTS_PER_SECOND)
+        near_due = changed or now - self._same_zone_sent_at >= period_s
+        far_due = changed or now - self._same_region_sent_at >= max(
+            OTHER_ZONE_SNAPSHOT_INTERVAL_S, period_s
+        )
+        abroad_due = now - self._other_region_sent_at >= max(
+            OTHER_REGION_SNAPSHOT_INTERVAL_S, period_s
+        )
         if not near_due and not far_due and not abroad_due:
             return
         if changed:
             self._avoided = avoided
         limits = self._limits
         picture = replace(
-            granter.picture(now), usage=limits.usage(now), gateways=limits.gateways(now)
+            granter.snapshot(now), usage=limits.usage(now), gateways=limits.gateways(now)
         )
         if near_due:
-            self._near_told_at = now
-            self._send_picture(Distance.SAME_ZONE, picture)
+            self._same_zone_sent_at = now
+            self._send_snapshot(Distance.SAME_ZONE, picture)
         if far_due:
-            self._far_told_at = now
-            self._send_picture(Distance.SAME_REGION, picture)
+            self._same_region_sent_at = now
+            self._send_snapshot(Distance.SAME_REGION, picture)
         if abroad_due:
-            self._abroad_told_at = now
-            self._send_picture(Distance.OTHER_REGION, picture.brief())
+            self._other_region_sent_at = now
+            self._send_snapshot(Distance.OTHER_REGION, picture.for_other_region())
 
-    def _send_picture(self, distance: Distance, picture: SlotPicture) -> None:
-        message = picture_to_message(picture)
+    def _send_snapshot(self, distance: Distance, snapshot: SlotSnapshot) -> None:
+        message = snapshot_to_message(snapshot)
         for outbox in self._outboxes.values():
             if outbox.distance is distance:
-                outbox.news.picture.CopyFrom(message)
+                outbox.updates.picture.CopyFrom(message)
                 outbox.wake.set()
 
-    def _tell_relays(self, now: float) -> None:
+    def _send_relays(self, now: float) -> None:
         """Tell each gateway of some others, for when it is cut off from here."""
-        if now - self._relays_told_at < RELAYS_S:
+        if now - self._relays_sent_at < RELAYS_INTERVAL_S:
             return
-        self._relays_told_at = now
+        self._relays_sent_at = now
         addresses = [outbox.address for outbox in self._outboxes.values() if outbox.address]
         for outbox in self._outboxes.values():
             if outbox.address:
                 others = [address for address in addresses if address != outbox.address]
-                some = sample(others, min(MOST_RELAYS, len(others)))
-                outbox.news.relays[:] = some
+                some = sample(others, min(MAX_RELAYS, len(others)))
+                outbox.updates.relays[:] = some
                 outbox.wake.set()
 
-    def _note_refusal(self, service: str, request_id: str, answer: SlotInstruction) -> None:
+    def _log_refusal(self, service: str, request_id: str, answer: SlotInstruction) -> None:
         if isinstance(answer, Refused):
             self._log.write(
                 Event.SLOT_REFUSED,
--- a/tests/batch/test_job_execution.py
+++ b/tests/batch/test_job_execution.py
@@ -34,18 +34,18 @@
 from wharfcart.routing.eligibility import Eligibility
 from wharfcart.slots.events import (
     HolderId,
-    ItemBegun,
-    ItemMustLeave,
     ItemOffered,
+    ItemPreempted,
+    ItemStarted,
     ItemsWaiting,
-    Manner,
+    RequestMode,
+    RunResult,
     SessionKey,
     SessionOpened,
-    SlotAsked,
     SlotNumber,
     SlotReleased,
+    SlotRequested,
     SlotUse,
-    Verdict,
 )
 from wharfcart.slots.granter import RESTART_COST_S, SlotGranter
 from wharfcart.slots.item_slots import ItemDemand, ItemSlot, ItemSlots
@@ -101,9 +101,9 @@
                     self._offers[instruction.residence] += 1
                     slot = ItemSlot(0, instruction.number, "s", instruction.instance_id)
                     loop.call_soon(self.on_offer, slot)
-                case ItemMustLeave():
+                case ItemPreempted():
                     slot = HeldSlot(0, instruction.number)
-                    loop.call_soon(self.on_leave, slot, instruction.cause)
+                    loop.call_soon(self.on_preempted, slot, instruction.cause)
 
     @property
     def offers(self) -> int:
@@ -120,36 +120,38 @@
         self._numbers += 1
         number = SlotNumber(self._numbers)
         now = asyncio.get_running_loop().time()
-        self.tell(SlotAsked(GATEWAY, number, "s", now + 9.0, now + 9.0, Manner.WAIT))
+        self.tell(SlotRequested(GATEWAY, number, "s", now + 9.0, now + 9.0, RequestMode.WAIT))
         return number
 
     def free(self, number: SlotNumber) -> None:
         self.tell(SlotReleased(GATEWAY, number))
 
-    def items_wait(self, service: str, demand: ItemDemand, residence: Residence = ANYWHERE) -> None:
+    def report_demand(
+        self, service: str, demand: ItemDemand, residence: Residence = ANYWHERE
+    ) -> None:
         self.tell(
             ItemsWaiting(
                 LEADER,
                 service,
                 demand.count,
-                demand.urgent,
-                demand.first,
+                demand.urgent_count,
+                demand.first_urgency,
                 demand.excluded,
                 self._offers[residence],
                 residence,
             )
         )
 
-    def begun(self, slot: ItemSlot, urgency: Urgency) -> None:
-        self.tell(ItemBegun(LEADER, slot.number, urgency))
+    def report_started(self, slot: ItemSlot, urgency: Urgency) -> None:
+        self.tell(ItemStarted(LEADER, slot.number, urgency))
 
-    def release(self, slot: HeldSlot, verdict: Verdict = Verdict.UNKNOWN) -> None:
-        self.tell(SlotReleased(LEADER, slot.number, verdict))
+    def release(self, slot: HeldSlot, result: RunResult = RunResult.UNKNOWN) -> None:
+        self.tell(SlotReleased(LEADER, slot.number, result))
 
     def tick(self) -> None:
         for instruction in self.granter.tick(asyncio.get_running_loop().time()):
-            assert isinstance(instruction, ItemMustLeave)
-            self.on_leave(HeldSlot(0, instruction.number), instruction.cause)
+            assert isinstance(instruction, ItemPreempted)
+            self.on_preempted(HeldSlot(0, instruction.number), instruction.cause)
 
 
 class Records:
@@ -358,7 +360,7 @@
         bench.slots.tell(ItemsWaiting(LEADER, "s", 3, 0, Urgency(9.0, 4.0)))
         await bench.settle()
         now = asyncio.get_running_loop().time()
-        assert sum(load.in_use for load in bench.slots.granter.picture(now).backends) == 0
+        assert sum(load.in_use for load in bench.slots.granter.snapshot(now).backends) == 0
 
     play(scenario)
 
@@ -389,7 +391,7 @@
         bench.submit("j", 2)
         await bench.settle()
         assert not bench.runner.running
-        assert not bench.slots.granter.picture(asyncio.get_running_loop().time()).backends
+        assert not bench.slots.granter.snapshot(asyncio.get_running_loop().time()).backends
         bench.slots.on_offer = take
         bench.choice.eligibility.evacuated_zones = frozenset()
         async with asyncio.timeout(5.0):
@@ -524,7 +526,7 @@
         for number in range(91):
             bench.group.partial_texts.of("j", "j-7").add(number, "x")
         told: list[Urgency] = []
-        bench.slots.begun = lambda slot, urgency: told.append(urgency)
+        bench.slots.report_started = lambda slot, urgency: told.append(urgency)
         bench.execution.begin()
         bench.submit("j", 8)
         await bench.settle()
