--- a/src/wharfcart/node/backend_updates.py
+++ b/src/wharfcart/node/backend_updates.py
@@ -13,7 +13,7 @@
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.platform import documents, names, server_entry
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_selection import BackendSelector
 
 MAX_UNGROUPED_LINES = 2  # more back ends share one log line
 
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        selector: BackendChoice,
+        selector: BackendSelector,
         pool: ConnectionPool,
         in_outage: Callable[[], bool],
         age_s: Callable[[], float],
@@ -67,9 +67,9 @@
                 service = known.instance.service
                 self._add_event(Event.BACKEND_GONE, instance_id, service, change, drained)
             return
-        if known is not None and known.instance.is_later_life_of(instance):
+        if known is not None and known.instance.is_restart_of(instance):
             return  # a late entry of an earlier instance
-        if known is not None and instance.is_later_life_of(known.instance):
+        if known is not None and instance.is_restart_of(known.instance):
             self._pool.drop_instance(instance_id)
             self._add_event(Event.BACKEND_RESTARTED, instance_id, instance.service, change)
         was_accepting = known is not None and known.instance.accepting
--- a/src/wharfcart/node/call_handler.py
+++ b/src/wharfcart/node/call_handler.py
@@ -21,8 +21,8 @@
 from wharfcart.errors import Outcome, ServingError
 from wharfcart.node.fleet import FleetDriver
 from wharfcart.node.propagation import PropagationDriver
-from wharfcart.routing.dispatcher import part_message, request_of
-from wharfcart.routing.owner import Owner
+from wharfcart.routing.dispatcher import message_from_part, request_from_message
+from wharfcart.routing.owner import BackendOwner
 from wharfcart.routing.router import Router
 from wharfcart.storage.journal import Journal, not_leader
 
@@ -39,7 +39,7 @@
     def __init__(
         self,
         propagation: PropagationDriver,
-        owner: Owner,
+        owner: BackendOwner,
         router: Router,
         limiter: Limiter,
         fleet: FleetDriver,
@@ -84,7 +84,7 @@
         if kind == "pull_placement":
             return Frame(placement=self._propagation.placement.to_message())
         if kind == "take_tokens":
-            return Frame(tokens_taken=self._limiter.serve(frame.take_tokens))
+            return Frame(tokens_taken=self._limiter.grant(frame.take_tokens))
         if kind == "read_fleet":
             return Frame(fleet_view=self._view())
         if self._journal is None or self._batch_leader is None:
@@ -139,16 +139,18 @@
         backend = self._router.backends.get(dispatch.backend_id)
         if backend is None:
             raise ServingError("no_backend", f"no back end {dispatch.backend_id!r}", 503)
-        owned = self._owner.backends.get(dispatch.backend_id) or self._owner.stand_in(backend)
-        request = request_of(dispatch)
+        owned = self._owner.backends.get(dispatch.backend_id) or self._owner.create_temporary(
+            backend
+        )
+        request = request_from_message(dispatch)
         self.active_dispatches += 1
         try:
             async with asyncio.timeout(dispatch.deadline_ms / 1000):
                 sequence = 0
                 async with aclosing(self._owner.run_online(owned, request)) as parts:
                     async for part in parts:
-                        message = part_message(part, sequence, len(owned.gate.online))
-                        await respond(Frame(dispatch_part=message, last=part.end))
+                        message = message_from_part(part, sequence, len(owned.gate.online))
+                        await respond(Frame(dispatch_part=message, last=part.is_last))
                         sequence += 1
         except TimeoutError:
             raise ServingError(
--- a/src/wharfcart/node/hosted_group.py
+++ b/src/wharfcart/node/hosted_group.py
@@ -5,7 +5,7 @@
 
 from wharfcart.batch.item_run import ItemRunner
 from wharfcart.batch.job_execution import JobExecution
-from wharfcart.batch.job_service import JobService, OtherGroups
+from wharfcart.batch.job_service import JobGroupService, OtherGroups
 from wharfcart.cluster.topology import Distance
 from wharfcart.node.fleet_keys import group_key
 from wharfcart.node.serving_node import ServingNode
@@ -82,9 +82,9 @@
             parts.keep_jobs_s,
             node.log,
             node.metrics,
-            node.crash_detector.suspects,
+            node.crash_detector.poison_requests,
         )
-        self.service = JobService(
+        self.service = JobGroupService(
             self.replica,
             self._execution,
             lambda: node.configuration,
@@ -121,7 +121,7 @@
         self._tasks.spawn(self.slots.run())
         self._tasks.spawn(self._watch_orphaned_runs())
         self._tasks.spawn(sessions.run())
-        self._execution.begin()
+        self._execution.start()
 
     async def _watch_orphaned_runs(self) -> None:
         """Watch runs that earlier leaders left on the model servers."""
@@ -146,7 +146,7 @@
         await runs.watch(granter, instances)
 
     def _stop_leading(self) -> None:
-        self._execution.end()
+        self._execution.stop()
         self.slots.end()
         self._tasks.cancel()
 
--- a/src/wharfcart/node/node.py
+++ b/src/wharfcart/node/node.py
@@ -12,7 +12,7 @@
 from wharfcart.admin.handlers import AdminHandlers
 from wharfcart.admin.interface import AdminContext, NodeStatus
 from wharfcart.admission.limiter import Limiter
-from wharfcart.batch.jobs import JobService
+from wharfcart.batch.jobs import BatchApiService
 from wharfcart.batch.leader import BatchLeader
 from wharfcart.batch.runner import BatchRunner
 from wharfcart.clock import monotonic
@@ -47,8 +47,8 @@
 from wharfcart.platform.etcd_json import EtcdJsonStore
 from wharfcart.platform.key_value import KeyValueUnavailableError
 from wharfcart.platform.machine_list import PrometheusDiscovery
-from wharfcart.routing.dispatcher import Dispatcher, NodeView
-from wharfcart.routing.owner import OwnedBackend, Owner
+from wharfcart.routing.dispatcher import ClusterView, Dispatcher
+from wharfcart.routing.owner import BackendOwner, OwnedBackend
 from wharfcart.routing.router import Router
 from wharfcart.settings.base import split_endpoint
 from wharfcart.settings.schema import NodeSettings
@@ -156,8 +156,8 @@
     def _build_serving(self) -> None:
         settings = self.settings
         self.router = Router(settings.zone, random.Random())
-        self.owner = Owner(self._session, self.metrics.batch_yields.inc)
-        view = NodeView(settings.node_id, self._live_in_zone, self._gossip.address_of)
+        self.owner = BackendOwner(self._session, self.metrics.batch_yields.inc)
+        view = ClusterView(settings.node_id, self._live_in_zone, self._gossip.address_of)
         self._dispatcher = Dispatcher(view, self.router, self.owner, self._transport, self.metrics)
         self._journal_client = JournalClient(
             self._propagation.placement, self._transport, self._gossip.address_of_storage
@@ -195,7 +195,7 @@
         requests = KeyedRequests(
             self._journal_client, self._dispatcher, self.router, self.owner, self._tasks.keep
         )
-        jobs = JobService(
+        jobs = BatchApiService(
             self._journal_client, self.services.find_service, settings.most_line_bytes
         )
         context = GatewayContext(
--- a/src/wharfcart/node/poison_evidence_sync.py
+++ b/src/wharfcart/node/poison_evidence_sync.py
@@ -12,8 +12,8 @@
 from contextlib import suppress
 from time import time
 
-from wharfcart.admission.request_content import ContentId
-from wharfcart.admission.suspects import BackendEnd, SuspectRecord, Suspects
+from wharfcart.admission.poison_requests import BackendCrash, PoisonEvidence, PoisonRequests
+from wharfcart.admission.request_fingerprint import RequestFingerprint
 from wharfcart.cluster.coordination import (
     ConditionFailedError,
     CoordinationService,
@@ -53,7 +53,7 @@
 
     def __init__(
         self,
-        poison_requests: Suspects,
+        poison_requests: PoisonRequests,
         service: CoordinationService,
         mirror: Mirror,
         random: RandomSource,
@@ -66,24 +66,24 @@
         self._random = random
         self._failures = 0
         self._pending = asyncio.Event()
-        poison_requests.on_news = self._pending.set
+        poison_requests.on_update = self._pending.set
 
     def apply_change(self, change: KeyChange) -> None:
         """Apply a change of the shared evidence on a request fingerprint."""
-        fingerprint = ContentId(change.key.removeprefix(POISON_REQUEST_PREFIX))
+        fingerprint = RequestFingerprint(change.key.removeprefix(POISON_REQUEST_PREFIX))
         record = record_from(change.value)
-        self._poison_requests.take(
-            fingerprint, None if record is None else record.not_after(time())
+        self._poison_requests.apply_shared(
+            fingerprint, None if record is None else record.clamped_to(time())
         )
 
     def apply_relayed(self, message: BackendEnds) -> None:
         """Apply evidence that another node could not write to the service."""
         for evidence in message.contents:
             crashes = {
-                crash.instance_id: BackendEnd(crash.at, crash.weight) for crash in evidence.ends
+                crash.instance_id: BackendCrash(crash.at, crash.weight) for crash in evidence.ends
             }
-            record = SuspectRecord(crashes).not_after(time())
-            self._poison_requests.note_heard(ContentId(evidence.content), record)
+            record = PoisonEvidence(crashes).clamped_to(time())
+            self._poison_requests.record_peer_evidence(RequestFingerprint(evidence.content), record)
 
     async def run(self) -> None:
         """Write pending evidence and remove expired evidence until cancelled."""
@@ -98,10 +98,10 @@
 
     async def _write_pending(self) -> bool:
         """Write pending evidence; False if there is more or a retry is needed."""
-        pending = self._poison_requests.untold(MAX_KEYS_WRITTEN)
+        pending = self._poison_requests.unpublished(MAX_KEYS_WRITTEN)
         expired = [
             fingerprint
-            for fingerprint in self._poison_requests.no_longer_suspect(time(), MAX_KEYS_REMOVED)
+            for fingerprint in self._poison_requests.removable(time(), MAX_KEYS_REMOVED)
             if fingerprint not in pending
         ]
         stored = [
@@ -110,7 +110,7 @@
             if self._mirror.get(_key(fingerprint)) is not None
         ]
         if not pending and not stored:
-            self._poison_requests.forgotten(expired)
+            self._poison_requests.mark_removed(expired)
             return True
         transaction = Transaction(
             {_key(fingerprint): self._revision(fingerprint) for fingerprint in (*pending, *stored)},
@@ -129,11 +129,11 @@
             await self._back_off(UNAVAILABLE_RETRY_S)
             return False
         self._failures = 0
-        self._poison_requests.told(pending)
-        self._poison_requests.forgotten(expired)
+        self._poison_requests.mark_published(pending)
+        self._poison_requests.mark_removed(expired)
         return False
 
-    def _revision(self, fingerprint: ContentId) -> int:
+    def _revision(self, fingerprint: RequestFingerprint) -> int:
         known = self._mirror.get(_key(fingerprint))
         return 0 if known is None else known.revision
 
@@ -146,7 +146,9 @@
         return 0.5 + self._random.random()
 
 
-def crashes_to_message(record_by_fingerprint: dict[ContentId, SuspectRecord]) -> BackendEnds:
+def crashes_to_message(
+    record_by_fingerprint: dict[RequestFingerprint, PoisonEvidence],
+) -> BackendEnds:
     """Serialize evidence for another node."""
     return BackendEnds(
         contents=[
@@ -154,7 +156,7 @@
                 content=fingerprint,
                 ends=[
                     InstanceEnd(instance_id=instance_id, at=crash.at, weight=crash.weight)
-                    for instance_id, crash in record.ends_by_instance.items()
+                    for instance_id, crash in record.crashes_by_key.items()
                 ],
             )
             for fingerprint, record in record_by_fingerprint.items()
@@ -162,27 +164,27 @@
     )
 
 
-def record_to_bytes(record: SuspectRecord) -> bytes:
+def record_to_bytes(record: PoisonEvidence) -> bytes:
     """Serialize the evidence on a request fingerprint."""
     crashes = {
-        key: [round(crash.at, 3), crash.weight] for key, crash in record.ends_by_instance.items()
+        key: [round(crash.at, 3), crash.weight] for key, crash in record.crashes_by_key.items()
     }
     return json.dumps(crashes, sort_keys=True).encode()
 
 
-def record_from(value: bytes | None) -> SuspectRecord | None:
+def record_from(value: bytes | None) -> PoisonEvidence | None:
     """Parse the evidence on a request fingerprint; None if it was removed or is malformed."""
     if value is None:
         return None
     try:
         crashes = {
-            str(key): BackendEnd(float(at), float(weight))
+            str(key): BackendCrash(float(at), float(weight))
             for key, (at, weight) in json.loads(value).items()
         }
     except (ValueError, TypeError, AttributeError):
         return None
-    return SuspectRecord(crashes)
+    return PoisonEvidence(crashes)
 
 
-def _key(fingerprint: ContentId) -> str:
+def _key(fingerprint: RequestFingerprint) -> str:
     return POISON_REQUEST_PREFIX + fingerprint
--- a/src/wharfcart/node/propagation.py
+++ b/src/wharfcart/node/propagation.py
@@ -31,7 +31,7 @@
 from wharfcart.cluster.placement_map import PlacementMap
 from wharfcart.cluster.rendezvous import rendezvous_order
 from wharfcart.cluster.transport import PeerUnreachableError, Transport
-from wharfcart.configuration.spreading import DIRECTORY_OVERLAP_MS, RevisionedMap
+from wharfcart.configuration.revisioned_map import DIRECTORY_OVERLAP_MS, RevisionedMap
 from wharfcart.errors import ServingError
 from wharfcart.observability.tasks import BackgroundTasks
 from wharfcart.platform.key_value import KeyValueUnavailableError
@@ -85,7 +85,7 @@
         hooks: PropagationHooks,
     ) -> None:
         self.configuration = RevisionedMap()
-        self.directory = RevisionedMap(overlap=DIRECTORY_OVERLAP_MS)
+        self.directory = RevisionedMap(pull_overlap=DIRECTORY_OVERLAP_MS)
         self.placement = PlacementMap()
         self._gossip = gossip
         self._transport = transport
@@ -182,7 +182,7 @@
         task.add_done_callback(lambda _: self._pulling.discard(kind))
 
     async def _pull_entries(self, address: Address, namespace: Namespace) -> None:
-        since = self._map_of(namespace).pull_since()
+        since = self._map_of(namespace).pull_revision()
         call = Frame(pull_entries=PullEntries(namespace=namespace, since_revision=since))
         answer = await self._call(address, call)
         if answer is None:
@@ -277,7 +277,7 @@
     def _machines_in_directory(self) -> dict[str, ListedMachine]:
         return {
             key.removeprefix("machine/"): ListedMachine(**json.loads(value))
-            for key, value in self.directory.live().items()
+            for key, value in self.directory.live_values().items()
             if key.startswith("machine/")
         }
 
--- a/src/wharfcart/routing/caller_request.py
+++ b/src/wharfcart/routing/caller_request.py
@@ -4,11 +4,11 @@
 from functools import cached_property
 from typing import Protocol
 
-from wharfcart.admission.request_content import ContentId, content_of
+from wharfcart.admission.request_fingerprint import RequestFingerprint, fingerprint_of
 from wharfcart.configuration.residence import Residence
 from wharfcart.configuration.serving import Route, ServedTenant
 from wharfcart.platform import exchanges
-from wharfcart.routing.backend_choice import AFFINITY_TOKENS
+from wharfcart.routing.backend_selection import MIN_AFFINITY_TOKENS
 
 
 @dataclass(frozen=True)
@@ -38,16 +38,16 @@
         return "" if self.tenant is None else self.tenant.name
 
     @cached_property
-    def content(self) -> ContentId:
+    def fingerprint(self) -> RequestFingerprint:
         """What it is known by beyond this attempt."""
         host = self.route.host
-        return content_of(host, self.method, self.target, self.tenant_name, self.body)
+        return fingerprint_of(host, self.method, self.target, self.tenant_name, self.body)
 
     @property
     def residence(self) -> Residence:
         """Where its data may be: both its route and its tenant bind."""
         own = self.route.residence
-        return own if self.tenant is None else own.within(self.tenant.residence)
+        return own if self.tenant is None else own.intersect(self.tenant.residence)
 
     @property
     def priority(self) -> int:
@@ -68,7 +68,7 @@
     def affinity_key(self) -> str:
         """Name of the long shared prompt that decides where to go first, or ''."""
         shared = self.facts.prompt[:-1]
-        if sum(part.tokens for part in shared) < AFFINITY_TOKENS:
+        if sum(part.tokens for part in shared) < MIN_AFFINITY_TOKENS:
             return ""
         return ",".join(part.part_id for part in shared)
 
@@ -83,7 +83,7 @@
 class AnswerSink(Protocol):
     """Where an answer goes. After an error that is raised, the caller's connection is cut."""
 
-    async def whole(self, status: int, headers: list[tuple[str, str]], body: bytes) -> None:
+    async def send_whole(self, status: int, headers: list[tuple[str, str]], body: bytes) -> None:
         """Give a whole answer."""
         ...
 
@@ -91,10 +91,10 @@
         """Begin an answer of unknown length."""
         ...
 
-    async def send(self, data: bytes) -> None:
+    async def send_part(self, data: bytes) -> None:
         """Pass bytes of a begun answer on."""
         ...
 
 
-class AnswerCutError(Exception):
+class AnswerTruncatedError(Exception):
     """A begun answer can't be finished: the caller must see it broken off."""
--- a/src/wharfcart/slots/granted_placement.py
+++ b/src/wharfcart/slots/granted_placement.py
@@ -8,15 +8,15 @@
 from wharfcart.cluster.topology import Distance
 from wharfcart.configuration.residence import Residence
 from wharfcart.observability.decisions import Counter
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_selection import BackendSelector
 from wharfcart.routing.placement import (
     LocalPlacement,
     NoSlotError,
     OverLimitError,
-    Placed,
     Placement,
+    PlacementDecision,
     PlacementRequest,
-    SendVerdict,
+    SendResult,
 )
 from wharfcart.routing.running_quantile import RunningQuantile
 from wharfcart.slots.events import RequestMode, RunResult, SlotRequested, SlotUse
@@ -30,14 +30,14 @@
 FIRST_BYTE_QUANTILE = 0.8
 
 _RESULTS = {
-    SendVerdict.UNKNOWN: RunResult.UNKNOWN,
-    SendVerdict.GOOD: RunResult.BACKEND_OK,
-    SendVerdict.BAD: RunResult.BACKEND_FAILED,
+    SendResult.UNKNOWN: RunResult.UNKNOWN,
+    SendResult.BACKEND_OK: RunResult.BACKEND_OK,
+    SendResult.BACKEND_FAILED: RunResult.BACKEND_FAILED,
 }
 
 
 @dataclass(frozen=True, eq=False)
-class PlacedInSlot(Placed):
+class PlacedInSlot(PlacementDecision):
     """A request in a slot that counts at the node that grants it."""
 
     slot: HeldSlot
@@ -57,7 +57,7 @@
 
     def __init__(
         self,
-        selector: BackendChoice,
+        selector: BackendSelector,
         sessions: SlotSessions,
         distance: Callable[[int], Distance],
         connected: Callable[[], Collection[str]],
@@ -73,7 +73,7 @@
         self._local = LocalPlacement(selector)
         self._first_byte_by_route: dict[str, RunningQuantile] = {}
 
-    async def place(self, request: PlacementRequest) -> Placed | None:
+    async def place(self, request: PlacementRequest) -> PlacementDecision | None:
         """Return where to send a request, or None where there is no back end.
 
         Raises:
@@ -93,17 +93,17 @@
         await permit.obtain()
         return await self._place_locally(request)
 
-    def reaches(self, service: str, residence: Residence) -> bool:
+    def is_granter_reachable(self, service: str, residence: Residence) -> bool:
         """Whether a node that grants slots of a service in some regions is heard from there."""
         return bool(self._sessions.available_capacities(service, residence))
 
-    def ended(self, placed: Placed, verdict: SendVerdict) -> None:
+    def send_finished(self, decision: PlacementDecision, result: SendResult) -> None:
         """Note that a request is no longer at its back end, and what the send told of that."""
-        if isinstance(placed, PlacedInSlot):
-            session = self._sessions.by_group[placed.slot.group]
-            session.release(placed.slot.number, _RESULTS[verdict])
+        if isinstance(decision, PlacedInSlot):
+            session = self._sessions.by_group[decision.slot.group]
+            session.release(decision.slot.number, _RESULTS[result])
 
-    def answer_begun(self, route_name: str, seconds: float) -> None:
+    def first_byte_received(self, route_name: str, seconds: float) -> None:
         """Note how long after it was sent a request's answer began."""
         self._first_byte_s(route_name).observe(seconds)
 
@@ -118,7 +118,7 @@
 
     async def _request_slot(
         self, session: SlotSession, request: PlacementRequest, mode: RequestMode, permit: Permit
-    ) -> Placed | None:
+    ) -> PlacementDecision | None:
         if not permit.comes_with_slot(session):
             await permit.obtain()
         asked = self._slot_request(session, request, mode)
@@ -136,8 +136,8 @@
             session=session.key,
             number=session.new_number(),
             service=request.service,
-            start_deadline=request.in_time_until - self._first_byte_s(request.route_name).value,
-            queue_deadline=request.leave_at,
+            start_deadline=request.start_deadline - self._first_byte_s(request.route_name).estimate,
+            queue_deadline=request.queue_deadline,
             mode=mode,
             affinity_key=request.affinity_key,
             excluded=request.excluded,
@@ -160,9 +160,9 @@
 
     def _accept_grant(
         self, session: SlotSession, asked: SlotRequested, grant: SlotGrant, permit: Permit
-    ) -> Placed | None:
+    ) -> PlacementDecision | None:
         if grant.limited:
-            raise OverLimitError(grant.retry_after_ms / 1000, surely=True)
+            raise OverLimitError(grant.retry_after_ms / 1000, is_confirmed=True)
         if grant.refused:
             raise NoSlotError(grant.retry_after_ms / 1000)
         if not grant.instance_id:
@@ -172,14 +172,14 @@
         state = self._selector.state(grant.instance_id)
         if (
             state is None
-            or self._selector.ruled_out(state, asked.residence)
-            or state.failed_lately(monotonic())
+            or self._selector.exclusion_reason(state, asked.residence)
+            or state.has_failed_recently(monotonic())
         ):
             session.release(slot.number)
             return None
         return PlacedInSlot(state, True, slot)
 
-    async def _place_locally(self, request: PlacementRequest) -> Placed | None:
+    async def _place_locally(self, request: PlacementRequest) -> PlacementDecision | None:
         placed = await self._local.place(request)
         if placed is None:
             return None
--- a/src/wharfcart/slots/granter.py
+++ b/src/wharfcart/slots/granter.py
@@ -13,7 +13,7 @@
 
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.residence import ANYWHERE, Residence
-from wharfcart.routing.backend_choice import BackendChoice, InstanceState, by_affinity
+from wharfcart.routing.backend_selection import BackendSelector, InstanceState, select_by_affinity
 from wharfcart.routing.send_rates import SendRates
 from wharfcart.slots.events import (
     BackendFailureReported,
@@ -99,7 +99,7 @@
         leads_surely: whether no other node can grant yet.
     """
 
-    selector: BackendChoice
+    selector: BackendSelector
     owns: Callable[[BackendInstance], bool]
     is_leadership_confirmed: Callable[[], bool] = lambda: True
     _ledger: SlotLedger = field(default_factory=SlotLedger)
@@ -232,7 +232,7 @@
     def _record_taken(self, event: SlotTaken, now: float) -> None:
         state = self.selector.state(event.use.instance_id)
         if state is not None:
-            self._rates.sent(state.instance.service, now)
+            self._rates.record(state.instance.service, now)
         self._ledger.take(event.session, event.use, now)
 
     def _release(self, event: SlotReleased, now: float) -> None:
@@ -250,7 +250,7 @@
         if result is RunResult.BACKEND_FAILED:
             self._backends.refresh()
         if state is not None and result is not RunResult.UNKNOWN:
-            self.selector.turned_out(state, result is RunResult.BACKEND_OK, now)
+            self.selector.record_outcome(state, result is RunResult.BACKEND_OK, now)
 
     # ---- online requests ----
 
@@ -299,7 +299,7 @@
         use = SlotUse(request.number, state.instance.instance_id, request.unread_tokens)
         self._backends.record_grant(use.instance_id)
         self._ledger.take(request.session, use, now)
-        self._rates.sent(request.service, now)
+        self._rates.record(request.service, now)
         instructions.append(Granted(request.session, request.number, use.instance_id))
         return instructions
 
@@ -308,7 +308,7 @@
     ) -> InstanceState:
         """Return where a request goes: a free slot, then one that an item gives up, then any."""
         if request.affinity_key:
-            return by_affinity(
+            return select_by_affinity(
                 self._backends.warm_with_free_slot(candidates, now) or candidates,
                 request.affinity_key,
                 lambda state: self._backends.load_without_items(state, now),
--- a/src/wharfcart/slots/permits.py
+++ b/src/wharfcart/slots/permits.py
@@ -59,7 +59,7 @@
     def record_obtained(self) -> None:
         """Note that it came with a slot."""
         if self.needed:
-            self._sessions.sends.sent(self._tenant, monotonic())
+            self._sessions.sends.record(self._tenant, monotonic())
             self._limit = None
 
     async def obtain(self) -> None:
@@ -89,7 +89,7 @@
             return
         await self._wait_for_backup()
         if not await self._ask(self._sessions.backup_coordinator(self._tenant)):
-            raise OverLimitError(DISCONNECTED_RETRY_AFTER_S, surely=False)
+            raise OverLimitError(DISCONNECTED_RETRY_AFTER_S, is_confirmed=False)
 
     async def answer_for_peer(self) -> PermitAnswer:
         """Ask in place of another gateway; the request counts as this one's."""
@@ -110,7 +110,7 @@
         if answer is None:
             return False
         if not answer.permitted:
-            raise OverLimitError(answer.retry_after_ms / 1000, surely=True)
+            raise OverLimitError(answer.retry_after_ms / 1000, is_confirmed=True)
         self._limit = None  # counted as the other gateway's
         return True
 
@@ -138,7 +138,7 @@
         if answer is None or answer.unsure:
             return False
         if not answer.permitted:
-            raise OverLimitError(answer.retry_after_ms / 1000, surely=True)
+            raise OverLimitError(answer.retry_after_ms / 1000, is_confirmed=True)
         self.record_obtained()
         return True
 
@@ -159,4 +159,6 @@
         contact_at = None if home is None else home.last_contact_at
         usage = 0 if home is None else home.snapshot.usage.get(self._tenant, 0)
         sends = self._sessions.sends
-        return sends.may_send_alone(self._tenant, self._limit, contact_at, usage, monotonic())
+        return sends.may_send_disconnected(
+            self._tenant, self._limit, contact_at, usage, monotonic()
+        )
--- a/tests/node/test_backend_updates.py
+++ b/tests/node/test_backend_updates.py
@@ -7,14 +7,14 @@
 from wharfcart.cluster.coordination import KeyChange
 from wharfcart.node.backend_updates import BackendUpdates
 from wharfcart.observability.decisions import DecisionLog, Event
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_selection import BackendSelector
 
 
 class Node:
     """One node's state of the back ends."""
 
     def __init__(self) -> None:
-        self.selector = BackendChoice("z", Random(1))
+        self.selector = BackendSelector("z", Random(1))
         self.pool = mock.Mock()
         self.log = mock.Mock(spec=DecisionLog)
         self.updates = BackendUpdates(
@@ -33,7 +33,7 @@
         return [call.args[0] for call in self.log.write.call_args_list]
 
     def chosen_instance(self) -> str | None:
-        state = self.selector.choose("s", 0.0)
+        state = self.selector.select("s", 0.0)
         return None if state is None else state.instance.instance_id
 
 
@@ -42,12 +42,12 @@
     node.apply(born=1_000)
     before = node.selector.state("a")
     assert before is not None
-    node.selector.sent(before, 0.0)
-    node.selector.failed(before, 0.0)
+    node.selector.record_sent(before, 0.0)
+    node.selector.record_failure(before, 0.0)
     node.apply(born=5_000)
     state = node.selector.state("a")
     assert state is not None and state is not before
-    assert (state.in_flight, state.failures, state.waiting_since) == (0, 0, {})
+    assert (state.in_flight, state.failures, state.unanswered_since) == (0, 0, {})
     node.pool.drop_instance.assert_called_once_with("a")
     assert Event.BACKEND_RESTARTED in node.logged_events()
     assert node.chosen_instance() == "a"
@@ -60,7 +60,10 @@
     node.apply(born=1_000, slots=5)
     node.apply(slots=6)
     assert node.selector.state("a") is before
-    assert before is not None and (before.instance.slots, before.instance.born_ms) == (6, 1_000)
+    assert before is not None and (before.instance.slots, before.instance.started_at_ms) == (
+        6,
+        1_000,
+    )
     node.pool.drop_instance.assert_not_called()
 
 
@@ -70,7 +73,7 @@
     node.apply(born=1_000, state="draining")
     state = node.selector.state("a")
     assert state is not None and state.instance.accepting
-    assert state.instance.born_ms == 5_000
+    assert state.instance.started_at_ms == 5_000
     assert Event.BACKEND_DRAINING not in node.logged_events()
 
 
--- a/tests/node/test_serving_node.py
+++ b/tests/node/test_serving_node.py
@@ -114,7 +114,9 @@
 
 
 def accepting_ids(node: ServingNode) -> list[str]:
-    return [state.instance.instance_id for state in node.selector.accepting("lm", monotonic())]
+    return [
+        state.instance.instance_id for state in node.selector.accepting_instances("lm", monotonic())
+    ]
 
 
 def test_evacuation_takes_effect_at_once_and_ends_when_withdrawn() -> None:
@@ -149,9 +151,9 @@
     node._apply_changes(node.mirror.apply(listing))
     assert accepting_ids(node) == ["i-a"]
     # The entry is older than the end of the evacuation, so the back end may be cold.
-    assert len(node.selector.cold_states(monotonic())) == 1
+    assert len(node.selector.cold_instances(monotonic())) == 1
     node._apply_changes([entry_in_zone(10, "a", "i-a")])
-    assert not node.selector.cold_states(monotonic())
+    assert not node.selector.cold_instances(monotonic())
 
 
 def test_evacuated_zone_is_logged_as_quiet_once_nothing_is_in_flight() -> None:
@@ -159,11 +161,11 @@
     node._apply_changes([entry_in_zone(1, "a", "i-a")])
     state = node.selector.state("i-a")
     assert state is not None
-    use = node.selector.sent(state, monotonic())
+    use = node.selector.record_sent(state, monotonic())
     node._apply_changes([evacuation_order("a", 2)])
     node._evacuations.check_in_flight(monotonic())
     assert b'in_flight{zone="a"} 1.0' in node.metrics.render()
-    node.selector.ended(state, use)
+    node.selector.record_finished(state, use)
     for _ in range(2):
         node._evacuations.check_in_flight(monotonic())
     assert [event for event, _ in log.lines].count(Event.EVACUATION_QUIET) == 1
@@ -175,6 +177,6 @@
     node.selector.cold.limits = {"lm": ColdLimit(4.0, 3.0)}
     node._apply_changes([entry_in_zone(1, "a", "i-a", cold_ms=60_000)])
     assert log.lines[-1][0] is Event.BACKEND_COLD
-    assert len(node.selector.cold_states(monotonic())) == 1
+    assert len(node.selector.cold_instances(monotonic())) == 1
     node._apply_changes([entry_in_zone(2, "a", "i-a")])
-    assert not node.selector.cold_states(monotonic())
+    assert not node.selector.cold_instances(monotonic())
--- a/tests/slots/test_granter_residence.py
+++ b/tests/slots/test_granter_residence.py
@@ -5,7 +5,7 @@
 from wharfcart.cluster.topology import RegionName, Topology
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.residence import ANYWHERE, Residence, residence_in
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_selection import BackendSelector
 from wharfcart.routing.eligibility import Eligibility
 from wharfcart.slots.events import (
     Granted,
@@ -44,7 +44,7 @@
     """A granter before one back end in each of two regions."""
 
     def __init__(self, slots: int = 1) -> None:
-        choice = BackendChoice("n1", Random(1), Eligibility(TOPOLOGY))
+        choice = BackendSelector("n1", Random(1), Eligibility(TOPOLOGY))
         for zone in TOPOLOGY.region_by_zone:
             choice.put(BackendInstance(f"in-{zone}", "s", "127.0.0.1", 1, zone, slots, True))
         self.granter = SlotGranter(choice, lambda _instance: True)
@@ -90,7 +90,7 @@
 def test_request_without_back_end_in_its_regions_gets_no_slot_at_once() -> None:
     bench = GranterHarness()
     assert bench.request(EAST) == [NoSlot(GATEWAY, SlotNumber(1))]
-    assert bench.request(NORTH.within(SOUTH)) == [NoSlot(GATEWAY, SlotNumber(2))]
+    assert bench.request(NORTH.intersect(SOUTH)) == [NoSlot(GATEWAY, SlotNumber(2))]
 
 
 def test_request_waiting_for_a_full_region_does_not_block_others() -> None:
@@ -168,7 +168,7 @@
 
 
 def test_residence_is_kept_in_messages() -> None:
-    asked = SlotRequested(GATEWAY, SlotNumber(1), "s", 1.0, 2.0, residence=NORTH.within(SOUTH))
+    asked = SlotRequested(GATEWAY, SlotNumber(1), "s", 1.0, 2.0, residence=NORTH.intersect(SOUTH))
     message = request_to_message(0, asked, "", 0.0)
     assert request_from_message(GATEWAY, message, 0.0).residence == asked.residence
     told = ItemsWaiting(LEADER, "s", 1, 0, PATIENT, residence=SOUTH)
--- a/tests/slots/test_other_regions.py
+++ b/tests/slots/test_other_regions.py
@@ -39,7 +39,7 @@
         for n in range(5):
             state = fleet.leader.selector.state(f"i{n % 2}")
             assert state is not None
-            fleet.leader.selector.failed(state, asyncio.get_running_loop().time())
+            fleet.leader.selector.record_failure(state, asyncio.get_running_loop().time())
             await asyncio.sleep(2 * OTHER_REGION_SNAPSHOT_INTERVAL_S / 5)
         told = fleet.network.snapshots_by_holder - before
         assert told["far"] <= 3
@@ -83,9 +83,9 @@
         now = asyncio.get_running_loop().time()
         chosen = []
         for _ in range(6):
-            state = choice.choose("t", now)
+            state = choice.select("t", now)
             assert state is not None
-            choice.sent(state, now)
+            choice.record_sent(state, now)
             chosen.append(state.instance.instance_id)
         assert chosen[:4] == ["near-2"] * 4
         assert "far" in chosen[4:]
--- a/tests/slots/test_sessions.py
+++ b/tests/slots/test_sessions.py
@@ -6,7 +6,7 @@
 import pytest
 
 from tests.slots.network import ONE_WAY_S, SETTLE_S, Fleet, Holder, play, request
-from wharfcart.routing.placement import NoSlotError, Placed, SendVerdict
+from wharfcart.routing.placement import NoSlotError, PlacementDecision, SendResult
 from wharfcart.slots.events import PreemptionCause
 from wharfcart.slots.item_slots import ItemDemand, ItemSlot, ItemSlots
 from wharfcart.slots.service import MAX_SNAPSHOTS_PER_SECOND
@@ -16,7 +16,7 @@
 PATIENT = Urgency(until_due_s=15.0, remaining_s=4.0)
 
 
-def instance_id_of(placed: Placed | None) -> str:
+def instance_id_of(placed: PlacementDecision | None) -> str:
     assert placed is not None
     return placed.state.instance.instance_id
 
@@ -28,7 +28,7 @@
         assert sorted(map(instance_id_of, placed)) == ["i0", "i0", "i1", "i1"]
         assert fleet.in_use() == 4
         for one in placed:
-            gateway.placement.ended(one, SendVerdict.GOOD)
+            gateway.placement.send_finished(one, SendResult.BACKEND_OK)
         await asyncio.sleep(2 * ONE_WAY_S)
         assert fleet.in_use() == 0
 
@@ -52,7 +52,7 @@
         waiting = asyncio.create_task(gateway.placement.place(request()))
         await asyncio.sleep(1.0)
         assert not waiting.done()
-        gateway.placement.ended(first, SendVerdict.GOOD)
+        gateway.placement.send_finished(first, SendResult.BACKEND_OK)
         assert instance_id_of(await waiting) == "i0"
         assert fleet.in_use() == 1
 
@@ -79,7 +79,7 @@
         await asyncio.sleep(0.5)
         leaver.cancel()
         await asyncio.sleep(0.1)
-        gateway.placement.ended(first, SendVerdict.GOOD)
+        gateway.placement.send_finished(first, SendResult.BACKEND_OK)
         await asyncio.sleep(0.1)
         assert fleet.in_use() == 0
 
@@ -146,7 +146,7 @@
         fleet.network.unreachable.clear()
         await asyncio.sleep(1.0)
         assert fleet.in_use() == 1
-        gateway.placement.ended(placed, SendVerdict.GOOD)
+        gateway.placement.send_finished(placed, SendResult.BACKEND_OK)
         await asyncio.sleep(0.1)
         assert fleet.in_use() == 0
 
@@ -173,7 +173,7 @@
         gateway = await fleet.gateway("g1")
         placed = [await gateway.placement.place(request()) for _ in range(3)]
         fleet.network.break_connection("g1", fleet.leader)
-        gateway.placement.ended(placed[0], SendVerdict.GOOD)
+        gateway.placement.send_finished(placed[0], SendResult.BACKEND_OK)
         await asyncio.sleep(SETTLE_S)
         assert fleet.in_use() == 2
 
@@ -215,7 +215,7 @@
         placed = await gateway.placement.place(request())
         assert fleet.in_use() == 1
         assert old.service.granter.snapshot(0.0).holders == 0
-        gateway.placement.ended(placed, SendVerdict.GOOD)
+        gateway.placement.send_finished(placed, SendResult.BACKEND_OK)
 
     play(scenario)
 
@@ -230,7 +230,7 @@
         fleet.network.unreachable.clear()
         await asyncio.sleep(SETTLE_S)
         assert fleet.in_use() == 1, "its own choice, not the grant that came later"
-        gateway.placement.ended(placed, SendVerdict.GOOD)
+        gateway.placement.send_finished(placed, SendResult.BACKEND_OK)
         await asyncio.sleep(SETTLE_S)
         assert fleet.in_use() == 0
 
@@ -241,13 +241,13 @@
     async def scenario(fleet: Fleet) -> None:
         first, second = await fleet.gateway("g1"), await fleet.gateway("g2")
         loop = asyncio.get_running_loop()
-        first.selector.sent(first.selector.state("i0"), loop.time() - 1.0)
+        first.selector.record_sent(first.selector.state("i0"), loop.time() - 1.0)
         await asyncio.sleep(0.1)
         placed = [await second.placement.place(request()) for _ in range(2)]
         assert list(map(instance_id_of, placed)) == ["i1", "i1"]
         # Told with the next picture, which an avoided back end brings about.
         await asyncio.sleep(0.1)
-        assert second.selector.state("i0").avoided(loop.time())
+        assert second.selector.state("i0").should_avoid(loop.time())
 
     play(scenario)
 
@@ -257,9 +257,9 @@
         first, second = await fleet.gateway("g1"), await fleet.gateway("g2")
         for _ in range(2):
             placed = await first.placement.place(request(excluded=frozenset({"i1"})))
-            first.placement.ended(placed, SendVerdict.BAD)
+            first.placement.send_finished(placed, SendResult.BACKEND_FAILED)
         await asyncio.sleep(0.1)
-        assert second.selector.state("i0").avoided(asyncio.get_running_loop().time())
+        assert second.selector.state("i0").should_avoid(asyncio.get_running_loop().time())
 
     play(scenario)
 
@@ -384,14 +384,16 @@
 def test_granting_node_knows_taken_slots_after_random_faults(seed: int) -> None:
     rng = Random(seed)
 
-    async def gateway_at_work(fleet: Fleet, name: str, held: list[Placed], until: float) -> None:
+    async def gateway_at_work(
+        fleet: Fleet, name: str, held: list[PlacementDecision], until: float
+    ) -> None:
         holder = fleet.holders[name]
         loop = asyncio.get_running_loop()
         while loop.time() < until:
             await asyncio.sleep(rng.uniform(0.001, 0.05))
             if held and rng.random() < 0.5:
                 held.remove(gone := rng.choice(held))
-                holder.placement.ended(gone, rng.choice(list(SendVerdict)[:2]))
+                holder.placement.send_finished(gone, rng.choice(list(SendResult)[:2]))
                 continue
             try:
                 placed = await holder.placement.place(request(waits_s=0.2))
@@ -418,7 +420,7 @@
                     fleet.network.unreachable.clear()
 
     async def scenario(fleet: Fleet) -> None:
-        held: dict[str, list[Placed]] = {}
+        held: dict[str, list[PlacementDecision]] = {}
         for n in range(4):
             await fleet.gateway(f"g{n}")
             held[f"g{n}"] = []
@@ -443,8 +445,10 @@
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
         for state in gateway.selector.states():
-            gateway.selector.load_told(state.instance.instance_id, 0, 0, True, state.others_at)
-            state.others_at = asyncio.get_running_loop().time()
+            gateway.selector.load_received(
+                state.instance.instance_id, 0, 0, True, state.snapshot_at
+            )
+            state.snapshot_at = asyncio.get_running_loop().time()
         placed = await gateway.placement.place(request())
         assert placed is not None and placed.granted
 
@@ -455,7 +459,7 @@
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
         for state in gateway.selector.states():
-            gateway.selector.failed(state, asyncio.get_running_loop().time())
+            gateway.selector.record_failure(state, asyncio.get_running_loop().time())
         placed = await gateway.placement.place(request())
         assert placed is not None and not placed.granted
         await asyncio.sleep(SETTLE_S)
