--- a/src/wharfcart/node/serving_node.py
+++ b/src/wharfcart/node/serving_node.py
@@ -127,12 +127,14 @@
         )
         self.suspension_detector = SuspensionDetector()
         self.suspension_watch = SuspensionWatch(self.suspension_detector, log)
-        suspects = PoisonRequests(release_jitter_s=self.random.uniform(0.0, RELEASE_JITTER_S))
-        self.crash_detector = CrashDetector(suspects, log)
+        poison_requests = PoisonRequests(
+            release_jitter_s=self.random.uniform(0.0, RELEASE_JITTER_S)
+        )
+        self.crash_detector = CrashDetector(poison_requests, log)
         self._poison_evidence_sync = PoisonEvidenceSync(
-            suspects, self.coordination, self.mirror, self.random, self._relay_crashes
+            poison_requests, self.coordination, self.mirror, self.random, self._relay_crashes
         )
-        self.metrics.contents_held.set_function(lambda: suspects.quarantined_count(time()))
+        self.metrics.contents_held.set_function(lambda: poison_requests.quarantined_count(time()))
         self.metrics.cold_backends.set_function(
             lambda: len(self.selector.cold_instances(monotonic()))
         )
--- a/src/wharfcart/node/storage_process.py
+++ b/src/wharfcart/node/storage_process.py
@@ -81,10 +81,10 @@
             self._batch_residences,
             self._node.suspension_detector.resumed_at,
         )
-        founder = Founder(
+        layout_bootstrap = Founder(
             context, LAYOUT_KEY, group_key, self._zones_by_identity, self._node.topology
         )
-        self._node.tasks.spawn(founder.run())
+        self._node.tasks.spawn(layout_bootstrap.run())
         self._node.tasks.spawn(self._open_groups(context))
         self._node.tasks.spawn(self._report_retirements())
 
--- a/tests/node/test_poison_evidence_sync.py
+++ b/tests/node/test_poison_evidence_sync.py
@@ -205,8 +205,8 @@
 
 
 def test_records_survive_a_round_trip_and_malformed_ones_are_ignored() -> None:
-    suspects = PoisonRequests()
-    record = suspects.record_crash(FINGERPRINT, "a", 0.5, 100.25)
+    poison_requests = PoisonRequests()
+    record = poison_requests.record_crash(FINGERPRINT, "a", 0.5, 100.25)
     assert record_from(record_to_bytes(record)) == record
     for value in (None, b"no", b"[]", b'{"a": 1}', b'{"a": ["x", 1]}'):
         assert record_from(value) is None
