--- a/src/wharfcart/admission/__init__.py
+++ b/src/wharfcart/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Whether work may start: limits, shedding, yielding, retry budgets."""
+"""Admission control: rate limits, preemption, retry budgets, quarantine of poison requests."""
--- a/src/wharfcart/admission/backend_gate.py
+++ b/src/wharfcart/admission/backend_gate.py
@@ -1,10 +1,11 @@
-"""Gate core: what may run on one back end now. Run by the back end's owner.
-
-Online work is admitted at once, up to the back end's limit, and never queues behind batch. Batch is
-admitted into *measured slack*: the gate fits ``inter-token seconds = base + slope * sequences``
-from the answers themselves and lets batch lengthen an online token by at most the policy's
-tolerance. When online work arrives, batch above that bound is stopped in the same step, without
-waiting for a load report; where the engine can resume, finished tokens are kept.
+"""Admission of requests to one back end; its owner runs this.
+
+Online requests are admitted at once, up to the back end's limit, and never queue behind batch.
+Batch requests use the spare capacity: the gate fits
+``inter-token seconds = base + slope * sequences`` to the token times of answers and lets batch
+lengthen an online token by at most the policy's ``max_slowdown``. When an online request arrives,
+the gate preempts batch above that bound at once, without waiting for a load report. An engine that
+can resume keeps the tokens of a preempted request.
 """
 
 from dataclasses import dataclass, field
@@ -22,17 +23,17 @@
 
 @dataclass(frozen=True)
 class PreemptionParameters:
-    """Numbers behind a yielding policy (docs/operations/yielding.md).
-
-    Parameters
-    ----------
-    tolerance: by what part batch may lengthen an online token.
-    floor_fraction: part of the slots that batch may use beside online work while nothing has been
-        measured yet.
-    prefills_beside_online: batch prompts that may begin in one engine step beside online work.
-    prefills_when_idle: the same without online work. It bounds the step that an online request may
-        find under way, which nothing can stop.
-    idle_seconds: how long a back end has been without online work before batch takes all slots.
+    """Parameters of a preemption policy (docs/operations/yielding.md).
+
+    Attributes:
+        max_slowdown: fraction by which batch may lengthen an online token.
+        unmeasured_batch_fraction: fraction of the batch slots that batch may use beside online
+            requests before the fit has enough samples.
+        prefills_beside_online: batch prompts that may start in one engine step beside online
+            requests.
+        prefills_when_idle: batch prompts that may start in one engine step without online requests.
+            It bounds the length of the step that a new online request has to wait for.
+        idle_seconds: time without online requests after which batch may use all slots.
     """
 
     max_slowdown: float
@@ -49,7 +50,7 @@
 
 
 class BackendState(StrEnum):
-    """Whether a back end may take new work."""
+    """Whether a back end accepts new requests."""
 
     LIVE = "live"
     DRAINING = "leaving"
@@ -58,7 +59,7 @@
 
 @dataclass(frozen=True)
 class GateCapacity:
-    """Bounds of one back end: requests it runs at once."""
+    """Maximum numbers of concurrent requests at one back end."""
 
     online: int
     batch: int
@@ -66,7 +67,7 @@
 
 @dataclass
 class TokenTimeFit:
-    """Least squares of inter-token seconds on running sequences, with exponential forgetting."""
+    """Least-squares fit of inter-token seconds to running sequences; old samples decay."""
 
     weight: float = 0.0
     sum_x: float = 0.0
@@ -76,7 +77,7 @@
     samples: int = 0
 
     def add(self, sequences: int, seconds: float) -> None:
-        """Take one observation."""
+        """Add a sample."""
         self.weight = self.weight * FIT_DECAY + 1
         self.sum_x = self.sum_x * FIT_DECAY + sequences
         self.sum_y = self.sum_y * FIT_DECAY + seconds
@@ -85,7 +86,7 @@
         self.samples += 1
 
     def coefficients(self) -> tuple[float, float] | None:
-        """Return base and slope, or None before they can be told."""
+        """Return base and slope, or None while the samples do not determine them."""
         determinant = self.weight * self.sum_xx - self.sum_x * self.sum_x
         if self.samples < MIN_SAMPLES or determinant < 1e-6 * self.weight**2:
             return None
@@ -102,7 +103,7 @@
 
 @dataclass
 class BackendGate:
-    """Everything in flight on one back end, exactly, as its owner knows it."""
+    """Requests in flight at one back end, as its owner counts them."""
 
     backend_id: str
     capacity: GateCapacity
@@ -119,7 +120,7 @@
     # ---- online ----
 
     def admit_online(self, request_id: str, now: float) -> bool:
-        """Admit an online request, or refuse it because the back end is full or leaving."""
+        """Admit an online request; return False if the back end is full or draining."""
         if self.state is not BackendState.LIVE or len(self.online) >= self.capacity.online:
             return False
         self.online[request_id] = _RunningRequest(now)
@@ -127,22 +128,25 @@
         return True
 
     def preempt_batch(self) -> list[str]:
-        """Return the batch requests that must stop now: youngest first, they lose least."""
-        running = [name for name in self.batch if name not in self._preempted]
-        surplus = len(running) - self._max_batch_beside_online()
+        """Mark the batch requests that must stop now as preempted and return them.
+
+        The most recently started ones are preempted: they lose the least work.
+        """
+        candidates = [request_id for request_id in self.batch if request_id not in self._preempted]
+        surplus = len(candidates) - self._max_batch_beside_online()
         if surplus <= 0 or not self.online:
             return []
-        stopped = running[-surplus:]
+        stopped = candidates[-surplus:]
         self._preempted.update(stopped)
         self.preempted_count += len(stopped)
         return stopped
 
     def is_preempted(self, request_id: str) -> bool:
-        """Whether a batch request was told to stop."""
+        """Whether a batch request was preempted."""
         return request_id in self._preempted
 
     def record_first_token(self, request_id: str, now: float) -> None:
-        """Note that an online request's first token came."""
+        """Record the first token of an online request."""
         running = self.online.get(request_id)
         if running is not None and not running.first_token_seen:
             running.first_token_seen = True
@@ -150,11 +154,11 @@
             self.first_token_seconds += FIRST_TOKEN_WEIGHT * (seconds - self.first_token_seconds)
 
     def record_token_time(self, seconds: float) -> None:
-        """Note the time between two tokens of any running request."""
+        """Record the time between two tokens of any running request."""
         self.fit.add(len(self.online) + len(self.batch), seconds)
 
     def finish_online(self, request_id: str, now: float) -> None:
-        """Note that an online request ended."""
+        """Record that an online request finished."""
         self.online.pop(request_id, None)
         self.last_online_at = now
 
@@ -166,29 +170,29 @@
             return 0
         idle_for = now - self.last_online_at
         if not self.online and idle_for >= POLICY_PARAMETERS[self.policy].idle_seconds:
-            room = self.capacity.batch - len(self.batch)
+            free = self.capacity.batch - len(self.batch)
             return max(
-                0, min(room, self._parameters.prefills_when_idle - self._prefilling_count(now))
+                0, min(free, self._parameters.prefills_when_idle - self._prefilling_count(now))
             )
         if any(not running.first_token_seen for running in self.online.values()):
-            return 0  # no batch prompt before an online first token
-        room = self._max_batch_beside_online() - len(self.batch)
+            return 0  # a batch prompt would delay the first token of an online request
+        free = self._max_batch_beside_online() - len(self.batch)
         return max(
-            0, min(room, self._parameters.prefills_beside_online - self._prefilling_count(now))
+            0, min(free, self._parameters.prefills_beside_online - self._prefilling_count(now))
         )
 
     def _prefilling_count(self, now: float) -> int:
-        """Batch requests whose prompt is likely processed in the engine's present step."""
-        line = self.fit.coefficients()
-        step = line[0] if line is not None else DEFAULT_STEP_S
-        return sum(now - running.started_at < step for running in self.batch.values())
+        """Return the number of batch requests that started within the current engine step."""
+        fitted = self.fit.coefficients()
+        step_s = fitted[0] if fitted is not None else DEFAULT_STEP_S
+        return sum(now - running.started_at < step_s for running in self.batch.values())
 
     def start_batch(self, request_id: str, now: float) -> None:
-        """Note that a batch request was sent."""
+        """Record that a batch request was sent."""
         self.batch[request_id] = _RunningRequest(now)
 
     def finish_batch(self, request_id: str) -> None:
-        """Note that a batch request ended."""
+        """Record that a batch request finished."""
         self.batch.pop(request_id, None)
         self._preempted.discard(request_id)
 
@@ -197,13 +201,13 @@
         return POLICY_PARAMETERS[self.policy]
 
     def _max_batch_beside_online(self) -> int:
-        """Return how many batch sequences lengthen an online token by no more than tolerated."""
+        """Return how many batch sequences may run without exceeding the policy's slowdown."""
         parameters = self._parameters
-        line = self.fit.coefficients()
-        if line is None:
+        fitted = self.fit.coefficients()
+        if fitted is None:
             return int(self.capacity.batch * parameters.unmeasured_batch_fraction)
-        base, slope = line
+        base, slope = fitted
         if slope <= 0:
             return self.capacity.batch
-        alone = base + slope * max(1, len(self.online))
-        return min(self.capacity.batch, int(parameters.max_slowdown * alone / slope))
+        online_token_s = base + slope * max(1, len(self.online))
+        return min(self.capacity.batch, int(parameters.max_slowdown * online_token_s / slope))
--- a/src/wharfcart/admission/hedging.py
+++ b/src/wharfcart/admission/hedging.py
@@ -1,7 +1,7 @@
-"""Budget for sends that are repeated since the first one is slow.
+"""Budget for hedged requests.
 
-A slow back end is passed by, but when all are slow such repeats only add load: they may be no more
-than a small part of the requests.
+Hedging avoids a single slow back end. When all back ends are slow, hedges only add load, so the
+budget bounds them to a share of the requests.
 """
 
 from dataclasses import dataclass
@@ -12,19 +12,19 @@
 
 @dataclass
 class HedgeBudget:
-    """Tokens that requests earn and repeats spend."""
+    """Token budget: each request deposits a fraction of a token, each hedge withdraws one."""
 
     tokens: float = MAX_TOKENS
 
     def deposit(self) -> None:
-        """Note a request."""
+        """Deposit the share of one request."""
         self.tokens = min(MAX_TOKENS, self.tokens + HEDGES_PER_REQUEST)
 
     @property
     def can_hedge(self) -> bool:
-        """Whether a repeat may be paid for."""
+        """Whether the budget covers a hedge."""
         return self.tokens >= 1.0
 
     def withdraw(self) -> None:
-        """Pay for a repeat."""
+        """Withdraw the token of one hedge."""
         self.tokens = max(0.0, self.tokens - 1.0)
--- a/src/wharfcart/admission/limiter.py
+++ b/src/wharfcart/admission/limiter.py
@@ -1,4 +1,4 @@
-"""Limiter driver: tenants' and services' rate limits over the whole fleet."""
+"""Enforcement of the fleet-wide rate limits of tenants and services."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 
 class Limiter:
-    """Limits as one node applies them."""
+    """Applies the rate limits on one node."""
 
     def __init__(
         self,
@@ -36,43 +36,41 @@
     async def check(self, bucket: str, limits: Limits) -> None:
         """Spend one token of a bucket.
 
-        Raises
-        ------
-        ServingError
-            ``rate_limited``, ``not_run``, with the time to come back.
+        Raises:
+            ServingError: ``rate_limited`` with outcome ``not_run`` and a retry time.
         """
-        taken = self._tokens_by_bucket.setdefault(bucket, GrantedTokens())
-        if taken.spend(monotonic()):
+        local_tokens = self._tokens_by_bucket.setdefault(bucket, GrantedTokens())
+        if local_tokens.spend(monotonic()):
             return
-        # One asks for all that wait: else a burst of callers drains the bucket of tokens that
-        # nobody spends.
+        # One caller requests tokens for all that wait; otherwise a burst of callers would take more
+        # tokens from the coordinator than they spend.
         async with self._locks_by_bucket.setdefault(bucket, asyncio.Lock()):
-            if taken.spend(monotonic()):
+            if local_tokens.spend(monotonic()):
                 return
-            if monotonic() < taken.refused_until:
-                raise _rate_limited(taken.refused_until - monotonic())
-            await self._request_tokens(bucket, limits, taken)
+            if monotonic() < local_tokens.refused_until:
+                raise _rate_limited(local_tokens.refused_until - monotonic())
+            await self._request_tokens(bucket, limits, local_tokens)
 
     async def _request_tokens(
         self, bucket: str, limits: Limits, local_tokens: GrantedTokens
     ) -> None:
         rate, burst = limits.requests_per_second, float(limits.burst)
         nodes = self._live_nodes()
-        home = choose_owner(bucket, nodes) or self._node_id
+        coordinator = choose_owner(bucket, nodes) or self._node_id
         wanted = grant_size(rate, burst)
         request = TakeTokens(bucket=bucket, wanted=wanted, rate=rate, burst=burst)
         try:
-            answer = await self._call_coordinator(home, request)
+            response = await self._call_coordinator(coordinator, request)
         except (PeerUnreachableError, TimeoutError):
             now = monotonic()
             if not local_tokens.spend_fallback(rate, burst, len(nodes), now):
                 raise _rate_limited(1.0 / rate) from None
             return
         now = monotonic()
-        if answer.granted < 1.0:
-            local_tokens.refused_until = now + answer.retry_after_ms / 1000
-            raise _rate_limited(answer.retry_after_ms / 1000)
-        local_tokens.replace(answer.granted, now)
+        if response.granted < 1.0:
+            local_tokens.refused_until = now + response.retry_after_ms / 1000
+            raise _rate_limited(response.retry_after_ms / 1000)
+        local_tokens.replace(response.granted, now)
         local_tokens.spend(now)
 
     async def _call_coordinator(self, coordinator: str, request: TakeTokens) -> TokensTaken:
@@ -81,19 +79,19 @@
             return self.grant(request)
         async with asyncio.timeout(COORDINATOR_TIMEOUT_S):
             frame = Frame(take_tokens=request)
-            answer = await self._transport.call(address, frame, TrafficClass.ONLINE)
-        return answer.tokens_taken
+            response = await self._transport.call(address, frame, TrafficClass.ONLINE)
+        return response.tokens_taken
 
     def grant(self, request: TakeTokens) -> TokensTaken:
-        """Give tokens of a bucket whose home is this node."""
+        """Grant tokens of a bucket that this node coordinates."""
         now = monotonic()
-        granted, seconds = self._coordinator.take(
+        granted, retry_after_s = self._coordinator.take(
             request.bucket, request.wanted, request.rate, request.burst, now
         )
-        return TokensTaken(granted=granted, retry_after_ms=int(seconds * 1000) + 1)
+        return TokensTaken(granted=granted, retry_after_ms=int(retry_after_s * 1000) + 1)
 
 
 def _rate_limited(seconds: float) -> ServingError:
     return ServingError(
-        "rate_limited", "the limit of requests is reached", 429, retry_after_seconds=seconds
+        "rate_limited", "request rate limit exceeded", 429, retry_after_seconds=seconds
     )
--- a/src/wharfcart/admission/limits.py
+++ b/src/wharfcart/admission/limits.py
@@ -1,14 +1,14 @@
-"""Limits: token buckets that hold over the whole fleet, and retry budgets.
+"""Fleet-wide token buckets and retry budgets.
 
-A bucket has a home node, chosen by rendezvous hashing over the live nodes. Other nodes take tokens
-from it in small batches and spend them locally, so that a limit holds wherever the calls arrive and
-most requests cost no message.
+Each bucket has a coordinator node, selected by rendezvous hashing over the live nodes. Other nodes
+request tokens from it in small grants and spend them locally, so that a limit holds at whichever
+nodes the requests arrive and most requests need no message.
 """
 
 from dataclasses import dataclass, field
 
-GRANT_REFILL_S = 0.1  # a node takes about as many tokens as refill in this time
-GRANT_TTL_S = 1.0  # taken tokens not spent in this time are void
+GRANT_REFILL_S = 0.1  # a grant covers the tokens refilled in this time
+GRANT_TTL_S = 1.0  # unspent granted tokens expire after this time
 FALLBACK_FACTOR = 2.0
 RETRIES_PER_REQUEST = 0.1
 INITIAL_RETRY_BALANCE = 10.0
@@ -16,7 +16,7 @@
 
 @dataclass
 class TokenBucket:
-    """A token bucket; ``rate`` tokens a second up to ``burst``."""
+    """A token bucket that refills at ``rate`` tokens per second up to ``burst``."""
 
     rate: float
     burst: float
@@ -24,7 +24,7 @@
     updated_at: float
 
     def refill(self, now: float) -> None:
-        """Add what time brought."""
+        """Add the tokens of the time since the last refill."""
         gained = max(0.0, now - self.updated_at) * self.rate
         self.tokens = min(self.burst, self.tokens + gained)
         self.updated_at = now
@@ -37,20 +37,20 @@
         return granted
 
     def seconds_until(self, wanted: float) -> float:
-        """Return after how long ``wanted`` tokens will be there."""
+        """Return the seconds until ``wanted`` tokens are available."""
         return max(0.0, (wanted - self.tokens) / self.rate)
 
 
 @dataclass
 class BucketCoordinator:
-    """The buckets whose home is this node."""
+    """The buckets that this node coordinates."""
 
     buckets: dict[str, TokenBucket] = field(default_factory=dict)
 
     def take(
         self, name: str, wanted: float, rate: float, burst: float, now: float
     ) -> tuple[float, float]:
-        """Return tokens granted and, if none, the seconds until one is there."""
+        """Return the granted tokens and, if there are none, the seconds until one is available."""
         bucket = self.buckets.get(name)
         if bucket is None or (bucket.rate, bucket.burst) != (rate, burst):
             tokens = burst if bucket is None else min(bucket.tokens, burst)
@@ -62,7 +62,7 @@
 
 @dataclass
 class GrantedTokens:
-    """Tokens of one bucket that this node holds, and what to do when the home is silent."""
+    """Tokens of one bucket granted to this node, with a fallback for an unreachable coordinator."""
 
     tokens: float = 0.0
     granted_at: float = 0.0
@@ -70,7 +70,7 @@
     fallback: TokenBucket | None = None
 
     def spend(self, now: float) -> bool:
-        """Spend one token if there is one."""
+        """Spend one token; return False if none is left."""
         if now - self.granted_at > GRANT_TTL_S:
             self.tokens = 0.0
         if self.tokens < 1.0:
@@ -79,12 +79,12 @@
         return True
 
     def replace(self, granted: float, now: float) -> None:
-        """Add tokens taken from the home."""
+        """Replace the tokens by a new grant of the coordinator."""
         self.tokens = granted
         self.granted_at = now
 
     def spend_fallback(self, rate: float, burst: float, live_nodes: int, now: float) -> bool:
-        """Spend from a local bucket of our share while the home cannot be reached."""
+        """Spend one token of this node's share while the coordinator is unreachable."""
         if self.fallback is None:
             share = FALLBACK_FACTOR / max(1, live_nodes)
             tokens = max(1.0, burst * share)
@@ -93,26 +93,26 @@
 
 
 def grant_size(rate: float, burst: float) -> float:
-    """Return how many tokens a node takes at once."""
+    """Return how many tokens a node requests at once."""
     return max(1.0, min(rate * GRANT_REFILL_S, burst / 10))
 
 
 @dataclass
 class RetryBudget:
-    """Retries are a fixed part of requests, so that a failing service is not asked twice as much.
+    """Bounds retries to a share of the requests, so that they do not multiply load in an outage.
 
-    The budget of the Finagle and Envoy retry filters: each request deposits a part of a token, each
-    retry withdraws one.
+    Works like the retry budgets of Finagle and Envoy: each request deposits a fraction of a token,
+    each retry withdraws one.
     """
 
     balance: float = INITIAL_RETRY_BALANCE
 
     def deposit(self) -> None:
-        """Note a first try."""
+        """Deposit the share of one first attempt."""
         self.balance = min(INITIAL_RETRY_BALANCE * 10, self.balance + RETRIES_PER_REQUEST)
 
     def withdraw(self) -> bool:
-        """Return whether a retry may be made."""
+        """Withdraw the token of one retry; return False if the budget is spent."""
         if self.balance < 1.0:
             return False
         self.balance -= 1.0
--- a/src/wharfcart/admission/request_fingerprint.py
+++ b/src/wharfcart/admission/request_fingerprint.py
@@ -1,16 +1,16 @@
-"""What makes two requests the same beyond one attempt: their content.
+"""Fingerprints that identify a request over all of its attempts.
 
-Callers that repeat a request give each attempt an id of its own and may come to any gateway. What
-a back end does with it depends on what it reads, so that is what a request is known by.
+A caller that retries a request uses a new request id for each attempt and may reach any gateway, so
+an id does not identify the request. The fingerprint is a digest of what a back end receives.
 """
 
 from hashlib import blake2b
 from typing import NewType
 
-# Digest of host, method, target, tenant and body, in hex.
+# Hex digest of host, method, target, tenant and body.
 RequestFingerprint = NewType("RequestFingerprint", str)
 
-# Long enough that nobody finds two contents with one digest, and so has another's request refused.
+# Collision resistant: no tenant can get another tenant's request quarantined.
 DIGEST_BYTES = 16
 LENGTH_PREFIX_BYTES = 8
 
@@ -18,14 +18,14 @@
 def fingerprint_of(
     host: str, method: str, target: str, tenant: str, body: bytes
 ) -> RequestFingerprint:
-    """Return what a request is known by; a tenant's requests are never those of another.
+    """Return the fingerprint of a request; those of two tenants always differ.
 
     Args:
-        host: that it was sent to.
-        method: of the request.
+        host: host of the route.
+        method: HTTP method.
         target: path and query.
-        tenant: whose request it is, or ''.
-        body: whole.
+        tenant: name of the tenant, or ''.
+        body: complete body.
     """
     digest = blake2b(digest_size=DIGEST_BYTES)
     for text in (host, method, target, tenant):
@@ -35,6 +35,6 @@
 
 
 def _update_with_length(digest: blake2b, part: bytes) -> None:
-    """Add a part with its length: two parts never run into each other."""
+    """Add a part with a length prefix, so that the boundaries of parts are unambiguous."""
     digest.update(len(part).to_bytes(LENGTH_PREFIX_BYTES, "big"))
     digest.update(part)
--- a/src/wharfcart/admission/tenant_limits.py
+++ b/src/wharfcart/admission/tenant_limits.py
@@ -1,25 +1,25 @@
-"""Limits of tenants' requests, cores: one token bucket a tenant that holds over the whole fleet.
+"""Request limits of tenants: one token bucket per tenant that holds over the whole fleet.
 
-Each tenant has a *home*: one granting node that permits its requests and knows which gateway sent
-how many. A gateway that has no contact to a home goes on by itself, at most as fast as it went
-lately when it had: over all gateways that is about what the home had permitted.
+Each tenant has a limit coordinator: one granting node that permits the tenant's requests and counts
+them by gateway. A gateway that is disconnected from the coordinator continues at its recent rate;
+summed over all gateways that is about what the coordinator had permitted.
 
-A home that begins knows nothing. Each gateway's session opens with what it sent lately, and with
-what the last home had told of all gateways together; from both follows how many tokens are left,
-and how many may still be spent by gateways that have not opened theirs.
+A new coordinator has no state. Each gateway opens its session with its recent requests and with the
+last usage report of the previous coordinator. From these the new coordinator computes how many
+tokens are left and how many may still be spent by gateways that are not connected to it yet.
 
-What a gateway sent that was lost with the last home is known to nobody, and may be a whole burst.
-So a home that begins lends no more than :data:`FIRST_BURST_SHARE` of a window's requests at once,
-until all that was sent before it has left the window.
+If a gateway is lost together with the coordinator, nobody knows what it sent last; that may be a
+whole burst. So a new coordinator grants at most :data:`INITIAL_BURST_SHARE` of a window's requests
+beyond the rate, until every request sent before its start has left the window.
 
-What holds, for each tenant and every span of :data:`WINDOW_S`: no more than ``rate * span + burst``
-requests are sent while gateways have contact, whatever homes come and go. A gateway without contact
-may send its part of a window faster than evenly, and a home that begins while others are out of
-contact reckons with what these were told to use: together a few parts in a hundred too many. A
-gateway that starts without contact sends up to :data:`FIRST_SHARE` of a window's requests until it
-has.
+For each tenant and every span of :data:`WINDOW_S`, at most ``rate * span + burst`` requests are
+sent while gateways are connected, also when coordinators change. The limit may be exceeded by a few
+percent while gateways are disconnected: a disconnected gateway may send its share of a window
+unevenly, and a new coordinator only estimates the usage of gateways that are not connected to it. A
+gateway that starts without contact to a coordinator sends up to :data:`NO_CONTACT_SHARE` of a
+window's requests until it connects.
 
-Pure: time is handed in as seconds.
+This module does no I/O; callers pass in the time in seconds.
 """
 
 from collections import deque
@@ -28,39 +28,33 @@
 
 from wharfcart.configuration.serving import RequestLimit
 
-# Limits hold over every span of this length: so far back a home that begins looks.
+# Limits hold over every span of this length.
 WINDOW_S = 5.0
-# A gateway without contact goes on for so long, and its part is kept for it a little longer: links
-# between machines of one region come back within seconds, or the machine is given up.
+# A disconnected gateway sends for this long; the coordinator reserves its share a little longer.
 MAX_DISCONNECTED_S = 20.0
 RESERVATION_S = MAX_DISCONNECTED_S + 3.0
-# Part of a window's requests that a gateway may send that never had contact, and how many at least:
-# a tenant's callers come to few gateways, and a home counts these requests once it hears of them.
+# Share of a window's requests for a gateway that never had contact, and its least number.
 NO_CONTACT_SHARE = 1 / 16
 MIN_NO_CONTACT_REQUESTS = 4.0
-# Part of a window's requests that a home lends beyond the rate in its first window. Gateways that
-# were lost with the last home may have sent a whole burst that nobody tells of: with this share a
-# window sees a sixth too many at the most. A tenant whose burst is the rate of one second is not
-# refused anything for it; one with a larger burst waits for a window at the most.
+# Share of a window's requests that a new coordinator grants beyond the rate; bounds the excess.
 INITIAL_BURST_SHARE = 1 / 6
-# Usage is told of tenants that use more than this part of their limit. What gateways that a new
-# home does not hear may send for others is little beside the limit.
+# The coordinator reports the usage of tenants above this share of their limit.
 REPORTED_SHARE = 0.25
-# A tenant that uses more than this part of its limit comes near it.
+# Above this share of its limit a tenant is near it.
 NEAR_LIMIT_SHARE = 0.7
-# What gateways heard of usage says nothing once they had been without a home for so long: homes
-# tell it a few times a second.
+# Coordinators report usage several times per second; older reports are ignored.
 MAX_USAGE_AGE_S = 1.5
-# A tenant over its limit is told to come back within this time, however many were told before.
+# Upper bound of the retry time sent to callers.
 MAX_RETRY_AFTER_S = WINDOW_S
 
 
 @dataclass(frozen=True, slots=True)
 class PermittedSend:
-    """One request that was permitted.
+    """One permitted request.
 
     Attributes:
-        age_s: seconds since it was.
+        tenant: name of the tenant.
+        age_s: seconds since the request was permitted.
     """
 
     tenant: str
@@ -69,12 +63,12 @@
 
 @dataclass
 class SendHistory:
-    """What one gateway has sent lately, and what it may send without contact to a home."""
+    """Recent requests of one gateway; decides what it may send while disconnected."""
 
     _times_by_tenant: dict[str, deque[float]] = field(default_factory=dict)
 
     def record(self, tenant: str, now: float) -> None:
-        """Note a request that was permitted."""
+        """Record a permitted request."""
         times = self._times_by_tenant.setdefault(tenant, deque())
         times.append(now)
         while times[0] < now - MAX_DISCONNECTED_S - WINDOW_S:
@@ -97,33 +91,34 @@
         usage: int,
         now: float,
     ) -> bool:
-        """Whether one more request keeps to the pace of the time with contact.
+        """Whether one more request stays within the rate before the disconnect.
 
-        That is the pace of the last window for a tenant that came near its limit, and of the
-        busiest one lately for others: all gateways together have room for it.
+        For a tenant near its limit that is the rate of the last window before the disconnect. For
+        other tenants it is the rate of the busiest recent window, which the limit still covers.
 
         Args:
-            tenant: whose request it is.
-            limit: of the tenant, in force at this gateway.
-            contact_at: when the home was heard last; None if none ever was.
-            usage: requests of the last window over all gateways, as the home told; 0 if few.
-            now: the time.
+            tenant: name of the tenant.
+            limit: limit of the tenant at this gateway.
+            last_contact_at: time of the last contact to a coordinator; None if there was none.
+            usage: requests of the last window over all gateways, as the coordinator reported; 0 if
+                below the reported share.
+            now: current time in seconds.
         """
         times = self._times_by_tenant.get(tenant, ())
         if last_contact_at is None:
-            most = max(MIN_NO_CONTACT_REQUESTS, limit.per_s * WINDOW_S * NO_CONTACT_SHARE)
+            max_requests = max(MIN_NO_CONTACT_REQUESTS, limit.per_s * WINDOW_S * NO_CONTACT_SHARE)
         elif now - last_contact_at > MAX_DISCONNECTED_S:
-            most = 0.0
+            max_requests = 0.0
         elif usage > NEAR_LIMIT_SHARE * _window_limit(limit):
-            most = _count_in_window(times, last_contact_at)
+            max_requests = _count_in_window(times, last_contact_at)
         else:
-            most = _max_in_window(times, last_contact_at)
-        return _count_in_window(times, now) < min(most, _window_limit(limit))
+            max_requests = _max_in_window(times, last_contact_at)
+        return _count_in_window(times, now) < min(max_requests, _window_limit(limit))
 
 
 @dataclass(frozen=True, slots=True)
 class TenantUsage:
-    """Requests of one tenant in one window over all gateways, as a home told."""
+    """Requests of one tenant in one window over all gateways, as a coordinator reported."""
 
     tenant: str
     count: int
@@ -131,17 +126,18 @@
 
 @dataclass
 class _TenantState:
-    """What a home knows of one tenant.
+    """State of one tenant at its coordinator.
 
     Attributes:
-        times_by_holder: when each gateway sent its last requests.
-        lost_at_by_holder: when contact to a gateway was lost.
-        level: tokens that are there; below 0 if more was sent than was permitted here.
-        counted_at: time of the level; None if it must be reckoned anew.
-        told_count: requests of one window over all gateways, as the last home told.
-        told_at: end of that window.
-        promised_until: until when each token that comes is promised to somebody.
-        sent_here: requests that were sent since this home began, as far as it counted them itself.
+        send_times_by_holder: times of the recent requests of each gateway.
+        lost_at_by_holder: when the connection to each lost gateway broke.
+        tokens: tokens in the bucket; below 0 if gateways sent requests without a permit.
+        refilled_at: time of the last refill; None if the tokens must be recomputed.
+        reported_count: requests of one window over all gateways, as the previous coordinator
+            reported.
+        reported_at: end of that window.
+        promised_until: time up to which all future tokens are promised to refused callers.
+        sent_count: requests that this coordinator has counted since its start.
     """
 
     send_times_by_holder: dict[str, deque[float]] = field(default_factory=dict)
@@ -161,7 +157,7 @@
             times.popleft()
 
     def reserved(self, holder: str, now: float) -> int:
-        """Return how many requests a window a gateway may send without contact."""
+        """Return the requests per window reserved for a disconnected gateway."""
         lost_at = self.lost_at_by_holder.get(holder)
         times = self.send_times_by_holder.get(holder)
         if lost_at is None or not times or now - lost_at > RESERVATION_S:
@@ -169,7 +165,7 @@
         return _max_in_window(times, times[-1])
 
     def used(self, now: float) -> int:
-        """Return the requests of the last window, those that may be sent without contact too."""
+        """Return the requests of the last window, including reserved ones."""
         return sum(
             max(_count_in_window(times, now), self.reserved(holder, now))
             for holder, times in self.send_times_by_holder.items()
@@ -177,11 +173,11 @@
 
 
 class TenantLimitCoordinator:
-    """The tenants whose home is one node.
+    """Coordinates the limits of tenants on one node.
 
     Args:
-        limit_of: a tenant's limit by the configuration in force, or None.
-        now: when this node begins to keep the limits.
+        limit_of: returns a tenant's limit in the current configuration, or None.
+        now: time in seconds at which this node becomes the coordinator.
     """
 
     def __init__(self, limit_of: Callable[[str], RequestLimit | None], now: float) -> None:
@@ -204,15 +200,18 @@
         gateways: int,
         now: float,
     ) -> None:
-        """Take what a gateway sent lately, alone too; after a restart it knows less than this home.
+        """Record that a gateway connected, with its recent requests.
+
+        The requests include those sent while disconnected. A restarted gateway may report fewer
+        than this coordinator has counted; the larger set is kept.
 
         Args:
             holder: the gateway.
             sends: its requests of the last two windows.
-            usage: of all gateways, as it heard last from any home.
-            usage_age_s: seconds since then.
-            gateways: how many gateways that home had counted.
-            now: the time.
+            usage: usage over all gateways, as the gateway last received it from any coordinator.
+            usage_age_s: age of that report in seconds.
+            gateways: number of gateways in that report.
+            now: current time in seconds.
         """
         self._connected.add(holder)
         self._lost_at_by_holder.pop(holder, None)
@@ -229,22 +228,22 @@
             ):
                 tenant.send_times_by_holder[holder] = deque(sorted(times))
                 tenant.refilled_at = None
-        heard_at = now - usage_age_s
-        self._usage_received_at = max(self._usage_received_at, heard_at)
-        for told in usage:
-            tenant = self._tenant(told.tenant)
-            if heard_at > tenant.reported_at:
-                tenant.reported_at = heard_at
-                tenant.reported_count = told.count
+        received_at = now - usage_age_s
+        self._usage_received_at = max(self._usage_received_at, received_at)
+        for report in usage:
+            tenant = self._tenant(report.tenant)
+            if received_at > tenant.reported_at:
+                tenant.reported_at = received_at
+                tenant.reported_count = report.count
                 tenant.refilled_at = None
 
     def holder_lost(self, holder: str, unresponsive_s: float, now: float) -> None:
-        """Keep a gateway's part for it: it may go on without contact.
+        """Reserve the share of a disconnected gateway, which may continue to send.
 
         Args:
             holder: the gateway.
-            silent_s: for how long nothing was heard of it; it may have gone on meanwhile.
-            now: the time.
+            unresponsive_s: seconds since its last message; it may have sent requests since.
+            now: current time in seconds.
         """
         self._connected.discard(holder)
         self._lost_at_by_holder[holder] = now
@@ -259,20 +258,20 @@
     # ---- requests ----
 
     def acquire(self, holder: str, name: str, now: float) -> float:
-        """Permit a request; 0, or the seconds after which to come back."""
+        """Permit a request and return 0, or return the seconds after which to retry."""
         limit = self._limit_of(name)
         if limit is None:
             return 0.0
         tenant = self._tenant(name)
         rate = self._refill(tenant, limit, now)
-        level = min(tenant.tokens, self._initial_tokens(tenant, limit, now))
-        if level < 1.0:
-            return self._retry_after(tenant, level, rate, now)
+        available = min(tenant.tokens, self._initial_tokens(tenant, limit, now))
+        if available < 1.0:
+            return self._retry_after(tenant, available, rate, now)
         self._spend(tenant, holder, now)
         return 0.0
 
     def count_unpermitted(self, holder: str, name: str, now: float) -> None:
-        """Count a request that a gateway sent without asking."""
+        """Count a request that a gateway sent without a permit."""
         limit = self._limit_of(name)
         if limit is None:
             return
@@ -281,7 +280,7 @@
         self._spend(tenant, holder, now)
 
     def release(self, holder: str, name: str, now: float) -> None:
-        """Take back a permit whose request was not sent."""
+        """Release a permit whose request was not sent."""
         limit = self._limit_of(name)
         tenant = self._tenants_by_name.get(name)
         times = None if tenant is None else tenant.send_times_by_holder.get(holder)
@@ -293,29 +292,29 @@
         tenant.tokens = min(max(1.0, limit.burst), tenant.tokens + 1.0)
 
     def gateway_count(self, now: float) -> int:
-        """Return how many gateways have a session here, or may go on without one."""
-        told = self._reported_gateways if now - self._started_at <= RESERVATION_S else 0
-        return max(told, self._known_gateway_count(now))
+        """Return the number of gateways that are connected or may send while disconnected."""
+        reported = self._reported_gateways if now - self._started_at <= RESERVATION_S else 0
+        return max(reported, self._known_gateway_count(now))
 
     def window_usage(self, name: str, now: float) -> int:
-        """Return a tenant's requests of the last window, as far as they are known."""
+        """Return the known requests of a tenant in the last window."""
         tenant = self._tenants_by_name.get(name)
         return 0 if tenant is None else tenant.used(now)
 
     def usage_by_tenant(self, now: float) -> dict[str, int]:
-        """Return the requests of the last window by tenant, of those that come near their limit."""
+        """Return the requests of the last window by tenant, above the reported share only."""
         self._expire(now)
-        found = {}
+        usage = {}
         for name, tenant in self._tenants_by_name.items():
             limit = self._limit_of(name)
             if limit is None:
                 continue
             used = tenant.used(now) + self._unreported_usage(tenant, limit, now)
             if used > REPORTED_SHARE * _window_limit(limit):
-                found[name] = int(used)
-        return found
+                usage[name] = int(used)
+        return usage
 
-    # ---- inner ----
+    # ---- internal ----
 
     def _tenant(self, name: str) -> _TenantState:
         return self._tenants_by_name.setdefault(name, _TenantState())
@@ -326,14 +325,14 @@
         tenant.record(holder, now)
 
     def _refill(self, tenant: _TenantState, limit: RequestLimit, now: float) -> float:
-        """Add the tokens that time brought; return the rate at which they come."""
-        kept = sum(tenant.reserved(holder, now) for holder in tenant.lost_at_by_holder)
-        unknown = self._unreported_usage(tenant, limit, now)
-        left = limit.per_s * WINDOW_S - kept - unknown
-        rate = max(0.0, left / WINDOW_S)
-        burst = max(1.0, limit.burst) + min(0.0, left)
+        """Add the tokens since the last refill; return the refill rate in tokens per second."""
+        reserved_requests = sum(tenant.reserved(holder, now) for holder in tenant.lost_at_by_holder)
+        unreported_requests = self._unreported_usage(tenant, limit, now)
+        available = limit.per_s * WINDOW_S - reserved_requests - unreported_requests
+        rate = max(0.0, available / WINDOW_S)
+        burst = max(1.0, limit.burst) + min(0.0, available)
         if tenant.refilled_at is None:
-            tenant.tokens = _replay_tokens(tenant, rate, burst, now) - unknown
+            tenant.tokens = _replay_tokens(tenant, rate, burst, now) - unreported_requests
         else:
             gained = (now - tenant.refilled_at) * rate
             tenant.tokens = min(burst, tenant.tokens + gained)
@@ -345,29 +344,29 @@
         return len(self._connected) + lost
 
     def _unreported_usage(self, tenant: _TenantState, limit: RequestLimit, now: float) -> float:
-        """Return the most requests a window of gateways that have not opened their session here."""
+        """Return an upper bound of the requests per window of gateways not connected yet."""
         if (
             now - self._started_at > RESERVATION_S
             or self._known_gateway_count(now) >= self._reported_gateways
         ):
             return 0.0
-        told_at, told_count = tenant.reported_at, float(tenant.reported_count)
+        window_end, reported_usage = tenant.reported_at, float(tenant.reported_count)
         if self._started_at - self._usage_received_at > MAX_USAGE_AGE_S:
-            told_at, told_count = self._started_at, _window_limit(limit)
+            window_end, reported_usage = self._started_at, _window_limit(limit)
         known = sum(
-            _count_in_window(times, told_at) for times in tenant.send_times_by_holder.values()
+            _count_in_window(times, window_end) for times in tenant.send_times_by_holder.values()
         )
-        return max(0.0, told_count - known)
+        return max(0.0, reported_usage - known)
 
     def _initial_tokens(self, tenant: _TenantState, limit: RequestLimit, now: float) -> float:
-        """Return the tokens that this home may lend by its first window's share; many after it."""
+        """Return the tokens that may be granted in the first window; unlimited after it."""
         age_s = now - self._started_at
         if age_s >= WINDOW_S:
             return float("inf")
         return INITIAL_BURST_SHARE * _window_limit(limit) + limit.per_s * age_s - tenant.sent_count
 
     def _retry_after(self, tenant: _TenantState, tokens: float, rate: float, now: float) -> float:
-        """Return when a token is there that was promised to nobody yet."""
+        """Return the seconds until the next token that is not promised to another caller."""
         if rate <= 0.0:
             return MAX_RETRY_AFTER_S
         next_token = now + (1.0 - tokens) / rate
@@ -380,46 +379,46 @@
                 del self._lost_at_by_holder[holder]
         for tenant in self._tenants_by_name.values():
             for holder, times in list(tenant.send_times_by_holder.items()):
-                over = not times or times[-1] < now - 2 * WINDOW_S
-                if over and not tenant.reserved(holder, now):
+                is_outdated = not times or times[-1] < now - 2 * WINDOW_S
+                if is_outdated and not tenant.reserved(holder, now):
                     del tenant.send_times_by_holder[holder]
                     tenant.lost_at_by_holder.pop(holder, None)
 
 
 def _window_limit(limit: RequestLimit) -> float:
-    """Return how many requests one window may see."""
+    """Return the number of requests allowed in one window."""
     return limit.per_s * WINDOW_S + limit.burst
 
 
 def _count_in_window(times: Iterable[float], until: float) -> int:
-    """Return how many of some times lie in the window that ends at a time."""
+    """Return how many of the times lie in the window that ends at ``until``."""
     return sum(until - WINDOW_S < at <= until for at in times)
 
 
 def _max_in_window(times: Iterable[float], until: float) -> int:
-    """Return the most times in any window that ends within the window before a time."""
+    """Return the largest count of any window that ends within the window before ``until``."""
     recent = [at for at in times if until - 2 * WINDOW_S < at <= until]
-    most = first = 0
+    max_count = first = 0
     for last, at in enumerate(recent):
         while recent[first] <= at - WINDOW_S:
             first += 1
         if at > until - WINDOW_S:
-            most = max(most, last - first + 1)
-    return max(most, _count_in_window(recent, until - WINDOW_S))
+            max_count = max(max_count, last - first + 1)
+    return max(max_count, _count_in_window(recent, until - WINDOW_S))
 
 
 def _replay_tokens(tenant: _TenantState, rate: float, burst: float, now: float) -> float:
-    """Return the tokens left of a bucket that was full a window ago.
+    """Return the tokens left in a bucket that was full one window ago.
 
-    With that many tokens no span that begins later sees more than ``rate * span + burst``.
+    Continuing with these tokens keeps every later span within ``rate * span + burst``.
     """
-    began = now - WINDOW_S
+    window_start = now - WINDOW_S
     times = sorted(
-        at for times in tenant.send_times_by_holder.values() for at in times if at > began
+        at for times in tenant.send_times_by_holder.values() for at in times if at > window_start
     )
-    level = burst
-    last = began
+    tokens = burst
+    last = window_start
     for at in times:
-        level = min(burst, level + (at - last) * rate) - 1.0
+        tokens = min(burst, tokens + (at - last) * rate) - 1.0
         last = at
-    return min(burst, level + (now - last) * rate)
+    return min(burst, tokens + (now - last) * rate)
