--- a/src/wharfcart/routing/backend_selection.py
+++ b/src/wharfcart/routing/backend_selection.py
@@ -1,13 +1,13 @@
-"""Choice core: which incarnation of a service's back ends a request goes to.
+"""Selection of the back-end instance that a request goes to.
 
-Slots are granted (:mod:`wharfcart.slots`); a node chooses by itself where nobody grants any. It
-judges by what it sees itself: its own requests in flight, the load that answers tell, connections
-that failed, answers that stay away; and by the last picture of the load that the granting nodes
-told. Load is counted as the share of slots that are taken. Long shared prompts go where they were
-read before, as long as that back end is not overloaded (rendezvous hashing with bounded load);
-everything else goes to the least loaded, in the zone first.
+Granting nodes grant slots (:mod:`wharfcart.slots`); a node selects an instance itself where no
+granting node is reachable. It uses its own observations (requests in flight, load reported in
+answers, failed connections, missing answers) and the last load snapshot of the granting nodes. Load
+is the share of slots in use. Requests with a long shared prompt go to the instance that has read
+the prompt before, unless that one is overloaded (rendezvous hashing with bounded load). All other
+requests go to the least loaded instances, in the node's own zone first.
 
-Pure: time and randomness are handed in.
+This module does no I/O; callers pass in time and randomness.
 """
 
 from collections.abc import Callable, Collection, Iterable, Mapping, Sequence
@@ -29,51 +29,56 @@
 MAX_REPORT_AGE_S = 1.5
 MIN_AVOID_S = 0.5
 MAX_AVOID_S = 4.0
-# No byte of an answer after this time, and longer by what prompts there take to read, is silence.
+# Timeout of the first byte, to which the prefill time of queued prompts is added.
 FIRST_BYTE_TIMEOUT_S = 0.35
 PREFILL_TOKENS_PER_SECOND = 40_000
 OTHER_ZONE_PENALTY = 0.04
-# A request to another region comes a round trip or two later, and its bytes cost most: it goes
-# there only where the own region is full. The load there is hardly known here either.
+# As much as a full back end: requests leave their region only if it is full.
 OTHER_REGION_PENALTY = 1.0
 DISTANCE_COSTS = {
     Distance.SAME_ZONE: 0.0,
     Distance.SAME_REGION: OTHER_ZONE_PENALTY,
     Distance.OTHER_REGION: OTHER_REGION_PENALTY,
 }
-# Entries of most of a service that vanish without a drain speak for an outage of discovery, in
-# which they lapse although the back ends work on. Without other signs of one they count only as
-# long as a back end that leaves unannounced still serves.
+# How long instances are kept whose entries vanished without a drain, possibly by lapsed leases.
 VANISHED_TTL_S = 1.5
 VANISHED_TTL_IN_OUTAGE_S = 10.0
 MIN_AFFINITY_TOKENS = 1000
 AFFINITY_MAX_LOAD = 0.9
-# Reading a long shared prompt anew costs more than waiting a little longer than elsewhere.
+# Prefill of a long shared prompt elsewhere costs more than some waiting.
 AFFINITY_MAX_LOAD_ABOVE_MIN = 0.35
-# Where nobody else sends, only back ends that are equally empty are drawn from.
+# Without other senders, only the instances with the least load are candidates.
 MIN_FILL_REQUESTS = 0.05
-# When more than the rest seem to fail, it is something else that fails.
+# If fewer instances look healthy, the cause is elsewhere, and none is avoided.
 MIN_HEALTHY_SHARE = 0.2
-# The picture of the load counts as no older than this, however old it is.
+# Upper bound of the snapshot age in the estimate of peer sends.
 MAX_SNAPSHOT_AGE_S = 1.0
-# A picture counts for so long after it came, as a rough guess at what others do.
+# Older snapshots are ignored.
 SNAPSHOT_TTL_S = 3.0
-# So many prompt tokens that wait to be read weigh as much as all slots taken.
+# Unread prompt tokens that count like a back end with all slots in use.
 UNREAD_TOKENS_PER_LOAD = 24_000
 
 
 @dataclass
 class InstanceState:
-    """What this node knows of one incarnation.
-
-    Parameters
-    ----------
-    waiting_since: for each request in flight without a byte of answer, when it was sent.
-    unread: for each of these, the tokens of its prompt that are probably not cached.
-    others_in_flight: what all other nodes had there by the last picture, taken ``others_at``.
-    others_unread: tokens of their prompts that were not read yet.
-    others_avoid: the node that grants its slots leaves it out.
-    cold: what it told of being cold.
+    """State of one instance as this node knows it.
+
+    Attributes:
+        instance: the instance's entry in discovery.
+        in_flight: requests of this node in flight.
+        reported_load: running and waiting requests, as an answer reported them last.
+        in_flight_at_report: requests of this node in flight at that time.
+        reported_at: time of that answer.
+        avoid_until: end of the back-off after a failure.
+        failures: consecutive failures.
+        unanswered_since: send time of each request without a first byte, by send id.
+        unread_by_send: uncached prompt tokens of each of these requests, by send id.
+        peers_in_flight: requests of other nodes in flight, in the last snapshot.
+        peers_unread_tokens: unread prompt tokens of these requests.
+        avoided_by_granter: whether the granting node avoids the instance.
+        snapshot_at: time at which the snapshot was received.
+        outcomes: recent outcomes of this node's requests.
+        cold: until when the instance is cold, as it reported.
     """
 
     instance: BackendInstance
@@ -93,7 +98,7 @@
     cold: ColdPeriod = field(default_factory=ColdPeriod)
 
     def load(self, now: float) -> float:
-        """Return the estimated share of slots that are taken; above 1 requests wait."""
+        """Return the estimated share of slots in use; above 1, requests wait."""
         taken = self.in_flight
         if self._is_snapshot_valid(now):
             taken += self.peers_in_flight
@@ -102,30 +107,30 @@
         return taken / max(1, self.instance.slots)
 
     def unread_tokens(self, now: float) -> int:
-        """Return the prompt tokens that wait to be read there."""
+        """Return the prompt tokens that wait for prefill."""
         tokens = sum(self.unread_by_send.values())
         return tokens + self.peers_unread_tokens if self._is_snapshot_valid(now) else tokens
 
     def should_avoid(self, now: float) -> bool:
-        """Whether failures or silence speak against this incarnation now."""
+        """Whether to avoid the instance: it fails, is unresponsive or is avoided by its granter."""
         if self.has_failed_recently(now) or self.is_unresponsive(now) or self.is_failing(now):
             return True
         return self.avoided_by_granter and self._is_snapshot_valid(now)
 
     def has_failed_recently(self, now: float) -> bool:
-        """Whether this node itself could not reach the incarnation a moment ago."""
+        """Whether the instance is in back-off after a failure seen by this node."""
         return now < self.avoid_until
 
     def is_failing(self, now: float) -> bool:
-        """Whether too many of its answers that this node knows of failed lately."""
+        """Whether too many recent answers to this node failed."""
         return counts_as_failing(*self.outcomes.counts(now))
 
     def is_unresponsive(self, now: float) -> bool:
-        """Whether a request of this node waits too long for the first byte of its answer."""
+        """Whether a request of this node has waited too long for the first byte."""
         if not self.unanswered_since:
             return False
-        patience_s = FIRST_BYTE_TIMEOUT_S + self.unread_tokens(now) / PREFILL_TOKENS_PER_SECOND
-        return now - min(self.unanswered_since.values()) > patience_s
+        timeout_s = FIRST_BYTE_TIMEOUT_S + self.unread_tokens(now) / PREFILL_TOKENS_PER_SECOND
+        return now - min(self.unanswered_since.values()) > timeout_s
 
     def _is_snapshot_valid(self, now: float) -> bool:
         return now - self.snapshot_at < SNAPSHOT_TTL_S
@@ -133,12 +138,15 @@
 
 @dataclass
 class BackendSelector:
-    """All incarnations that this node knows, by service.
+    """Selects instances among all that this node knows.
 
     Attributes:
-        cold: which of them are cold.
-        own_cold_shares: at which of these this node has a share when it chooses by itself; None
-            where it never does.
+        zone: zone of this node.
+        random: source of randomness.
+        eligibility: rules that exclude instances.
+        cold: cold instances.
+        local_cold_shares: shares of cold instances for local choices; None if this node never
+            selects cold instances itself.
     """
 
     zone: str
@@ -148,22 +156,22 @@
     local_cold_shares: LocalColdShares | None = None
     _states: dict[str, InstanceState] = field(default_factory=dict)
     _by_service: dict[str, dict[str, InstanceState]] = field(default_factory=dict)
-    _vanished: dict[str, tuple[float, InstanceState]] = field(default_factory=dict)  # until when
+    _vanished: dict[str, tuple[float, InstanceState]] = field(default_factory=dict)  # with expiry
     _last_send_id: int = 0
     _send_rates: SendRates = field(default_factory=SendRates)
     _fleet_rates: dict[str, float] = field(default_factory=dict)  # by service
     _fleet_rates_at: float = -1e9
 
     def put(self, instance: BackendInstance, now: float = 0.0, revision: int = 0) -> None:
-        """Take what discovery tells of an incarnation.
+        """Add or update an instance from its entry in discovery.
 
-        One that has started again under its id begins anew: what ran there, failed or was read
-        belongs to its life before. News of an earlier life than the known one is dropped.
+        The state of an instance that restarted under its id is reset. Entries of an earlier life
+        than the known one are ignored.
 
         Args:
-            instance: what its entry tells.
-            now: monotonic time in seconds; from here on it counts how long it is cold.
-            revision: of the entry.
+            instance: the entry.
+            now: monotonic time in seconds, at which a reported cold period starts.
+            revision: revision of the entry.
         """
         self._vanished.pop(instance.instance_id, None)
         state = self._states.get(instance.instance_id)
@@ -186,20 +194,21 @@
     def remove(
         self, instance_id: str, now: float, in_outage: bool = False, drained: bool = False
     ) -> None:
-        """Take an incarnation off the list that discovery no longer tells.
+        """Remove an instance whose entry was removed from discovery.
 
-        Parameters
-        ----------
-        in_outage: discovery itself could not be reached a moment ago.
-        drained: it had said that it leaves, even if this node did not hear of that.
+        Args:
+            instance_id: id of the instance.
+            now: monotonic time in seconds.
+            in_outage: whether discovery was unreachable recently.
+            drained: whether the instance announced a drain, even if this node has not seen it.
         """
         state = self._states.get(instance_id)
         if state is None:
             return
         self._forget(state)
         if state.instance.accepting and not drained:
-            kept_s = VANISHED_TTL_IN_OUTAGE_S if in_outage else VANISHED_TTL_S
-            self._vanished[instance_id] = (now + kept_s, state)
+            ttl_s = VANISHED_TTL_IN_OUTAGE_S if in_outage else VANISHED_TTL_S
+            self._vanished[instance_id] = (now + ttl_s, state)
 
     def _forget(self, state: InstanceState) -> None:
         instance_id = state.instance.instance_id
@@ -209,20 +218,20 @@
             self.local_cold_shares.discard(instance_id)
 
     def state(self, instance_id: str) -> InstanceState | None:
-        """Return what is known of an incarnation."""
+        """Return the state of an instance, or None if it is unknown."""
         return self._states.get(instance_id)
 
     def states(self) -> Collection[InstanceState]:
-        """Return all incarnations that discovery tells of."""
+        """Return the states of all instances in discovery."""
         return self._states.values()
 
     def accepting_instances(
         self, service: str, now: float, residence: Residence = ANYWHERE
     ) -> list[InstanceState]:
-        """Return the incarnations of a service that take new requests of a residence.
+        """Return the instances of a service that accept new requests of a residence.
 
-        When more have vanished than are left, those count, too: each send names the incarnation
-        that it means, so that nothing else runs it.
+        If more instances have vanished than are left, the vanished ones are included. That is safe:
+        each request names the instance it is meant for, so no other process runs it.
         """
         states = self._by_service.get(service, {}).values()
         listed = [state for state in states if not self.exclusion_reason(state, residence)]
@@ -236,7 +245,7 @@
     def exclusion_reason(
         self, state: InstanceState, residence: Residence = ANYWHERE
     ) -> ExclusionReason | None:
-        """Return why a request does not go to an incarnation, or None if it may."""
+        """Return why an instance is excluded for a request, or None if it is eligible."""
         return self.eligibility.exclusion_reason(state.instance, residence)
 
     def exclusion_before_send(
@@ -246,36 +255,38 @@
         now: float,
         residence: Residence = ANYWHERE,
     ) -> ExclusionReason | None:
-        """Return why a request does not leave now that its connection is up; None if it does.
+        """Return why a placed request must not be sent, or None if it may.
+
+        Checked once the connection is up, since connecting may take a while.
 
         Args:
-            state: where it was placed.
-            placed_at: monotonic time of that: a connection may have taken a while.
+            state: the selected instance.
+            placed_at: monotonic time in seconds at which the request was placed.
             now: monotonic time in seconds.
-            residence: of the request.
+            residence: residence of the request.
         """
-        ruled_out = self.exclusion_reason(state, residence)
-        if ruled_out is None and now - placed_at > PERMIT_TTL_S and self.is_cold(state, now):
+        reason = self.exclusion_reason(state, residence)
+        if reason is None and now - placed_at > PERMIT_TTL_S and self.is_cold(state, now):
             return ExclusionReason.COLD
-        return ruled_out
+        return reason
 
     def is_cold(self, state: InstanceState, now: float) -> bool:
-        """Whether an incarnation counts as cold."""
+        """Whether an instance counts as cold."""
         instance = state.instance
         return self.cold.is_cold(instance.service, instance.zone, state.cold, now)
 
     def cold_limit(self, service: str) -> ColdLimit | None:
-        """Return what a cold back end of a service bears; None where that is no less than usual."""
+        """Return the limit of a service's cold back ends, or None if cold ones have no limit."""
         return self.cold.limits.get(service)
 
     def cold_instances(self, now: float) -> list[InstanceState]:
-        """Return the incarnations that count as cold."""
+        """Return the instances that count as cold."""
         if not self.cold.may_have_cold(now):
             return []
         return [state for state in self._states.values() if self.is_cold(state, now)]
 
     def in_flight_in_zone(self, zone: str) -> int:
-        """Return how many of this node's requests run at back ends of a zone."""
+        """Return the number of this node's requests in flight at instances in a zone."""
         vanished = (state for _, state in self._vanished.values())
         return sum(
             state.in_flight
@@ -284,15 +295,19 @@
         )
 
     def is_fully_evacuated(self, service: str) -> bool:
-        """Whether a service has back ends, and the operator asks that nothing goes to any."""
+        """Whether a service has instances, and all that do not drain are in evacuated zones."""
         states = self._by_service.get(service, {}).values()
         reasons = {self.exclusion_reason(state) for state in states} - {ExclusionReason.DRAINING}
         return reasons == {ExclusionReason.EVACUATED}
 
     def _vanished_of(self, service: str, now: float) -> list[InstanceState]:
-        old = [key for key, (until, _) in self._vanished.items() if now > until]
-        for key in old:
-            del self._vanished[key]
+        expired = [
+            instance_id
+            for instance_id, (expires_at, _) in self._vanished.items()
+            if now > expires_at
+        ]
+        for instance_id in expired:
+            del self._vanished[instance_id]
         return [state for _, state in self._vanished.values() if state.instance.service == service]
 
     def select(
@@ -303,25 +318,26 @@
         affinity_key: str = "",
         residence: Residence = ANYWHERE,
     ) -> InstanceState | None:
-        """Return the incarnation to ask, or None where there is none.
+        """Return the instance to send a request to, or None if there is none.
 
-        Parameters
-        ----------
-        excluded: incarnations that this request was already sent to.
-        affinity_key: names the shared prompt that decides where to go first; '' for none.
-        residence: where the request's data may be.
+        Args:
+            service: name of the service.
+            now: monotonic time in seconds.
+            excluded: ids of instances that the request was already sent to.
+            affinity_key: key of the long shared prompt, '' if there is none.
+            residence: regions in which the request's data may be processed.
         """
         candidates = self.usable_instances(service, now, excluded, residence=residence)
         candidates = self._prefer_warm(candidates, now)
         if not candidates:
             return None
-        chosen = self._select_from(service, candidates, affinity_key, now)
-        if self.local_cold_shares is not None and self.is_cold(chosen, now):
-            self.local_cold_shares.spend(chosen.instance.instance_id)
-        return chosen
+        selected = self._select_from(service, candidates, affinity_key, now)
+        if self.local_cold_shares is not None and self.is_cold(selected, now):
+            self.local_cold_shares.spend(selected.instance.instance_id)
+        return selected
 
     def _prefer_warm(self, candidates: list[InstanceState], now: float) -> list[InstanceState]:
-        """Return back ends that are warm; cold ones where these are full, within this node's share.
+        """Return the warm candidates, or the cold ones with a share left if all warm ones are full.
 
         Empty if all are cold and this node has no share left.
         """
@@ -355,15 +371,15 @@
         is_unresponsive: Callable[[str], bool] = lambda _instance_id: False,
         residence: Residence = ANYWHERE,
     ) -> list[InstanceState]:
-        """Return the incarnations that a request may go to, those that seem to fail left out.
+        """Return the instances that a request may go to, without those to avoid.
 
         Args:
-            service: whose back ends are asked.
+            service: name of the service.
             now: monotonic time in seconds.
-            excluded: incarnations that the request was already sent to.
-            among: whether a back end is asked for at all.
-            silent: whether an incarnation is known to be silent beyond what this core knows.
-            residence: where the request's data may be.
+            excluded: ids of instances that the request was already sent to.
+            is_candidate: whether an instance is considered at all.
+            is_unresponsive: whether an instance is known to be unresponsive from other sources.
+            residence: regions in which the request's data may be processed.
         """
         usable = [
             state
@@ -380,13 +396,13 @@
         return candidates
 
     def estimated_peer_sends(self, service: str, now: float) -> float:
-        """Return how many requests other nodes have probably sent since the load picture."""
+        """Return the estimated number of requests that other nodes sent since the snapshot."""
         age_s = min(MAX_SNAPSHOT_AGE_S, now - self._fleet_rates_at)
-        by_others = self._fleet_rates.get(service, 0.0) - self._send_rates.rate(service, now)
-        return max(0.0, by_others) * age_s
+        peer_rate = self._fleet_rates.get(service, 0.0) - self._send_rates.rate(service, now)
+        return max(0.0, peer_rate) * age_s
 
     def record_sent(self, state: InstanceState, now: float, unread_tokens: int = 0) -> int:
-        """Note a request sent; return its number for :meth:`answered` and :meth:`ended`."""
+        """Record a send and return its id, which later calls for the same send pass in."""
         self._last_send_id += 1
         self._send_rates.record(state.instance.service, now)
         state.in_flight += 1
@@ -396,19 +412,21 @@
         return self._last_send_id
 
     def unresponsive_instances(self, now: float) -> set[str]:
-        """Return the incarnations that keep a request of this node waiting too long."""
-        return {key for key, state in self._states.items() if state.is_unresponsive(now)}
+        """Return the ids of instances at which a request of this node waits too long."""
+        return {
+            instance_id for instance_id, state in self._states.items() if state.is_unresponsive(now)
+        }
 
     def load_received(
         self, instance_id: str, in_use: int, unread_tokens: int, avoided: bool, now: float
     ) -> None:
-        """Take what a granting node tells of one back end.
+        """Apply the load of one instance from the snapshot of a granting node.
 
         Args:
-            instance_id: of the back end.
-            in_use: slots that are taken there, this node's own included.
-            unread_tokens: of prompts that wait to be read there, this node's own included.
-            avoid: that node leaves it out.
+            instance_id: id of the instance.
+            in_use: slots in use, including this node's own.
+            unread_tokens: prompt tokens that wait for prefill, including this node's own.
+            avoided: whether the granting node avoids the instance.
             now: monotonic time in seconds.
         """
         state = self._states.get(instance_id)
@@ -420,43 +438,43 @@
         state.snapshot_at = now
 
     def rates_received(self, sends_per_s: Mapping[str, float], now: float) -> None:
-        """Take how many requests a second the whole fleet sends, by service."""
+        """Apply the request rates of the whole fleet, per second and by service."""
         self._fleet_rates = dict(sends_per_s)
         self._fleet_rates_at = now
 
     def record_first_byte(self, state: InstanceState, send_id: int) -> None:
-        """Note the first byte of an answer."""
+        """Record the first byte of an answer."""
         state.unanswered_since.pop(send_id, None)
         state.unread_by_send.pop(send_id, None)
         state.failures = 0
 
     def record_outcome(self, state: InstanceState, succeeded: bool, now: float) -> None:
-        """Note whether an answer was well, or failed on the back end's part."""
+        """Record whether a request succeeded or the back end failed."""
         state.outcomes.add(succeeded, now)
 
     def record_reported_load(
         self, state: InstanceState, running: int, waiting: int, now: float
     ) -> None:
-        """Note the load that an answer told."""
+        """Record the load reported in an answer."""
         state.reported_load = running + waiting
         state.in_flight_at_report = state.in_flight
         state.reported_at = now
 
     def record_finished(self, state: InstanceState, send_id: int) -> None:
-        """Note that a request is no longer at the back end."""
+        """Record that a request is no longer in flight."""
         state.in_flight -= 1
         state.unanswered_since.pop(send_id, None)
         state.unread_by_send.pop(send_id, None)
 
     def record_failure(self, state: InstanceState, now: float) -> float:
-        """Avoid an incarnation for a while, longer with each failure in a row; return how long."""
-        seconds = min(MAX_AVOID_S, MIN_AVOID_S * 2.0 ** min(state.failures, 8))
+        """Avoid an instance with exponential back-off; return the back-off in seconds."""
+        avoid_s = min(MAX_AVOID_S, MIN_AVOID_S * 2.0 ** min(state.failures, 8))
         state.failures += 1
-        state.avoid_until = now + seconds
-        return seconds
+        state.avoid_until = now + avoid_s
+        return avoid_s
 
     def record_full(self, state: InstanceState, now: float) -> None:
-        """Note that an incarnation turned a request away since it is full."""
+        """Record that an instance refused a request because it is full."""
         self.record_reported_load(state, state.instance.slots * 2, 0, now)
 
     def _select_balanced(
@@ -473,19 +491,19 @@
         return state.load(now) + unread + self.distance_cost(state.instance.zone, self.zone)
 
     def distance_cost(self, zone: str, other: str) -> float:
-        """Return what the distance of two zones costs, as a share of a back end's slots."""
+        """Return the cost of the distance of two zones, as a share of a back end's slots."""
         return DISTANCE_COSTS[self.eligibility.topology.distance(zone, other)]
 
 
 def select_by_affinity(
     candidates: Iterable[InstanceState], key: str, load_of: Callable[[InstanceState], float]
 ) -> InstanceState:
-    """Return where a shared prompt goes: to the same back end unless that one is overloaded.
+    """Return the instance for a shared prompt: always the same one unless it is overloaded.
 
     Args:
-        candidates: back ends that may take it.
-        key: names the prompt.
-        load_of: share of a back end's slots that is taken.
+        candidates: eligible instances.
+        key: key of the shared prompt.
+        load_of: returns the share of an instance's slots in use.
     """
     ranked = sorted(
         candidates,
--- a/src/wharfcart/routing/caller_request.py
+++ b/src/wharfcart/routing/caller_request.py
@@ -1,4 +1,4 @@
-"""A caller's request as it is passed on, and where its answer goes."""
+"""A caller's request to be forwarded and the sink of its answer."""
 
 from dataclasses import dataclass
 from functools import cached_property
@@ -13,13 +13,18 @@
 
 @dataclass(frozen=True)
 class CallerRequest:
-    """A whole request of a caller.
-
-    Parameters
-    ----------
-    target: path and query as they came.
-    received_at: monotonic time at which the request was whole.
-    tenant: whose request it is; None where callers need no key.
+    """A completely received request of a caller.
+
+    Attributes:
+        method: HTTP method.
+        target: path and query as received.
+        headers: headers as received.
+        body: complete body.
+        facts: fields read from headers and body.
+        route: the matching route.
+        service: name of the service.
+        received_at: monotonic time in seconds at which the request was complete.
+        tenant: the caller's tenant; None if the route needs no key.
     """
 
     method: str
@@ -34,31 +39,35 @@
 
     @property
     def tenant_name(self) -> str:
-        """Name of the tenant, or ''."""
+        """Name of the tenant, '' if there is none."""
         return "" if self.tenant is None else self.tenant.name
 
     @cached_property
     def fingerprint(self) -> RequestFingerprint:
-        """What it is known by beyond this attempt."""
+        """Fingerprint that identifies the request over all attempts."""
         host = self.route.host
         return fingerprint_of(host, self.method, self.target, self.tenant_name, self.body)
 
     @property
     def residence(self) -> Residence:
-        """Where its data may be: both its route and its tenant bind."""
-        own = self.route.residence
-        return own if self.tenant is None else own.within(self.tenant.residence)
+        """Regions in which its data may be processed: those allowed by both route and tenant."""
+        route_residence = self.route.residence
+        return (
+            route_residence
+            if self.tenant is None
+            else route_residence.within(self.tenant.residence)
+        )
 
     @property
     def priority(self) -> int:
-        """Rank among requests that wait, 0 first: the tenant's, else the route's."""
+        """Priority while waiting, 0 first: the tenant's if it has one, else the route's."""
         if self.tenant is None or self.tenant.priority is None:
             return self.route.priority
         return self.tenant.priority
 
     @property
     def deadline(self) -> float:
-        """Monotonic time by which the caller must have its final answer."""
+        """Monotonic time in seconds by which the caller must have the final answer."""
         limit_s = self.route.time_limit_s
         if self.facts.deadline_s is not None:
             limit_s = min(limit_s, self.facts.deadline_s)
@@ -66,35 +75,35 @@
 
     @property
     def affinity_key(self) -> str:
-        """Name of the long shared prompt that decides where to go first, or ''."""
-        shared = self.facts.prompt[:-1]
-        if sum(part.tokens for part in shared) < MIN_AFFINITY_TOKENS:
+        """Key of the long shared prompt that determines the preferred instance, or ''."""
+        shared_parts = self.facts.prompt[:-1]
+        if sum(part.tokens for part in shared_parts) < MIN_AFFINITY_TOKENS:
             return ""
-        return ",".join(part.part_id for part in shared)
+        return ",".join(part.part_id for part in shared_parts)
 
     @property
     def unread_tokens(self) -> int:
-        """Tokens that the back end must read if it keeps nothing of the prompt but long parts."""
+        """Prompt tokens that the back end must process if only a long shared prompt is cached."""
         if not self.affinity_key:
             return sum(part.tokens for part in self.facts.prompt)
         return sum(part.tokens for part in self.facts.prompt[-1:])
 
 
 class AnswerSink(Protocol):
-    """Where an answer goes. After an error that is raised, the caller's connection is cut."""
+    """Receives an answer; if an error is raised, the caller's connection is closed."""
 
     async def send_whole(self, status: int, headers: list[tuple[str, str]], body: bytes) -> None:
-        """Give a whole answer."""
+        """Send a complete answer."""
         ...
 
     async def start(self, status: int, headers: list[tuple[str, str]]) -> None:
-        """Begin an answer of unknown length."""
+        """Start an answer of unknown length."""
         ...
 
     async def send_part(self, data: bytes) -> None:
-        """Pass bytes of a begun answer on."""
+        """Send bytes of a started answer."""
         ...
 
 
 class AnswerTruncatedError(Exception):
-    """A begun answer can't be finished: the caller must see it broken off."""
+    """A started answer can't be completed, so the caller's connection must be closed."""
--- a/src/wharfcart/routing/cold_backends.py
+++ b/src/wharfcart/routing/cold_backends.py
@@ -1,21 +1,22 @@
-"""Cold core: which back ends are cold, and how many requests a second they get while they are.
+"""Cold back ends and the rate of requests that they receive.
 
-A back end is cold for some seconds after a start and may turn cold at any moment; it bears only so
-many requests a second from all nodes together. Two ways send to it, and each keeps a part of that
-rate, so that their sum stays within it whatever is lost:
+A back end is cold for some seconds after a start and may turn cold at any time. While cold, it
+handles only a limited rate of requests from all nodes together. Requests reach it in two ways, each
+with a share of that rate, so that the sum stays within it even if nodes lose contact:
 
-* The node that grants its slots keeps a token bucket (:class:`ColdBuckets`) for all holders.
-* A gateway that chooses by itself has a share only at a few back ends, drawn by lot: hardly any
-  gateways share one back end, so that a fleet of them, each with a token saved, can't meet there.
+* The granting node keeps one token bucket (:class:`ColdBuckets`) for all holders of slots.
+* A gateway that selects locally has a share only at a few back ends, selected by hashing. Few
+  gateways share one back end, so a fleet of gateways with a saved token each can't overload it.
 
-What may arrive in any second, with a rate of r: granted by a node that surely leads 0.85 r, by
-one that may have been replaced 0.15 r, by each gateway that has a share 0.1 r. With two of these
-that is 1.2 r, and since a request may arrive up to ``PERMIT_KEPT_S`` after it was permitted, 1.2
-times that, 1.44 r; and what two granting nodes and two gateways have saved, 5. A back end is taken
-to fail above 1.5 r + 5. The lot gives a back end one gateway on the mean, and more than two in 8 of
-100: the bound is passed only if two nodes grant and all these gateways are cut off besides.
+In any second, with a limit of r, a back end receives at most 0.85 r from a granting node whose
+leadership is confirmed, 0.15 r from one that may have been replaced, and 0.1 r from each gateway
+with a share. With two such gateways that is 1.2 r. A request may arrive up to ``PERMIT_TTL_S``
+after its permit, which makes it 1.44 r, plus 5 tokens saved by two granting nodes and two gateways.
+Back ends are expected to handle 1.5 r + 5. On average one gateway has a share at a back end; more
+than two have one at 8 of 100. The bound is exceeded only if, in addition, two nodes grant slots and
+all these gateways are disconnected.
 
-Pure: time is handed in as seconds.
+This module does no I/O; callers pass in the time in seconds.
 """
 
 from collections.abc import Callable, Collection, Mapping
@@ -25,34 +26,31 @@
 
 from wharfcart.configuration.serving import ColdLimit
 
-# Parts of the rate; the sum is explained above.
+# Shares of the rate; the module docstring derives their sum.
 GRANTED_SHARE = 0.85
 UNCONFIRMED_SHARE = 0.15
 LOCAL_CHOICE_SHARE = 0.1
-# Gateways that may choose one cold back end by themselves, on the mean.
+# Mean number of gateways that may select one cold back end locally.
 GATEWAYS_PER_BACKEND = 1
-# A fleet is taken for this large while it is not known how many gateways it has.
+# Assumed number of gateways while it is unknown.
 MAX_GATEWAYS = 512
 HASH_RANGE = 1 << 64
-# A bucket saves no more than this: so many more may meet in a second. What a granting node saves
-# beyond one token makes up for its buckets being looked at only as requests and ticks come.
+# Bucket sizes. Above one token, to make up for refills only on requests and ticks.
 GRANTED_MAX_TOKENS = 1.5
 LOCAL_MAX_TOKENS = 1.0
-# A permitted request whose connection comes up later than this is placed anew.
+# A permitted request whose connection takes longer than this is placed again.
 PERMIT_TTL_S = 0.2
-# Back ends tell every 1.2 s how they are. In a zone that was emptied they may have turned cold just
-# before it is given back: until two reports were due, and some time to hear of them, those that
-# have told nothing since count as cold.
+# Longer than two report intervals; back ends of a restored zone count as cold until they report.
 UNREPORTED_COLD_S = 3.0
 
 
 @dataclass(slots=True)
 class ColdPeriod:
-    """What one back end told of its being cold.
+    """The cold period of one back end, as it reported.
 
     Attributes:
-        until: monotonic time until which it is cold.
-        revision: of the entry that told so.
+        until: monotonic time in seconds at which the period ends.
+        revision: revision of the entry with the report.
     """
 
     until: float = -1e9
@@ -61,11 +59,11 @@
 
 @dataclass(frozen=True, slots=True)
 class _RestoredZone:
-    """A zone that was emptied and is in use again.
+    """An evacuated zone that is in use again.
 
     Attributes:
-        until: monotonic time until which back ends that told nothing since may be cold.
-        revision: at which it was given back.
+        until: monotonic time in seconds until which back ends without a report count as cold.
+        revision: revision at which the zone was restored.
     """
 
     until: float
@@ -73,10 +71,10 @@
 
 
 class ColdBackends:
-    """Which back ends are cold, as one node knows.
+    """Decides which back ends are cold, as one node knows them.
 
     Attributes:
-        limits: what a cold back end bears, by service; those left out bear as much as ever.
+        limits: limits of cold back ends by service; services without a limit have no cold ones.
     """
 
     def __init__(self) -> None:
@@ -87,22 +85,22 @@
     def report_received(
         self, period: ColdPeriod, cold_for_s: float, now: float, revision: int
     ) -> None:
-        """Take what a back end's entry tells.
+        """Update a cold period from a back end's entry.
 
-        The time counts from when the entry came: it was written before, so that no back end is
-        taken for warm too early.
+        The period starts when the entry arrives. Since the entry was written earlier, no back end
+        counts as warm too early.
         """
         period.until = now + cold_for_s if cold_for_s > 0 else -1e9
         period.revision = revision
         self._latest_until = max(self._latest_until, period.until)
 
     def zone_restored(self, zone: str, now: float, revision: int) -> None:
-        """Note that an emptied zone is in use again."""
+        """Record that an evacuated zone is in use again."""
         self._restored_by_zone[zone] = _RestoredZone(now + UNREPORTED_COLD_S, revision)
         self._latest_until = max(self._latest_until, now + UNREPORTED_COLD_S)
 
     def may_have_cold(self, now: float) -> bool:
-        """Whether any back end may be cold."""
+        """Whether any back end may currently be cold."""
         return now < self._latest_until and bool(self.limits)
 
     def is_cold(self, service: str, zone: str, period: ColdPeriod, now: float) -> bool:
@@ -110,9 +108,9 @@
         if now >= self._latest_until or service not in self.limits:
             return False
         until = period.until
-        given_back = self._restored_by_zone.get(zone)
-        if given_back is not None and period.revision <= given_back.revision:
-            until = max(until, given_back.until)
+        restored = self._restored_by_zone.get(zone)
+        if restored is not None and period.revision <= restored.revision:
+            until = max(until, restored.until)
         return now < until
 
 
@@ -124,35 +122,35 @@
 
 @dataclass
 class ColdBuckets:
-    """Requests that cold back ends may get from here.
+    """Token buckets of the requests that cold back ends may receive from this node.
 
-    A bucket begins empty: what was sent before by others, or while the back end was thought to be
-    warm, is not known.
+    A bucket starts empty, since requests sent before by other nodes, or while the back end counted
+    as warm, are unknown.
 
     Attributes:
-        most_saved: requests that may be sent at once after a rest.
+        max_tokens: size of each bucket.
     """
 
     max_tokens: float = GRANTED_MAX_TOKENS
     _buckets: dict[str, _Bucket] = field(default_factory=dict)  # by instance
 
     def allows(self, instance_id: str, per_s: float, now: float) -> bool:
-        """Whether a cold back end may get a request now."""
+        """Whether a cold back end may receive a request now."""
         return self._refilled(instance_id, per_s, now).tokens >= 1.0
 
     def spend(self, instance_id: str) -> None:
-        """Note that a cold back end gets a request."""
+        """Spend the token of a request to a cold back end."""
         bucket = self._buckets.get(instance_id)
         if bucket is not None:
             bucket.tokens -= 1.0
 
     def retain(self, cold: Collection[str]) -> None:
-        """Forget back ends that are not cold any more: their next bucket begins empty."""
+        """Discard the buckets of back ends that are no longer cold."""
         for instance_id in [key for key in self._buckets if key not in cold]:
             del self._buckets[instance_id]
 
     def discard(self, instance_id: str) -> None:
-        """Drop what is kept of one back end."""
+        """Discard the bucket of one back end."""
         self._buckets.pop(instance_id, None)
 
     def _refilled(self, instance_id: str, per_s: float, now: float) -> _Bucket:
@@ -167,11 +165,11 @@
 
 
 class LocalColdShares:
-    """At which cold back ends a gateway that chooses by itself has a share.
+    """Shares of cold back ends for the local choices of one gateway.
 
     Args:
-        own_id: of this gateway.
-        gateways: how many there are; 0 while that is not known.
+        gateway_id: id of this gateway.
+        gateway_count: returns the number of gateways; 0 while it is unknown.
     """
 
     def __init__(self, gateway_id: str, gateway_count: Callable[[], int]) -> None:
@@ -180,31 +178,31 @@
         self._buckets = ColdBuckets(LOCAL_MAX_TOKENS)
 
     def allows(self, instance_id: str, limit: ColdLimit, now: float) -> bool:
-        """Whether this gateway may send a request to a cold back end by its own choice."""
+        """Whether this gateway may send a request to a cold back end by local choice."""
         if not self._has_share(instance_id):
             return False
         return self._buckets.allows(instance_id, _local_rate(limit), now)
 
     def spend(self, instance_id: str) -> None:
-        """Note a request that is sent so."""
+        """Spend the token of a request sent by local choice."""
         self._buckets.spend(instance_id)
 
     def discard(self, instance_id: str) -> None:
-        """Drop what is kept of a back end that has gone."""
+        """Discard the bucket of a removed back end."""
         self._buckets.discard(instance_id)
 
     def _has_share(self, instance_id: str) -> bool:
-        """Whether this gateway is one of the few that may choose a back end while it is cold."""
-        drawn = xxhash.xxh64_intdigest(f"{self._gateway_id}/{instance_id}".encode())
-        return drawn * (self._gateway_count() or MAX_GATEWAYS) < GATEWAYS_PER_BACKEND * HASH_RANGE
+        """Whether this gateway is one of the few that may select the back end while it is cold."""
+        digest = xxhash.xxh64_intdigest(f"{self._gateway_id}/{instance_id}".encode())
+        return digest * (self._gateway_count() or MAX_GATEWAYS) < GATEWAYS_PER_BACKEND * HASH_RANGE
 
 
 def granted_rate(limit: ColdLimit, is_confirmed: bool) -> float:
-    """Return the requests a second that a granting node sends to one cold back end.
+    """Return the requests per second that a granting node may grant at one cold back end.
 
     Args:
-        limit: of the service.
-        surely: no other node can grant yet.
+        limit: limit of the service.
+        is_confirmed: whether the node's leadership is confirmed, so that no other node grants.
     """
     return limit.requests_per_s * (GRANTED_SHARE if is_confirmed else UNCONFIRMED_SHARE)
 
--- a/src/wharfcart/routing/crash_detection.py
+++ b/src/wharfcart/routing/crash_detection.py
@@ -1,8 +1,9 @@
-"""Runs that broke off: whether the back end has ended, and whose request may have been the cause.
+"""Detection of back-end crashes after interrupted runs.
 
-A connection that ends in the middle of an answer tells little: the answer may have been lost, or
-the back end has ended. So a new connection is tried at once; only where nobody listens any more did
-the back end end. One that is silent has lost its power or is cut off, which no request does.
+A connection that breaks in the middle of an answer has two possible causes: a lost answer or a
+crash of the back end. So the detector opens a new connection at once; if the back end refuses it,
+the back end crashed. A back end that does not respond at all has lost power or is cut off, which no
+request can cause.
 """
 
 import asyncio
@@ -18,32 +19,30 @@
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.observability.tasks import BackgroundTasks
 
-# A connection comes up within a round trip, also to another region, or is refused as soon.
+# Longer than a round trip to another region.
 CHECK_TIMEOUT_S = 0.3
-# A process that ends resets its connections one after the other: one that came up meanwhile is
-# reset within this time.
+# A crashing process resets a connection that it accepted last within this time.
 RESET_DELAY_S = 0.02
-# A request that may be repeated waits for the verdict for no longer than this.
+# Upper bound of the delay of a retry by the inspection.
 MAX_INSPECTION_WAIT_S = 0.1
 MAX_CONNECTION_CHECKS = 2
-# All runs of a back end break off within this time when it ends. A run that breaks off later may
-# have been at its next life under the same id, which takes 3 s to start: it is asked for anew.
+# Runs interrupted later may belong to the instance's next life; shorter than a restart.
 CRASH_TTL_S = 1.0
-# More back ends than this are not remembered to have ended.
+# The oldest crashes are evicted beyond this number.
 MAX_REMEMBERED_CRASHES = 256
 
 
 @dataclass(frozen=True, slots=True)
 class InterruptedRun:
-    """A run that broke off.
+    """A run whose connection broke before the end of the answer.
 
     Attributes:
-        request_id: of the request or item.
-        content: by which it is known beyond this run.
-        instance: that ran it.
-        cause: how it broke off.
-        answer_begun: some of its answer had come in this run.
-        ran_s: how long ago it had been sent.
+        request_id: id of the request or item.
+        fingerprint: fingerprint of the request.
+        instance: the instance that ran it.
+        cause: why the connection broke.
+        answer_begun: whether any byte of the answer had arrived in this run.
+        ran_s: seconds since the send.
     """
 
     request_id: str
@@ -55,11 +54,11 @@
 
 
 class CrashDetector:
-    """Looks into the broken runs of one node.
+    """Inspects the interrupted runs of one node.
 
     Args:
-        suspects: is told of runs whose back ends have ended.
-        log: takes a line for each end that this node sees, and for each request that had a part.
+        poison_requests: receives evidence against requests that ran at a crash.
+        log: receives a line for each crash and for each request that ran at one.
     """
 
     def __init__(self, poison_requests: PoisonRequests, log: DecisionLog) -> None:
@@ -70,11 +69,11 @@
         self._crashed_at: OrderedDict[str, float] = OrderedDict()
 
     def start_inspection(self, run: InterruptedRun) -> asyncio.Task[None]:
-        """Look into a run; the task ends once it is known what became of its back end."""
+        """Start to inspect a run; the task finishes once the state of its back end is known."""
         return self._tasks.spawn(self._inspect(run))
 
     async def inspect(self, run: InterruptedRun) -> None:
-        """Look into a run and wait for the verdict, for a moment at most."""
+        """Inspect a run and wait for the result for a bounded time."""
         await asyncio.wait((self.start_inspection(run),), timeout=MAX_INSPECTION_WAIT_S)
 
     async def _inspect(self, run: InterruptedRun) -> None:
@@ -85,7 +84,7 @@
             return
         now = time()
         instance_id = run.instance.instance_id
-        record = self.poison_requests.record_crash(run.fingerprint, instance_id, weight, now)
+        evidence = self.poison_requests.record_crash(run.fingerprint, instance_id, weight, now)
         self._log.write(
             Event.REQUEST_SUSPECTED,
             request=run.request_id,
@@ -93,9 +92,9 @@
             backend=instance_id,
             answer_begun=run.answer_begun,
             ran_s=round(run.ran_s, 3),
-            ends=len(record.crashes_by_key),
-            weight=record.total_weight(),
-            held_s=round(record.quarantine_left_s(now), 1),
+            ends=len(evidence.crashes_by_key),
+            weight=evidence.total_weight(),
+            held_s=round(evidence.quarantine_left_s(now), 1),
         )
 
     async def _has_crashed(self, instance: BackendInstance) -> bool:
@@ -111,8 +110,8 @@
         return self._crashed_recently(instance_id)
 
     def _crashed_recently(self, instance_id: str) -> bool:
-        ended_at = self._crashed_at.get(instance_id)
-        return ended_at is not None and monotonic() - ended_at < CRASH_TTL_S
+        crashed_at = self._crashed_at.get(instance_id)
+        return crashed_at is not None and monotonic() - crashed_at < CRASH_TTL_S
 
     async def _check(self, instance: BackendInstance) -> None:
         if not await _refuses_connections(instance):
@@ -125,7 +124,7 @@
 
 
 async def _refuses_connections(instance: BackendInstance) -> bool:
-    """Whether nobody listens where a back end did."""
+    """Whether an instance refuses connections."""
     for _ in range(MAX_CONNECTION_CHECKS):
         try:
             connection = await HttpConnection.open(instance.host, instance.port, CHECK_TIMEOUT_S)
--- a/src/wharfcart/routing/deadlines.py
+++ b/src/wharfcart/routing/deadlines.py
@@ -1,7 +1,7 @@
-"""Deadlines of requests in progress, also over a suspension of the machine.
+"""Deadlines of requests in progress that hold across a suspension of the machine.
 
-A timer of the event loop stands still while the machine is suspended. Set anew once it goes on, it
-ends a request at its deadline, and with it the back end's work, not later by as long as that took.
+Timers of the event loop do not advance while the machine is suspended. Rescheduling them afterwards
+ensures that requests, and their work at the back ends, stop at their deadlines.
 """
 
 import asyncio
@@ -12,31 +12,31 @@
 
 
 class Deadlines:
-    """Limits of the requests of one process."""
+    """The deadlines of the requests of one process."""
 
     def __init__(self) -> None:
         self._deadline_by_timeout: dict[asyncio.Timeout, float] = {}
 
     @asynccontextmanager
     async def enforce(self, deadline: float) -> AsyncIterator[None]:
-        """End what runs inside at a deadline.
+        """Cancel the body of the context at a deadline.
 
         Args:
-            deadline: monotonic time.
+            deadline: monotonic time in seconds.
 
         Raises:
-            TimeoutError: it has passed.
+            TimeoutError: The deadline has passed.
         """
-        async with asyncio.timeout(deadline - monotonic()) as limit:
-            self._deadline_by_timeout[limit] = deadline
+        async with asyncio.timeout(deadline - monotonic()) as timer:
+            self._deadline_by_timeout[timer] = deadline
             try:
                 yield
             finally:
-                del self._deadline_by_timeout[limit]
+                del self._deadline_by_timeout[timer]
 
     def reschedule_all(self) -> None:
-        """Set all timers anew: the machine was suspended."""
+        """Reschedule all timers after a suspension of the machine."""
         now = asyncio.get_running_loop().time()
-        for limit, deadline in self._deadline_by_timeout.items():
-            if not limit.expired():
-                limit.reschedule(now + max(0.0, deadline - monotonic()))
+        for timer, deadline in self._deadline_by_timeout.items():
+            if not timer.expired():
+                timer.reschedule(now + max(0.0, deadline - monotonic()))
--- a/src/wharfcart/routing/eligibility.py
+++ b/src/wharfcart/routing/eligibility.py
@@ -1,10 +1,10 @@
-"""Eligibility core: whether a request may go to a back end, and what rules it out.
+"""Rules that exclude back ends for a request.
 
-Whoever sends work to a back end asks here: grants, a gateway's own choice, items of batch jobs,
-retries and resumed streams; once when the back end is chosen, and once more as the request leaves,
-since a connection may have taken a while to come up.
+Every sender checks them: grants, local choices of a gateway, batch items, retries and resumed
+streams. Each checks them when it selects a back end and again when it sends the request, since
+connecting may take a while.
 
-Pure.
+This module does no I/O.
 """
 
 from enum import Enum
@@ -15,13 +15,13 @@
 
 
 class ExclusionReason(Enum):
-    """Why a request does not go to a back end.
+    """Why a back end is excluded for a request.
 
     Attributes:
-        LEAVING: it takes no new requests.
-        EVACUATED: the operator asks that nothing goes to its zone.
-        OUTSIDE_RESIDENCE: the request's data may not be in its region.
-        COLD: it is cold, and the permit to send to it is old.
+        DRAINING: it accepts no new requests.
+        EVACUATED: the operator has evacuated its zone.
+        OUTSIDE_RESIDENCE: the request's data may not be processed in its region.
+        COLD: it is cold, and the permit to send to it has expired.
     """
 
     DRAINING = "leaving"
@@ -31,13 +31,13 @@
 
 
 class Eligibility:
-    """What rules back ends out on one node.
+    """Decides on one node which back ends are excluded.
 
     Args:
-        topology: the zones of the fleet.
+        topology: zones and regions of the fleet.
 
     Attributes:
-        evacuated_zones: zones whose back ends get nothing new.
+        evacuated_zones: zones whose back ends receive no new requests.
     """
 
     def __init__(self, topology: Topology | None = None) -> None:
@@ -47,11 +47,11 @@
     def exclusion_reason(
         self, instance: BackendInstance, residence: Residence = ANYWHERE
     ) -> ExclusionReason | None:
-        """Return why a request does not go to a back end, or None if it may.
+        """Return why a back end is excluded for a request, or None if it is eligible.
 
         Args:
-            instance: the back end as discovery tells it.
-            residence: of the request.
+            instance: the back end's entry in discovery.
+            residence: residence of the request.
         """
         if not instance.accepting:
             return ExclusionReason.DRAINING
--- a/src/wharfcart/routing/event_stream.py
+++ b/src/wharfcart/routing/event_stream.py
@@ -1,7 +1,7 @@
-"""Whole events of a server-sent event stream, cut from the bytes as they come.
+"""Splitting of a byte stream into server-sent events.
 
-Only whole events are passed on where a stream may be resumed: a back end may stop partway through
-one, and the next back end begins with the event after the last whole one.
+Only complete events of a resumable stream are forwarded: a back end may stop in the middle of an
+event, and the next back end resumes after the last complete one.
 """
 
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One event: its number (None if it has none), its data and its bytes as they came."""
+    """One event: its number (None if it has none), its data and its raw bytes."""
 
     number: int | None
     data: str
@@ -20,18 +20,18 @@
 
 
 class EventSplitter:
-    """Cuts a byte stream into events; what is not yet whole is kept back."""
+    """Splits a byte stream into events; buffers an incomplete event."""
 
     def __init__(self) -> None:
         self._buffer = b""
 
     @property
     def remainder(self) -> bytes:
-        """Bytes after the last whole event."""
+        """Bytes after the last complete event."""
         return self._buffer
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Add bytes and return the events that are whole now."""
+        """Add bytes and return the events completed by them."""
         self._buffer += data
         events: list[StreamEvent] = []
         while True:
@@ -42,11 +42,11 @@
             events.append(_parse(raw))
 
     def _find_event_end(self) -> int:
-        plain = self._buffer.find(_EVENT_END)
+        lf = self._buffer.find(_EVENT_END)
         crlf = self._buffer.find(_EVENT_END_CRLF)
-        if crlf >= 0 and (plain < 0 or crlf < plain):
+        if crlf >= 0 and (lf < 0 or crlf < lf):
             return crlf + len(_EVENT_END_CRLF)
-        return plain + len(_EVENT_END) if plain >= 0 else -1
+        return lf + len(_EVENT_END) if lf >= 0 else -1
 
 
 def _parse(raw: bytes) -> StreamEvent:
--- a/src/wharfcart/routing/load_balancing.py
+++ b/src/wharfcart/routing/load_balancing.py
@@ -1,10 +1,10 @@
-"""Spreading of requests that many nodes send by the same, slightly old picture of the load.
+"""Load balancing for many nodes that select back ends from the same, slightly old snapshot.
 
-If every node sent to the back end that looked emptiest, all would meet there. Instead each assumes
-how many requests the whole fleet sends before the picture changes, fills the emptiest back ends up
-to a common level with that many, as water fills a vessel, and takes one of these at random.
+If every node selected the least loaded back end, all requests would go there. Instead, each node
+estimates how many requests the whole fleet sends before the next snapshot, fills the least loaded
+back ends with that many up to a common level (water filling), and picks one of them at random.
 
-Pure: randomness is handed in.
+This module does no I/O; callers pass in the source of randomness.
 """
 
 from collections.abc import Sequence
@@ -13,44 +13,44 @@
 
 
 def fill_level(loads: Sequence[float], slots: Sequence[int], amount: float) -> float:
-    """Return the load up to which ``amount`` requests fill the emptiest back ends.
+    """Return the load up to which ``amount`` requests fill the least loaded back ends.
 
     Args:
-        loads: share of each back end's slots that is taken; may exceed 1.
-        slots: number of slots of each.
-        amount: number of requests to place, above 0.
+        loads: share of each back end's slots in use; may exceed 1.
+        slots: number of slots of each back end.
+        amount: number of requests to distribute, above 0.
     """
     ordered = sorted(zip(loads, slots, strict=True))
-    room = 0.0
-    width = 0
+    filled = 0.0
+    total_slots = 0
     level = ordered[0][0]
     for load, count in ordered:
-        risen = room + width * (load - level)
-        if risen >= amount:
+        raised = filled + total_slots * (load - level)
+        if raised >= amount:
             break
-        room = risen
+        filled = raised
         level = load
-        width += max(1, count)
-    return level + (amount - room) / width
+        total_slots += max(1, count)
+    return level + (amount - filled) / total_slots
 
 
 def pick_below(
     loads: Sequence[float], slots: Sequence[int], level: float, rng: RandomSource
 ) -> int:
-    """Return the index of a back end, drawn by the room that each has below a level.
+    """Return the index of a random back end, weighted by free capacity below a level.
 
     Args:
-        loads: as for :func:`fill_level`.
-        slots: as for :func:`fill_level`.
-        level: above the least load.
+        loads: share of each back end's slots in use; may exceed 1.
+        slots: number of slots of each back end.
+        level: load level, above the smallest load.
         rng: source of randomness.
     """
-    rooms = [
+    capacities = [
         max(0.0, level - load) * max(1, count) for load, count in zip(loads, slots, strict=True)
     ]
-    left = rng.random() * sum(rooms)
-    for i, room in enumerate(rooms):
-        left -= room
+    left = rng.random() * sum(capacities)
+    for i, capacity in enumerate(capacities):
+        left -= capacity
         if left < 0:
             return i
     return min(range(len(loads)), key=loads.__getitem__)
--- a/src/wharfcart/routing/outcome_record.py
+++ b/src/wharfcart/routing/outcome_record.py
@@ -1,31 +1,31 @@
-"""How a back end's latest answers turned out, as counts that fade.
+"""Decaying counts of a back end's recent successes and failures.
 
-A back end that fails at once looks empty and draws all work to itself, whatever its health check
-says. Only its answers tell; each node sees few of them, so nodes add up their records over the load
-board.
+A back end that fails every request at once looks idle and attracts all load, even if its health
+check passes. Only its answers show the failure. Each node sees few of them, so nodes sum up their
+counts in the load snapshots.
 
-Pure: time is handed in as seconds.
+This module does no I/O; callers pass in the time in seconds.
 """
 
 import math
 from dataclasses import dataclass
 
 DECAY_S = 3.0
-# So many failures, and such a share of all answers, speak against a back end.
+# A back end is failing from this (decayed) number of failures and share of all answers.
 MIN_FAILURES = 1.5
 FAILING_SHARE = 0.3
 
 
 @dataclass
 class OutcomeRecord:
-    """Faded counts of one back end at one node."""
+    """Decayed counts of one back end at one node."""
 
     _successes: float = 0.0
     _failures: float = 0.0
     _updated_at: float = 0.0
 
     def add(self, succeeded: bool, now: float) -> None:
-        """Count one answer."""
+        """Count one outcome."""
         self._successes, self._failures = self.counts(now)
         self._updated_at = now
         if succeeded:
@@ -34,11 +34,11 @@
             self._failures += 1
 
     def counts(self, now: float) -> tuple[float, float]:
-        """Return the faded numbers of good and of failed answers."""
-        fade = math.exp(-(now - self._updated_at) / DECAY_S)
-        return self._successes * fade, self._failures * fade
+        """Return the decayed numbers of successes and failures."""
+        decay = math.exp(-(now - self._updated_at) / DECAY_S)
+        return self._successes * decay, self._failures * decay
 
 
 def counts_as_failing(successes: float, failures: float) -> bool:
-    """Whether counts, summed over nodes, speak against a back end."""
+    """Whether counts, summed over nodes, mark a back end as failing."""
     return failures >= MIN_FAILURES and failures / (successes + failures) >= FAILING_SHARE
--- a/src/wharfcart/routing/placement.py
+++ b/src/wharfcart/routing/placement.py
@@ -1,4 +1,4 @@
-"""Where an online request goes: a granted slot, or the gateway's own choice."""
+"""Placement of online requests: by a granted slot or by the gateway's local choice."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
@@ -9,29 +9,28 @@
 from wharfcart.configuration.serving import RequestLimit
 from wharfcart.routing.backend_selection import BackendSelector, InstanceState
 
-# Told where a gateway that chooses by itself may not send to cold back ends: a cold back end warms
-# up within seconds, and a granting node is found again within tenths of one.
+# Retry time if only cold back ends are left without a share; a granting node is found within it.
 RETRY_AFTER_COLD_S = 0.5
 
 
 @dataclass(frozen=True)
 class PlacementRequest:
-    """What decides where a request goes.
+    """Inputs of the placement of a request.
 
     Attributes:
-        service: whose back ends may take it.
-        excluded: incarnations that it was already sent to.
-        affinity_key: names the long shared prompt that decides where to go first; '' for none.
-        unread_tokens: tokens of its prompt that are probably cached nowhere.
-        request_id: its caller's id.
-        route_name: of its route.
-        in_time_until: monotonic time until which its answer must have begun to be in time.
-        leave_at: monotonic time until which a slot is waited for.
-        priority: 0 is the most urgent.
-        tenant: whose request it is, or ''.
-        limit: of the tenant's requests, towards which this one counts; None if it does not, or was
-            counted before.
-        residence: where its data may be.
+        service: name of the service.
+        excluded: ids of instances that it was already sent to.
+        affinity_key: key of the long shared prompt, '' if there is none.
+        unread_tokens: prompt tokens that are probably not cached.
+        request_id: the caller's request id.
+        route_name: name of the route.
+        start_deadline: monotonic time by which the answer must begin to be in time.
+        queue_deadline: monotonic time until which the request waits for a slot.
+        priority: priority while waiting, 0 is the most urgent.
+        tenant: name of the tenant, or ''.
+        limit: limit of the tenant that the request counts towards; None if there is none or the
+            request was already counted.
+        residence: regions in which its data may be processed.
     """
 
     service: str
@@ -49,7 +48,7 @@
 
 
 class SendResult(Enum):
-    """What a send told about its back end."""
+    """What a send showed about its back end."""
 
     UNKNOWN = "unknown"
     BACKEND_OK = "good"
@@ -58,11 +57,11 @@
 
 @dataclass(frozen=True, eq=False)
 class PlacementDecision:
-    """Where a request goes.
+    """The instance to which a request is sent.
 
     Attributes:
-        state: the incarnation to send to.
-        granted: the node that grants slots chose it, not this gateway.
+        state: state of the instance.
+        granted: whether a granting node selected it instead of this gateway.
     """
 
     state: InstanceState
@@ -70,10 +69,10 @@
 
 
 class NoSlotError(Exception):
-    """A request has waited for a slot long enough.
+    """No slot became free while the request could wait.
 
     Attributes:
-        retry_after_s: when one is likely to be free.
+        retry_after_s: seconds until a slot is likely to be free.
     """
 
     def __init__(self, retry_after_s: float) -> None:
@@ -82,12 +81,12 @@
 
 
 class OverLimitError(Exception):
-    """A tenant has sent as many requests as it may.
+    """The tenant's request limit is reached.
 
     Attributes:
-        retry_after_s: when it may send one more.
-        surely: False where only this gateway's part is known, since the node that keeps the limit
-            does not answer.
+        retry_after_s: seconds until the tenant may send another request.
+        is_confirmed: False if the limit coordinator is unresponsive and only this gateway's share
+            is known.
     """
 
     def __init__(self, retry_after_s: float, is_confirmed: bool) -> None:
@@ -97,41 +96,41 @@
 
 
 class Placement(ABC):
-    """Chooses back ends for the requests of one gateway."""
+    """Selects back ends for the requests of one gateway."""
 
     @abstractmethod
     async def place(self, request: PlacementRequest) -> PlacementDecision | None:
-        """Return where to send a request, or None where there is no back end.
+        """Return where to send a request, or None if there is no back end.
 
         Raises:
-            NoSlotError: every slot is taken, and the request has waited long enough.
-            OverLimitError: its tenant has sent as many requests as it may.
+            NoSlotError: No slot became free before the request's queue deadline.
+            OverLimitError: The tenant's request limit is reached.
         """
 
     @abstractmethod
     def is_granter_reachable(self, service: str, residence: Residence) -> bool:
-        """Whether a node that grants slots of a service in some regions is heard from there."""
+        """Whether a granting node of the service in the allowed regions is reachable."""
 
     @abstractmethod
     def send_finished(self, decision: PlacementDecision, result: SendResult) -> None:
-        """Note that a request is no longer at its back end, and what the send told of that."""
+        """Handle the end of a send and what it showed about its back end."""
 
     @abstractmethod
     def first_byte_received(self, route_name: str, seconds: float) -> None:
-        """Note how long after it was sent a request's answer began."""
+        """Handle the first byte of an answer, some seconds after the send."""
 
 
 class LocalPlacement(Placement):
-    """Chooses by this node's own picture of the load."""
+    """Selects instances by this node's own view of the load."""
 
     def __init__(self, selector: BackendSelector) -> None:
         self._selector = selector
 
     async def place(self, request: PlacementRequest) -> PlacementDecision | None:
-        """Return where to send a request, or None where there is no back end.
+        """Return where to send a request, or None if there is no back end.
 
         Raises:
-            NoSlotError: all back ends are cold, and this gateway may send nothing there now.
+            NoSlotError: All back ends are cold, and this gateway has no share left.
         """
         now = monotonic()
         state = self._selector.select(
@@ -150,11 +149,11 @@
         return None
 
     def is_granter_reachable(self, service: str, residence: Residence) -> bool:
-        """Whether a node that grants is heard from: none is here."""
+        """Return False: local placement has no granting node."""
         return False
 
     def send_finished(self, decision: PlacementDecision, result: SendResult) -> None:
-        """Note that a request is no longer at its back end: the choice knows already."""
+        """Do nothing: the selector already has the result."""
 
     def first_byte_received(self, route_name: str, seconds: float) -> None:
-        """Note how long after it was sent a request's answer began: nothing here depends on it."""
+        """Do nothing: local placement does not depend on answer times."""
--- a/src/wharfcart/routing/region_reachability.py
+++ b/src/wharfcart/routing/region_reachability.py
@@ -1,10 +1,10 @@
-"""Reach core: which regions a gateway gets no connection to, so that it need not try in vain.
+"""Reachability of regions from one gateway.
 
-A request that is bound to a region goes nowhere else. While the region is cut off it would spend
-the time of several connects before it is refused; it is refused at once instead, but for one
-request now and then that tries again.
+A request bound to a region can't go elsewhere. While the region is unreachable, each such request
+would wait for several connect timeouts. Instead, the gateway refuses it at once and lets one
+request per interval probe the region.
 
-Pure: time is handed in as seconds.
+This module does no I/O; callers pass in the time in seconds.
 """
 
 from collections.abc import Collection
@@ -12,20 +12,19 @@
 
 from wharfcart.cluster.topology import RegionName
 
-# So many back ends of a region in a row without any that was reached: it is not these that failed.
+# Different back ends that fail to connect in a row before their region counts as unreachable.
 MIN_CONSECUTIVE_FAILURES = 3
-# One request tries again so often. A region that is back is noticed sooner by its granting nodes,
-# whose sessions open without any request; this is for regions where nobody grants.
+# Sessions with granting nodes detect a restored region sooner; this covers regions without them.
 PROBE_PERIOD_S = 1.0
 
 
 @dataclass
 class _RegionState:
-    """What is known of the way to one region.
+    """Reachability of one region.
 
     Attributes:
-        failed: back ends that were not reached since one was.
-        probe_at: when a request may try again.
+        failed_instances: instances that failed to connect since the last success.
+        probe_at: time in seconds from which the next request may probe the region.
     """
 
     failed_instances: set[str] = field(default_factory=set)
@@ -34,34 +33,34 @@
 
 @dataclass
 class RegionReachability:
-    """The regions as one gateway reaches them."""
+    """Tracks which regions one gateway can reach."""
 
     _regions: dict[RegionName, _RegionState] = field(default_factory=dict)
 
     def record_success(self, region: RegionName | None) -> None:
-        """Note that a back end of a region answered."""
+        """Record that a back end in a region answered."""
         if region is not None:
             self._regions.pop(region, None)
 
     def record_failure(self, region: RegionName | None, instance_id: str, now: float) -> None:
-        """Note that no connection to a back end of a region was made."""
+        """Record that connecting to a back end in a region failed."""
         if region is None:
             return
-        known = self._regions.setdefault(region, _RegionState())
-        known.failed_instances.add(instance_id)
-        known.probe_at = now + PROBE_PERIOD_S
+        state = self._regions.setdefault(region, _RegionState())
+        state.failed_instances.add(instance_id)
+        state.probe_at = now + PROBE_PERIOD_S
 
     def are_unreachable(self, regions: Collection[RegionName], now: float) -> bool:
-        """Whether none of some regions is reached; one call now and then is told otherwise."""
-        known = [self._regions.get(region) for region in regions]
-        lost = [
-            one
-            for one in known
-            if one is not None and len(one.failed_instances) >= MIN_CONSECUTIVE_FAILURES
+        """Whether all of the regions are unreachable; False once per interval, for a probe."""
+        states = [self._regions.get(region) for region in regions]
+        unreachable = [
+            state
+            for state in states
+            if state is not None and len(state.failed_instances) >= MIN_CONSECUTIVE_FAILURES
         ]
-        if not lost or len(lost) < len(known):
+        if not unreachable or len(unreachable) < len(states):
             return False
-        due = next((one for one in lost if now >= one.probe_at), None)
+        due = next((state for state in unreachable if now >= state.probe_at), None)
         if due is None:
             return True
         due.probe_at = now + PROBE_PERIOD_S
--- a/src/wharfcart/routing/request_log.py
+++ b/src/wharfcart/routing/request_log.py
@@ -1,4 +1,4 @@
-"""What is told of each request that is passed on: decision lines and metrics."""
+"""Decision-log lines and metrics of forwarded requests."""
 
 from wharfcart.admission.poison_requests import POISON_CAUSE
 from wharfcart.clock import monotonic
@@ -10,17 +10,17 @@
 from wharfcart.routing.placement import PlacementDecision
 from wharfcart.routing.request_progress import RequestProgress
 
-# Ages above this are told as this.
+# Larger ages are logged as this.
 MAX_LOGGED_AGE_S = 999.0
 
 
 class RequestLog:
-    """Decision lines and metrics of one gateway's requests.
+    """Writes decision-log lines and metrics of one gateway's requests.
 
     Args:
-        choice: what the gateway knows of the back ends.
-        log: takes the lines.
-        metrics: count what becomes of requests.
+        selector: state of the back ends as the gateway knows it.
+        log: decision log.
+        metrics: metrics of the gateway.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
     def placed(
         self, request: CallerRequest, progress: RequestProgress, decision: PlacementDecision
     ) -> None:
-        """Tell where a request goes before it is sent: a process that is killed tells no end."""
+        """Log where a request goes, before it is sent: a killed process logs no final line."""
         now = monotonic()
         state = decision.state
         self._log.write(
@@ -50,12 +50,12 @@
         )
 
     def limited(self, request: CallerRequest, progress: RequestProgress, status: int) -> None:
-        """Tell that a request was refused under its tenant's limit."""
+        """Log that a request was refused by its tenant's limit."""
         self._metrics.limited.add(request.tenant_name)
         self.finished(request, progress, "limited", status)
 
     def retried(self, request: CallerRequest, progress: RequestProgress) -> None:
-        """Tell that a request is sent once more, and why."""
+        """Log that a request is retried, and why."""
         self._metrics.retries.add(progress.cause)
         self._log.write(
             Event.REQUEST_RETRIED,
@@ -69,7 +69,7 @@
         )
 
     def resumed(self, request: CallerRequest, progress: RequestProgress) -> None:
-        """Tell that a stream goes on at another back end."""
+        """Log that a stream resumes at another back end."""
         self._log.write(
             Event.STREAM_RESUMED,
             request=request.facts.request_id,
@@ -78,7 +78,7 @@
         )
 
     def avoided(self, state: InstanceState, cause: str, seconds: float) -> None:
-        """Tell that a back end is left out for a time."""
+        """Log that a back end is avoided for a time."""
         self._log.write(
             Event.BACKEND_AVOIDED,
             backend=state.instance.instance_id,
@@ -88,7 +88,7 @@
         )
 
     def first_byte(self, request: CallerRequest, progress: RequestProgress) -> None:
-        """Note that the answer begins."""
+        """Record the first byte of the answer."""
         if progress.first_byte_s is None:
             progress.first_byte_s = monotonic() - request.received_at
             self._metrics.first_byte.labels(request.route.kind.value).observe(progress.first_byte_s)
@@ -96,17 +96,17 @@
     def finished(
         self, request: CallerRequest, progress: RequestProgress, outcome: str, status: int
     ) -> None:
-        """Tell what a request came to."""
+        """Log the outcome of a request."""
         self._metrics.requests.add(outcome)
-        rarely: dict[str, object] = {}
+        optional_fields: dict[str, object] = {}
         if progress.break_cause:
-            rarely["broke"] = progress.break_cause
+            optional_fields["broke"] = progress.break_cause
         if progress.break_cause or progress.cause == POISON_CAUSE:
-            rarely["content"] = request.fingerprint
+            optional_fields["content"] = request.fingerprint
         if progress.cause == ExclusionReason.OUTSIDE_RESIDENCE.value:
             self._metrics.outside_residence.add("request")
         if request.residence.regions is not None:
-            rarely["regions"] = sorted(request.residence.regions)
+            optional_fields["regions"] = sorted(request.residence.regions)
         state = self._selector.state(progress.last_backend)
         now = monotonic()
         self._log.write(
@@ -128,6 +128,6 @@
             else round(min(now - state.reported_at, MAX_LOGGED_AGE_S), 2),
             first_byte_s=progress.first_byte_s and round(progress.first_byte_s, 4),
             seconds=round(now - request.received_at, 4),
-            **rarely,
+            **optional_fields,
             deadline_left_s=round(request.deadline - now, 3),
         )
--- a/src/wharfcart/routing/request_progress.py
+++ b/src/wharfcart/routing/request_progress.py
@@ -1,4 +1,4 @@
-"""What has happened so far to one request that is passed on."""
+"""Progress of one request that is being forwarded."""
 
 from dataclasses import dataclass, field
 
@@ -9,20 +9,24 @@
 
 @dataclass
 class RequestProgress:
-    """What has happened to a request so far.
+    """State of a request over its sends.
 
     Attributes:
-        tried: incarnations that it was sent to.
-        placed: it has had a place before, and counts towards its tenant's limit.
-        sends: how often it was sent, without those that surely did not run.
-        refusals: of back ends that did not run it.
-        started: its caller has the beginning of the answer.
-        last_event: number of the last event that its caller has.
-        first_byte_s: how long after it came its answer began.
-        cause: why the last send or placement came to nothing.
-        broke: how the last send that broke off did so; '' while none did.
-        well: what the last back end answered speaks for it.
-        told: what the last send told of its back end.
+        tried_instances: ids of instances that it was sent to.
+        placed: whether it was placed before and so counts towards its tenant's limit.
+        sends: number of sends, without those that provably did not run.
+        refusals: number of refusals by back ends that did not run it.
+        connect_failures: number of failed connects.
+        may_have_run: whether a back end may have run it.
+        answer_started: whether the caller has received the start of the answer.
+        last_event: number of the last event that the caller has received.
+        last_backend: id of the instance of the last send.
+        first_byte_s: seconds from the arrival of the request to the first byte of the answer.
+        cause: why the last send or placement failed.
+        break_cause: why the last interrupted send broke; '' if none did.
+        retry_after_s: retry time for the caller in case of a refusal.
+        answer_ok: whether the last answer shows a working back end.
+        send_result: what the last send showed about its back end.
     """
 
     tried_instances: set[str] = field(default_factory=set)
--- a/src/wharfcart/routing/running_quantile.py
+++ b/src/wharfcart/routing/running_quantile.py
@@ -1,25 +1,25 @@
-"""A quantile of a stream of values, kept in one number. Pure."""
+"""Streaming estimate of a quantile in constant space."""
 
 from dataclasses import dataclass
 
-# Each value moves the estimate by at most this part of it.
+# Largest relative change of the estimate per value.
 STEP_FRACTION = 0.05
 
 
 @dataclass
 class RunningQuantile:
-    """An estimate that values exceed with a given frequency.
+    """Estimates a quantile of a stream of positive values.
 
     Attributes:
-        share: part of the values below the estimate, between 0 and 1.
-        value: the estimate; the first value observed begins it.
+        quantile: share of the values below the estimate, between 0 and 1.
+        estimate: current estimate; the first value initializes it.
     """
 
     quantile: float
     estimate: float = 0.0
 
     def observe(self, value: float) -> None:
-        """Learn from a value above 0."""
+        """Update the estimate with a value above 0."""
         if not self.estimate:
             self.estimate = value
         elif value > self.estimate:
--- a/src/wharfcart/routing/send_rates.py
+++ b/src/wharfcart/routing/send_rates.py
@@ -1,19 +1,19 @@
-"""How many requests a second a node sends to each service, as a decaying average.
+"""Exponentially decaying rates of the requests that a node sends to each service.
 
-Pure: time is handed in as seconds.
+This module does no I/O; callers pass in the time in seconds.
 """
 
 import math
 from dataclasses import dataclass, field
 
 DECAY_S = 2.0
-# Rates below this are not worth telling.
+# Lower rates are not reported.
 MIN_REPORTED_RATE_PER_S = 0.05
 
 
 @dataclass
 class SendRates:
-    """Rates of one node."""
+    """Request rates of one node by service."""
 
     _rates: dict[str, tuple[float, float]] = field(default_factory=dict)  # rate, at
 
@@ -22,11 +22,11 @@
         self._rates[service] = (self.rate(service, now) + 1 / DECAY_S, now)
 
     def rate(self, service: str, now: float) -> float:
-        """Return the requests a second to a service."""
+        """Return the requests per second to a service."""
         rate, at = self._rates.get(service, (0.0, now))
         return rate * math.exp(-(now - at) / DECAY_S)
 
     def rates(self, now: float) -> dict[str, float]:
-        """Return the rates of all services that are sent to."""
+        """Return the rates of all services above the reported minimum."""
         rates = {service: self.rate(service, now) for service in self._rates}
         return {service: rate for service, rate in rates.items() if rate >= MIN_REPORTED_RATE_PER_S}
--- a/tests/admission/limit_fleet.py
+++ b/tests/admission/limit_fleet.py
@@ -1,4 +1,4 @@
-"""Gateways and the home of one tenant's limit, in a time of their own, for tests of the limit."""
+"""Simulated gateways and limit coordinator of one tenant in virtual time."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -17,28 +17,28 @@
 
 @dataclass
 class LimitGateway:
-    """A gateway: what it sent, whether a home hears it, and what it heard."""
+    """A gateway: its send history, its connection and the last usage report it received."""
 
     name: str
-    sends: SendHistory = field(default_factory=SendHistory)
+    history: SendHistory = field(default_factory=SendHistory)
     connected: bool = False
-    contact_at: float | None = None
+    last_contact_at: float | None = None
     received_usage: dict[str, int] = field(default_factory=dict)
     usage_received_at: float = 100.0
     received_gateway_count: int = 0
-    unresponsive_since: float | None = None  # while the home has not noticed it
+    unresponsive_since: float | None = None  # until the coordinator detects it
 
 
 class LimitFleet:
-    """Gateways and one home, in a time of their own; every request that was sent is kept."""
+    """Gateways and one coordinator in virtual time; records the time of every sent request."""
 
     def __init__(self, gateways: int, limit: RequestLimit = LIMIT, tenant: str = "t") -> None:
         self.limit = limit
         self.tenant = tenant
         self.now = 100.0
         self.sent: list[float] = []
-        self.sent_unnoticed: list[float] = []  # while the home took their gateway for connected
-        self.refused = 0
+        self.sent_unnoticed: list[float] = []  # before the coordinator detected the disconnect
+        self.refused_count = 0
         self.gateways = [LimitGateway(f"g{n}") for n in range(gateways)]
         self.coordinator = self.new_coordinator()
         for gateway in self.gateways:
@@ -53,7 +53,7 @@
         usage = [TenantUsage(name, count) for name, count in gateway.received_usage.items()]
         self.coordinator.holder_connected(
             gateway.name,
-            gateway.sends.recent(self.now),
+            gateway.history.recent(self.now),
             usage,
             self.now - gateway.usage_received_at,
             gateway.received_gateway_count,
@@ -61,21 +61,21 @@
         )
         gateway.connected = True
         gateway.unresponsive_since = None
-        gateway.contact_at = self.now
+        gateway.last_contact_at = self.now
 
     def disconnect(self, gateway: LimitGateway, unresponsive_s: float = 0.0) -> None:
-        """End a gateway's contact; the home notices it at once."""
+        """Disconnect a gateway; the coordinator detects it at once."""
         if gateway.connected:
             gateway.connected = False
             self.coordinator.holder_lost(gateway.name, unresponsive_s, self.now)
 
     def become_unresponsive(self, gateway: LimitGateway) -> None:
-        """End a gateway's contact; the home has not noticed yet."""
+        """Disconnect a gateway without the coordinator detecting it yet."""
         gateway.connected = False
         gateway.unresponsive_since = self.now
 
     def detect_unresponsive(self, gateway: LimitGateway) -> None:
-        """Have the home notice that a gateway is silent."""
+        """Have the coordinator detect that a gateway is unresponsive."""
         if gateway.unresponsive_since is not None:
             self.coordinator.holder_lost(
                 gateway.name, self.now - gateway.unresponsive_since, self.now
@@ -83,12 +83,12 @@
             gateway.unresponsive_since = None
 
     def restart_gateway(self, n: int) -> None:
-        """End a gateway and begin it anew, without contact."""
+        """Restart a gateway without its state and without a connection."""
         self.disconnect(self.gateways[n])
         self.gateways[n] = LimitGateway(f"g{n}")
 
     def replace_coordinator(self) -> None:
-        """Another node, which knows nothing, keeps the limit; nobody has reached it yet."""
+        """Replace the coordinator by one without state, to which no gateway is connected."""
         self.coordinator = self.new_coordinator()
         for gateway in self.gateways:
             gateway.connected = False
@@ -100,48 +100,48 @@
         for gateway in connected:
             gateway.received_usage, gateway.usage_received_at = usage, self.now
             gateway.received_gateway_count = self.coordinator.gateway_count(self.now)
-            gateway.contact_at = self.now
+            gateway.last_contact_at = self.now
 
     def request(self, gateway: LimitGateway) -> bool:
-        """Send a request if that is permitted; returns whether it was."""
+        """Send a request if it is permitted; return whether it was."""
         if gateway.connected:
-            gateway.contact_at = self.now
+            gateway.last_contact_at = self.now
             permitted = self.coordinator.acquire(gateway.name, self.tenant, self.now) == 0.0
         else:
-            permitted = gateway.sends.may_send_disconnected(
+            permitted = gateway.history.may_send_disconnected(
                 self.tenant,
                 self.limit,
-                gateway.contact_at,
+                gateway.last_contact_at,
                 gateway.received_usage.get(self.tenant, 0),
                 self.now,
             )
         if permitted:
-            gateway.sends.record(self.tenant, self.now)
+            gateway.history.record(self.tenant, self.now)
             self.sent.append(self.now)
             if gateway.unresponsive_since is not None:
                 self.sent_unnoticed.append(self.now)
         else:
-            self.refused += 1
+            self.refused_count += 1
         return permitted
 
     def max_window_count(self) -> int:
-        """Return the most requests that any window saw."""
-        most = first = 0
+        """Return the largest number of requests sent in any window."""
+        max_count = first = 0
         for last, at in enumerate(self.sent):
             while self.sent[first] <= at - WINDOW_S:
                 first += 1
-            most = max(most, last - first + 1)
-        return most
+            max_count = max(max_count, last - first + 1)
+        return max_count
 
     def send_random(self, seconds: float, per_s: float, rng: Random) -> None:
-        """Have requests come, at gateways drawn by lot."""
+        """Send requests at random times through random gateways."""
         until = self.now + seconds
-        next_picture = self.now
+        next_snapshot_at = self.now
         while self.now < until:
             self.now += rng.expovariate(per_s)
-            if self.now >= next_picture:
+            if self.now >= next_snapshot_at:
                 self.publish_snapshots()
-                next_picture = self.now + SNAPSHOT_INTERVAL_S
+                next_snapshot_at = self.now + SNAPSHOT_INTERVAL_S
             self.request(rng.choice(self.gateways))
 
 
@@ -150,9 +150,9 @@
 
 
 class SnapshotFleet(LimitFleet):
-    """A fleet whose home tells pictures while it lives, as it does in service.
+    """A fleet whose coordinator publishes snapshots periodically, as in production.
 
-    Setting the time forward has the home tell every picture that is due until then.
+    Advancing the time publishes every snapshot that is due until then.
     """
 
     _now = 0.0
@@ -171,6 +171,6 @@
         self._now = value
 
     def new_coordinator(self) -> TenantLimitCoordinator:
-        """A home tells its first picture one period after it began."""
+        """Return a coordinator that publishes its first snapshot after one interval."""
         self._next_snapshot_at = self.now + SNAPSHOT_INTERVAL_S
         return super().new_coordinator()
--- a/tests/admission/test_backend_gate.py
+++ b/tests/admission/test_backend_gate.py
@@ -1,4 +1,4 @@
-"""The gate: online at once, batch into measured slack."""
+"""Admission of online and batch requests at a back end."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -16,19 +16,19 @@
 IDLE_S = 10.0
 
 
-def _gate(policy: YieldingPolicy = YieldingPolicy.TAIL) -> BackendGate:
+def _make_gate(policy: YieldingPolicy = YieldingPolicy.TAIL) -> BackendGate:
     return BackendGate("engine", GateCapacity(online=4, batch=40), policy)
 
 
 def _fitted_gate(policy: YieldingPolicy) -> BackendGate:
-    gate = _gate(policy)
+    gate = _make_gate(policy)
     for sequences in range(1, 41):
         gate.fit.add(sequences, BASE_S + SLOPE_S * sequences)
     return gate
 
 
-def _fill(gate: BackendGate, until: float) -> float:
-    """Start batch as slots are given, a step apart; return the time."""
+def _fill_with_batch(gate: BackendGate, until: float) -> float:
+    """Start batch requests as slots become available, one step apart; return the end time."""
     now = IDLE_S
     while now < IDLE_S + until:
         for _ in range(gate.available_batch_slots(now)):
@@ -37,29 +37,29 @@
     return now
 
 
-def test_batch_fills_an_idle_back_end_step_by_step() -> None:
-    gate = _gate()
+def test_batch_fills_an_idle_back_end_gradually() -> None:
+    gate = _make_gate()
     assert 0 < gate.available_batch_slots(IDLE_S) < 40
-    _fill(gate, 2.0)
+    _fill_with_batch(gate, 2.0)
     assert len(gate.batch) == 40
 
 
 def test_online_is_admitted_while_batch_fills_the_back_end() -> None:
-    gate = _gate()
-    now = _fill(gate, 2.0)
+    gate = _make_gate()
+    now = _fill_with_batch(gate, 2.0)
     assert gate.admit_online("o", now)
 
 
 def test_online_arrival_preempts_batch_above_the_fitted_bound() -> None:
     for policy in YieldingPolicy:
         gate = _fitted_gate(policy)
-        now = _fill(gate, 2.0)
+        now = _fill_with_batch(gate, 2.0)
         gate.admit_online("o", now)
         stopped = gate.preempt_batch()
         tolerance = POLICY_PARAMETERS[policy].max_slowdown
         kept = 40 - len(stopped)
         assert kept == int(tolerance * (BASE_S + SLOPE_S) / SLOPE_S)
-        assert gate.preempt_batch() == []  # told once
+        assert gate.preempt_batch() == []  # each request is returned once
 
 
 def test_no_batch_prompt_before_an_online_first_token() -> None:
@@ -71,7 +71,7 @@
 
 
 def test_draining_back_end_admits_nothing() -> None:
-    gate = _gate()
+    gate = _make_gate()
     gate.state = BackendState.DRAINING
     assert not gate.admit_online("o", IDLE_S)
     assert gate.available_batch_slots(IDLE_S) == 0
--- a/tests/admission/test_limiter.py
+++ b/tests/admission/test_limiter.py
@@ -1,4 +1,4 @@
-"""A limit holds, and a burst of callers within it is not refused."""
+"""The limiter refuses requests beyond a limit and admits bursts within it."""
 
 import asyncio
 
--- a/tests/admission/test_poison_requests.py
+++ b/tests/admission/test_poison_requests.py
@@ -1,4 +1,4 @@
-"""Which requests are held back, from what is known of ends of back ends."""
+"""Quarantine of requests that crash back ends."""
 
 from random import Random
 
@@ -36,62 +36,62 @@
 
 
 def test_one_crash_does_not_quarantine() -> None:
-    suspects = PoisonRequests()
-    crash(suspects, "a")
-    assert seconds_left(suspects, 0.0) == 0.0
+    poison_requests = PoisonRequests()
+    crash(poison_requests, "a")
+    assert seconds_left(poison_requests, 0.0) == 0.0
 
 
 def test_several_runs_at_one_crash_count_once() -> None:
-    suspects = PoisonRequests()
-    crash(suspects, "a", "a", "a")
-    assert seconds_left(suspects, 0.0) == 0.0
+    poison_requests = PoisonRequests()
+    crash(poison_requests, "a", "a", "a")
+    assert seconds_left(poison_requests, 0.0) == 0.0
 
 
 def test_quarantine_grows_with_the_number_of_crashes() -> None:
-    suspects = PoisonRequests()
-    crash(suspects, "a", "b")
-    assert seconds_left(suspects, 1.0) == FIRST_QUARANTINE_S - 1.0
-    assert seconds_left(suspects, FIRST_QUARANTINE_S) == 0.0, "it may show once more what it does"
-    crash(suspects, "c", at=FIRST_QUARANTINE_S)
-    assert seconds_left(suspects, FIRST_QUARANTINE_S) == EVIDENCE_TTL_S
+    poison_requests = PoisonRequests()
+    crash(poison_requests, "a", "b")
+    assert seconds_left(poison_requests, 1.0) == FIRST_QUARANTINE_S - 1.0
+    assert seconds_left(poison_requests, FIRST_QUARANTINE_S) == 0.0, "released for another run"
+    crash(poison_requests, "c", at=FIRST_QUARANTINE_S)
+    assert seconds_left(poison_requests, FIRST_QUARANTINE_S) == EVIDENCE_TTL_S
 
 
 def test_nodes_release_a_fingerprint_at_different_times() -> None:
     first, second = PoisonRequests(), PoisonRequests(release_jitter_s=2.0)
-    for suspects in (first, second):
-        crash(suspects, "a", "b")
+    for poison_requests in (first, second):
+        crash(poison_requests, "a", "b")
     assert seconds_left(first, FIRST_QUARANTINE_S) == 0.0 < seconds_left(second, FIRST_QUARANTINE_S)
     second.record_crash(FINGERPRINT, "c", 1.0, FIRST_QUARANTINE_S + 0.5)
     assert seconds_left(second, FIRST_QUARANTINE_S + 2.5) > FIRST_QUARANTINE_S
     alone = PoisonRequests(release_jitter_s=2.0)
     crash(alone, "a")
-    assert seconds_left(alone, 0.0) == 0.0, "one end holds nobody back there either"
+    assert seconds_left(alone, 0.0) == 0.0, "jitter does not quarantine after one crash"
 
 
 def test_other_fingerprints_are_not_quarantined() -> None:
-    suspects = PoisonRequests()
-    crash(suspects, "a", "b", "c")
-    assert seconds_left(suspects, 0.0, OTHER_FINGERPRINT) == 0.0
+    poison_requests = PoisonRequests()
+    crash(poison_requests, "a", "b", "c")
+    assert seconds_left(poison_requests, 0.0, OTHER_FINGERPRINT) == 0.0
 
 
 def test_crash_weight_depends_on_answer_and_duration() -> None:
     assert crash_weight(False, 60.0) == UNANSWERED_WEIGHT
     assert crash_weight(True, MAX_EARLY_CRASH_S / 2) == PARTIAL_ANSWER_WEIGHT
     assert crash_weight(True, MAX_EARLY_CRASH_S) == 0.0
-    suspects = PoisonRequests()
-    crash(suspects, "a", "b", "c", weight=PARTIAL_ANSWER_WEIGHT)
-    assert seconds_left(suspects, 0.0) == 0.0
-    crash(suspects, "d", weight=PARTIAL_ANSWER_WEIGHT)
-    assert seconds_left(suspects, 0.0) == FIRST_QUARANTINE_S
+    poison_requests = PoisonRequests()
+    crash(poison_requests, "a", "b", "c", weight=PARTIAL_ANSWER_WEIGHT)
+    assert seconds_left(poison_requests, 0.0) == 0.0
+    crash(poison_requests, "d", weight=PARTIAL_ANSWER_WEIGHT)
+    assert seconds_left(poison_requests, 0.0) == FIRST_QUARANTINE_S
 
 
 def test_answer_clears_the_evidence() -> None:
-    suspects = PoisonRequests()
-    crash(suspects, "a", "b")
-    suspects.record_answer(lambda: FINGERPRINT)
-    assert seconds_left(suspects, 0.0) == 0.0
-    crash(suspects, "c")
-    assert seconds_left(suspects, 0.0) == 0.0
+    poison_requests = PoisonRequests()
+    crash(poison_requests, "a", "b")
+    poison_requests.record_answer(lambda: FINGERPRINT)
+    assert seconds_left(poison_requests, 0.0) == 0.0
+    crash(poison_requests, "c")
+    assert seconds_left(poison_requests, 0.0) == 0.0
 
 
 def test_peer_clock_ahead_does_not_extend_the_quarantine() -> None:
@@ -104,9 +104,9 @@
 
 
 def test_quarantine_is_bounded() -> None:
-    suspects = PoisonRequests()
-    crash(suspects, *(f"b{number}" for number in range(2000)))
-    assert seconds_left(suspects, 0.0) == EVIDENCE_TTL_S
+    poison_requests = PoisonRequests()
+    crash(poison_requests, *(f"b{number}" for number in range(2000)))
+    assert seconds_left(poison_requests, 0.0) == EVIDENCE_TTL_S
 
 
 def test_evidence_of_two_nodes_adds_up() -> None:
@@ -119,88 +119,88 @@
 
 
 def test_shared_evidence_is_not_published_again() -> None:
-    suspects = PoisonRequests()
-    crash(suspects, "a")
-    untold = suspects.unpublished(9)
-    suspects.apply_shared(FINGERPRINT, untold[FINGERPRINT])
-    assert not suspects.unpublished(9)
-    assert len(suspects) == 1
+    poison_requests = PoisonRequests()
+    crash(poison_requests, "a")
+    to_publish = poison_requests.unpublished(9)
+    poison_requests.apply_shared(FINGERPRINT, to_publish[FINGERPRINT])
+    assert not poison_requests.unpublished(9)
+    assert len(poison_requests) == 1
 
 
 def test_answer_removes_shared_evidence() -> None:
-    suspects = PoisonRequests()
-    crash(suspects, "a", "b")
-    suspects.apply_shared(FINGERPRINT, suspects.unpublished(9)[FINGERPRINT])
-    suspects.record_answer(lambda: FINGERPRINT)
-    assert suspects.removable(0.0, 9) == [FINGERPRINT]
-    suspects.mark_removed([FINGERPRINT])
-    suspects.apply_shared(FINGERPRINT, None)
-    assert not len(suspects) and not suspects.removable(0.0, 9)
+    poison_requests = PoisonRequests()
+    crash(poison_requests, "a", "b")
+    poison_requests.apply_shared(FINGERPRINT, poison_requests.unpublished(9)[FINGERPRINT])
+    poison_requests.record_answer(lambda: FINGERPRINT)
+    assert poison_requests.removable(0.0, 9) == [FINGERPRINT]
+    poison_requests.mark_removed([FINGERPRINT])
+    poison_requests.apply_shared(FINGERPRINT, None)
+    assert not len(poison_requests) and not poison_requests.removable(0.0, 9)
 
 
 def test_evidence_received_after_an_answer_is_kept() -> None:
-    suspects = PoisonRequests()
-    crash(suspects, "a")
-    suspects.record_answer(lambda: FINGERPRINT)
+    poison_requests = PoisonRequests()
+    crash(poison_requests, "a")
+    poison_requests.record_answer(lambda: FINGERPRINT)
     other = PoisonRequests()
     crash(other, "b")
-    suspects.record_peer_evidence(FINGERPRINT, other.evidence(FINGERPRINT))
-    suspects.mark_published(suspects.unpublished(9))
-    assert suspects.removable(0.0, 9) == []
+    poison_requests.record_peer_evidence(FINGERPRINT, other.evidence(FINGERPRINT))
+    poison_requests.mark_published(poison_requests.unpublished(9))
+    assert poison_requests.removable(0.0, 9) == []
 
 
 def test_expired_evidence_is_removable_and_does_not_quarantine() -> None:
-    suspects = PoisonRequests()
-    crash(suspects, "a", "b", "c")
-    suspects.apply_shared(FINGERPRINT, suspects.unpublished(9)[FINGERPRINT])
-    assert seconds_left(suspects, EVIDENCE_TTL_S + 1.0) == 0.0
-    assert suspects.removable(EVIDENCE_TTL_S + 1.0, 9) == [FINGERPRINT]
+    poison_requests = PoisonRequests()
+    crash(poison_requests, "a", "b", "c")
+    poison_requests.apply_shared(FINGERPRINT, poison_requests.unpublished(9)[FINGERPRINT])
+    assert seconds_left(poison_requests, EVIDENCE_TTL_S + 1.0) == 0.0
+    assert poison_requests.removable(EVIDENCE_TTL_S + 1.0, 9) == [FINGERPRINT]
 
 
 def test_number_of_fingerprints_is_bounded() -> None:
-    suspects = PoisonRequests()
+    poison_requests = PoisonRequests()
     for number in range(MAX_FINGERPRINTS + 50):
-        suspects.record_crash(RequestFingerprint(f"{number}"), "a", 1.0, float(number))
-    assert len(suspects) == MAX_FINGERPRINTS
-    assert not len(suspects.evidence(RequestFingerprint("0")).crashes_by_key)
+        poison_requests.record_crash(RequestFingerprint(f"{number}"), "a", 1.0, float(number))
+    assert len(poison_requests) == MAX_FINGERPRINTS
+    assert not len(poison_requests.evidence(RequestFingerprint("0")).crashes_by_key)
 
 
 def test_fingerprint_is_computed_only_if_evidence_exists() -> None:
     def never() -> RequestFingerprint:
-        raise AssertionError("the digest of each request would be made")
+        raise AssertionError("computed a fingerprint without any evidence")
 
-    suspects = PoisonRequests()
-    assert suspects.quarantine_left_s(never, 0.0) == 0.0
-    suspects.record_answer(never)
+    poison_requests = PoisonRequests()
+    assert poison_requests.quarantine_left_s(never, 0.0) == 0.0
+    poison_requests.record_answer(never)
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_only_the_poison_request_is_quarantined(
     seed: int,
 ) -> None:
-    """Callers repeat what was cut; others are answered where the fatal request is not."""
+    """Callers retry interrupted requests; only the poison request never gets an answer."""
     rng = Random(seed)
-    suspects = PoisonRequests()
+    poison_requests = PoisonRequests()
     others = [RequestFingerprint(f"o{number}") for number in range(40)]
-    fatal_runs = 0
+    poison_runs = 0
     now = 0.0
     for number in range(60):
         now += rng.uniform(0.2, 2.0)
-        there = rng.sample(others, 14)
-        if seconds_left(suspects, now) == 0.0:
-            fatal_runs += 1
-            suspects.record_crash(FINGERPRINT, f"b{number}", 1.0, now)
-            for content in there:
+        bystanders = rng.sample(others, 14)
+        if seconds_left(poison_requests, now) == 0.0:
+            poison_runs += 1
+            poison_requests.record_crash(FINGERPRINT, f"b{number}", 1.0, now)
+            for fingerprint in bystanders:
                 answer_begun = rng.random() < 0.95
                 ran_s = rng.uniform(0.0, 1.5)
                 weight = crash_weight(answer_begun, ran_s)
                 if weight:
-                    suspects.record_crash(content, f"b{number}", weight, now)
-        for content in rng.sample(others, 14):
-            if seconds_left(suspects, now, content) == 0.0:
-                suspects.record_answer(lambda content=content: content)
-    assert fatal_runs <= 3
-    assert all(seconds_left(suspects, now, content) == 0.0 for content in others)
+                    poison_requests.record_crash(fingerprint, f"b{number}", weight, now)
+        for fingerprint in rng.sample(others, 14):
+            if seconds_left(poison_requests, now, fingerprint) == 0.0:
+                poison_requests.record_answer(lambda fingerprint=fingerprint: fingerprint)
+    assert poison_runs <= 3
+    assert all(seconds_left(poison_requests, now, fingerprint) == 0.0 for fingerprint in others)
 
 
 def test_fingerprint_depends_on_tenant_path_and_body() -> None:
@@ -215,16 +215,12 @@
 
 
 def test_each_crash_of_a_restarted_back_end_counts() -> None:
-    """Back ends may keep their id when they start again.
-
-    The second end of an id took the place of the first: six ends weighed as one, and a request that
-    ends the only back end of its service was never held back.
-    """
-    suspects = PoisonRequests()
+    """Guards against a later crash replacing the evidence of an earlier one of the same id."""
+    poison_requests = PoisonRequests()
     for number in range(3):
-        crash(suspects, "a", at=number * 3.1)
-    assert suspects.evidence(FINGERPRINT).total_weight() == 3.0
-    assert seconds_left(suspects, 6.2) > FIRST_QUARANTINE_S
+        crash(poison_requests, "a", at=number * 3.1)
+    assert poison_requests.evidence(FINGERPRINT).total_weight() == 3.0
+    assert seconds_left(poison_requests, 6.2) > FIRST_QUARANTINE_S
 
 
 def test_crash_seen_by_several_nodes_counts_once() -> None:
@@ -234,10 +230,12 @@
     crash(there, "a", at=13.4)
     here.record_peer_evidence(FINGERPRINT, there.evidence(FINGERPRINT))
     there.record_peer_evidence(FINGERPRINT, here.evidence(FINGERPRINT))
-    for suspects in (here, there):
-        assert suspects.evidence(FINGERPRINT).total_weight() == 2.0
-        assert suspects.evidence(FINGERPRINT).covers(PoisonEvidence({"a": BackendCrash(13.2, 1.0)}))
-        assert not suspects.evidence(FINGERPRINT).covers(
+    for poison_requests in (here, there):
+        assert poison_requests.evidence(FINGERPRINT).total_weight() == 2.0
+        assert poison_requests.evidence(FINGERPRINT).covers(
+            PoisonEvidence({"a": BackendCrash(13.2, 1.0)})
+        )
+        assert not poison_requests.evidence(FINGERPRINT).covers(
             PoisonEvidence({"a": BackendCrash(20.0, 1.0)})
         )
 
@@ -254,13 +252,10 @@
 
 
 def test_smallest_weight_counts_among_runs_at_one_crash() -> None:
-    """Found by the fault soak: a body that many callers send was at three ends within a second.
-
-    Of its runs at one end some had begun their answers and others had not.
-    """
-    suspects = PoisonRequests()
+    """Guards against quarantining a popular request of which some answers had begun."""
+    poison_requests = PoisonRequests()
     for number, instance in enumerate("abc"):
-        crash(suspects, instance, at=number * 0.4, weight=PARTIAL_ANSWER_WEIGHT)
-        crash(suspects, instance, at=number * 0.4 + 0.01, weight=UNANSWERED_WEIGHT)
-    assert suspects.evidence(FINGERPRINT).total_weight() == 3 * PARTIAL_ANSWER_WEIGHT
-    assert seconds_left(suspects, 1.0) == 0.0
+        crash(poison_requests, instance, at=number * 0.4, weight=PARTIAL_ANSWER_WEIGHT)
+        crash(poison_requests, instance, at=number * 0.4 + 0.01, weight=UNANSWERED_WEIGHT)
+    assert poison_requests.evidence(FINGERPRINT).total_weight() == 3 * PARTIAL_ANSWER_WEIGHT
+    assert seconds_left(poison_requests, 1.0) == 0.0
--- a/tests/admission/test_tenant_limit_histories.py
+++ b/tests/admission/test_tenant_limit_histories.py
@@ -1,4 +1,4 @@
-"""A limit under arbitrary histories of gateways that fall silent, return and start anew."""
+"""Property tests: a limit holds while gateways disconnect and coordinators change."""
 
 from bisect import bisect_right
 
@@ -11,18 +11,18 @@
 from wharfcart.configuration.serving import RequestLimit
 
 GATEWAYS = 4
-# What may go beyond a limit: a gateway without contact may send its part of a window faster than
-# evenly, and a home that begins does not know what gateways send that it has not heard.
+# Allowed excess: a disconnected gateway may send its share unevenly, and a new coordinator does not
+# know the requests of gateways that are not connected to it.
 EXCESS_SHARE = 0.25
 EXCESS_REQUESTS = 4
 RATES = (2.0, 5.0, 20.0, 50.0)
 BURSTS = (2.0, 20.0, 50.0)
 
-# No rule below takes longer.
+# Longer than any rule takes.
 CHECKED_SPAN_S = 60.0 + 2 * WINDOW_S
 
-# Drawn from lists: integers and floats are drawn by way of the constants of all loaded modules, so
-# that the verdict would depend on which other tests run.
+# Hypothesis draws integers and floats with the constants of all loaded modules in mind; sampling
+# from lists keeps the cases independent of the other tests of a run.
 gateways = st.sampled_from(range(GATEWAYS))
 pauses_s = st.sampled_from([hundredths / 100 for hundredths in range(1, 601)])
 
--- a/tests/admission/test_tenant_limits.py
+++ b/tests/admission/test_tenant_limits.py
@@ -1,4 +1,4 @@
-"""Limits of tenants' requests: what all gateways send together, whatever happens between them."""
+"""Tenant limits hold over all gateways when gateways or coordinators are lost."""
 
 from random import Random
 
@@ -19,7 +19,7 @@
     for seed in range(20):
         fleet = LimitFleet(10, RequestLimit(20.0, 20.0))
         fleet.send_random(30.0, 12.0, Random(seed))
-        assert fleet.refused == 0
+        assert fleet.refused_count == 0
 
 
 def test_tenant_over_its_limit_gets_the_whole_limit() -> None:
@@ -33,8 +33,8 @@
     fleet = LimitFleet(1)
     gateway = fleet.gateways[0]
     assert all(fleet.request(gateway) for _ in range(5))
-    told = [fleet.coordinator.acquire("g0", "t", fleet.now) for _ in range(3)]
-    assert told == pytest.approx([0.2, 0.4, 0.6])
+    retry_after_s = [fleet.coordinator.acquire("g0", "t", fleet.now) for _ in range(3)]
+    assert retry_after_s == pytest.approx([0.2, 0.4, 0.6])
     assert (
         max(fleet.coordinator.acquire("g0", "t", fleet.now) for _ in range(99)) == MAX_RETRY_AFTER_S
     )
@@ -70,7 +70,7 @@
     fleet.now += 0.5
     assert fleet.request(first)
     assert not fleet.request(first)
-    assert not fleet.request(second)  # it had sent nothing
+    assert not fleet.request(second)  # no earlier requests
     for _ in range(20):
         fleet.now += 0.5
         assert fleet.request(first)
@@ -82,11 +82,11 @@
     fleet = LimitFleet(2)
     first, second = fleet.gateways
     for _ in range(20):
-        fleet.now += 0.25  # four of the five a second
+        fleet.now += 0.25  # four of the five requests per second
         assert fleet.request(first)
     fleet.disconnect(first)
-    begun = fleet.now
-    while fleet.now < begun + 10.0:
+    disconnected_at = fleet.now
+    while fleet.now < disconnected_at + 10.0:
         fleet.now += 0.05
         fleet.request(first)
         fleet.request(second)
@@ -102,13 +102,13 @@
         fleet.now += 0.1  # half of the limit
         assert fleet.request(first)
     fleet.become_unresponsive(first)
-    silent_since = fleet.now
-    while fleet.now < silent_since + WINDOW_S:
+    disconnected_at = fleet.now
+    while fleet.now < disconnected_at + WINDOW_S:
         fleet.now += 0.1
         assert fleet.request(first)
         for _ in range(10):
             fleet.request(second)
-        if fleet.now >= silent_since + 1.0:
+        if fleet.now >= disconnected_at + 1.0:
             fleet.detect_unresponsive(first)
     assert fleet.max_window_count() <= window_limit(fleet.limit)
 
@@ -155,21 +155,21 @@
 
 def test_limit_can_be_removed_and_restored() -> None:
     fleet = LimitFleet(1)
-    home = TenantLimitCoordinator(lambda _name: fleet.limit, 100.0)
+    coordinator = TenantLimitCoordinator(lambda _name: fleet.limit, 100.0)
     fleet.limit = None  # type: ignore[assignment]
-    assert all(home.acquire("g0", "t", 100.0) == 0.0 for _ in range(50))
-    assert home.usage_by_tenant(100.0) == {}
+    assert all(coordinator.acquire("g0", "t", 100.0) == 0.0 for _ in range(50))
+    assert coordinator.usage_by_tenant(100.0) == {}
     fleet.limit = LIMIT
-    assert home.acquire("g0", "t", 101.0) == 0.0
+    assert coordinator.acquire("g0", "t", 101.0) == 0.0
 
 
 def random_history(seed: int, coordinator_changes: bool, gateway_restarts: bool) -> LimitFleet:
-    """Play a tenant whose gateways lose contact and come back.
+    """Return a fleet after a random history of disconnects and reconnects.
 
     Args:
-        seed: of the run.
-        homes_change: the home is replaced, too, by one that knows nothing.
-        kills: gateways begin anew, too, and know nothing.
+        seed: seed of the history.
+        coordinator_changes: whether the coordinator is replaced by one without state, too.
+        gateway_restarts: whether gateways restart without their state, too.
     """
     rng = Random(seed)
     limit = RequestLimit(rng.choice([2.0, 5.0, 20.0]), rng.choice([2.0, 5.0, 20.0]))
@@ -177,12 +177,12 @@
     for _ in range(rng.randint(5, 25)):
         fleet.send_random(rng.uniform(0.1, 3.0), limit.per_s * rng.uniform(0.3, 8.0), rng)
         n = rng.randrange(len(fleet.gateways))
-        what = rng.random()
-        if what < 0.35:
+        event = rng.random()
+        if event < 0.35:
             fleet.disconnect(fleet.gateways[n])
-        elif what < 0.75:
+        elif event < 0.75:
             fleet.connect(fleet.gateways[n])
-        elif what < 0.85:
+        elif event < 0.85:
             if coordinator_changes:
                 fleet.replace_coordinator()
         elif gateway_restarts:
@@ -191,7 +191,7 @@
 
 
 def test_reconnecting_gateways_exceed_the_limit_by_little() -> None:
-    """One without contact may send its part of a window faster than evenly."""
+    """A disconnected gateway may send its share of a window unevenly."""
     for seed in range(200):
         fleet = random_history(seed, coordinator_changes=False, gateway_restarts=False)
         assert fleet.max_window_count() <= 1.15 * window_limit(fleet.limit), seed
@@ -211,17 +211,16 @@
 
 
 def test_losing_coordinator_and_gateways_together_exceeds_the_limit_by_little() -> None:
-    """A home that begins while gateways are out of contact does not know what they send."""
+    """A new coordinator does not know the requests of disconnected gateways."""
     for seed in range(200):
         fleet = random_history(seed, coordinator_changes=True, gateway_restarts=False)
         assert fleet.max_window_count() <= 1.25 * window_limit(fleet.limit), seed
 
 
 def test_unreported_burst_exceeds_the_limit_by_little() -> None:
-    """Found by the histories: a gateway sends a burst, and is lost together with the home.
+    """Guards against granting a whole burst after a gateway was lost with the coordinator.
 
-    The next home has heard of neither: no picture was told between the burst and the loss. It
-    permits a whole burst to the others.
+    No snapshot was published after its burst, so the next coordinator does not know it.
     """
     fleet = LimitFleet(4, RequestLimit(2.0, 50.0))
     for _ in range(37):
@@ -236,16 +235,13 @@
 
 
 def test_repeated_coordinator_changes_without_snapshots_exceed_the_limit_by_little() -> None:
-    """Found by histories of another seed: each change loses what one gateway sent.
-
-    Every home lent the rest of a whole burst to those that it heard.
-    """
+    """Guards against each new coordinator granting another burst to the gateways left."""
     fleet = LimitFleet(4, RequestLimit(2.0, 20.0))
-    for gone, count, gap_s in ((2, 102, 0.02), (0, 16, 0.005), (3, 38, 0.005)):
-        heard = [gateway for gateway in fleet.gateways if gateway.connected]
+    for lost, count, gap_s in ((2, 102, 0.02), (0, 16, 0.005), (3, 38, 0.005)):
+        reachable = [gateway for gateway in fleet.gateways if gateway.connected]
         fleet.replace_coordinator()
-        for gateway in heard:
-            if gateway is not fleet.gateways[gone]:
+        for gateway in reachable:
+            if gateway is not fleet.gateways[lost]:
                 fleet.connect(gateway)
         for turn in range(count):
             fleet.now += gap_s
@@ -256,8 +252,8 @@
 def test_new_coordinator_grants_a_whole_burst_after_one_window() -> None:
     fleet = LimitFleet(1, RequestLimit(2.0, 50.0))
     assert sum(fleet.request(fleet.gateways[0]) for _ in range(60)) == 10
-    told = fleet.coordinator.acquire("g0", "t", fleet.now)
-    assert 0.0 < told <= MAX_RETRY_AFTER_S
+    retry_after_s = fleet.coordinator.acquire("g0", "t", fleet.now)
+    assert 0.0 < retry_after_s <= MAX_RETRY_AFTER_S
     fleet.now += WINDOW_S
     assert sum(fleet.request(fleet.gateways[0]) for _ in range(60)) == 50
 
@@ -279,11 +275,10 @@
 
 
 def test_second_coordinator_counts_gateway_cut_off_while_idle() -> None:
-    """Found by histories: a gateway goes on at the pace of its busiest window, homes know its last.
+    """A disconnected gateway sends at its busiest rate, coordinators reserve its last one.
 
-    A gateway sends nine in a window, then little, and is cut off as the home changes. It goes on
-    alone at nine a window. The next home keeps what was told of it last, three; three is too little
-    to be told on, so that the home after that keeps nothing for it and permits a whole window's.
+    The second coordinator after the disconnect reserves nothing for it, since its last usage was
+    below the reported share.
     """
     fleet = SnapshotFleet(4, RequestLimit(2.0, 2.0))
 
