--- a/src/wharfcart/routing/__init__.py
+++ b/src/wharfcart/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which back end a request goes to."""
+"""Routing: selection of back ends, forwarding of requests, crash detection."""
--- a/src/wharfcart/routing/dispatcher.py
+++ b/src/wharfcart/routing/dispatcher.py
@@ -1,8 +1,8 @@
-"""Dispatcher: sends a request to its back end through the back end's owner.
+"""Dispatch of online requests to back ends through the nodes that own them.
 
-A silent owner is passed by: the next node in rendezvous order stands in, then this node itself.
-That may make two owners for a moment, which is harmless: what must happen once rests on the
-journal.
+If the owner is unresponsive, the next node in rendezvous order runs the request, then this node
+itself. So a back end may have two owners for a moment. That is safe: effects that must happen once
+are guarded by the journal.
 """
 
 import asyncio
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class ClusterView:
-    """What the dispatcher asks of the cluster."""
+    """The cluster as the dispatcher sees it."""
 
     node_id: str
     live_in_zone: Callable[[str], list[str]]
@@ -42,7 +42,7 @@
 
 
 class Dispatcher:
-    """Online dispatch of one node."""
+    """Dispatches the online requests of one node."""
 
     def __init__(
         self,
@@ -69,33 +69,35 @@
     ) -> AsyncGenerator[BackendPart, None]:
         """Run a request and yield the parts of its answer.
 
-        Parameters
-        ----------
-        deadline: on the loop's clock.
-        before_try: awaited before each try, before the first byte goes out; if it raises, nothing
-            was sent.
-
-        Raises
-        ------
-        ServingError
-            With its outcome. Tried again only while nothing was yielded, and only if the request is
-            repeatable or surely did not run.
+        A failed attempt is retried only if nothing was yielded yet and the request is repeatable or
+        provably did not run.
+
+        Args:
+            service: service of the request.
+            request: the request.
+            deadline: monotonic time in seconds.
+            prefix: prompt prefix for affinity, '' if there is none.
+            before_attempt: awaited before each attempt, before any byte is sent; if it raises,
+                nothing was sent.
+
+        Raises:
+            ServingError: The request failed; carries its outcome.
         """
         budget = self._retry_budgets.setdefault((service.tenant, service.name), RetryBudget())
         budget.deposit()
         excluded: set[str] = set()
         for attempt in range(1, MAX_ATTEMPTS + 1):
             backend = self._choose(service, prefix, excluded)
-            yielded = False
+            has_yielded = False
             try:
                 async with asyncio.timeout(deadline - monotonic()):
                     if before_attempt is not None:
                         await before_attempt(backend)
                     resume = backend.backend_id in excluded
-                    tried = replace(request, resume=resume)
-                    async with aclosing(self._attempt(backend, tried, deadline)) as parts:
+                    attempted = replace(request, resume=resume)
+                    async with aclosing(self._attempt(backend, attempted, deadline)) as parts:
                         async for part in parts:
-                            yielded = True
+                            has_yielded = True
                             yield part
                 return
             except TimeoutError:
@@ -104,7 +106,12 @@
                 ) from None
             except ServingError as error:
                 repeatable = service.repeatable or error.outcome is Outcome.NOT_RUN
-                if yielded or not repeatable or attempt == MAX_ATTEMPTS or not budget.withdraw():
+                if (
+                    has_yielded
+                    or not repeatable
+                    or attempt == MAX_ATTEMPTS
+                    or not budget.withdraw()
+                ):
                     raise
                 self._metrics.retries.labels(error.code).inc()
                 excluded.add(backend.backend_id)
@@ -116,7 +123,7 @@
             backend = self._router.choose(service.target, service.routing_key, now, prefix)
         if backend is None:
             raise ServingError(
-                "no_backend", f"no server holds {service.target} now", 503, retry_after_seconds=2
+                "no_backend", f"no back end serves {service.target} now", 503, retry_after_seconds=2
             )
         return backend
 
@@ -124,21 +131,21 @@
         self, backend: Backend, request: BackendRequest, deadline: float
     ) -> AsyncGenerator[BackendPart, None]:
         started_at = monotonic()
-        latency: float | None = None
+        latency_s: float | None = None
         failed = False
         self._router.record_started(backend.backend_id)
         try:
             async with aclosing(self._run_through_owner(backend, request, deadline)) as parts:
                 async for part in parts:
-                    if latency is None:
-                        latency = monotonic() - started_at
+                    if latency_s is None:
+                        latency_s = monotonic() - started_at
                     yield part
         except ServingError as error:
-            # A refusal for load is no fault of the back end's.
+            # A refusal due to load is not a failure of the back end.
             failed = error.code != "overloaded"
             raise
         finally:
-            self._router.record_finished(backend.backend_id, monotonic(), latency, failed)
+            self._router.record_finished(backend.backend_id, monotonic(), latency_s, failed)
 
     async def _run_through_owner(
         self, backend: Backend, request: BackendRequest, deadline: float
@@ -159,7 +166,9 @@
                 return
             except PeerUnreachableError as error:
                 if error.sent:
-                    raise BackendError("the owner went away", Outcome.UNKNOWN) from error
+                    raise BackendError(
+                        "lost the connection to the owner", Outcome.UNKNOWN
+                    ) from error
         async with aclosing(self._run_locally(backend, request)) as parts:
             async for part in parts:
                 yield part
@@ -177,27 +186,27 @@
     async def _run_remotely(
         self, address: Address, backend: Backend, request: BackendRequest, deadline: float
     ) -> AsyncGenerator[BackendPart, None]:
-        call = dispatch_frame(backend, request, max(0.001, deadline - monotonic()))
+        request_frame = dispatch_frame(backend, request, max(0.001, deadline - monotonic()))
         expected = 0
-        ended = False
-        answer = self._transport.stream(address, call, TrafficClass.ONLINE)
-        async with aclosing(answer) as frames:
+        finished = False
+        remote_frames = self._transport.stream(address, request_frame, TrafficClass.ONLINE)
+        async with aclosing(remote_frames) as frames:
             async for frame in frames:
                 part = frame.dispatch_part
                 if part.sequence != expected:
-                    raise BackendError("a part of the answer is missing", Outcome.UNKNOWN)
+                    raise BackendError("answer skipped a part", Outcome.UNKNOWN)
                 expected += 1
-                ended = part.end
+                finished = part.end
                 self._router.record_owner_load(
                     backend.backend_id, part.online_in_flight, monotonic()
                 )
                 yield part_from_message(part)
-        if not ended:
-            raise BackendError("the answer's end is missing", Outcome.UNKNOWN)
+        if not finished:
+            raise BackendError("answer is truncated", Outcome.UNKNOWN)
 
 
 def dispatch_frame(backend: Backend, request: BackendRequest, seconds: float) -> Frame:
-    """Return the call that asks an owner to run a request."""
+    """Return the frame that asks an owner to run a request."""
     dispatch = Dispatch(
         request_id=request.request_id,
         backend_id=backend.backend_id,
@@ -213,7 +222,7 @@
 
 
 def request_from_message(dispatch: Dispatch) -> BackendRequest:
-    """Return the request that a call carries."""
+    """Return the request in a dispatch message."""
     return BackendRequest(
         dispatch.request_id,
         dispatch.method,
@@ -226,7 +235,7 @@
 
 
 def message_from_part(part: BackendPart, sequence: int, online_in_flight: int) -> DispatchPart:
-    """Return the message that carries a part."""
+    """Return the message for a part of an answer."""
     return DispatchPart(
         sequence=sequence,
         status=part.status,
@@ -238,6 +247,6 @@
 
 
 def part_from_message(message: DispatchPart) -> BackendPart:
-    """Return the part that a message carries."""
+    """Return the part of an answer in a message."""
     headers = {header.name: header.value for header in message.headers}
     return BackendPart(message.sequence, message.data, message.end, message.status, headers)
--- a/src/wharfcart/routing/forwarder.py
+++ b/src/wharfcart/routing/forwarder.py
@@ -1,12 +1,12 @@
-"""Passing one request on to back ends: choice, retries, resumption, and what may be promised.
+"""Forwarding of a request to back ends: placement, retries, resumption and final failures.
 
-What may be repeated after what:
+A request may be retried
 
-* nothing was sent, or the back end proved that it did not run the request: always;
-* anything else: only a repeatable request, and a resumable stream after its last whole event.
+* always, if nothing was sent or the back end proved that it did not run the request;
+* otherwise only if it is repeatable; a resumable stream continues after its last complete event.
 
-A refusal ("not run") is given only in the first case. Every request has one deadline, the earlier
-of its caller's and its route's; the back end is told what is left of it.
+The gateway answers "not run" only in the first case. Each request has one deadline, the earlier of
+its caller's and its route's; the back end receives the remaining time.
 """
 
 import asyncio
@@ -36,14 +36,14 @@
 MAX_REFUSED_SENDS = 3
 MAX_CONNECT_FAILURES = 4
 RETRY_AFTER_NO_BACKEND_S = 0.4
-# There are back ends, but all of them are in regions where the request's data may not be.
+# All back ends are outside the regions allowed for the request's data.
 OUTSIDE_RESIDENCE = ExclusionReason.OUTSIDE_RESIDENCE.value
-# Back ends in the only regions where it may be are not reached.
+# The allowed regions are unreachable.
 REGION_UNREACHABLE = "region_unreachable"
 NO_BACKEND_CAUSES = ("no_backend", OUTSIDE_RESIDENCE, REGION_UNREACHABLE)
-# An operator takes an order to empty a zone back after seconds at the soonest.
+# Operators do not cancel an evacuation sooner than this.
 RETRY_AFTER_EVACUATED_S = 2.0
-# A slot is waited for until this part of the caller's patience is over.
+# Share of the caller's patience spent waiting for a slot.
 SLOT_WAIT_SHARE = 0.5
 STATUS_TOO_MANY_REQUESTS = 429
 STATUS_BAD_GATEWAY = 502
@@ -52,10 +52,10 @@
 
 
 class Forwarder:
-    """Passes requests on to the back ends of their services.
+    """Forwards requests to the back ends of their services.
 
     Attributes:
-        deadlines: of the requests in progress.
+        deadlines: deadlines of the requests in progress.
     """
 
     def __init__(
@@ -84,11 +84,10 @@
         self.deadlines = Deadlines()
 
     async def forward(self, request: CallerRequest, sink: AnswerSink) -> None:
-        """Get the request answered.
+        """Forward a request and send its answer to the sink.
 
-        Raises
-        ------
-        AnswerCutError: a begun answer can't be finished.
+        Raises:
+            AnswerTruncatedError: A started answer can't be completed.
         """
         progress = RequestProgress()
         self._sender.record_request()
@@ -114,7 +113,7 @@
                 await self._fail_request(request, sink, progress, STATUS_BAD_GATEWAY)
                 return
             try:
-                placed = await self._placement.place(_placement_request(request, progress))
+                decision = await self._placement.place(_placement_request(request, progress))
             except NoSlotError as error:
                 progress.cause = "no_slot"
                 progress.retry_after_s = error.retry_after_s
@@ -123,25 +122,25 @@
             except OverLimitError as error:
                 await self._reject_over_limit(request, sink, progress, error)
                 return
-            if placed is None:
+            if decision is None:
                 progress.cause = self._no_backend_cause(request, progress)
                 await self._fail_request(request, sink, progress, STATUS_BAD_GATEWAY)
                 return
-            state = placed.state
+            state = decision.state
             progress.placed = True
-            self._request_log.placed(request, progress, placed)
-            verdict = await self._sender.send(request, sink, progress, placed)
-            if verdict is None:
+            self._request_log.placed(request, progress, decision)
+            failure = await self._sender.send(request, sink, progress, decision)
+            if failure is None:
                 return
-            progress.cause = verdict.cause
+            progress.cause = failure.cause
             progress.tried_instances.add(state.instance.instance_id)
-            if not self._may_retry(request, progress, verdict):
+            if not self._may_retry(request, progress, failure):
                 await self._fail_request(request, sink, progress, STATUS_BAD_GATEWAY)
                 return
             self._request_log.retried(request, progress)
 
     def _are_regions_unreachable(self, request: CallerRequest) -> bool:
-        """Whether a request is bound to regions that this gateway does not reach now."""
+        """Whether a request is bound to regions that this gateway can't reach now."""
         regions = request.residence.regions
         if not regions or self._placement.is_granter_reachable(request.service, request.residence):
             return False
@@ -171,7 +170,7 @@
     async def _fail_request(
         self, request: CallerRequest, sink: AnswerSink, progress: RequestProgress, status: int
     ) -> None:
-        """Give the final answer: a refusal if nothing can have run, else that it is not known."""
+        """Send the final answer: a refusal if nothing can have run, else ``status``."""
         if progress.answer_started:
             self._request_log.finished(request, progress, "cut", 0)
             raise AnswerTruncatedError(progress.cause)
@@ -206,12 +205,12 @@
 def _placement_request(request: CallerRequest, progress: RequestProgress) -> PlacementRequest:
     route = request.route
     patience_s = min(route.patience_s, request.deadline - request.received_at)
-    in_time_until = request.received_at + route.objective_s
-    leave_at = request.received_at + patience_s * SLOT_WAIT_SHARE
+    start_by = request.received_at + route.objective_s
+    queue_until = request.received_at + patience_s * SLOT_WAIT_SHARE
     if progress.answer_started:
-        # Its caller has the beginning: it goes before those that can wait, and is not given up.
-        in_time_until = monotonic() + route.objective_s / 2
-        leave_at = request.deadline
+        # The caller has the start of the answer: the request takes precedence and waits longer.
+        start_by = monotonic() + route.objective_s / 2
+        queue_until = request.deadline
     return PlacementRequest(
         service=request.service,
         excluded=frozenset(progress.tried_instances),
@@ -219,8 +218,8 @@
         unread_tokens=request.unread_tokens,
         request_id=request.facts.request_id,
         route_name=route.name,
-        start_deadline=in_time_until,
-        queue_deadline=leave_at,
+        start_deadline=start_by,
+        queue_deadline=queue_until,
         priority=request.priority,
         tenant=request.tenant_name,
         limit=None if request.tenant is None or progress.placed else request.tenant.limit,
--- a/src/wharfcart/routing/owner.py
+++ b/src/wharfcart/routing/owner.py
@@ -1,4 +1,4 @@
-"""Owner driver: runs requests on the back ends that this node owns, through their gates."""
+"""Execution of requests on the back ends that this node owns, through their gates."""
 
 import asyncio
 import logging
@@ -28,12 +28,12 @@
 
 
 class BatchPreemptedError(Exception):
-    """A batch request was stopped to make way; its tokens are kept for a resume."""
+    """A batch request was preempted; the engine keeps its tokens for a resume."""
 
 
 @dataclass
 class OwnedBackend:
-    """One back end with its gate, client and running batch tasks."""
+    """One back end with its gate, its client and its running batch tasks."""
 
     backend: Backend
     gate: BackendGate
@@ -44,7 +44,7 @@
 
 
 class BackendOwner:
-    """All back ends this node owns, or stands in for."""
+    """The back ends that this node owns, or serves temporarily for another owner."""
 
     def __init__(
         self, session: aiohttp.ClientSession, on_batch_preempted: Callable[[], None] = lambda: None
@@ -57,7 +57,7 @@
     # ---- which back ends ----
 
     def adopt(self, backend: Backend, policy: YieldingPolicy) -> OwnedBackend:
-        """Return the owned back end, made if need be, with its newest description."""
+        """Return the owned back end with its newest description; create it if necessary."""
         owned = self.backends.get(backend.backend_id)
         if owned is None or owned.backend.address != backend.address:
             owned = self._create(backend, policy)
@@ -68,7 +68,7 @@
         return owned
 
     def create_temporary(self, backend: Backend) -> OwnedBackend:
-        """Return a back end whose owner is silent, for one request, without adopting it."""
+        """Return a back end whose owner is unresponsive, for one request, without adopting it."""
         return self._create(backend, YieldingPolicy.TAIL)
 
     def _create(self, backend: Backend, policy: YieldingPolicy) -> OwnedBackend:
@@ -82,7 +82,7 @@
         return OwnedBackend(backend, gate, client)
 
     def release(self, backend_id: str) -> None:
-        """Give a back end up; what runs there is let finish."""
+        """Stop owning a back end; requests in progress may finish."""
         owned = self.backends.pop(backend_id, None)
         if owned is not None:
             owned.gate.state = BackendState.REMOVED
@@ -92,30 +92,29 @@
     async def run_online(
         self, owned: OwnedBackend, request: BackendRequest
     ) -> AsyncGenerator[BackendPart, None]:
-        """Run an online request at once, making way for it first.
+        """Run an online request at once, after preempting batch requests for it.
 
-        Raises
-        ------
-        ServingError
-            ``overloaded`` (``not_run``) if the back end is full or leaving; what the client raises.
+        Raises:
+            ServingError: ``overloaded`` (``not_run``) if the back end is full or draining; also any
+                error of the client.
         """
         gate = owned.gate
         if not gate.admit_online(request.request_id, monotonic()):
             raise ServingError(
-                "overloaded", "the back end takes no more", 503, retry_after_seconds=RETRY_AFTER_S
+                "overloaded", "back end is at capacity", 503, retry_after_seconds=RETRY_AFTER_S
             )
         self._preempt_batch(owned)
         finished = False
-        last_at = 0.0
+        last_part_at = 0.0
         try:
             async with aclosing(owned.client.send(request)) as parts:
                 async for part in parts:
                     now = monotonic()
-                    if last_at == 0.0:
+                    if last_part_at == 0.0:
                         gate.record_first_token(request.request_id, now)
                     elif not part.is_last:
-                        gate.record_token_time(now - last_at)
-                    last_at = now
+                        gate.record_token_time(now - last_part_at)
+                    last_part_at = now
                     finished = part.is_last
                     yield part
             owned.completed += 1
@@ -123,20 +122,20 @@
             gate.finish_online(request.request_id, monotonic())
             owned.capacity_changed.set()
             if not finished:
-                # The caller went away or the deadline passed: free the engine at once.
+                # The caller disconnected or the deadline passed: free the engine at once.
                 await asyncio.shield(owned.client.cancel(request.request_id))
 
     def _preempt_batch(self, owned: OwnedBackend) -> None:
         if owned.backend.kind is not BackendKind.ENGINE:
-            return  # an application call that began is short, and stopping it makes it unknown
+            return  # application calls are short, and stopping one makes its outcome unknown
         for request_id in owned.gate.preempt_batch():
             self._on_batch_preempted()
             self._tasks.spawn(self._cancel_batch(owned, request_id))
 
     async def _cancel_batch(self, owned: OwnedBackend, request_id: str) -> None:
-        """Stop a batch request at the engine, whose answer then says that it was stopped.
+        """Cancel a batch request at the engine, whose answer then reports the cancellation.
 
-        The order may overtake the request itself, so it is repeated while the request runs.
+        The cancellation may overtake the request itself, so it is repeated while the request runs.
         """
         task = owned.batch_tasks.get(request_id)
         for attempt in range(1, MAX_CANCEL_ATTEMPTS + 1):
@@ -149,13 +148,11 @@
     # ---- batch ----
 
     async def run_batch(self, owned: OwnedBackend, request: BackendRequest) -> BackendPart:
-        """Run a batch request in a slot the gate gave.
+        """Run a batch request in a slot that the gate has granted.
 
-        Raises
-        ------
-        BatchStoppedError
-            If online work needed the room.
-        ServingError
+        Raises:
+            BatchPreemptedError: Online requests needed the capacity.
+            ServingError: The request failed.
         """
         loop = asyncio.get_running_loop()
         owned.gate.start_batch(request.request_id, monotonic())
@@ -185,6 +182,6 @@
 
 
 def _consume_exception(task: "asyncio.Task[BackendPart]") -> None:
-    """Take the exception of a task whose waiter went away: a stopped request ends with one."""
+    """Retrieve the exception of a task that may not be awaited, so that asyncio logs nothing."""
     if not task.cancelled():
         task.exception()
--- a/src/wharfcart/routing/router.py
+++ b/src/wharfcart/routing/router.py
@@ -1,10 +1,11 @@
-"""Router core: which back end a request goes to.
+"""Selection of the back end for a request.
 
-A service's candidates are a shuffle shard of the back ends that hold its model. Prompts with a
+The candidates of a service are a shuffle shard of the back ends that hold its model. Prompts with a
 common prefix prefer one of them while its load is bounded (consistent hashing with bounded loads,
-Mirrokni, Thorup, Zadimoghaddam 2018); otherwise the better of two choices by requests in flight and
-latency (Mitzenmacher 2001; Prequal, Wydrowski et al. 2024). Load is learned from answers, each of
-which carries the owner's exact count, and forgotten with age; nothing is broadcast.
+Mirrokni, Thorup, Zadimoghaddam 2018). Other requests go to the better of two random choices by
+requests in flight and latency (Mitzenmacher 2001; Prequal, Wydrowski et al. 2024). The router
+learns the load from answers, each of which carries the owner's exact count, and ignores old counts;
+nothing is broadcast.
 """
 
 from collections.abc import Callable, Collection, Iterable
@@ -34,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Backend:
-    """One server, as the directory tells it."""
+    """One server, as listed in the directory."""
 
     backend_id: str
     kind: BackendKind
@@ -59,7 +60,7 @@
 
 @dataclass
 class Router:
-    """Choices of one node."""
+    """Selects back ends for the requests of one node."""
 
     zone: str
     random: RandomSource
@@ -71,20 +72,20 @@
     # ---- directory ----
 
     def put_backend(self, backend: Backend, now: float) -> None:
-        """Add or change a back end."""
+        """Add or update a back end."""
         known = self.backends.get(backend.backend_id)
         if known is not None:
             self._forget_targets(known)
         else:
-            # The first directory of a fresh node is no reason to start everything slowly.
-            old = now - SLOW_START_S if not self.backends else now
-            self._loads[backend.backend_id] = _BackendLoad(added_at=old)
+            # Back ends in the first directory of a new node need no slow start.
+            start_at = now - SLOW_START_S if not self.backends else now
+            self._loads[backend.backend_id] = _BackendLoad(added_at=start_at)
         self.backends[backend.backend_id] = backend
         for target in backend.targets:
             self._by_target.setdefault(target, set()).add(backend.backend_id)
 
     def remove_backend(self, backend_id: str) -> None:
-        """Drop a back end."""
+        """Remove a back end."""
         backend = self.backends.pop(backend_id, None)
         if backend is not None:
             self._forget_targets(backend)
@@ -104,11 +105,11 @@
         prefix: str = "",
         exclude: Collection[str] = (),
     ) -> Backend | None:
-        """Return the back end for one request, or None if none may take it."""
+        """Return the back end for one request, or None if none is usable."""
         usable = [
-            name
-            for name in self._by_target.get(target, ())
-            if name not in exclude and self._is_usable(name, now)
+            backend_id
+            for backend_id in self._by_target.get(target, ())
+            if backend_id not in exclude and self._is_usable(backend_id, now)
         ]
         if not usable:
             return None
@@ -120,17 +121,17 @@
         return self.backends[self._better_of_two(candidates, now)]
 
     def _shard(self, routing_key: str, usable: list[str], now: float) -> list[str]:
-        near = [name for name in usable if self._distance(name) == 0]
-        shard = shuffle_shard(routing_key, near or usable, SHARD_SIZE)
-        if near and len(near) < len(usable) and self._are_overloaded(shard, usable, now):
-            shard = shard + shuffle_shard(routing_key, set(usable) - set(near), SHARD_SIZE)
+        local = [backend_id for backend_id in usable if self._distance(backend_id) == 0]
+        shard = shuffle_shard(routing_key, local or usable, SHARD_SIZE)
+        if local and len(local) < len(usable) and self._are_overloaded(shard, usable, now):
+            shard = shard + shuffle_shard(routing_key, set(usable) - set(local), SHARD_SIZE)
         return shard
 
     def _distance(self, name: str) -> int:
         return self.zone_distance(self.zone, self.backends[name].zone)
 
     def _are_overloaded(self, shard: Iterable[str], usable: list[str], now: float) -> bool:
-        """Whether the near candidates carry clearly more than the rest: spill to other zones."""
+        """Whether the candidates of the own zone are overloaded compared to all usable ones."""
         lowest = min(self._in_flight(name, now) for name in shard)
         mean = sum(self._in_flight(name, now) for name in usable) / len(usable)
         return lowest > MAX_LOAD_RATIO * mean + 1
@@ -166,17 +167,17 @@
             return True
         return now >= load.opened_at + load.open_for_s and not load.trial_running
 
-    # ---- what happened ----
+    # ---- events ----
 
     def record_started(self, backend_id: str) -> None:
-        """Note a dispatch."""
+        """Record the start of a dispatch."""
         load = self._loads.get(backend_id)
         if load is not None:
             load.in_flight += 1
             load.trial_running = load.open_for_s > 0
 
     def record_owner_load(self, backend_id: str, owner_in_flight: int, now: float) -> None:
-        """Take the owner's count from an answer."""
+        """Record the number of requests in flight that the owner reported in an answer."""
         load = self._loads.get(backend_id)
         if load is not None:
             load.owner_in_flight = owner_in_flight
@@ -185,7 +186,14 @@
     def record_finished(
         self, backend_id: str, now: float, latency_s: float | None, failed: bool
     ) -> None:
-        """Note the end of a dispatch; ``latency_s`` is to the first byte, None if none came."""
+        """Record the end of a dispatch.
+
+        Args:
+            backend_id: id of the back end.
+            now: monotonic time in seconds.
+            latency_s: seconds to the first byte; None if none arrived.
+            failed: whether the back end failed.
+        """
         load = self._loads.get(backend_id)
         if load is None:
             return
--- a/src/wharfcart/routing/sender.py
+++ b/src/wharfcart/routing/sender.py
@@ -1,7 +1,7 @@
-"""One send of a request to a back end: its connection, the exchange, and what it tells.
+"""One send of a request to a back end: connect, exchange, forward the answer, record the result.
 
-Nothing is decided here about a further send but what one must know for it: whether the request may
-have run, and why it came to no answer (:mod:`wharfcart.routing.forwarder`).
+The sender reports whether the request may have run and why it got no answer; the decision on
+retries is made by :mod:`wharfcart.routing.forwarder`.
 """
 
 import asyncio
@@ -34,10 +34,10 @@
 from wharfcart.routing.request_log import RequestLog
 from wharfcart.routing.request_progress import RequestProgress
 
-# A repeatable request is sent elsewhere when no answer has begun after this part of its objective.
+# A repeatable request is hedged if no answer has begun after this share of its objective.
 HEDGE_DELAY_SHARE = 0.55
 MIN_HEDGE_DELAY_S = 0.06
-# A resumable stream is taken up elsewhere when nothing has come for so long.
+# A stream without data for this time is resumed at another back end.
 STREAM_STALL_TIMEOUT_S = 1.6
 STATUS_UNAVAILABLE = 503
 STATUS_TIMEOUT = 504
@@ -48,10 +48,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SendFailure:
-    """What a send came to that brought no final answer.
+    """A send without a final answer.
 
     Attributes:
-        ran: the request may have run.
+        possibly_ran: whether the request may have run.
         cause: why there is no answer.
     """
 
@@ -60,16 +60,16 @@
 
 
 class Sender:
-    """Sends requests to back ends, and their answers to callers.
+    """Sends requests to back ends and forwards their answers to callers.
 
     Args:
-        choice: what this gateway knows of the back ends.
-        placement: is told how a send ended.
+        selector: records sends and their outcomes by instance.
+        placement: receives the result of each send.
         pool: connections to back ends.
-        connection_limit: of one back end, by service.
-        told: takes what is to be logged and counted.
-        broken_runs: looks into sends that break off.
-        reach: is told which regions can be reached.
+        connection_limit: returns the connections allowed per back end of a service.
+        request_log: log lines and metrics of requests.
+        crash_detector: inspects interrupted runs.
+        reachability: records which regions are reachable.
     """
 
     def __init__(
@@ -92,21 +92,22 @@
         self._hedge_budget = HedgeBudget()
 
     def record_request(self) -> None:
-        """Note that a request came: a share of them may be hedged."""
+        """Count an incoming request towards the hedge budget."""
         self._hedge_budget.deposit()
 
     def is_quarantined(self, request: CallerRequest, progress: RequestProgress) -> bool:
-        """Whether back ends have ended under requests of the same content, here or elsewhere.
+        """Whether the request is quarantined as a poison request.
 
-        Asked before each send: what ends its back ends takes all others there with it.
+        Checked before each send, since a poison request also interrupts all other requests at the
+        back end that it crashes.
         """
-        held_s = self._crash_detector.poison_requests.quarantine_left_s(
+        remaining_s = self._crash_detector.poison_requests.quarantine_left_s(
             lambda: request.fingerprint, time()
         )
-        if not held_s:
+        if not remaining_s:
             return False
         progress.cause = POISON_CAUSE
-        progress.retry_after_s = math.ceil(held_s)
+        progress.retry_after_s = math.ceil(remaining_s)
         return True
 
     async def send(
@@ -116,17 +117,19 @@
         progress: RequestProgress,
         decision: PlacementDecision,
     ) -> SendFailure | None:
-        """Send once; None when the request has its final answer."""
+        """Send once; return None if the caller has received its final answer."""
         state = decision.state
         progress.last_backend = state.instance.instance_id
         progress.answer_ok = True
         progress.send_result = SendResult.UNKNOWN
-        # Counted before the connection is made, so that a slot that was granted is seen as taken.
-        use = self._selector.record_sent(state, monotonic(), request.unread_tokens)
+        # Recorded before connecting, so that a granted slot counts as in use.
+        send_id = self._selector.record_sent(state, monotonic(), request.unread_tokens)
         try:
-            return await self._connect_and_send(request, sink, progress, state, use, monotonic())
+            return await self._connect_and_send(
+                request, sink, progress, state, send_id, monotonic()
+            )
         finally:
-            self._selector.record_finished(state, use)
+            self._selector.record_finished(state, send_id)
             self._placement.send_finished(decision, progress.send_result)
 
     async def _connect_and_send(
@@ -154,24 +157,24 @@
             )
             self._avoid(state, "connect")
             return SendFailure(False, "connect")
-        held_back = self._selector.exclusion_before_send(
+        exclusion = self._selector.exclusion_before_send(
             state, placed_at, monotonic(), request.residence
         )
-        if held_back is not None:
-            # Costs no try: nothing was sent, and the back end had no part in it.
+        if exclusion is not None:
+            # Not counted as an attempt: nothing was sent, and the back end did not fail.
             self._pool.release(instance, connection)
-            return SendFailure(False, held_back.value)
+            return SendFailure(False, exclusion.value)
         if self.is_quarantined(request, progress):
-            # It was found out while this one waited for its slot and its connection.
+            # Quarantined while this request waited for its slot and its connection.
             self._pool.release(instance, connection)
             return SendFailure(False, POISON_CAUSE)
-        began_at = monotonic()
-        if began_at >= request.deadline:
-            # The machine was suspended while it waited: nobody waits for the answer any more.
+        sent_at = monotonic()
+        if sent_at >= request.deadline:
+            # The machine was suspended meanwhile: the caller no longer waits for the answer.
             self._pool.release(instance, connection)
             raise TimeoutError
         try:
-            verdict = await self._exchange(request, sink, progress, state, connection, send_id)
+            failure = await self._exchange(request, sink, progress, state, connection, send_id)
         except ConnectionBrokenError as error:
             self._pool.discard(instance, connection)
             if not error.sent:
@@ -179,25 +182,25 @@
             progress.break_cause = error.cause.value
             self._record_outcome(state, progress, False)
             if send_id in state.unanswered_since:
-                # Nothing came of it: a kept connection into a region that was cut off since.
+                # No byte arrived: possibly an idle connection to a region that is unreachable now.
                 self._reachability.record_failure(
                     self._region_of(state), instance.instance_id, monotonic()
                 )
             if connection.answered == 0:
                 self._avoid(state, "broken")
             await self._inspect_interruption(
-                request, state, send_id, error.cause, monotonic() - began_at
+                request, state, send_id, error.cause, monotonic() - sent_at
             )
             return SendFailure(True, "broken")
         except BaseException:
-            # The caller left or the time is over: closing ends the back end's work.
+            # The caller disconnected or the deadline passed: closing stops the back end's work.
             self._pool.discard(instance, connection)
             raise
         self._pool.release(instance, connection)
-        if verdict is None or verdict.possibly_ran:
+        if failure is None or failure.possibly_ran:
             self._crash_detector.poison_requests.record_answer(lambda: request.fingerprint)
-            self._record_outcome(state, progress, verdict is None and progress.answer_ok)
-        return verdict
+            self._record_outcome(state, progress, failure is None and progress.answer_ok)
+        return failure
 
     async def _inspect_interruption(
         self,
@@ -207,7 +210,7 @@
         cause: BreakCause,
         ran_s: float,
     ) -> None:
-        """Have it found out whether the back end ended; who may be repeated waits for that."""
+        """Inspect whether the back end crashed; a repeatable request waits for the result."""
         run = InterruptedRun(
             request.facts.request_id,
             request.fingerprint,
@@ -270,7 +273,7 @@
                 self._selector.record_full(state, monotonic())
             return SendFailure(False, f"refused_{head.status}")
         if not exchanges.is_signed(head) and head.status < 300:
-            raise ConnectionBrokenError("answer is not signed")
+            raise ConnectionBrokenError("answer has no signature")
         if request.route.kind is RouteKind.STREAM and head.status < 300:
             await self._forward_stream(request, sink, progress, connection, head)
             return None
@@ -288,12 +291,12 @@
         failed = head.status >= STATUS_SERVER_ERROR
         progress.answer_ok = not failed or head.status == STATUS_TIMEOUT
         if failed and progress.answer_started:
-            raise ConnectionBrokenError("resumption failed")
+            raise ConnectionBrokenError("back end failed to resume the stream")
         if failed and request.route.repeatable and progress.sends < request.route.most_backends:
             return SendFailure(True, f"status_{head.status}")
         self._request_log.first_byte(request, progress)
         if progress.answer_started:
-            raise ConnectionBrokenError("resumption refused")
+            raise ConnectionBrokenError("back end refused to resume the stream")
         await sink.send_whole(head.status, exchanges.headers_for_client(head), body)
         self._request_log.finished(request, progress, "answered", head.status)
         return None
@@ -320,28 +323,27 @@
             await self._ensure_started(request, sink, progress, head)
             await sink.send_part(part)
         if splitter is not None and splitter.remainder:
-            raise ConnectionBrokenError("ended inside an event")
+            raise ConnectionBrokenError("stream ended inside an event")
         await self._ensure_started(request, sink, progress, head)
         self._request_log.finished(request, progress, "answered", head.status)
 
     async def _with_timeout(
         self, request: CallerRequest, progress: RequestProgress, answer: Awaitable[Answer]
     ) -> Answer:
-        """Wait for a back end, but not for ever where the request may go on elsewhere.
+        """Wait for a back end, with a timeout if the request can be sent to another one.
 
-        Raises
-        ------
-        ConnectionBrokenError: it was too slow.
+        Raises:
+            ConnectionBrokenError: The back end was too slow.
         """
-        patience_s = self._timeout_s(request, progress)
-        if patience_s is None:
+        timeout_s = self._timeout_s(request, progress)
+        if timeout_s is None:
             return await answer
         try:
-            async with asyncio.timeout(patience_s):
+            async with asyncio.timeout(timeout_s):
                 return await answer
         except TimeoutError as error:
             self._hedge_budget.withdraw()
-            raise ConnectionBrokenError("too slow", cause=BreakCause.SLOW) from error
+            raise ConnectionBrokenError("timed out", cause=BreakCause.SLOW) from error
 
     def _timeout_s(self, request: CallerRequest, progress: RequestProgress) -> float | None:
         route = request.route
@@ -372,18 +374,18 @@
         return self._selector.eligibility.topology.region(state.instance.zone)
 
     def _avoid(self, state: InstanceState, cause: str) -> None:
-        seconds = self._selector.record_failure(state, monotonic())
-        self._request_log.avoided(state, cause, seconds)
+        avoid_s = self._selector.record_failure(state, monotonic())
+        self._request_log.avoided(state, cause, avoid_s)
 
 
 def _complete_new_events(splitter: EventSplitter, data: bytes, progress: RequestProgress) -> bytes:
-    passed = []
+    forwarded = []
     for event in splitter.feed(data):
         if event.number is not None:
             if progress.last_event is not None and event.number <= progress.last_event:
                 continue
             if progress.last_event is not None and event.number > progress.last_event + 1:
-                raise ConnectionBrokenError("an event is missing")
+                raise ConnectionBrokenError("stream skipped an event")
             progress.last_event = event.number
-        passed.append(event.raw)
-    return b"".join(passed)
+        forwarded.append(event.raw)
+    return b"".join(forwarded)
