--- a/src/wharfcart/admission/backend_gate.py
+++ b/src/wharfcart/admission/backend_gate.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from wharfcart.configuration.schema import YieldingPolicy
+from wharfcart.configuration.schema import PreemptionPolicy
 
 FIT_DECAY = 0.98
 MIN_SAMPLES = 20
@@ -44,8 +44,8 @@
 
 
 POLICY_PARAMETERS = {
-    YieldingPolicy.TAIL: PreemptionParameters(0.05, 0.05, 1, 4, 0.1),
-    YieldingPolicy.THROUGHPUT: PreemptionParameters(0.08, 0.25, 1, 4, MIN_IDLE_S),
+    PreemptionPolicy.TAIL: PreemptionParameters(0.05, 0.05, 1, 4, 0.1),
+    PreemptionPolicy.THROUGHPUT: PreemptionParameters(0.08, 0.25, 1, 4, MIN_IDLE_S),
 }
 
 
@@ -107,7 +107,7 @@
 
     backend_id: str
     capacity: GateCapacity
-    policy: YieldingPolicy = YieldingPolicy.TAIL
+    policy: PreemptionPolicy = PreemptionPolicy.TAIL
     state: BackendState = BackendState.LIVE
     fit: TokenTimeFit = field(default_factory=TokenTimeFit)
     online: dict[str, _RunningRequest] = field(default_factory=dict)
--- a/src/wharfcart/admission/tenant_limits.py
+++ b/src/wharfcart/admission/tenant_limits.py
@@ -106,7 +106,7 @@
         """
         times = self._times_by_tenant.get(tenant, ())
         if last_contact_at is None:
-            max_requests = max(MIN_NO_CONTACT_REQUESTS, limit.per_s * WINDOW_S * NO_CONTACT_SHARE)
+            max_requests = max(MIN_NO_CONTACT_REQUESTS, limit.requests_per_s * WINDOW_S * NO_CONTACT_SHARE)
         elif now - last_contact_at > MAX_DISCONNECTED_S:
             max_requests = 0.0
         elif usage > NEAR_LIMIT_SHARE * _window_limit(limit):
@@ -328,7 +328,7 @@
         """Add the tokens since the last refill; return the refill rate in tokens per second."""
         reserved_requests = sum(tenant.reserved(holder, now) for holder in tenant.lost_at_by_holder)
         unreported_requests = self._unreported_usage(tenant, limit, now)
-        available = limit.per_s * WINDOW_S - reserved_requests - unreported_requests
+        available = limit.requests_per_s * WINDOW_S - reserved_requests - unreported_requests
         rate = max(0.0, available / WINDOW_S)
         burst = max(1.0, limit.burst) + min(0.0, available)
         if tenant.refilled_at is None:
@@ -363,7 +363,11 @@
         age_s = now - self._started_at
         if age_s >= WINDOW_S:
             return float("inf")
-        return INITIAL_BURST_SHARE * _window_limit(limit) + limit.per_s * age_s - tenant.sent_count
+        return (
+            INITIAL_BURST_SHARE * _window_limit(limit)
+            + limit.requests_per_s * age_s
+            - tenant.sent_count
+        )
 
     def _retry_after(self, tenant: _TenantState, tokens: float, rate: float, now: float) -> float:
         """Return the seconds until the next token that is not promised to another caller."""
@@ -387,7 +391,7 @@
 
 def _window_limit(limit: RequestLimit) -> float:
     """Return the number of requests allowed in one window."""
-    return limit.per_s * WINDOW_S + limit.burst
+    return limit.requests_per_s * WINDOW_S + limit.burst
 
 
 def _count_in_window(times: Iterable[float], until: float) -> int:
--- a/src/wharfcart/node/group_spread.py
+++ b/src/wharfcart/node/group_placement.py
@@ -8,7 +8,7 @@
 from wharfcart.storage.replica_spread import ReplicaSpread
 
 
-class GroupSpread:
+class GroupPlacement:
     """Builds the core's input for one group, anew for each decision.
 
     Args:
@@ -37,10 +37,10 @@
             topology,
             () if layout is None else layout.home_zones(group, topology),
             self._tolerance.zones,
-            self._may_hold(group, layout),
+            self._residence_filter(group, layout),
         )
 
-    def _may_hold(self, group: int, layout: Layout | None) -> Callable[[str], bool]:
+    def _residence_filter(self, group: int, layout: Layout | None) -> Callable[[str], bool]:
         """Return whether a disk may hold a group.
 
         Where data is bound to regions, a group that belongs to one stays there with all of its
@@ -51,7 +51,7 @@
 
         def may_hold(identity: str) -> bool:
             configuration = node.configuration
-            if region is None or configuration is None or not configuration.binds_residence:
+            if region is None or configuration is None or not configuration.restricts_residence:
                 return True
             entry = node.storage_by_identity.get(identity)
             return entry is not None and node.topology.region(entry.zone) == region
--- a/src/wharfcart/node/led_group.py
+++ b/src/wharfcart/node/hosted_group.py
@@ -5,7 +5,7 @@
 
 from wharfcart.batch.item_run import ItemRunner
 from wharfcart.batch.job_execution import JobExecution
-from wharfcart.batch.job_service import JobService, OtherGroups
+from wharfcart.batch.job_service import JobGroupService, OtherGroups
 from wharfcart.cluster.topology import Distance
 from wharfcart.node.fleet_keys import group_key
 from wharfcart.node.serving_node import ServingNode
@@ -37,7 +37,7 @@
     keep_jobs_s: float
 
 
-class LedGroup:
+class HostedGroup:
     """A job group; while this node leads it, its items run and its back ends' slots are granted.
 
     Args:
@@ -51,7 +51,7 @@
         self.replica = JobGroup(number, group_key(number), parts.context)
         self.slots = SlotService(
             number,
-            node.choice,
+            node.selector,
             lambda instance: (
                 node.layout is not None and node.layout.group_of(instance, node.topology) == number
             ),
@@ -67,15 +67,15 @@
         self._execution = JobExecution(
             self.replica,
             parts.runner,
-            node.choice,
+            node.selector,
             lambda: node.configuration,
             self._item_slots,
             parts.keep_jobs_s,
             node.log,
             node.metrics,
-            node.broken_runs.poison_requests,
+            node.crash_detector.poison_requests,
         )
-        self.service = JobService(
+        self.service = JobGroupService(
             self.replica,
             self._execution,
             lambda: node.configuration,
@@ -84,23 +84,23 @@
             node.storage_region,
         )
         self._tasks = BackgroundTasks()
-        self.replica.on_leading = self._begin
-        self.replica.on_deposed = self._end
+        self.replica.on_leading = self._start_leading
+        self.replica.on_deposed = self._stop_leading
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this node leads the group."""
         return self.replica.leadership is not None
 
-    def _begin(self) -> None:
+    def _start_leading(self) -> None:
         leadership = self.replica.leadership
         assert leadership is not None
         node = self._node
         sessions = SlotSessions(
             HolderId(f"{node.settings.node_id}/{self.replica.group}"),
-            node.choice,
+            node.selector,
             node.transport,
-            lambda: node.groups,
+            lambda: node.group_count,
             node.leader_address,
             node.group_of_instance,
             self._item_slots,
@@ -110,11 +110,11 @@
         self._item_slots.begin(sessions)
         self.slots.begin(leadership.epoch)
         self._tasks.spawn(self.slots.run())
-        self._tasks.spawn(self._watch_leftover_runs())
+        self._tasks.spawn(self._watch_orphaned_runs())
         self._tasks.spawn(sessions.run())
-        self._execution.begin()
+        self._execution.start()
 
-    async def _watch_leftover_runs(self) -> None:
+    async def _watch_orphaned_runs(self) -> None:
         """Find what earlier leaders left at the model servers."""
         granter = self.slots.granter
         configuration = self._node.configuration
@@ -123,7 +123,7 @@
         models = {name for name, service in configuration.services.items() if service.slots}
         instances = [
             state.instance
-            for state in self._node.choice.states()
+            for state in self._node.selector.states()
             if granter.owns(state.instance) and state.instance.service in models
         ]
         node = self._node
@@ -132,15 +132,15 @@
             node.pool,
             node.connection_limit,
             node.log,
-            lambda instance: instance.zone not in node.choice.eligibility.evacuated_zones,
+            lambda instance: instance.zone not in node.selector.eligibility.evacuated_zones,
         )
         await runs.watch(granter, instances)
 
-    def _end(self) -> None:
-        self._execution.end()
+    def _stop_leading(self) -> None:
+        self._execution.stop()
         self.slots.end()
         self._tasks.cancel()
 
 
 def _other_groups(number: int, node: ServingNode) -> Callable[[], list[int]]:
-    return lambda: [group for group in range(node.groups) if group != number]
+    return lambda: [group for group in range(node.group_count) if group != number]
--- a/src/wharfcart/node/serving_node.py
+++ b/src/wharfcart/node/serving_node.py
@@ -11,36 +11,36 @@
 
 from wharfcart.admission.poison_requests import RELEASE_JITTER_S, PoisonRequests
 from wharfcart.backends.connection_pool import ConnectionPool
-from wharfcart.clock import Suspensions, monotonic
+from wharfcart.clock import SuspensionDetector, monotonic
 from wharfcart.cluster.address import Address
 from wharfcart.cluster.coordination import (
-    Change,
     ConditionFailedError,
     CoordinationUnavailableError,
+    KeyChange,
     Transaction,
 )
 from wharfcart.cluster.messages_pb2 import BackendEnds, Frame
 from wharfcart.cluster.mirror import Mirror
-from wharfcart.cluster.mirror_link import MirrorLink
-from wharfcart.cluster.news_sources import NewsSources, Peer
-from wharfcart.cluster.peer_news import NewsWriter, PeerNewsCalls
+from wharfcart.cluster.mirror_sync import MirrorSync
+from wharfcart.cluster.peer_selection import Peer, PeerSelector
+from wharfcart.cluster.peer_updates import PeerUpdatesEncoder, TransportPeerClient
 from wharfcart.cluster.topology import Distance, RegionName, Topology
 from wharfcart.cluster.transport import Handler, Responder, TrafficClass, Transport
 from wharfcart.configuration.residence import Residence
-from wharfcart.configuration.residence_check import residence_findings
+from wharfcart.configuration.residence_check import unknown_region_findings
 from wharfcart.configuration.serving import RequestLimit, ServingConfiguration
-from wharfcart.node.backend_news import BackendNews
-from wharfcart.node.evacuations import Evacuations
+from wharfcart.node.backend_updates import BackendUpdates
+from wharfcart.node.evacuations import ZoneEvacuations
 from wharfcart.node.fleet_keys import (
     GROUP_PREFIX,
     LAYOUT_KEY,
     NODE_PREFIX,
-    SUSPECT_PREFIX,
+    POISON_REQUEST_PREFIX,
     NodeEntry,
     NodeKind,
     node_entry_from,
 )
-from wharfcart.node.suspect_news import SuspectNews
+from wharfcart.node.poison_evidence_sync import PoisonEvidenceSync
 from wharfcart.node.suspension_watch import SuspensionWatch
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.observability.serving_metrics import ServingMetrics
@@ -57,14 +57,14 @@
 
 ANNOUNCE_RETRY_S = 0.5
 # One wrong name in many routes need not fill the log.
-MOST_FINDINGS = 20
-FEWEST_CONNECTIONS = 2
-MOST_AGE_S = 1e6  # told while nothing was ever confirmed
+MAX_LOGGED_FINDINGS = 20
+MIN_CONNECTIONS = 2
+MAX_AGE_S = 1e6  # told while nothing was ever confirmed
 # Storage nodes that are told in place of the coordination service: if it refuses a third of all
 # nodes, one of two drawn by lot reaches it nine times in ten, and who does not tells two others.
-MOST_RELAYS = 2
+MAX_RELAYS = 2
 # Until it is known how many nodes there are.
-FEWEST_NODES = 8
+MIN_ASSUMED_NODES = 8
 
 
 class ServingNode:
@@ -80,7 +80,7 @@
         self.topology = Topology(
             {zone: RegionName(region) for zone, region in settings.regions_by_zone.items()}
         )
-        self.choice = BackendSelector(settings.zone, self.random, Eligibility(self.topology))
+        self.selector = BackendSelector(settings.zone, self.random, Eligibility(self.topology))
         self.configuration: ServingConfiguration | None = None
         self.nodes: dict[str, NodeEntry] = {}
         self.storage_by_identity: dict[str, NodeEntry] = {}
@@ -91,35 +91,41 @@
         self.coordination = MetadataStore(host, port, self.metrics.coordination_calls)
         self._zones_by_host: dict[str, str] = {}
         self.transport = Transport(self.handle, self._count_sent)
-        self._news_writer = NewsWriter()
-        self._sources = NewsSources(settings.node_id, settings.zone, self.topology)
-        self.link = MirrorLink(
+        self._updates_encoder = PeerUpdatesEncoder()
+        self._peer_selector = PeerSelector(settings.node_id, settings.zone, self.topology)
+        self.mirror_sync = MirrorSync(
             self.mirror,
             self.coordination,
-            self._sources,
-            PeerNewsCalls(self.transport),
-            self._on_changes,
+            self._peer_selector,
+            TransportPeerClient(self.transport),
+            self._apply_changes,
             log,
             _seed_peers(settings),
         )
-        self._backend_news = BackendNews(
-            self.choice, self.pool, lambda: self.link.in_outage, lambda: self.link.age_s, log
+        self._backend_updates = BackendUpdates(
+            self.selector,
+            self.pool,
+            lambda: self.mirror_sync.in_outage,
+            lambda: self.mirror_sync.age_s,
+            log,
+        )
+        self._evacuations = ZoneEvacuations(
+            self.selector, log, self.metrics, lambda: self.mirror_sync.age_s
         )
-        self._evacuations = Evacuations(self.choice, log, self.metrics, lambda: self.link.age_s)
-        self.suspensions = Suspensions()
-        self.suspension_watch = SuspensionWatch(self.suspensions, log)
+        self.suspension_detector = SuspensionDetector()
+        self.suspension_watch = SuspensionWatch(self.suspension_detector, log)
         suspects = PoisonRequests(release_jitter_s=self.random.uniform(0.0, RELEASE_JITTER_S))
-        self.broken_runs = CrashDetector(suspects, log)
-        self._suspect_news = SuspectNews(
-            suspects, self.coordination, self.mirror, self.random, self._relay_ends
+        self.crash_detector = CrashDetector(suspects, log)
+        self._poison_evidence_sync = PoisonEvidenceSync(
+            suspects, self.coordination, self.mirror, self.random, self._relay_crashes
         )
         self.metrics.contents_held.set_function(lambda: suspects.quarantined_count(time()))
         self.metrics.cold_backends.set_function(
-            lambda: len(self.choice.cold_instances(monotonic()))
+            lambda: len(self.selector.cold_instances(monotonic()))
         )
-        self.metrics.mirror_age.set_function(lambda: min(self.link.age_s, MOST_AGE_S))
-        self.handle_other: Handler = _ignore
-        self.fleet_size: Callable[[], int] = lambda: len(self.nodes)
+        self.metrics.mirror_age.set_function(lambda: min(self.mirror_sync.age_s, MAX_AGE_S))
+        self.role_handler: Handler = _ignore
+        self.count_nodes: Callable[[], int] = lambda: len(self.nodes)
 
     async def start(self) -> None:
         """Listen for peers and begin to follow the coordination service."""
@@ -128,9 +134,9 @@
         if self.settings.metrics_listen is not None:
             self.metrics.serve(*split_endpoint(self.settings.metrics_listen))
         self.tasks.spawn(self.log.run())
-        self.tasks.spawn(self.link.run())
+        self.tasks.spawn(self.mirror_sync.run())
         self.tasks.spawn(self._evacuations.run())
-        self.tasks.spawn(self._suspect_news.run())
+        self.tasks.spawn(self._poison_evidence_sync.run())
         self.tasks.spawn(self.suspension_watch.run())
 
     async def stop(self) -> None:
@@ -163,9 +169,9 @@
     def connection_limit(self, service: str) -> int:
         """Return this node's share of the connections that one back end takes."""
         if self.configuration is None or service not in self.configuration.services:
-            return FEWEST_CONNECTIONS
+            return MIN_CONNECTIONS
         whole = self.configuration.services[service].connection_limit
-        return max(FEWEST_CONNECTIONS, whole // max(FEWEST_NODES, self.fleet_size()))
+        return max(MIN_CONNECTIONS, whole // max(MIN_ASSUMED_NODES, self.count_nodes()))
 
     def limit_of(self, tenant: str) -> RequestLimit | None:
         """Return the limit of a tenant's requests; None for no limit."""
@@ -174,7 +180,7 @@
     # ---- the job groups ----
 
     @property
-    def groups(self) -> int:
+    def group_count(self) -> int:
         """Number of job groups; 0 while it is not known."""
         return 0 if self.layout is None else self.layout.groups
 
@@ -183,7 +189,7 @@
         record = self.records_by_group.get(group)
         return None if record is None else self.storage_address(record.leader)
 
-    def stand_in_addresses(self, group: int) -> list[Address]:
+    def backup_coordinator_addresses(self, group: int) -> list[Address]:
         """Return where a group's replicas but its leader are reached, the same order everywhere."""
         record = self.records_by_group.get(group)
         if record is None:
@@ -204,7 +210,7 @@
 
     def group_of_instance(self, instance_id: str) -> int | None:
         """Return the group that grants a back end's slots; None while that is not known."""
-        state = self.choice.state(instance_id)
+        state = self.selector.state(instance_id)
         if self.layout is None or state is None:
             return None
         return self.layout.group_of(state.instance, self.topology)
@@ -223,23 +229,23 @@
         """Answer a peer's call."""
         if frame.WhichOneof("body") == "coordination_pull":
             pull = frame.coordination_pull
-            news = await self.link.answer(pull.after, pull.wait_ms / 1000)
-            message = self._news_writer.message(news)
+            news = await self.mirror_sync.serve_pull(pull.after, pull.wait_ms / 1000)
+            message = self._updates_encoder.encode(news)
             await respond(Frame(last=True, coordination_changes=message))
             return
         if frame.WhichOneof("body") == "backend_ends":
-            self._suspect_news.take_relayed(frame.backend_ends)
+            self._poison_evidence_sync.apply_relayed(frame.backend_ends)
             return
-        await self.handle_other(frame, respond)
+        await self.role_handler(frame, respond)
 
-    def _relay_ends(self, message: BackendEnds) -> None:
+    def _relay_crashes(self, message: BackendEnds) -> None:
         """Tell some storage nodes what the coordination service would not take from this node."""
         others = [
             entry
             for entry in self.storage_by_identity.values()
             if entry.node_id != self.settings.node_id
         ]
-        for entry in self.random.sample(others, min(MOST_RELAYS, len(others))):
+        for entry in self.random.sample(others, min(MAX_RELAYS, len(others))):
             frame = Frame(backend_ends=message)
             self.transport.send(entry.address, frame, TrafficClass.ONLINE)
 
@@ -252,32 +258,32 @@
 
     # ---- mirror ----
 
-    def _on_changes(self, news: list[Change]) -> None:
+    def _apply_changes(self, news: list[KeyChange]) -> None:
         for change in news:
             if change.key == names.CONFIGURATION_KEY:
-                self._take_configuration(change)
+                self._apply_configuration(change)
             elif change.key.startswith(names.SERVER_PREFIX):
-                self._backend_news.take(change)
+                self._backend_updates.apply(change)
             elif change.key.startswith(names.EVACUATE_PREFIX):
-                self._evacuations.take(change)
-            elif change.key.startswith(SUSPECT_PREFIX):
-                self._suspect_news.take(change)
+                self._evacuations.apply(change)
+            elif change.key.startswith(POISON_REQUEST_PREFIX):
+                self._poison_evidence_sync.apply_change(change)
             elif change.key.startswith(NODE_PREFIX):
-                self._take_node(change)
+                self._apply_node_entry(change)
             elif change.key.startswith(GROUP_PREFIX):
-                self._take_record(change)
+                self._apply_group_record(change)
             elif change.key == LAYOUT_KEY and change.value is not None:
                 self.layout = layout_from(change.value)
-        self._backend_news.tell()
+        self._backend_updates.log_pending()
 
-    def _take_configuration(self, change: Change) -> None:
+    def _apply_configuration(self, change: KeyChange) -> None:
         if change.value is None:
             return
         configuration = documents.configuration_from(change.value)
         if self.configuration is not None and configuration.version <= self.configuration.version:
             return
         self.configuration = configuration
-        self.choice.cold.limits = configuration.cold_limits
+        self.selector.cold.limits = configuration.cold_limits
         self.metrics.configuration_version.set(configuration.version)
         self.log.write(
             Event.CONFIGURATION_TAKEN,
@@ -285,7 +291,7 @@
             revision=change.revision,
             routes=len(configuration.routes),
         )
-        for finding in residence_findings(configuration, self.topology)[:MOST_FINDINGS]:
+        for finding in unknown_region_findings(configuration, self.topology)[:MAX_LOGGED_FINDINGS]:
             self.log.write(
                 Event.CONFIGURATION_FINDING,
                 version=configuration.version,
@@ -293,7 +299,7 @@
                 reason=finding.reason,
             )
 
-    def _take_record(self, change: Change) -> None:
+    def _apply_group_record(self, change: KeyChange) -> None:
         group = int(change.key.removeprefix(GROUP_PREFIX))
         record = group_record_from(change.value, change.revision)
         if record is None:
@@ -301,7 +307,7 @@
         else:
             self.records_by_group[group] = record
 
-    def _take_node(self, change: Change) -> None:
+    def _apply_node_entry(self, change: KeyChange) -> None:
         entry = node_entry_from(change.value)
         if entry is None:
             left = self.nodes.pop(change.key.removeprefix(NODE_PREFIX), None)
@@ -315,7 +321,7 @@
             for node in self.nodes.values()
             if node.kind == NodeKind.STORAGE and node.identity
         }
-        self._sources.set_peers(
+        self._peer_selector.set_peers(
             {key: Peer(key, node.zone, node.address) for key, node in self.nodes.items()}
         )
 
--- a/src/wharfcart/routing/caller_request.py
+++ b/src/wharfcart/routing/caller_request.py
@@ -55,7 +55,7 @@
         return (
             route_residence
             if self.tenant is None
-            else route_residence.within(self.tenant.residence)
+            else route_residence.intersect(self.tenant.residence)
         )
 
     @property
--- a/src/wharfcart/routing/forwarder.py
+++ b/src/wharfcart/routing/forwarder.py
@@ -151,7 +151,7 @@
             return ExclusionReason.EVACUATED.value
         if progress.cause:
             return progress.cause
-        elsewhere = request.residence.is_bound and self._selector.accepting_instances(
+        elsewhere = request.residence.is_restricted and self._selector.accepting_instances(
             request.service, monotonic()
         )
         return OUTSIDE_RESIDENCE if elsewhere else "no_backend"
@@ -165,7 +165,7 @@
         progress.may_have_run = True
         if progress.answer_started and progress.last_event is None:
             return False
-        return request.route.repeatable and progress.sends < request.route.most_backends
+        return request.route.repeatable and progress.sends < request.route.max_backends
 
     async def _fail_request(
         self, request: CallerRequest, sink: AnswerSink, progress: RequestProgress, status: int
@@ -204,7 +204,7 @@
 
 def _placement_request(request: CallerRequest, progress: RequestProgress) -> PlacementRequest:
     route = request.route
-    patience_s = min(route.patience_s, request.deadline - request.received_at)
+    patience_s = min(route.caller_timeout_s, request.deadline - request.received_at)
     start_by = request.received_at + route.objective_s
     queue_until = request.received_at + patience_s * SLOT_WAIT_SHARE
     if progress.answer_started:
--- a/src/wharfcart/routing/owner.py
+++ b/src/wharfcart/routing/owner.py
@@ -13,7 +13,7 @@
 from wharfcart.backends.engine_client import EngineClient
 from wharfcart.backends.interface import BackendClient, BackendPart, BackendRequest
 from wharfcart.clock import monotonic
-from wharfcart.configuration.schema import YieldingPolicy
+from wharfcart.configuration.schema import PreemptionPolicy
 from wharfcart.errors import ServingError
 from wharfcart.observability.tasks import BackgroundTasks
 from wharfcart.routing.router import Backend, BackendKind
@@ -56,7 +56,7 @@
 
     # ---- which back ends ----
 
-    def adopt(self, backend: Backend, policy: YieldingPolicy) -> OwnedBackend:
+    def adopt(self, backend: Backend, policy: PreemptionPolicy) -> OwnedBackend:
         """Return the owned back end with its newest description; create it if necessary."""
         owned = self.backends.get(backend.backend_id)
         if owned is None or owned.backend.address != backend.address:
@@ -69,9 +69,9 @@
 
     def create_temporary(self, backend: Backend) -> OwnedBackend:
         """Return a back end whose owner is unresponsive, for one request, without adopting it."""
-        return self._create(backend, YieldingPolicy.TAIL)
+        return self._create(backend, PreemptionPolicy.TAIL)
 
-    def _create(self, backend: Backend, policy: YieldingPolicy) -> OwnedBackend:
+    def _create(self, backend: Backend, policy: PreemptionPolicy) -> OwnedBackend:
         client: BackendClient
         if backend.kind is BackendKind.ENGINE:
             client = EngineClient(backend.address, self._session)
--- a/src/wharfcart/routing/sender.py
+++ b/src/wharfcart/routing/sender.py
@@ -292,7 +292,7 @@
         progress.answer_ok = not failed or head.status == STATUS_TIMEOUT
         if failed and progress.answer_started:
             raise ConnectionBrokenError("back end failed to resume the stream")
-        if failed and request.route.repeatable and progress.sends < request.route.most_backends:
+        if failed and request.route.repeatable and progress.sends < request.route.max_backends:
             return SendFailure(True, f"status_{head.status}")
         self._request_log.first_byte(request, progress)
         if progress.answer_started:
@@ -347,7 +347,7 @@
 
     def _timeout_s(self, request: CallerRequest, progress: RequestProgress) -> float | None:
         route = request.route
-        if not route.repeatable or progress.sends >= route.most_backends:
+        if not route.repeatable or progress.sends >= route.max_backends:
             return None
         accepting = self._selector.accepting_instances(
             request.service, monotonic(), request.residence
--- a/tests/admission/limit_fleet.py
+++ b/tests/admission/limit_fleet.py
@@ -146,7 +146,7 @@
 
 
 def window_limit(limit: RequestLimit) -> float:
-    return limit.per_s * WINDOW_S + limit.burst
+    return limit.requests_per_s * WINDOW_S + limit.burst
 
 
 class SnapshotFleet(LimitFleet):
--- a/tests/admission/test_backend_gate.py
+++ b/tests/admission/test_backend_gate.py
@@ -9,18 +9,18 @@
     BackendState,
     GateCapacity,
 )
-from wharfcart.configuration.schema import YieldingPolicy
+from wharfcart.configuration.schema import PreemptionPolicy
 
 BASE_S = 0.012
 SLOPE_S = 0.0001
 IDLE_S = 10.0
 
 
-def _make_gate(policy: YieldingPolicy = YieldingPolicy.TAIL) -> BackendGate:
+def _make_gate(policy: PreemptionPolicy = PreemptionPolicy.TAIL) -> BackendGate:
     return BackendGate("engine", GateCapacity(online=4, batch=40), policy)
 
 
-def _fitted_gate(policy: YieldingPolicy) -> BackendGate:
+def _fitted_gate(policy: PreemptionPolicy) -> BackendGate:
     gate = _make_gate(policy)
     for sequences in range(1, 41):
         gate.fit.add(sequences, BASE_S + SLOPE_S * sequences)
@@ -51,7 +51,7 @@
 
 
 def test_online_arrival_preempts_batch_above_the_fitted_bound() -> None:
-    for policy in YieldingPolicy:
+    for policy in PreemptionPolicy:
         gate = _fitted_gate(policy)
         now = _fill_with_batch(gate, 2.0)
         gate.admit_online("o", now)
@@ -63,7 +63,7 @@
 
 
 def test_no_batch_prompt_before_an_online_first_token() -> None:
-    gate = _fitted_gate(YieldingPolicy.THROUGHPUT)
+    gate = _fitted_gate(PreemptionPolicy.THROUGHPUT)
     gate.admit_online("o", IDLE_S)
     assert gate.available_batch_slots(IDLE_S + 1) == 0
     gate.record_first_token("o", IDLE_S + 1)
@@ -84,7 +84,7 @@
     )
 )
 def test_bounds_hold_for_random_event_sequences(steps: list[tuple[str, float]]) -> None:
-    gate = _fitted_gate(YieldingPolicy.TAIL)
+    gate = _fitted_gate(PreemptionPolicy.TAIL)
     now = IDLE_S
     for number, (step, seconds) in enumerate(steps):
         now += seconds
--- a/tests/admission/test_tenant_limits.py
+++ b/tests/admission/test_tenant_limits.py
@@ -26,7 +26,7 @@
     fleet = LimitFleet(10)
     fleet.send_random(20.0, 40.0, Random(1))
     assert fleet.max_window_count() <= window_limit(LIMIT)
-    assert len(fleet.sent) >= 20 * LIMIT.per_s
+    assert len(fleet.sent) >= 20 * LIMIT.requests_per_s
 
 
 def test_refusal_carries_the_time_of_the_next_free_token() -> None:
@@ -175,7 +175,7 @@
     limit = RequestLimit(rng.choice([2.0, 5.0, 20.0]), rng.choice([2.0, 5.0, 20.0]))
     fleet = LimitFleet(rng.randint(1, 12), limit)
     for _ in range(rng.randint(5, 25)):
-        fleet.send_random(rng.uniform(0.1, 3.0), limit.per_s * rng.uniform(0.3, 8.0), rng)
+        fleet.send_random(rng.uniform(0.1, 3.0), limit.requests_per_s * rng.uniform(0.3, 8.0), rng)
         n = rng.randrange(len(fleet.gateways))
         event = rng.random()
         if event < 0.35:
@@ -203,7 +203,9 @@
         limit = RequestLimit(rng.choice([2.0, 5.0, 20.0]), rng.choice([2.0, 5.0, 20.0]))
         fleet = LimitFleet(rng.randint(1, 12), limit)
         for _ in range(10):
-            fleet.send_random(rng.uniform(0.1, 5.0), limit.per_s * rng.uniform(0.3, 8.0), rng)
+            fleet.send_random(
+                rng.uniform(0.1, 5.0), limit.requests_per_s * rng.uniform(0.3, 8.0), rng
+            )
             fleet.replace_coordinator()
             for gateway in fleet.gateways:
                 fleet.connect(gateway)
--- a/tests/routing/test_changes_during_connect.py
+++ b/tests/routing/test_changes_during_connect.py
@@ -10,7 +10,7 @@
 from wharfcart.admission.poison_requests import FIRST_QUARANTINE_S, PoisonRequests
 from wharfcart.admission.request_fingerprint import fingerprint_of
 from wharfcart.backends.connection_pool import ConnectionPool
-from wharfcart.batch.item_run import ItemProgress, ItemRunner, ItemSend, RunOutcome
+from wharfcart.batch.item_run import ItemAttempt, ItemProgress, ItemRunner, RunOutcome
 from wharfcart.cluster.messages_pb2 import RequestItem
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.serving import ColdLimit, Route, RouteKind, TrafficShare
@@ -132,7 +132,7 @@
             (TrafficShare("s", 1.0),),
             5.0,
             1.0,
-            most_backends=most_backends,
+            max_backends=most_backends,
         )
         request = CallerRequest(
             "POST",
@@ -154,7 +154,7 @@
         use = self.selector.record_sent(state, monotonic())
         progress = ItemProgress(RunningText("j"))
         item = RequestItem(item_id="q", path="/x")
-        return await runner.run(ItemSend(item, "h", "", state, use, progress, monotonic() + 9.0))
+        return await runner.run(ItemAttempt(item, "h", "", state, use, progress, monotonic() + 9.0))
 
 
 def play(scenario: Callable[[ForwarderHarness], Awaitable[None]]) -> None:
@@ -299,7 +299,7 @@
         assert not len(bench.crash_detector.poison_requests)
         bench.crash_detector.poison_requests.record_crash(FINGERPRINT, "gone-1", 1.0, time())
         bench.servers["a"].fails_with = 422
-        assert await bench.run_item("a") is RunOutcome.IMPOSSIBLE
+        assert await bench.run_item("a") is RunOutcome.UNPROCESSABLE
         assert not len(bench.crash_detector.poison_requests)
 
     play(scenario)
--- a/tests/slots/test_sessions.py
+++ b/tests/slots/test_sessions.py
@@ -445,7 +445,9 @@
     async def scenario(fleet: Fleet) -> None:
         gateway = await fleet.gateway("g1")
         for state in gateway.selector.states():
-            gateway.selector.load_received(state.instance.instance_id, 0, 0, True, state.snapshot_at)
+            gateway.selector.load_received(
+                state.instance.instance_id, 0, 0, True, state.snapshot_at
+            )
             state.snapshot_at = asyncio.get_running_loop().time()
         placed = await gateway.placement.place(request())
         assert placed is not None and placed.granted
