--- a/src/wharfcart/admission/tenant_limits.py
+++ b/src/wharfcart/admission/tenant_limits.py
@@ -106,7 +106,9 @@
         """
         times = self._times_by_tenant.get(tenant, ())
         if last_contact_at is None:
-            max_requests = max(MIN_NO_CONTACT_REQUESTS, limit.requests_per_s * WINDOW_S * NO_CONTACT_SHARE)
+            max_requests = max(
+                MIN_NO_CONTACT_REQUESTS, limit.requests_per_s * WINDOW_S * NO_CONTACT_SHARE
+            )
         elif now - last_contact_at > MAX_DISCONNECTED_S:
             max_requests = 0.0
         elif usage > NEAR_LIMIT_SHARE * _window_limit(limit):
