--- a/src/wharfcart/backends/__init__.py
+++ b/src/wharfcart/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Clients for engines and application servers."""
+"""Clients of engines and application servers, and the connection pool."""
--- a/src/wharfcart/backends/application_client.py
+++ b/src/wharfcart/backends/application_client.py
@@ -1,4 +1,4 @@
-"""Client of an application server: plain HTTP, passed through."""
+"""Client of an application server: forwards plain HTTP."""
 
 import json
 from collections.abc import AsyncGenerator
@@ -11,24 +11,32 @@
 
 
 class ApplicationClient:
-    """One application server."""
+    """Client of one application server."""
 
     def __init__(self, address: str, session: aiohttp.ClientSession) -> None:
         self._address = address
         self._session = session
 
     async def send(self, request: BackendRequest) -> AsyncGenerator[BackendPart, None]:
-        """Send a request; the answer is one part."""
+        """Send a request and yield its response as one part.
+
+        Raises:
+            BackendError: The server gave no complete response.
+        """
         async with open_response(self._session, self._address, request) as response:
             part = await read_response(response)
         yield part
 
     async def cancel(self, request_id: str) -> bool:
-        """Do nothing: an application call that began is let finish."""
+        """Return False: an application call in progress is not interrupted."""
         return False
 
     async def settle(self, request: BackendRequest) -> BackendPart | None:
-        """Ask what became of a request; a server without the call leaves it unknown."""
+        """Return the response of a request whose response was lost, or None if it did not run.
+
+        Raises:
+            BackendError: The outcome is unknown, for example if the server lacks this call.
+        """
         url = f"http://{self._address}/effects/{request.request_id}/settle"
         timeout = aiohttp.ClientTimeout(total=CONTROL_TIMEOUT_S)
         try:
@@ -36,16 +44,16 @@
                 response.raise_for_status()
                 body = await response.json()
         except (TimeoutError, aiohttp.ClientError, ValueError) as error:
-            raise BackendError(f"cannot settle: {error!r}", Outcome.UNKNOWN) from error
+            raise BackendError(f"settle call failed: {error!r}", Outcome.UNKNOWN) from error
         if body["state"] == "not_run":
             return None
         if body["state"] != "completed":
-            raise BackendError("still running there", Outcome.UNKNOWN)
+            raise BackendError("request is still running", Outcome.UNKNOWN)
         data = json.dumps(body["response"]).encode()
         return BackendPart(0, data, True, 200, {"content-type": "application/json"})
 
     async def is_alive(self) -> bool:
-        """Return whether the server answers."""
+        """Return whether the server responds."""
         timeout = aiohttp.ClientTimeout(total=CONTROL_TIMEOUT_S)
         try:
             async with self._session.get(
--- a/src/wharfcart/backends/connection_pool.py
+++ b/src/wharfcart/backends/connection_pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to back ends: bounded a back end, the most recently used first."""
+"""Pool of connections to back ends: bounded per back end, last in first out."""
 
 from collections import deque
 from collections.abc import Collection
@@ -9,17 +9,17 @@
 
 CONNECT_TIMEOUT_S = 0.4
 DEFAULT_IDLE_TIMEOUT_S = 4.0
-# A peer that closes an idle connection as the next request leaves makes its outcome unknown.
+# A request sent while the peer closes the idle connection would have an unknown outcome.
 IDLE_MARGIN_S = 1.0
 MAX_IDLE_PER_BACKEND = 24
 
 
 class ConnectionLimitError(Exception):
-    """This node already has its share of the connections that the back end takes."""
+    """This node has reached its share of the connections that the back end accepts."""
 
 
 class ConnectionPool:
-    """Connections of one node, by incarnation of back end."""
+    """Connections of one node, by back-end instance."""
 
     def __init__(self) -> None:
         self._idle: dict[str, deque[HttpConnection]] = {}
@@ -28,16 +28,21 @@
     async def acquire(
         self, instance: BackendInstance, limit: int, force_new: bool = False
     ) -> HttpConnection:
-        """Return a kept connection, or a new one within the limit.
+        """Return an idle connection, or a new one within the limit.
 
-        Raises
-        ------
-        ConnectFailedError, ConnectionLimitError
+        Args:
+            instance: the instance to connect to.
+            limit: maximum number of open connections to it.
+            force_new: whether to ignore idle connections.
+
+        Raises:
+            ConnectFailedError: The connection could not be opened.
+            ConnectionLimitError: The limit is reached.
         """
         if not force_new:
-            kept = self._pop_idle(instance.instance_id)
-            if kept is not None:
-                return kept
+            idle = self._pop_idle(instance.instance_id)
+            if idle is not None:
+                return idle
         if self._open_count.get(instance.instance_id, 0) >= limit:
             raise ConnectionLimitError
         self._open_count[instance.instance_id] = self._open_count.get(instance.instance_id, 0) + 1
@@ -48,11 +53,11 @@
             raise
 
     def idle_instances(self) -> Collection[str]:
-        """Return the incarnations to which a connection is kept that nobody uses now."""
+        """Return the ids of instances with an idle connection."""
         return [instance_id for instance_id, idle in self._idle.items() if idle]
 
     def release(self, instance: BackendInstance, connection: HttpConnection) -> None:
-        """Keep a connection whose answer is whole, or close it."""
+        """Return a connection to the pool after a complete answer, or close it."""
         idle = self._idle.setdefault(instance.instance_id, deque())
         if connection.finish(monotonic()) and len(idle) < MAX_IDLE_PER_BACKEND:
             idle.append(connection)
@@ -65,7 +70,7 @@
         self._decrement_open(instance.instance_id)
 
     def drop_instance(self, instance_id: str) -> None:
-        """Close the idle connections to a back end that is gone."""
+        """Close the idle connections to a removed instance."""
         for connection in self._idle.pop(instance_id, deque()):
             connection.close()
             self._decrement_open(instance_id)
@@ -80,17 +85,17 @@
         now = monotonic()
         while idle:
             connection = idle.pop()
-            limit_s = connection.idle_limit_s or DEFAULT_IDLE_TIMEOUT_S
-            rested_s = now - connection.idle_since
-            if connection.reusable and rested_s < max(0.5, limit_s - IDLE_MARGIN_S):
+            timeout_s = connection.idle_limit_s or DEFAULT_IDLE_TIMEOUT_S
+            idle_s = now - connection.idle_since
+            if connection.reusable and idle_s < max(0.5, timeout_s - IDLE_MARGIN_S):
                 return connection
             connection.close()
             self._decrement_open(instance_id)
         return None
 
     def _decrement_open(self, instance_id: str) -> None:
-        left = self._open_count.get(instance_id, 0) - 1
-        if left > 0:
-            self._open_count[instance_id] = left
+        remaining = self._open_count.get(instance_id, 0) - 1
+        if remaining > 0:
+            self._open_count[instance_id] = remaining
         else:
             self._open_count.pop(instance_id, None)
--- a/src/wharfcart/backends/engine_client.py
+++ b/src/wharfcart/backends/engine_client.py
@@ -1,4 +1,4 @@
-"""Client of a model engine: OpenAI HTTP API, streams that resume by id, fenced orders."""
+"""Client of a model engine: OpenAI HTTP API, resumable streams, fenced commands."""
 
 from collections.abc import AsyncGenerator, AsyncIterator
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class EngineInventory:
-    """What an engine says it holds."""
+    """Model, adapters and limits that an engine reports."""
 
     model: str
     version: str
@@ -26,14 +26,18 @@
 
 
 class EngineClient:
-    """One engine."""
+    """Client of one engine."""
 
     def __init__(self, address: str, session: aiohttp.ClientSession) -> None:
         self._address = address
         self._session = session
 
     async def send(self, request: BackendRequest) -> AsyncGenerator[BackendPart, None]:
-        """Send a request; a stream that breaks is resumed where it broke."""
+        """Send a request and yield its parts; resume a broken stream after its last part.
+
+        Raises:
+            BackendError: The request failed, or a broken stream could not be resumed.
+        """
         if not request.stream:
             yield await self._send_whole(request)
             return
@@ -51,12 +55,12 @@
                     return
             except BackendError as error:
                 if resume == 0 and request.resume and error.outcome is Outcome.NOT_RUN:
-                    attempt = request  # not known there: begin
+                    attempt = request  # unknown to the engine: start it
                     continue
                 if resume == 0 and error.outcome is Outcome.NOT_RUN:
                     raise
             attempt = _resume_request(request, reader.next_sequence)
-        raise BackendError("stream broke off and could not be resumed", Outcome.UNKNOWN)
+        raise BackendError("stream was interrupted and could not be resumed", Outcome.UNKNOWN)
 
     async def _send_whole(self, request: BackendRequest) -> BackendPart:
         resumed = _resume_request(request, 0)
@@ -78,18 +82,22 @@
             return await read_response(response)
 
     async def cancel(self, request_id: str) -> bool:
-        """Stop a stream; the engine keeps its tokens for a resume."""
+        """Cancel a stream; the engine keeps its tokens for a resume."""
         timeout = aiohttp.ClientTimeout(total=CONTROL_TIMEOUT_S)
         url = f"http://{self._address}/v1/streams/{request_id}"
         try:
             async with self._session.delete(url, timeout=timeout) as response:
-                answer = await response.json()
-                return bool(answer["cancelled"])
+                body = await response.json()
+                return bool(body["cancelled"])
         except (TimeoutError, aiohttp.ClientError, ValueError, LookupError):
-            return False  # a gone engine runs nothing
+            return False  # an unreachable engine runs nothing
 
     async def settle(self, request: BackendRequest) -> BackendPart | None:
-        """Resume the request by its id; None if the engine does not know it."""
+        """Resume a request by its id and return its response; None if the engine does not know it.
+
+        Raises:
+            BackendError: The outcome is unknown.
+        """
         resumed = _resume_request(request, 0)
         try:
             return await self._read_whole(resumed)
@@ -99,11 +107,10 @@
             raise
 
     async def fetch_inventory(self) -> EngineInventory:
-        """Ask what the engine holds.
+        """Fetch what the engine holds.
 
-        Raises
-        ------
-        BackendError
+        Raises:
+            BackendError: The engine did not report its status.
         """
         timeout = aiohttp.ClientTimeout(total=CONTROL_TIMEOUT_S)
         try:
@@ -113,7 +120,7 @@
                 response.raise_for_status()
                 body = await response.json()
         except (TimeoutError, aiohttp.ClientError, ValueError) as error:
-            raise BackendError(f"no status: {error!r}", Outcome.NOT_RUN) from error
+            raise BackendError(f"status call failed: {error!r}", Outcome.NOT_RUN) from error
         return EngineInventory(
             body["model"],
             body["version"],
@@ -123,11 +130,10 @@
         )
 
     async def send_command(self, command: EngineCommand) -> bool:
-        """Give a fenced order; False if the engine obeyed a newer leader already.
+        """Send a fenced command; return False if the engine rejects it for a newer leader.
 
-        Raises
-        ------
-        BackendError
+        Raises:
+            BackendError: The engine did not respond.
         """
         body = {
             "order": command.kind.value,
@@ -143,7 +149,7 @@
             ) as response:
                 return response.status == 202
         except (TimeoutError, aiohttp.ClientError) as error:
-            raise BackendError(f"order not answered: {error!r}", Outcome.UNKNOWN) from error
+            raise BackendError(f"command call failed: {error!r}", Outcome.UNKNOWN) from error
 
 
 def _resume_request(request: BackendRequest, next_sequence: int) -> BackendRequest:
@@ -154,7 +160,7 @@
 
 
 class _OrderedStreamReader:
-    """Numbered events of one stream over several connections, put in order, each once."""
+    """Reads the numbered events of a stream over several connections, in order and once each."""
 
     def __init__(self) -> None:
         self.next_sequence = 0
--- a/src/wharfcart/backends/http_responses.py
+++ b/src/wharfcart/backends/http_responses.py
@@ -1,4 +1,4 @@
-"""What engine and application clients have in common: reading an HTTP answer with care."""
+"""HTTP responses of engines and application servers: opening, checking, reading."""
 
 import asyncio
 from collections.abc import AsyncIterator, Coroutine
@@ -26,25 +26,24 @@
 async def open_response(
     session: aiohttp.ClientSession, address: str, request: BackendRequest
 ) -> AsyncIterator[aiohttp.ClientResponse]:
-    """Send a request and give its answer once the head is there and is the right one's.
+    """Send a request and yield its response once the head has arrived and matches the request.
 
-    Raises
-    ------
-    BackendError
-        ``not_run`` if no connection was made or the back end says so; else ``unknown``.
+    Raises:
+        BackendError: With outcome ``not_run`` if no connection was made or the back end says so,
+            else ``unknown``.
     """
     headers = request.headers | {REQUEST_ID_HEADER: request.request_id}
     timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
     url = f"http://{address}/{request.path.lstrip('/')}"
-    call = session.request(
+    response_coroutine = session.request(
         request.method, url, data=request.body or None, headers=headers, timeout=timeout
     )
     try:
-        async with await _shield_connect(call) as response:
+        async with await _shield_connect(response_coroutine) as response:
             _check_head(response, request)
             yield response
     except aiohttp.ClientConnectorError as error:
-        raise BackendError(f"no connection: {error}", Outcome.NOT_RUN) from error
+        raise BackendError(f"connect failed: {error}", Outcome.NOT_RUN) from error
     except (aiohttp.ClientError, OSError) as error:  # TimeoutError is an OSError
         raise BackendError(f"connection broke: {error!r}", Outcome.UNKNOWN) from error
 
@@ -52,22 +51,22 @@
 async def _shield_connect(
     call: Coroutine[Any, Any, aiohttp.ClientResponse],
 ) -> aiohttp.ClientResponse:
-    """Await the head of an answer; when cancelled, let it come and close it then.
+    """Await the head of a response; if cancelled, close the response once its head arrives.
 
-    Cancelling aiohttp while it connects closes a socket that uvloop's transport still holds; the
-    next socket of that number then fails ("File descriptor is used by transport").
+    Cancelling aiohttp while it connects closes a socket that uvloop's transport still holds. The
+    next socket with that descriptor then fails ("File descriptor is used by transport").
     """
-    opening = asyncio.ensure_future(call)
+    task = asyncio.ensure_future(call)
     try:
-        return await asyncio.shield(opening)
+        return await asyncio.shield(task)
     except asyncio.CancelledError:
-        opening.add_done_callback(_close_late_response)
+        task.add_done_callback(_close_late_response)
         raise
 
 
-def _close_late_response(opening: asyncio.Future[aiohttp.ClientResponse]) -> None:
-    if not opening.cancelled() and opening.exception() is None:
-        opening.result().close()
+def _close_late_response(task: asyncio.Future[aiohttp.ClientResponse]) -> None:
+    if not task.cancelled() and task.exception() is None:
+        task.result().close()
 
 
 def _check_head(response: aiohttp.ClientResponse, request: BackendRequest) -> None:
@@ -78,13 +77,13 @@
         )
     if response.status >= 500:
         raise BackendError(f"status {response.status}", Outcome.UNKNOWN)
-    answered = response.headers.get(REQUEST_ID_HEADER)
-    if response.status < 400 and answered != request.request_id:
-        raise BackendError("the answer is another request's", Outcome.UNKNOWN)
+    response_id = response.headers.get(REQUEST_ID_HEADER)
+    if response.status < 400 and response_id != request.request_id:
+        raise BackendError("response belongs to another request", Outcome.UNKNOWN)
 
 
 async def read_response(response: aiohttp.ClientResponse) -> BackendPart:
-    """Read a whole answer as one part."""
+    """Read a complete response as one part."""
     data = await response.read()
     headers = {
         name: response.headers[name] for name in FORWARDED_HEADERS if name in response.headers
--- a/src/wharfcart/backends/interface.py
+++ b/src/wharfcart/backends/interface.py
@@ -1,4 +1,4 @@
-"""Interface to back ends: one request out, numbered parts back."""
+"""Interface of the back-end clients: requests, numbered response parts, engine commands."""
 
 from collections.abc import AsyncGenerator
 from dataclasses import dataclass, field
@@ -15,7 +15,14 @@
 class BackendRequest:
     """One request to a back end.
 
-    ``resume``: the back end may know the request already; it is to go on with it, not begin anew.
+    Attributes:
+        request_id: id of the request.
+        method: HTTP method.
+        path: path and query.
+        headers: headers to send.
+        body: complete body.
+        stream: whether the response is a stream.
+        resume: whether the back end may already know the request and should resume it.
     """
 
     request_id: str
@@ -29,7 +36,15 @@
 
 @dataclass(frozen=True)
 class BackendPart:
-    """One part of an answer; parts come in order, and the last one says so."""
+    """One part of a response.
+
+    Attributes:
+        sequence: number of the part; parts arrive in order.
+        data: bytes of the part.
+        is_last: whether the response ends with this part.
+        status: HTTP status of the response.
+        headers: headers of the response.
+    """
 
     sequence: int
     data: bytes
@@ -39,7 +54,7 @@
 
 
 class BackendError(ServingError):
-    """A back end gave no whole answer."""
+    """A back end gave no complete response."""
 
     def __init__(
         self, message: str, outcome: Outcome, status: int = 502, retry_after: float | None = None
@@ -48,7 +63,7 @@
 
 
 class EngineCommandKind(StrEnum):
-    """Orders an engine takes."""
+    """Kinds of commands to an engine."""
 
     LOAD_MODEL = "load_model"
     LOAD_ADAPTER = "load_adapter"
@@ -57,7 +72,7 @@
 
 @dataclass(frozen=True)
 class EngineCommand:
-    """One order to one engine, fenced by the leader's epoch and its sequence in it."""
+    """One command to one engine, fenced by the leader's epoch and a sequence number in it."""
 
     backend_id: str
     kind: EngineCommandKind
@@ -71,26 +86,24 @@
     """Client of one back end."""
 
     def send(self, request: BackendRequest) -> AsyncGenerator[BackendPart, None]:
-        """Send a request and yield the parts of its answer.
+        """Send a request and yield the parts of its response.
 
-        Raises
-        ------
-        BackendError
+        Raises:
+            BackendError: The request failed.
         """
         ...
 
     async def cancel(self, request_id: str) -> bool:
-        """Stop a request; return whether the back end was running it."""
+        """Cancel a request; return whether the back end was running it."""
         ...
 
     async def settle(self, request: BackendRequest) -> BackendPart | None:
-        """Tell what became of a request whose answer was lost.
+        """Return the response of a request whose response was lost.
 
-        Return the answer if it ran, None on proof that it did not and never will.
+        Returns:
+            The response if the request ran; None if it provably did not run and never will.
 
-        Raises
-        ------
-        BackendError
-            If the back end cannot tell now.
+        Raises:
+            BackendError: The outcome can't be determined now.
         """
         ...
--- a/src/wharfcart/backends/requests.py
+++ b/src/wharfcart/backends/requests.py
@@ -1,4 +1,4 @@
-"""Building of back-end requests from callers' requests: the same for online and batch."""
+"""Construction of back-end requests from online requests and batch items."""
 
 import json
 from typing import Any
@@ -31,22 +31,24 @@
 def build_engine_request(
     service: Service, path: str, body: dict[str, Any], request_id: str, batch: bool
 ) -> BackendRequest:
-    """Return the engine's request: model or adapter, system prompt, bounded tokens, priority."""
-    passed = {name: body[name] for name in FORWARDED_FIELDS if name in body}
-    if service.system_prompt and "messages" in passed:
+    """Return an engine request with model, system prompt, token limit and priority set."""
+    forwarded = {name: body[name] for name in FORWARDED_FIELDS if name in body}
+    if service.system_prompt and "messages" in forwarded:
         system = {"role": "system", "content": service.system_prompt}
-        passed["messages"] = [system, *passed["messages"]]
-    elif service.system_prompt and "prompt" in passed:
-        passed["prompt"] = f"{service.system_prompt}\n{passed['prompt']}"
-    wanted = body.get("max_completion_tokens") or body.get("max_tokens") or service.max_tokens
+        forwarded["messages"] = [system, *forwarded["messages"]]
+    elif service.system_prompt and "prompt" in forwarded:
+        forwarded["prompt"] = f"{service.system_prompt}\n{forwarded['prompt']}"
+    requested_tokens = (
+        body.get("max_completion_tokens") or body.get("max_tokens") or service.max_tokens
+    )
     stream = bool(body.get("stream")) and not batch
-    passed |= {
+    forwarded |= {
         "model": service.target,
-        "max_tokens": min(int(wanted), service.max_tokens),
+        "max_tokens": min(int(requested_tokens), service.max_tokens),
         "priority": BATCH_PRIORITY if batch else service.priority,
         "stream": stream,
     }
-    data = json.dumps(passed, separators=(",", ":")).encode()
+    data = json.dumps(forwarded, separators=(",", ":")).encode()
     return BackendRequest(
         request_id, "POST", path, {"Content-Type": "application/json"}, data, stream
     )
@@ -60,13 +62,13 @@
     body: bytes,
     request_id: str,
 ) -> BackendRequest:
-    """Return an application server's request, below the template's path."""
-    joined = f"{service.path.rstrip('/')}/{path.lstrip('/')}"
-    return BackendRequest(request_id, method, joined, headers, body, False)
+    """Return a request to an application server, with a path below that of the template."""
+    full_path = f"{service.path.rstrip('/')}/{path.lstrip('/')}"
+    return BackendRequest(request_id, method, full_path, headers, body, False)
 
 
 def build_batch_request(service: Service, line: bytes, request_id: str) -> BackendRequest:
-    """Return the back-end request of one line of a batch file, which was checked when it came."""
+    """Return the back-end request of one line of a batch file that was validated on upload."""
     item = json.loads(line)
     body = item.get("body") or {}
     if service.kind is TemplateKind.MODEL:
--- a/tests/backends/test_engine_client.py
+++ b/tests/backends/test_engine_client.py
@@ -1,4 +1,4 @@
-"""A stream's parts come once each and in order, or not at all."""
+"""The engine client returns the parts of a stream in order and without duplicates."""
 
 import asyncio
 import random
@@ -24,7 +24,7 @@
 
 
 class _Answer:
-    """An answer whose bytes arrive in given pieces."""
+    """A response whose bytes arrive in the given chunks."""
 
     def __init__(self, pieces: list[bytes]) -> None:
         self.content = SimpleNamespace(iter_any=lambda: self._iterate(pieces))
@@ -64,7 +64,7 @@
 
 
 def _stream_error(handler: Any) -> BackendError:
-    """Stream from a server with one handler; return the error it must end with."""
+    """Stream from a server with one handler; return the error that the client must raise."""
 
     async def run() -> None:
         app = web.Application()
@@ -86,17 +86,17 @@
 
 
 def test_truncated_stream_is_an_error() -> None:
-    async def short(request: web.Request) -> web.Response:
+    async def truncated(request: web.Request) -> web.Response:
         return web.Response(body=_event(0, 5), headers={"X-Request-Id": "mine"})
 
-    assert _stream_error(short).outcome is Outcome.UNKNOWN
+    assert _stream_error(truncated).outcome is Outcome.UNKNOWN
 
 
 def test_response_to_another_request_is_rejected() -> None:
-    async def stranger(request: web.Request) -> web.Response:
+    async def other_request(request: web.Request) -> web.Response:
         return web.Response(body=_event(0, 0), headers={"X-Request-Id": "another"})
 
-    assert _stream_error(stranger).outcome is Outcome.UNKNOWN
+    assert _stream_error(other_request).outcome is Outcome.UNKNOWN
 
 
 def test_signed_refusal_is_not_run() -> None:
--- a/tests/routing/test_changes_during_connect.py
+++ b/tests/routing/test_changes_during_connect.py
@@ -1,4 +1,4 @@
-"""The moment at which a request leaves: its back end may be ruled out since it was placed there."""
+"""A request is checked again once its connection is up, before it is sent."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -34,7 +34,7 @@
 
 
 class DelayedPool(ConnectionPool):
-    """Connections that come up after something has happened."""
+    """Pool that awaits a callback after each connect."""
 
     def __init__(self, on_connect: Callable[[BackendInstance], Awaitable[None]]) -> None:
         super().__init__()
@@ -49,7 +49,7 @@
 
 
 class Sink:
-    """Takes an answer."""
+    """Records an answer."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -67,10 +67,10 @@
 
 
 class RecordingPlacement(LocalPlacement):
-    """Notes which places were given back, and what was told of them."""
+    """Records the finished sends and their results."""
 
-    def __init__(self, choice: BackendSelector) -> None:
-        super().__init__(choice)
+    def __init__(self, selector: BackendSelector) -> None:
+        super().__init__(selector)
         self.finished_sends: list[tuple[str, SendResult]] = []
 
     def send_finished(self, decision: PlacementDecision, result: SendResult) -> None:
@@ -78,7 +78,7 @@
 
 
 class ForwarderHarness:
-    """A forwarder before three servers, each in a zone of its own."""
+    """A forwarder with three servers in different zones."""
 
     def __init__(self) -> None:
         self.selector = BackendSelector("a", Random(1))
@@ -151,108 +151,110 @@
         state = self.selector.state(zone)
         assert state is not None
         runner = ItemRunner(self.selector, self.pool, lambda _service: 8, self.crash_detector)
-        use = self.selector.record_sent(state, monotonic())
+        send_id = self.selector.record_sent(state, monotonic())
         progress = ItemProgress(RunningText("j"))
         item = RequestItem(item_id="q", path="/x")
-        return await runner.run(ItemAttempt(item, "h", "", state, use, progress, monotonic() + 9.0))
+        return await runner.run(
+            ItemAttempt(item, "h", "", state, send_id, progress, monotonic() + 9.0)
+        )
 
 
 def play(scenario: Callable[[ForwarderHarness], Awaitable[None]]) -> None:
     async def run() -> None:
-        bench = ForwarderHarness()
-        await bench.start()
+        harness = ForwarderHarness()
+        await harness.start()
         try:
-            await scenario(bench)
+            await scenario(harness)
         finally:
-            await bench.stop()
+            await harness.stop()
 
     asyncio.run(asyncio.wait_for(run(), 20))
 
 
 def test_request_is_placed_again_if_its_zone_is_evacuated_during_connect() -> None:
-    async def scenario(bench: ForwarderHarness) -> None:
-        async def empty_once(instance: BackendInstance) -> None:
-            if len(bench.connected) == 1:
-                bench.evacuate(instance.zone)
+    async def scenario(harness: ForwarderHarness) -> None:
+        async def evacuate_once(instance: BackendInstance) -> None:
+            if len(harness.connected) == 1:
+                harness.evacuate(instance.zone)
 
-        bench.on_connected = empty_once
-        sink = await bench.forward()
+        harness.on_connected = evacuate_once
+        sink = await harness.forward()
         assert sink.status == 200
-        first, second = bench.connected
-        assert bench.run_zones() == [second] != [first]
-        assert bench.placement.finished_sends[0] == (first, SendResult.UNKNOWN)
+        first, second = harness.connected
+        assert harness.run_zones() == [second] != [first]
+        assert harness.placement.finished_sends[0] == (first, SendResult.UNKNOWN)
 
     play(scenario)
 
 
 def test_successive_evacuations_use_up_no_attempts() -> None:
-    async def scenario(bench: ForwarderHarness) -> None:
-        async def empty_all_but_c(instance: BackendInstance) -> None:
-            if len(bench.connected) < 3:
-                bench.evacuate(*bench.connected)
+    async def scenario(harness: ForwarderHarness) -> None:
+        async def evacuate_connected(instance: BackendInstance) -> None:
+            if len(harness.connected) < 3:
+                harness.evacuate(*harness.connected)
 
-        bench.on_connected = empty_all_but_c
-        sink = await bench.forward(most_backends=1)
+        harness.on_connected = evacuate_connected
+        sink = await harness.forward(most_backends=1)
         assert sink.status == 200
-        assert bench.run_zones() == [bench.connected[2]]
+        assert harness.run_zones() == [harness.connected[2]]
 
     play(scenario)
 
 
 def test_refused_with_retry_after_if_all_zones_are_evacuated() -> None:
-    async def scenario(bench: ForwarderHarness) -> None:
-        async def empty_all(_instance: BackendInstance) -> None:
-            bench.evacuate(*ZONES)
+    async def scenario(harness: ForwarderHarness) -> None:
+        async def evacuate_all(_instance: BackendInstance) -> None:
+            harness.evacuate(*ZONES)
 
-        bench.on_connected = empty_all
-        sink = await bench.forward()
+        harness.on_connected = evacuate_all
+        sink = await harness.forward()
         assert sink.status == 503
         assert float(sink.headers["retry-after"]) == RETRY_AFTER_EVACUATED_S
-        assert not bench.run_zones()
+        assert not harness.run_zones()
 
     play(scenario)
 
 
 def test_restored_zone_is_used_while_another_is_evacuated() -> None:
-    async def scenario(bench: ForwarderHarness) -> None:
-        bench.evacuate("a", "b")
-        assert (await bench.forward()).status == 200
-        bench.evacuate("b", "c")
-        assert (await bench.forward()).status == 200
-        assert bench.run_zones() == ["a", "c"]
+    async def scenario(harness: ForwarderHarness) -> None:
+        harness.evacuate("a", "b")
+        assert (await harness.forward()).status == 200
+        harness.evacuate("b", "c")
+        assert (await harness.forward()).status == 200
+        assert harness.run_zones() == ["a", "c"]
 
     play(scenario)
 
 
 def test_item_is_not_sent_if_its_zone_is_evacuated_during_connect() -> None:
-    async def scenario(bench: ForwarderHarness) -> None:
-        async def empty_it(instance: BackendInstance) -> None:
-            bench.evacuate(instance.zone)
-
-        bench.on_connected = empty_it
-        assert await bench.run_item("a") is RunOutcome.REFUSED
-        assert not bench.run_zones()
-        state = bench.selector.state("a")
+    async def scenario(harness: ForwarderHarness) -> None:
+        async def evacuate_zone(instance: BackendInstance) -> None:
+            harness.evacuate(instance.zone)
+
+        harness.on_connected = evacuate_zone
+        assert await harness.run_item("a") is RunOutcome.REFUSED
+        assert not harness.run_zones()
+        state = harness.selector.state("a")
         assert state is not None and state.in_flight == 0
 
     play(scenario)
 
 
 def test_expired_permit_for_a_cold_back_end_is_not_used() -> None:
-    async def scenario(bench: ForwarderHarness) -> None:
-        async def slowly(_instance: BackendInstance) -> None:
-            if len(bench.connected) == 1:
+    async def scenario(harness: ForwarderHarness) -> None:
+        async def delay_first(_instance: BackendInstance) -> None:
+            if len(harness.connected) == 1:
                 await asyncio.sleep(PERMIT_TTL_S * 1.2)
 
-        bench.selector.cold.limits = {"s": ColdLimit(4.0, 3.0)}
-        bench.on_connected = slowly
-        state = bench.selector.state("a")
+        harness.selector.cold.limits = {"s": ColdLimit(4.0, 3.0)}
+        harness.on_connected = delay_first
+        state = harness.selector.state("a")
         assert state is not None
-        bench.selector.cold.report_received(state.cold, 60.0, monotonic(), 1)
-        assert await bench.run_item("a") is RunOutcome.REFUSED
-        assert not bench.run_zones()
-        assert await bench.run_item("a") is not RunOutcome.REFUSED
-        assert bench.run_zones() == ["a"]
+        harness.selector.cold.report_received(state.cold, 60.0, monotonic(), 1)
+        assert await harness.run_item("a") is RunOutcome.REFUSED
+        assert not harness.run_zones()
+        assert await harness.run_item("a") is not RunOutcome.REFUSED
+        assert harness.run_zones() == ["a"]
 
     play(scenario)
 
@@ -260,47 +262,47 @@
 FINGERPRINT = fingerprint_of("h", "POST", "/x", "", b"")
 
 
-def quarantine(bench: ForwarderHarness) -> None:
-    """Have it become known that two back ends ended while they ran the request."""
+def quarantine(harness: ForwarderHarness) -> None:
+    """Record two crashes of back ends that ran the request."""
     for instance_id in ("gone-1", "gone-2"):
-        bench.crash_detector.poison_requests.record_crash(FINGERPRINT, instance_id, 1.0, time())
+        harness.crash_detector.poison_requests.record_crash(FINGERPRINT, instance_id, 1.0, time())
 
 
 def test_request_is_not_sent_if_quarantined_during_connect() -> None:
-    async def scenario(bench: ForwarderHarness) -> None:
-        async def suspect_it(_instance: BackendInstance) -> None:
-            quarantine(bench)
+    async def scenario(harness: ForwarderHarness) -> None:
+        async def quarantine_request(_instance: BackendInstance) -> None:
+            quarantine(harness)
 
-        bench.on_connected = suspect_it
-        sink = await bench.forward(most_backends=3)
+        harness.on_connected = quarantine_request
+        sink = await harness.forward(most_backends=3)
         assert sink.status == 503
         assert FIRST_QUARANTINE_S - 1.0 <= float(sink.headers["retry-after"]) <= FIRST_QUARANTINE_S
-        assert len(bench.connected) == 1 and not bench.run_zones()
+        assert len(harness.connected) == 1 and not harness.run_zones()
 
     play(scenario)
 
 
 def test_item_is_not_sent_if_quarantined_during_connect() -> None:
-    async def scenario(bench: ForwarderHarness) -> None:
-        async def suspect_it(_instance: BackendInstance) -> None:
-            quarantine(bench)
+    async def scenario(harness: ForwarderHarness) -> None:
+        async def quarantine_request(_instance: BackendInstance) -> None:
+            quarantine(harness)
 
-        bench.on_connected = suspect_it
-        assert await bench.run_item("a") is RunOutcome.REFUSED
-        assert not bench.run_zones()
+        harness.on_connected = quarantine_request
+        assert await harness.run_item("a") is RunOutcome.REFUSED
+        assert not harness.run_zones()
 
     play(scenario)
 
 
 def test_answer_clears_poison_evidence() -> None:
-    async def scenario(bench: ForwarderHarness) -> None:
-        bench.crash_detector.poison_requests.record_crash(FINGERPRINT, "gone-1", 1.0, time())
-        assert (await bench.forward()).status == 200
-        assert not len(bench.crash_detector.poison_requests)
-        bench.crash_detector.poison_requests.record_crash(FINGERPRINT, "gone-1", 1.0, time())
-        bench.servers["a"].fails_with = 422
-        assert await bench.run_item("a") is RunOutcome.UNPROCESSABLE
-        assert not len(bench.crash_detector.poison_requests)
+    async def scenario(harness: ForwarderHarness) -> None:
+        harness.crash_detector.poison_requests.record_crash(FINGERPRINT, "gone-1", 1.0, time())
+        assert (await harness.forward()).status == 200
+        assert not len(harness.crash_detector.poison_requests)
+        harness.crash_detector.poison_requests.record_crash(FINGERPRINT, "gone-1", 1.0, time())
+        harness.servers["a"].fails_with = 422
+        assert await harness.run_item("a") is RunOutcome.UNPROCESSABLE
+        assert not len(harness.crash_detector.poison_requests)
 
     play(scenario)
 
@@ -308,14 +310,14 @@
 def test_request_is_not_sent_if_its_deadline_passes_during_connect(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its machine was suspended meanwhile, and no timer ran."""
+    """The machine is suspended while the request connects, so no timer fires."""
 
-    async def scenario(bench: ForwarderHarness) -> None:
+    async def scenario(harness: ForwarderHarness) -> None:
         async def suspend(_instance: BackendInstance) -> None:
             monkeypatch.setattr(sender, "monotonic", lambda: monotonic() + 60.0)
 
-        bench.on_connected = suspend
-        assert (await bench.forward()).status == 504
-        assert not bench.run_zones()
+        harness.on_connected = suspend
+        assert (await harness.forward()).status == 504
+        assert not harness.run_zones()
 
     play(scenario)
--- a/tests/routing/test_crash_detection.py
+++ b/tests/routing/test_crash_detection.py
@@ -1,4 +1,4 @@
-"""What became of a back end whose connection ended in the middle of an answer."""
+"""Detection of back-end crashes after connections that broke in the middle of an answer."""
 
 import asyncio
 from dataclasses import replace
@@ -23,7 +23,7 @@
 
 
 class Listener:
-    """Accepts connections; counts them."""
+    """Accepts and counts connections; can reset them."""
 
     def __init__(self) -> None:
         self.accepted = 0
@@ -56,13 +56,13 @@
 def test_refused_connection_means_a_crash() -> None:
     async def scenario() -> None:
         log = RecordingLog()
-        suspects = PoisonRequests()
-        broken = CrashDetector(suspects, log)
+        poison = PoisonRequests()
+        detector = CrashDetector(poison, log)
         listener = Listener()
         instance = await listener.start()
         listener.stop()
-        await broken.inspect(interrupted_run(instance))
-        assert crash_count(suspects) == 1
+        await detector.inspect(interrupted_run(instance))
+        assert crash_count(poison) == 1
         assert log.events == [Event.BACKEND_ENDED, Event.REQUEST_SUSPECTED]
 
     asyncio.run(scenario())
@@ -70,12 +70,12 @@
 
 def test_listening_back_end_has_not_crashed() -> None:
     async def scenario() -> None:
-        suspects = PoisonRequests()
-        broken = CrashDetector(suspects, RecordingLog())
+        poison = PoisonRequests()
+        detector = CrashDetector(poison, RecordingLog())
         listener = Listener()
         instance = await listener.start()
-        await broken.inspect(interrupted_run(instance))
-        assert listener.accepted == 1 and not len(suspects)
+        await detector.inspect(interrupted_run(instance))
+        assert listener.accepted == 1 and not len(poison)
         listener.stop()
 
     asyncio.run(scenario())
@@ -83,25 +83,25 @@
 
 def test_reset_during_the_check_means_a_crash() -> None:
     async def scenario() -> None:
-        suspects = PoisonRequests()
-        broken = CrashDetector(suspects, RecordingLog())
+        poison = PoisonRequests()
+        detector = CrashDetector(poison, RecordingLog())
         listener = Listener()
         listener.resets_connections = True
         instance = await listener.start()
-        await broken.start_inspection(interrupted_run(instance))
-        assert crash_count(suspects) == 1
+        await detector.start_inspection(interrupted_run(instance))
+        assert crash_count(poison) == 1
 
     asyncio.run(scenario())
 
 
 def test_runs_of_one_back_end_share_a_check() -> None:
     async def scenario() -> None:
-        suspects = PoisonRequests()
-        broken = CrashDetector(suspects, RecordingLog())
+        poison = PoisonRequests()
+        detector = CrashDetector(poison, RecordingLog())
         listener = Listener()
         instance = await listener.start()
         await asyncio.gather(
-            *(broken.start_inspection(interrupted_run(instance)) for _ in range(12))
+            *(detector.start_inspection(interrupted_run(instance)) for _ in range(12))
         )
         assert listener.accepted == 1
         listener.stop()
@@ -111,37 +111,37 @@
 
 def test_only_connections_closed_by_the_peer_are_inspected() -> None:
     async def scenario() -> None:
-        suspects = PoisonRequests()
-        broken = CrashDetector(suspects, RecordingLog())
+        poison = PoisonRequests()
+        detector = CrashDetector(poison, RecordingLog())
         listener = Listener()
         instance = await listener.start()
         listener.stop()
         for cause in (BreakCause.SLOW, BreakCause.MALFORMED):
-            await broken.inspect(replace(interrupted_run(instance), cause=cause))
-        await broken.inspect(replace(interrupted_run(instance), answer_begun=True, ran_s=3.0))
-        assert not len(suspects)
+            await detector.inspect(replace(interrupted_run(instance), cause=cause))
+        await detector.inspect(replace(interrupted_run(instance), answer_begun=True, ran_s=3.0))
+        assert not len(poison)
 
     asyncio.run(scenario())
 
 
 def test_restarted_back_end_is_checked_again() -> None:
-    """Its id had ended once; an answer lost at its next life was taken for another end."""
+    """Guards against counting a lost answer as a crash because the id had crashed earlier."""
 
     async def scenario() -> None:
-        suspects = PoisonRequests()
-        broken = CrashDetector(suspects, RecordingLog())
+        poison = PoisonRequests()
+        detector = CrashDetector(poison, RecordingLog())
         listener = Listener()
         instance = await listener.start()
         listener.stop()
-        await broken.inspect(interrupted_run(instance))
+        await detector.inspect(interrupted_run(instance))
         restarted = Listener()
         await restarted.start(instance.port)
         await asyncio.sleep(CRASH_TTL_S + 0.05)
-        innocent = replace(interrupted_run(instance), fingerprint=RequestFingerprint("other"))
-        await broken.inspect(innocent)
+        other_run = replace(interrupted_run(instance), fingerprint=RequestFingerprint("other"))
+        await detector.inspect(other_run)
         assert restarted.accepted == 1
-        assert not suspects.evidence(RequestFingerprint("other")).crashes_by_key
-        assert crash_count(suspects) == 1
+        assert not poison.evidence(RequestFingerprint("other")).crashes_by_key
+        assert crash_count(poison) == 1
         restarted.stop()
 
     asyncio.run(scenario())
--- a/tests/routing/test_deadlines.py
+++ b/tests/routing/test_deadlines.py
@@ -1,4 +1,4 @@
-"""A request ends at its deadline although its timer stood still for a while."""
+"""Requests stop at their deadlines even if the machine was suspended meanwhile."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 class SuspendableClock:
-    """The loop's time, and what passed beside it in a suspension."""
+    """The loop's time plus the time of simulated suspensions."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.suspended_s = 0.0
@@ -21,7 +21,7 @@
 
 
 async def seconds_until_timeout(limits: Deadlines, deadline: float) -> float:
-    """Return after how long, by the loop's time, a request that gets no answer ends."""
+    """Return the loop time in seconds after which an unanswered request times out."""
     loop = asyncio.get_running_loop()
     began_at = loop.time()
     with pytest.raises(TimeoutError):
@@ -34,7 +34,7 @@
 def test_deadline_includes_suspended_time(
     monkeypatch: pytest.MonkeyPatch, suspended_s: float, ends_after_s: float
 ) -> None:
-    """After a second the machine is suspended."""
+    """The machine is suspended after one second."""
 
     async def scenario() -> float:
         clock = SuspendableClock(monkeypatch)
--- a/tests/routing/test_eligibility.py
+++ b/tests/routing/test_eligibility.py
@@ -1,4 +1,4 @@
-"""What rules a back end out for a request."""
+"""Rules that exclude back ends for a request."""
 
 from dataclasses import replace
 
@@ -15,21 +15,21 @@
 
 
 def test_draining_back_end_is_excluded() -> None:
-    leaving = replace(INSTANCE, accepting=False)
-    assert eligibility().exclusion_reason(leaving) is ExclusionReason.DRAINING
+    draining = replace(INSTANCE, accepting=False)
+    assert eligibility().exclusion_reason(draining) is ExclusionReason.DRAINING
     assert eligibility().exclusion_reason(INSTANCE) is None
 
 
 def test_back_end_in_an_evacuated_zone_is_excluded() -> None:
-    one = eligibility()
-    one.evacuated_zones = frozenset({"w1"})
-    assert one.exclusion_reason(INSTANCE) is ExclusionReason.EVACUATED
-    assert one.exclusion_reason(replace(INSTANCE, zone="e1")) is None
+    rules = eligibility()
+    rules.evacuated_zones = frozenset({"w1"})
+    assert rules.exclusion_reason(INSTANCE) is ExclusionReason.EVACUATED
+    assert rules.exclusion_reason(replace(INSTANCE, zone="e1")) is None
 
 
 def test_residence_excludes_other_and_unknown_regions() -> None:
     west = residence_in(["west"])
     assert eligibility().exclusion_reason(INSTANCE, west) is None
     for zone in ("e1", "new"):
-        ruled_out = eligibility().exclusion_reason(replace(INSTANCE, zone=zone), west)
-        assert ruled_out is ExclusionReason.OUTSIDE_RESIDENCE
+        reason = eligibility().exclusion_reason(replace(INSTANCE, zone=zone), west)
+        assert reason is ExclusionReason.OUTSIDE_RESIDENCE
--- a/tests/routing/test_event_stream.py
+++ b/tests/routing/test_event_stream.py
@@ -1,4 +1,4 @@
-"""Cutting of event streams."""
+"""Splitting of event streams."""
 
 import itertools
 
--- a/tests/routing/test_forwarder_residence.py
+++ b/tests/routing/test_forwarder_residence.py
@@ -1,4 +1,4 @@
-"""A request whose data may be at no back end is refused at once, and truly did not run."""
+"""Requests without a back end in their allowed regions are refused at once and do not run."""
 
 import asyncio
 from random import Random
@@ -36,7 +36,7 @@
 
 
 class RecordingPool(ConnectionPool):
-    """Notes whom a connection is asked for, and makes none."""
+    """Records the instances that connections are requested for, and refuses to connect."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -50,7 +50,7 @@
 
 
 class UnresponsiveConnection:
-    """A kept connection over which nothing comes any more."""
+    """An idle connection whose peer no longer responds."""
 
     answered = 3
 
@@ -58,14 +58,14 @@
         return
 
     async def read_head(self) -> None:
-        raise ConnectionBrokenError("silent")
+        raise ConnectionBrokenError("unresponsive")
 
     def close(self) -> None:
         return
 
 
 class UnresponsivePool(RecordingPool):
-    """Has kept a connection to every back end since before a region was cut off."""
+    """Pool with an idle connection to every back end of an unreachable region."""
 
     async def acquire(
         self, instance: BackendInstance, limit: int, force_new: bool = False
@@ -83,7 +83,7 @@
 
 
 class ResidenceHarness:
-    """A forwarder before one back end in the west."""
+    """A forwarder with one back end in the west."""
 
     def __init__(self, pool: RecordingPool | None = None) -> None:
         self.selector = BackendSelector("w1", Random(1), Eligibility(TOPOLOGY))
@@ -104,7 +104,7 @@
         )
 
     def add_back_ends(self) -> None:
-        """Have eight more back ends in the west, and one in the east."""
+        """Add eight back ends in the west and one in the east."""
         for n in range(8):
             self.selector.put(BackendInstance(f"i{n}", "s", "127.0.0.1", 1, "w1", 4, True))
         self.selector.put(BackendInstance("far", "s", "127.0.0.1", 1, "e1", 4, True))
@@ -138,52 +138,52 @@
 def test_refused_at_once_without_a_back_end_in_its_regions(
     route: Residence, tenant: Residence
 ) -> None:
-    gateway = ResidenceHarness()
-    gateway.send(route, tenant)
-    assert gateway.pool.requested == []
-    [(status, headers)] = gateway.sink.answers
+    harness = ResidenceHarness()
+    harness.send(route, tenant)
+    assert harness.pool.requested == []
+    [(status, headers)] = harness.sink.answers
     assert status == 503
     assert "retry-after" in {name.lower() for name, _ in headers}
-    _, fields = gateway.log.lines[-1]
+    _, fields = harness.log.lines[-1]
     assert (fields["outcome"], fields["cause"]) == ("refused", "outside_residence")
-    assert b'wharfcart_outside_residence_total{what="request"} 1.0' in gateway.metrics.render()
+    assert b'wharfcart_outside_residence_total{what="request"} 1.0' in harness.metrics.render()
 
 
 def test_retry_respects_residence() -> None:
-    gateway = ResidenceHarness()
-    gateway.selector.put(BackendInstance("far", "s", "127.0.0.1", 1, "e1", 4, True))
-    gateway.send(residence_in(["west"]), residence_in([]))
-    assert set(gateway.pool.requested) == {"i"}
+    harness = ResidenceHarness()
+    harness.selector.put(BackendInstance("far", "s", "127.0.0.1", 1, "e1", 4, True))
+    harness.send(residence_in(["west"]), residence_in([]))
+    assert set(harness.pool.requested) == {"i"}
 
 
 def test_requests_to_an_unreachable_region_are_refused_without_a_connect() -> None:
-    gateway = ResidenceHarness()
-    gateway.add_back_ends()
-    gateway.send(residence_in(["west"]), residence_in([]))
-    tried = list(gateway.pool.requested)
+    harness = ResidenceHarness()
+    harness.add_back_ends()
+    harness.send(residence_in(["west"]), residence_in([]))
+    tried = list(harness.pool.requested)
     assert len(set(tried)) == 3
-    gateway.send(residence_in(["west"]), residence_in([]))
-    assert gateway.pool.requested == tried
-    assert [status for status, _ in gateway.sink.answers] == [503, 503]
-    _, fields = gateway.log.lines[-1]
+    harness.send(residence_in(["west"]), residence_in([]))
+    assert harness.pool.requested == tried
+    assert [status for status, _ in harness.sink.answers] == [503, 503]
+    _, fields = harness.log.lines[-1]
     assert (fields["cause"], fields["regions"]) == ("region_unreachable", ["west"])
 
 
 def test_unresponsive_idle_connections_count_as_region_failures() -> None:
-    gateway = ResidenceHarness(UnresponsivePool())
-    gateway.add_back_ends()
+    harness = ResidenceHarness(UnresponsivePool())
+    harness.add_back_ends()
     for _ in range(3):
-        gateway.send(residence_in(["west"]), residence_in([]))
-    assert len(gateway.pool.requested) == 3
-    # What may have run is not refused as if it had not.
-    assert [status for status, _ in gateway.sink.answers] == [502, 503, 503]
+        harness.send(residence_in(["west"]), residence_in([]))
+    assert len(harness.pool.requested) == 3
+    # The first request may have run, so it is not answered as "not run".
+    assert [status for status, _ in harness.sink.answers] == [502, 503, 503]
 
 
 def test_region_with_a_reachable_granting_node_is_reachable() -> None:
-    gateway = ResidenceHarness()
-    gateway.add_back_ends()
-    gateway.send(residence_in(["west"]), residence_in([]))
-    tried = len(gateway.pool.requested)
-    gateway.placement.is_granter_reachable = lambda _service, _residence: True
-    gateway.send(residence_in(["west"]), residence_in([]))
-    assert len(gateway.pool.requested) > tried
+    harness = ResidenceHarness()
+    harness.add_back_ends()
+    harness.send(residence_in(["west"]), residence_in([]))
+    tried = len(harness.pool.requested)
+    harness.placement.is_granter_reachable = lambda _service, _residence: True
+    harness.send(residence_in(["west"]), residence_in([]))
+    assert len(harness.pool.requested) > tried
--- a/tests/routing/test_outcome_record.py
+++ b/tests/routing/test_outcome_record.py
@@ -1,4 +1,4 @@
-"""How answers turned out."""
+"""Decaying counts of successes and failures."""
 
 from wharfcart.routing.outcome_record import DECAY_S, OutcomeRecord, counts_as_failing
 
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -1,4 +1,4 @@
-"""The router's choices."""
+"""Selection of back ends by the router."""
 
 import random
 
@@ -45,12 +45,12 @@
 
 def test_own_zone_is_preferred_until_overloaded() -> None:
     router = _router(zones=3)
-    near = {f"e{n}" for n in range(0, 12, 3)}
-    assert {_choose(router) for _ in range(100)} <= near
-    for name in near:
+    local = {f"e{n}" for n in range(0, 12, 3)}
+    assert {_choose(router) for _ in range(100)} <= local
+    for backend_id in local:
         for _ in range(30):
-            router.record_started(name)
-    assert {_choose(router) for _ in range(100)} - near
+            router.record_started(backend_id)
+    assert {_choose(router) for _ in range(100)} - local
 
 
 def test_draining_back_ends_and_unknown_models_are_not_chosen() -> None:
--- a/tests/routing/test_send_rates.py
+++ b/tests/routing/test_send_rates.py
@@ -1,4 +1,4 @@
-"""Rates of sends."""
+"""Decaying rates of sent requests."""
 
 import pytest
 
