--- a/src/wharfcart/admission/poison_requests.py
+++ b/src/wharfcart/admission/poison_requests.py
@@ -135,8 +135,9 @@
 def _merge_observations(crashes: Iterable[tuple[str, BackendCrash]]) -> dict[str, BackendCrash]:
     """Return each crash once, by key, with the least weight of its observations.
 
-    A request may run several times at a back end when it crashes. One answer that had begun shows
-    that the request is harmless; otherwise popular requests would be quarantined as bystanders.
+    Several runs of one request may be in progress at a back end when it crashes. If one of them had
+    begun to answer, the request is probably a bystander; without this rule, popular requests would
+    be quarantined.
     """
     merged: dict[str, BackendCrash] = {}
     last_key_by_instance: dict[str, str] = {}
--- a/src/wharfcart/routing/backend_selection.py
+++ b/src/wharfcart/routing/backend_selection.py
@@ -40,8 +40,9 @@
     Distance.SAME_REGION: OTHER_ZONE_PENALTY,
     Distance.OTHER_REGION: OTHER_REGION_PENALTY,
 }
-# How long instances are kept whose entries vanished without a drain, possibly by lapsed leases.
+# An instance whose entry vanishes without a drain may still serve for this long.
 VANISHED_TTL_S = 1.5
+# During an outage of discovery, entries lapse although their instances still serve.
 VANISHED_TTL_IN_OUTAGE_S = 10.0
 MIN_AFFINITY_TOKENS = 1000
 AFFINITY_MAX_LOAD = 0.9
--- a/src/wharfcart/routing/owner.py
+++ b/src/wharfcart/routing/owner.py
@@ -54,7 +54,7 @@
         self.backends: dict[str, OwnedBackend] = {}
         self._tasks = BackgroundTasks()
 
-    # ---- which back ends ----
+    # ---- ownership ----
 
     def adopt(self, backend: Backend, policy: PreemptionPolicy) -> OwnedBackend:
         """Return the owned back end with its newest description; create it if necessary."""
--- a/tests/admission/test_poison_requests.py
+++ b/tests/admission/test_poison_requests.py
@@ -63,9 +63,9 @@
     assert seconds_left(first, FIRST_QUARANTINE_S) == 0.0 < seconds_left(second, FIRST_QUARANTINE_S)
     second.record_crash(FINGERPRINT, "c", 1.0, FIRST_QUARANTINE_S + 0.5)
     assert seconds_left(second, FIRST_QUARANTINE_S + 2.5) > FIRST_QUARANTINE_S
-    alone = PoisonRequests(release_jitter_s=2.0)
-    crash(alone, "a")
-    assert seconds_left(alone, 0.0) == 0.0, "jitter does not quarantine after one crash"
+    third = PoisonRequests(release_jitter_s=2.0)
+    crash(third, "a")
+    assert seconds_left(third, 0.0) == 0.0, "jitter does not quarantine after one crash"
 
 
 def test_other_fingerprints_are_not_quarantined() -> None:
