--- a/src/wharfcart/batch/item_run.py
+++ b/src/wharfcart/batch/item_run.py
@@ -16,7 +16,7 @@
     ConnectionBrokenError,
     HttpConnection,
 )
-from wharfcart.platform import exchanges
+from wharfcart.platform import http_headers
 from wharfcart.routing.backend_selection import BackendSelector, InstanceState
 from wharfcart.routing.crash_detection import CrashDetector, InterruptedRun
 from wharfcart.routing.event_stream import EventSplitter
@@ -192,7 +192,7 @@
         async with asyncio.timeout(READ_TIMEOUT_S):
             head = await connection.read_head()
         self._selector.record_first_byte(attempt.state, attempt.send_id)
-        load = exchanges.reported_load(head)
+        load = http_headers.parse_reported_load(head)
         if load is not None:
             self._selector.record_reported_load(
                 attempt.state, load.running, load.waiting, monotonic()
@@ -200,21 +200,21 @@
         if head.status >= 300:
             await connection.read_body()
             return self._outcome_of_error(head, attempt.state)
-        if not exchanges.is_signed(head):
+        if not http_headers.is_signed(head):
             return RunOutcome.INTERRUPTED
         return await self._read_events(connection, attempt.progress)
 
     def _send_request(self, connection: HttpConnection, attempt: ItemAttempt) -> None:
         item = attempt.item
-        headers = [("host", attempt.host), (exchanges.REQUEST_ID_HEADER, item.item_id)]
+        headers = [("host", attempt.host), (http_headers.REQUEST_ID_HEADER, item.item_id)]
         headers += [(header.name, header.value) for header in item.headers]
         if attempt.tenant:
-            headers = exchanges.without_key(headers)
+            headers = http_headers.without_api_key(headers)
         attempt.progress.attempts += 1
         connection.send(
             ITEM_METHOD,
             item.path,
-            exchanges.headers_for_server(
+            http_headers.headers_for_server(
                 headers,
                 attempt.state.instance.instance_id,
                 attempt.give_up_at - monotonic(),
@@ -222,12 +222,12 @@
                 attempt.tenant,
             ),
             item.body,
-            exchanges.REQUEST_ID_HEADER,
+            http_headers.REQUEST_ID_HEADER,
             item.item_id,
         )
 
     def _outcome_of_error(self, head: AnswerHead, state: InstanceState) -> RunOutcome:
-        if exchanges.was_not_run(head):
+        if http_headers.was_not_run(head):
             if head.status == STATUS_UNAVAILABLE:
                 self._selector.record_full(state, monotonic())
             return RunOutcome.REFUSED
--- a/src/wharfcart/gateway/ingress.py
+++ b/src/wharfcart/gateway/ingress.py
@@ -17,7 +17,7 @@
 from wharfcart.gateway.callers import CallerRefusedError, caller_tenant
 from wharfcart.gateway.traffic_shares import TrafficSplitter
 from wharfcart.observability.decisions import DecisionLog, Event
-from wharfcart.platform import exchanges, names
+from wharfcart.platform import http_headers, names
 from wharfcart.routing.caller_request import AnswerTruncatedError, CallerRequest
 from wharfcart.routing.forwarder import Forwarder
 
@@ -264,7 +264,7 @@
         """
         if configuration.tenants is None:
             return None
-        key = exchanges.api_key(request.headers.items())
+        key = http_headers.parse_api_key(request.headers.items())
         return caller_tenant(configuration, key, public, self._age_s())
 
     async def _pass_on(
@@ -276,9 +276,9 @@
         configuration: ServingConfiguration,
     ) -> HTTPResponse | None:
         headers = list(request.headers.items())
-        facts = exchanges.request_facts(headers)
+        facts = http_headers.parse_request_metadata(headers)
         if configuration.tenants is not None:
-            headers = exchanges.without_key(headers)
+            headers = http_headers.without_api_key(headers)
         caller_request = CallerRequest(
             method=request.method,
             target=target,
@@ -321,7 +321,7 @@
             cause=cause,
             host=request.headers.get("host"),
             path=request.path,
-            key=short_digest_of(exchanges.api_key(request.headers.items())),
+            key=short_digest_of(http_headers.parse_api_key(request.headers.items())),
         )
         headers = [(names.RETRY_AFTER, f"{RETRY_AFTER_UNCONFIGURED_S:g}")] if status == 503 else []
         return plain_answer(status, headers)
--- a/src/wharfcart/gateway/job_calls.py
+++ b/src/wharfcart/gateway/job_calls.py
@@ -26,7 +26,7 @@
 from wharfcart.gateway.answers import plain_answer
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.observability.serving_metrics import ServingMetrics
-from wharfcart.platform import batch_calls, names
+from wharfcart.platform import batch_bodies, names
 from wharfcart.storage.job_client import OUTSIDE_RESIDENCE as OUTSIDE_CAUSE
 from wharfcart.storage.job_client import JobCallFailure, JobClient
 from wharfcart.storage.job_move_tracker import JobMoveTracker
@@ -71,8 +71,8 @@
         """Take a tenant's batch job into keeping."""
         job_id = request.headers.get(names.REQUEST_ID, "")
         try:
-            items = batch_calls.items_from(request.body)
-        except batch_calls.BadSubmissionError as error:
+            items = batch_bodies.parse_items(request.body)
+        except batch_bodies.BadSubmissionError as error:
             return self._refused(job_id, "submit", 400, f"malformed: {error}")
         if not job_id:
             return self._refused(job_id, "submit", 400, "no id")
@@ -141,7 +141,7 @@
         if page.status == NOT_FOUND:
             return self._refused(job_id, "read", 404, "no such job")
         return plain_answer(
-            200, [JSON_TYPE], batch_calls.result_page(page.total, first, page.results)
+            200, [JSON_TYPE], batch_bodies.encode_result_page(page.total, first, page.results)
         )
 
     async def _read_body(self, request: Request, job_id: str, tenant: str) -> HTTPResponse:
--- a/src/wharfcart/node/backend_updates.py
+++ b/src/wharfcart/node/backend_updates.py
@@ -90,11 +90,11 @@
         the back end is still there neither.
         """
         try:
-            return server_entry.instance_from(change)
+            return server_entry.parse_instance(change)
         except server_entry.BadEntryError as error:
             self._log.write(
                 Event.BACKEND_ENTRY_REFUSED,
-                key=change.key[: server_entry.LONGEST_NAME],
+                key=change.key[: server_entry.MAX_NAME_LENGTH],
                 revision=change.revision,
                 reason=str(error),
             )
--- a/src/wharfcart/node/serving_node.py
+++ b/src/wharfcart/node/serving_node.py
@@ -279,7 +279,7 @@
     def _apply_configuration(self, change: KeyChange) -> None:
         if change.value is None:
             return
-        configuration = documents.configuration_from(change.value)
+        configuration = documents.parse_configuration(change.value)
         if self.configuration is not None and configuration.version <= self.configuration.version:
             return
         self.configuration = configuration
--- a/src/wharfcart/platform/batch_calls.py
+++ b/src/wharfcart/platform/batch_bodies.py
@@ -12,7 +12,7 @@
     """The body of a submission is not of the agreed form."""
 
 
-def items_from(body: bytes) -> list[RequestItem]:
+def parse_items(body: bytes) -> list[RequestItem]:
     """Read the items of a submission.
 
     Raises
@@ -37,7 +37,7 @@
         raise BadSubmissionError(str(error)) from error
 
 
-def result_page(total: int, first: int, results: Iterable[ItemOutcome]) -> bytes:
+def encode_result_page(total: int, offset: int, results: Iterable[ItemOutcome]) -> bytes:
     """Write a page of results that begins at a position."""
     rows = [
         {
@@ -47,5 +47,5 @@
         }
         for result in results
     ]
-    page = {"total": total, "nextPageToken": first + len(rows), "results": rows}
+    page = {"total": total, "nextPageToken": offset + len(rows), "results": rows}
     return json.dumps(page).encode()
--- a/src/wharfcart/platform/documents.py
+++ b/src/wharfcart/platform/documents.py
@@ -23,18 +23,18 @@
 )
 from wharfcart.platform import server_entry
 
-_KINDS = {
+_ROUTE_KINDS = {
     "safe": RouteKind.REPEATABLE,
     "unsafe": RouteKind.AT_MOST_ONCE,
     "streaming": RouteKind.STREAM,
     "batch": RouteKind.BATCH,
 }
 DEFAULT_CONNECTION_LIMIT = 100
-PATIENCE_IN_OBJECTIVES = 4
-PATIENCE_IN_GAPS = 8
+CALLER_TIMEOUT_PER_OBJECTIVE = 4
+CALLER_TIMEOUT_PER_GAP = 8
 
 
-def configuration_from(value: bytes) -> ServingConfiguration:
+def parse_configuration(value: bytes) -> ServingConfiguration:
     """Read the operator's configuration.
 
     Raises
@@ -57,10 +57,10 @@
     )
 
 
-def instance_from(change: KeyChange) -> BackendInstance | None:
+def parse_instance(change: KeyChange) -> BackendInstance | None:
     """Read a server's entry; None if it was removed or can't be read."""
     try:
-        return server_entry.instance_from(change)
+        return server_entry.parse_instance(change)
     except server_entry.BadEntryError:
         return None
 
@@ -69,17 +69,17 @@
     """Tell whether a server whose entry was removed took requests; None if that is not known."""
     if removal.last_value is None:
         return None
-    instance = instance_from(replace(removal, value=removal.last_value))
+    instance = parse_instance(replace(removal, value=removal.last_value))
     return None if instance is None else instance.accepting
 
 
-def retire_status(state: str) -> bytes:
+def encode_retire_status(state: str) -> bytes:
     """Write how far the emptying of a storage machine has come."""
     return json.dumps({"state": state}).encode()
 
 
-RETIRE_RUNNING = retire_status("running")
-RETIRE_DONE = retire_status("succeeded")
+RETIRE_RUNNING = encode_retire_status("running")
+RETIRE_DONE = encode_retire_status("succeeded")
 
 
 def _service(service: dict[str, Any]) -> ServiceSpec:
@@ -111,14 +111,14 @@
     )
 
 
-def _patience_s(route: dict[str, Any]) -> float:
+def _caller_timeout_s(route: dict[str, Any]) -> float:
     """Return how long a caller waits for the first event of a stream, as the pages tell it."""
     objective_s = float(route.get("targetLatencyMs") or 0) / 1000
     longest_gap_s = float(route.get("gapAimMs") or 0) / 1000
     return max(
         DEFAULT_CALLER_TIMEOUT_S,
-        PATIENCE_IN_OBJECTIVES * objective_s,
-        PATIENCE_IN_GAPS * longest_gap_s,
+        CALLER_TIMEOUT_PER_OBJECTIVE * objective_s,
+        CALLER_TIMEOUT_PER_GAP * longest_gap_s,
     )
 
 
@@ -128,7 +128,7 @@
         name=route["name"],
         host=route["hostname"],
         path_prefix=route["pathPrefix"],
-        kind=_KINDS[route["kind"]],
+        kind=_ROUTE_KINDS[route["kind"]],
         shares=tuple(TrafficShare(share["backend"], float(share["weight"])) for share in shares),
         time_limit_s=float(route.get("timeoutMs") or 60_000) / 1000,
         objective_s=float(route.get("targetLatencyMs") or 1000) / 1000,
@@ -137,7 +137,7 @@
         resumable=bool(route.get("resumable", False)),
         completion_objective_s=float(route.get("targetCompletionMs") or 0) / 1000,
         give_up_after_s=float(route.get("maxWaitS") or 0),
-        caller_timeout_s=_patience_s(route),
+        caller_timeout_s=_caller_timeout_s(route),
         max_waiting_tokens=int(route.get("maxQueuedTokens") or 0),
         public=bool(route.get("public", False)),
         residence=residence_in(route.get("allowedRegions")),
--- a/src/wharfcart/platform/etcd_json.py
+++ b/src/wharfcart/platform/etcd_json.py
@@ -15,7 +15,7 @@
     """An etcd v3 JSON gateway."""
 
     def __init__(self, address: str, session: aiohttp.ClientSession, metrics: Metrics) -> None:
-        self._base = f"http://{address}/v3/kv"
+        self._base_url = f"http://{address}/v3/kv"
         self._session = session
         self._metrics = metrics
 
@@ -24,12 +24,12 @@
         found = await self._range({"key": _encode(key)})
         return found[0] if found else None
 
-    async def get_prefix(self, prefix: str, least_mod_revision: int = 0) -> list[VersionedValue]:
+    async def get_prefix(self, prefix: str, min_mod_revision: int = 0) -> list[VersionedValue]:
         """Return all values under a prefix."""
         end = prefix[:-1] + chr(ord(prefix[-1]) + 1)
         body = {"key": _encode(prefix), "range_end": _encode(end)}
-        if least_mod_revision:
-            body["min_mod_revision"] = str(least_mod_revision)
+        if min_mod_revision:
+            body["min_mod_revision"] = str(min_mod_revision)
         return await self._range(body)
 
     async def compare_and_put(
@@ -60,12 +60,12 @@
             for pair in answer.get("kvs", [])
         ]
 
-    async def _call(self, name: str, body: dict[str, Any], writes: bool) -> dict[str, Any]:
+    async def _call(self, name: str, body: dict[str, Any], is_write: bool) -> dict[str, Any]:
         self._metrics.key_value_calls.labels(name).inc()
         timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
         try:
             async with self._session.post(
-                f"{self._base}/{name}", json=body, timeout=timeout
+                f"{self._base_url}/{name}", json=body, timeout=timeout
             ) as response:
                 if response.status != 200:
                     # An etcd gateway answers 4xx and 429 before it proposes anything.
@@ -76,7 +76,7 @@
         except aiohttp.ClientConnectorError as error:
             raise KeyValueUnavailableError(str(error), False) from error
         except (TimeoutError, aiohttp.ClientError, ValueError) as error:
-            raise KeyValueUnavailableError(repr(error), writes) from error
+            raise KeyValueUnavailableError(repr(error), is_write) from error
 
 
 def _encode(text: str) -> str:
--- a/src/wharfcart/platform/exchanges.py
+++ b/src/wharfcart/platform/http_headers.py
@@ -13,7 +13,7 @@
 STATUS_WRONG_INSTANCE = 421
 
 # Headers that concern one connection, or that each hop writes itself.
-_HOP_HEADERS = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -28,10 +28,10 @@
         "expect",
     }
 )
-_OWN_HEADERS = frozenset(
+_REPLACED_HEADERS = frozenset(
     {names.DEADLINE_MS, names.EXPECT_INSTANCE, names.LAST_EVENT_ID, names.TENANT}
 )
-_KEY_SCHEME = "bearer"
+_AUTHORIZATION_SCHEME = "bearer"
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RequestFacts:
+class RequestMetadata:
     """What a client's headers tell.
 
     Parameters
@@ -70,30 +70,30 @@
     slots: int
 
 
-def request_facts(headers: Iterable[tuple[str, str]]) -> RequestFacts:
+def parse_request_metadata(headers: Iterable[tuple[str, str]]) -> RequestMetadata:
     """Read a client's headers; what is missing or can't be read counts as not given."""
     found = {name.lower(): value for name, value in headers}
-    deadline_ms = _number(found.get(names.DEADLINE_MS))
+    deadline_ms = _parse_number(found.get(names.DEADLINE_MS))
     tokens = (found.get(names.TOKEN_COUNT) or "").split(",")
-    output = _number(tokens[1]) if len(tokens) > 1 else None
-    resume_after = _number(found.get(names.LAST_EVENT_ID))
-    return RequestFacts(
+    output = _parse_number(tokens[1]) if len(tokens) > 1 else None
+    resume_after = _parse_number(found.get(names.LAST_EVENT_ID))
+    return RequestMetadata(
         request_id=found.get(names.REQUEST_ID, ""),
         deadline_s=None if deadline_ms is None else deadline_ms / 1000,
-        prompt=_prompt(found.get(names.PROMPT_PREFIX, "")),
+        prompt=_parse_prompt(found.get(names.PROMPT_PREFIX, "")),
         output_tokens=int(output or 0),
         resume_after=None if resume_after is None else int(resume_after),
     )
 
 
-def api_key(headers: Iterable[tuple[str, str]]) -> str:
+def parse_api_key(headers: Iterable[tuple[str, str]]) -> str:
     """Return the key that a client shows, or ''."""
     found = {name.lower(): value for name, value in headers}
     scheme, _, key = found.get(names.AUTHORIZATION, "").strip().partition(" ")
-    return key.strip() if scheme.lower() == _KEY_SCHEME else ""
+    return key.strip() if scheme.lower() == _AUTHORIZATION_SCHEME else ""
 
 
-def without_key(headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
+def without_api_key(headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
     """Return headers without a client's key, which no server may see."""
     return [(name, value) for name, value in headers if name.lower() != names.AUTHORIZATION]
 
@@ -117,7 +117,7 @@
     passed = [
         (name, value)
         for name, value in headers
-        if name.lower() not in _HOP_HEADERS and name.lower() not in _OWN_HEADERS
+        if name.lower() not in _HOP_BY_HOP_HEADERS and name.lower() not in _REPLACED_HEADERS
     ]
     passed.append((names.DEADLINE_MS, str(max(1, int(remaining_s * 1000)))))
     passed.append((names.EXPECT_INSTANCE, instance_id))
@@ -130,7 +130,7 @@
 
 def headers_for_client(head: AnswerHead) -> list[tuple[str, str]]:
     """Return the headers of a server's answer that are passed on."""
-    return [(name, value) for name, value in head.headers if name not in _HOP_HEADERS]
+    return [(name, value) for name, value in head.headers if name not in _HOP_BY_HOP_HEADERS]
 
 
 def was_not_run(head: AnswerHead) -> bool:
@@ -143,12 +143,12 @@
     return head.get(names.RESPONSE_STAMP) is not None
 
 
-def report_request(instance: BackendInstance) -> tuple[str, list[tuple[str, str]]]:
+def load_report_request(instance: BackendInstance) -> tuple[str, list[tuple[str, str]]]:
     """Return path and headers of the call that asks a model server for its state."""
     return names.REPORT_PATH, [("host", f"{instance.host}:{instance.port}")]
 
 
-def requests_present(report: bytes) -> int | None:
+def parse_request_count(report: bytes) -> int | None:
     """Return the requests that run or wait at a model server; None if its report can't be read."""
     try:
         state = json.loads(report)
@@ -157,7 +157,7 @@
         return None
 
 
-def reported_load(head: AnswerHead) -> ReportedLoad | None:
+def parse_reported_load(head: AnswerHead) -> ReportedLoad | None:
     """Return the load that the answer tells, if it does."""
     parts = (head.get(names.SERVER_LOAD) or "").split(",")
     if len(parts) != 3:
@@ -169,7 +169,7 @@
     return ReportedLoad(running, waiting, slots)
 
 
-def _prompt(text: str) -> tuple[PromptPart, ...]:
+def _parse_prompt(text: str) -> tuple[PromptPart, ...]:
     parts = []
     for part in text.split(","):
         part_id, _, tokens = part.strip().partition(":")
@@ -178,7 +178,7 @@
     return tuple(parts)
 
 
-def _number(text: str | None) -> float | None:
+def _parse_number(text: str | None) -> float | None:
     try:
         return None if text is None else float(text.strip())
     except ValueError:
--- a/src/wharfcart/platform/key_value.py
+++ b/src/wharfcart/platform/key_value.py
@@ -36,7 +36,7 @@
         """
         ...
 
-    async def get_prefix(self, prefix: str, least_mod_revision: int = 0) -> list[VersionedValue]:
+    async def get_prefix(self, prefix: str, min_mod_revision: int = 0) -> list[VersionedValue]:
         """Return all values under a prefix that were set at or after a revision."""
         ...
 
--- a/src/wharfcart/platform/metadata_store.py
+++ b/src/wharfcart/platform/metadata_store.py
@@ -25,8 +25,8 @@
 
 CONNECT_TIMEOUT_S = 0.5
 CALL_TIMEOUT_S = 2.0
-WATCH_MARGIN_S = 1.0
-KEEP_IDLE_S = 3.0
+WATCH_TIMEOUT_MARGIN_S = 1.0
+MAX_IDLE_S = 3.0
 
 
 class MetadataStore:
@@ -36,7 +36,7 @@
         self._host = host
         self._port = port
         self._calls = calls
-        self._idle: list[HttpConnection] = []
+        self._idle_connections: list[HttpConnection] = []
 
     async def read_all(self, stale: bool = False) -> ChangeBatch:
         """Return every key, a page at a time; ``stale`` ones may be seconds old."""
@@ -49,7 +49,7 @@
             page = await self._call("GET", names.READ_RANGE + query)
             # Pages are no snapshot: only the first one's revision is sure to be complete.
             at = at or int(page["at"])
-            found += [_change(item) for item in page["requests"]]
+            found += [_parse_change(item) for item in page["requests"]]
             if not page.get("more") or not page["requests"]:
                 return ChangeBatch(tuple(found), at, complete=True)
             after = str(page["requests"][-1]["key"])
@@ -57,14 +57,14 @@
     async def wait_for_changes(self, after: int, wait_s: float) -> ChangeBatch:
         """Wait for changes after a revision."""
         query = f"?pathPrefix=&after={after}&waitMs={int(wait_s * 1000)}"
-        page = await self._call("GET", names.WATCH + query, wait_s + WATCH_MARGIN_S)
-        return ChangeBatch(tuple(_change(event) for event in page["events"]), int(page["at"]))
+        page = await self._call("GET", names.WATCH + query, wait_s + WATCH_TIMEOUT_MARGIN_S)
+        return ChangeBatch(tuple(_parse_change(event) for event in page["events"]), int(page["at"]))
 
     async def read(self, key: str) -> KeyChange | None:
         """Return one key."""
         query = f"?key={quote(key, safe='')}"
         try:
-            return _change(await self._call("GET", names.READ_KEY + query))
+            return _parse_change(await self._call("GET", names.READ_KEY + query))
         except KeyError:
             return None
 
@@ -89,7 +89,7 @@
     ) -> dict[str, Any]:
         self._calls.add(target.partition("?")[0].rpartition("/")[2])
         writes = method == "POST"
-        connection = await self._take()
+        connection = await self._acquire_connection()
         try:
             async with asyncio.timeout(timeout_s):
                 headers = [("host", f"{self._host}:{self._port}")]
@@ -105,14 +105,14 @@
             connection.close()
             raise
         if connection.finish(monotonic()):
-            self._idle.append(connection)
-        return _checked(head.status, data, writes)
+            self._idle_connections.append(connection)
+        return _parse_response(head.status, data, writes)
 
-    async def _take(self) -> HttpConnection:
+    async def _acquire_connection(self) -> HttpConnection:
         now = monotonic()
-        while self._idle:
-            connection = self._idle.pop()
-            if connection.reusable and now - connection.idle_since < KEEP_IDLE_S:
+        while self._idle_connections:
+            connection = self._idle_connections.pop()
+            if connection.reusable and now - connection.idle_since < MAX_IDLE_S:
                 return connection
             connection.close()
         try:
@@ -121,12 +121,12 @@
             raise CoordinationUnavailableError(f"connect: {error}") from error
 
 
-def _checked(status: int, data: bytes, writes: bool) -> dict[str, Any]:
+def _parse_response(status: int, data: bytes, is_write: bool) -> dict[str, Any]:
     if status == 200:
         try:
             answer: dict[str, Any] = json.loads(data)
         except ValueError as error:
-            raise CoordinationUnavailableError("answer is no JSON", writes) from error
+            raise CoordinationUnavailableError("answer is no JSON", is_write) from error
         return answer
     if status == 404:
         raise KeyError
@@ -135,9 +135,9 @@
     if status == 412:
         raise ConditionFailedError
     refused = status in (400, 403, 429, 503)
-    raise CoordinationUnavailableError(f"status {status}", writes and not refused)
+    raise CoordinationUnavailableError(f"status {status}", is_write and not refused)
 
 
-def _change(item: dict[str, Any]) -> KeyChange:
+def _parse_change(item: dict[str, Any]) -> KeyChange:
     value = None if item.get("gone") else base64.b64decode(item.get("value", ""))
     return KeyChange(str(item["key"]), int(item["revision"]), value)
--- a/src/wharfcart/routing/caller_request.py
+++ b/src/wharfcart/routing/caller_request.py
@@ -7,7 +7,7 @@
 from wharfcart.admission.request_fingerprint import RequestFingerprint, fingerprint_of
 from wharfcart.configuration.residence import Residence
 from wharfcart.configuration.serving import Route, ServedTenant
-from wharfcart.platform import exchanges
+from wharfcart.platform import http_headers
 from wharfcart.routing.backend_selection import MIN_AFFINITY_TOKENS
 
 
@@ -26,7 +26,7 @@
     target: str
     headers: list[tuple[str, str]]
     body: bytes
-    facts: exchanges.RequestFacts
+    facts: http_headers.RequestMetadata
     route: Route
     service: str
     received_at: float
--- a/src/wharfcart/routing/forwarder.py
+++ b/src/wharfcart/routing/forwarder.py
@@ -16,7 +16,7 @@
 from wharfcart.clock import monotonic
 from wharfcart.observability.decisions import DecisionLog
 from wharfcart.observability.serving_metrics import ServingMetrics
-from wharfcart.platform import exchanges
+from wharfcart.platform import http_headers
 from wharfcart.routing.backend_selection import BackendSelector
 from wharfcart.routing.caller_request import AnswerSink, AnswerTruncatedError, CallerRequest
 from wharfcart.routing.crash_detection import CrashDetector
@@ -186,7 +186,7 @@
         elif progress.cause == ExclusionReason.EVACUATED.value:
             retry_after_s = RETRY_AFTER_EVACUATED_S
         self._request_log.finished(request, progress, "refused", STATUS_UNAVAILABLE)
-        retry_after = (exchanges.RETRY_AFTER_HEADER, f"{retry_after_s:g}")
+        retry_after = (http_headers.RETRY_AFTER_HEADER, f"{retry_after_s:g}")
         await sink.send_whole(STATUS_UNAVAILABLE, [retry_after], b"")
 
     async def _reject_over_limit(
@@ -200,7 +200,7 @@
         status = STATUS_TOO_MANY_REQUESTS if error.is_confirmed else STATUS_UNAVAILABLE
         self._request_log.limited(request, progress, status)
         retry_after_s = f"{error.retry_after_s:g}"
-        await sink.send_whole(status, [(exchanges.RETRY_AFTER_HEADER, retry_after_s)], b"")
+        await sink.send_whole(status, [(http_headers.RETRY_AFTER_HEADER, retry_after_s)], b"")
 
 
 def _placement_request(request: CallerRequest, progress: RequestProgress) -> PlacementRequest:
--- a/src/wharfcart/routing/sender.py
+++ b/src/wharfcart/routing/sender.py
@@ -24,7 +24,7 @@
     ConnectionBrokenError,
     HttpConnection,
 )
-from wharfcart.platform import exchanges
+from wharfcart.platform import http_headers
 from wharfcart.routing.backend_selection import BackendSelector, InstanceState
 from wharfcart.routing.caller_request import AnswerSink, CallerRequest
 from wharfcart.routing.crash_detection import CrashDetector, InterruptedRun
@@ -242,7 +242,7 @@
         connection.send(
             request.method,
             request.target,
-            exchanges.headers_for_server(
+            http_headers.headers_for_server(
                 request.headers,
                 state.instance.instance_id,
                 request.deadline - monotonic(),
@@ -250,7 +250,7 @@
                 request.tenant_name,
             ),
             request.body,
-            exchanges.REQUEST_ID_HEADER,
+            http_headers.REQUEST_ID_HEADER,
             request.facts.request_id,
         )
         progress.sends += 1
@@ -259,17 +259,17 @@
         self._selector.record_first_byte(state, send_id)
         self._reachability.record_success(self._region_of(state))
         self._placement.first_byte_received(request.route.name, monotonic() - sent_at)
-        load = exchanges.reported_load(head)
+        load = http_headers.parse_reported_load(head)
         if load is not None:
             self._selector.record_reported_load(state, load.running, load.waiting, monotonic())
-        if exchanges.was_not_run(head):
+        if http_headers.was_not_run(head):
             await connection.read_body()
             progress.sends -= 1
             progress.refusals += 1
             if head.status == STATUS_UNAVAILABLE:
                 self._selector.record_full(state, monotonic())
             return SendFailure(False, f"refused_{head.status}")
-        if not exchanges.is_signed(head) and head.status < 300:
+        if not http_headers.is_signed(head) and head.status < 300:
             raise ConnectionBrokenError("answer is not signed")
         if request.route.kind is RouteKind.STREAM and head.status < 300:
             await self._forward_stream(request, sink, progress, connection, head)
@@ -294,7 +294,7 @@
         self._request_log.first_byte(request, progress)
         if progress.answer_started:
             raise ConnectionBrokenError("resumption refused")
-        await sink.send_whole(head.status, exchanges.headers_for_client(head), body)
+        await sink.send_whole(head.status, http_headers.headers_for_client(head), body)
         self._request_log.finished(request, progress, "answered", head.status)
         return None
 
@@ -366,7 +366,7 @@
             return
         self._request_log.first_byte(request, progress)
         progress.answer_started = True
-        await sink.start(head.status, exchanges.headers_for_client(head))
+        await sink.start(head.status, http_headers.headers_for_client(head))
 
     def _region_of(self, state: InstanceState) -> RegionName | None:
         return self._selector.eligibility.topology.region(state.instance.zone)
--- a/src/wharfcart/slots/orphaned_runs.py
+++ b/src/wharfcart/slots/orphaned_runs.py
@@ -13,7 +13,7 @@
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.http.connection import ConnectFailedError, ConnectionBrokenError
 from wharfcart.observability.decisions import DecisionLog, Event
-from wharfcart.platform import exchanges
+from wharfcart.platform import http_headers
 from wharfcart.slots.granter import SlotGranter
 
 # Most holders have opened their session by then: what they run is no leftover.
@@ -103,7 +103,7 @@
             return None
         try:
             async with asyncio.timeout(PROBE_TIMEOUT_S):
-                path, headers = exchanges.report_request(instance)
+                path, headers = http_headers.load_report_request(instance)
                 connection.send("GET", path, headers, b"")
                 head = await connection.read_head()
                 report = await connection.read_body()
@@ -114,4 +114,4 @@
             self._pool.discard(instance, connection)
             raise
         self._pool.release(instance, connection)
-        return exchanges.requests_present(report) if head.status == STATUS_OK else None
+        return http_headers.parse_request_count(report) if head.status == STATUS_OK else None
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -8,7 +8,7 @@
 from wharfcart.cluster.messages_pb2 import ItemOutcome
 from wharfcart.configuration.serving import RequestLimit, RouteKind
 from wharfcart.http.connection import AnswerHead
-from wharfcart.platform import batch_calls, documents, exchanges
+from wharfcart.platform import batch_bodies, documents, http_headers
 
 CONFIGURATION = {
     "version": 7,
@@ -32,7 +32,7 @@
 
 
 def test_configuration() -> None:
-    configuration = documents.configuration_from(json.dumps(CONFIGURATION).encode())
+    configuration = documents.parse_configuration(json.dumps(CONFIGURATION).encode())
     (route,) = configuration.routes
     assert (route.kind, route.time_limit_s, route.max_backends) == (RouteKind.STREAM, 6.0, 2)
     assert [share.service for share in route.shares] == ["s", "t"]
@@ -42,15 +42,15 @@
 
 def test_server_entry() -> None:
     entry = {"backend": "s", "address": "10.0.0.9:80", "zone": "z", "slots": 3, "state": "draining"}
-    instance = documents.instance_from(KeyChange("servers/i-1", 4, json.dumps(entry).encode()))
+    instance = documents.parse_instance(KeyChange("servers/i-1", 4, json.dumps(entry).encode()))
     assert instance is not None
     assert (instance.instance_id, instance.host, instance.port) == ("i-1", "10.0.0.9", 80)
     assert not instance.accepting
 
 
 @pytest.mark.parametrize("value", [b"", b"{}", b"[]", b'{"backend": 1}', None])
-def test_an_entry_that_can_not_be_read_is_no_server(value: bytes | None) -> None:
-    assert documents.instance_from(KeyChange("servers/i-1", 4, value)) is None
+def test_unreadable_entry_gives_no_instance(value: bytes | None) -> None:
+    assert documents.parse_instance(KeyChange("servers/i-1", 4, value)) is None
 
 
 def test_headers_for_a_server() -> None:
@@ -61,7 +61,7 @@
         ("X-Expect-Instance", "forged"),
         ("x-other", "kept"),
     ]
-    passed = exchanges.headers_for_server(headers, "i-1", 1.5, 4, "")
+    passed = http_headers.headers_for_server(headers, "i-1", 1.5, 4, "")
     assert passed == [
         ("host", "h"),
         ("x-other", "kept"),
@@ -71,20 +71,24 @@
     ]
 
 
-def test_the_tenant_is_told_whatever_the_client_says() -> None:
+def test_gateway_replaces_tenant_header_and_removes_api_key() -> None:
     headers = [("host", "h"), ("X-Tenant", "forged"), ("Authorization", "Bearer k")]
-    passed = exchanges.headers_for_server(exchanges.without_key(headers), "i-1", 1.5, None, "t")
+    passed = http_headers.headers_for_server(
+        http_headers.without_api_key(headers), "i-1", 1.5, None, "t"
+    )
     assert passed[0] == ("host", "h") and passed[-1] == ("x-tenant", "t") and len(passed) == 4
-    assert exchanges.headers_for_server(headers[:2], "i-1", 1.5, None, "")[0:1] == [("host", "h")]
-    assert "forged" not in str(exchanges.headers_for_server(headers, "i-1", 1.5, None, ""))
+    assert http_headers.headers_for_server(headers[:2], "i-1", 1.5, None, "")[0:1] == [
+        ("host", "h")
+    ]
+    assert "forged" not in str(http_headers.headers_for_server(headers, "i-1", 1.5, None, ""))
 
 
 @pytest.mark.parametrize(
     ("header", "key"),
     [("Bearer k1", "k1"), ("bearer  k1 ", "k1"), ("Basic k1", ""), ("k1", ""), ("", "")],
 )
-def test_key_of_a_client(header: str, key: str) -> None:
-    assert exchanges.api_key([("Authorization", header)]) == key
+def test_api_key_from_authorization_header(header: str, key: str) -> None:
+    assert http_headers.parse_api_key([("Authorization", header)]) == key
 
 
 def test_tenants() -> None:
@@ -93,7 +97,7 @@
         {"name": "b", "apiKeys": [], "ratePerS": 0},
     ]
     document = CONFIGURATION | {"tenants": tenants}
-    index = documents.configuration_from(json.dumps(document).encode()).tenants
+    index = documents.parse_configuration(json.dumps(document).encode()).tenants
     assert index is not None
     found = index.find_by_key("k2")
     assert found is not None and (found.name, found.priority) == ("a", 0)
@@ -103,14 +107,14 @@
     assert "k1" not in repr(index.by_name)
 
 
-def test_a_configuration_without_tenants_and_one_with_none_differ() -> None:
-    assert documents.configuration_from(json.dumps(CONFIGURATION).encode()).tenants is None
-    empty = documents.configuration_from(json.dumps(CONFIGURATION | {"tenants": []}).encode())
+def test_missing_and_empty_tenant_lists_differ() -> None:
+    assert documents.parse_configuration(json.dumps(CONFIGURATION).encode()).tenants is None
+    empty = documents.parse_configuration(json.dumps(CONFIGURATION | {"tenants": []}).encode())
     assert empty.tenants is not None
 
 
-def test_facts_of_a_request() -> None:
-    facts = exchanges.request_facts(
+def test_request_metadata() -> None:
+    facts = http_headers.parse_request_metadata(
         [
             ("x-request-id", "r"),
             ("x-deadline-ms", "8000"),
@@ -122,15 +126,17 @@
     assert [part.tokens for part in facts.prompt] == [800, 410, 250]
 
 
-def test_facts_that_can_not_be_read_are_not_given() -> None:
-    facts = exchanges.request_facts([("x-deadline-ms", "soon"), ("x-prompt-prefix", "a:b,,c")])
+def test_unreadable_request_metadata_is_ignored() -> None:
+    facts = http_headers.parse_request_metadata(
+        [("x-deadline-ms", "soon"), ("x-prompt-prefix", "a:b,,c")]
+    )
     assert facts.deadline_s is None and facts.prompt == ()
 
 
-def test_only_the_server_itself_proves_that_it_did_not_run() -> None:
-    assert exchanges.was_not_run(AnswerHead(503, [("x-not-run", "1")]))
-    assert exchanges.was_not_run(AnswerHead(421, []))
-    assert not exchanges.was_not_run(AnswerHead(503, []))
+def test_only_a_server_response_proves_that_the_request_did_not_run() -> None:
+    assert http_headers.was_not_run(AnswerHead(503, [("x-not-run", "1")]))
+    assert http_headers.was_not_run(AnswerHead(421, []))
+    assert not http_headers.was_not_run(AnswerHead(503, []))
 
 
 def test_submission_and_page() -> None:
@@ -141,9 +147,9 @@
             ]
         }
     )
-    (item,) = batch_calls.items_from(body.encode())
+    (item,) = batch_bodies.parse_items(body.encode())
     assert (item.item_id, item.body) == ("i", b"a")
-    page = json.loads(batch_calls.result_page(4, 1, [ItemOutcome(item_id="i", text=b"x")]))
+    page = json.loads(batch_bodies.encode_result_page(4, 1, [ItemOutcome(item_id="i", text=b"x")]))
     assert page == {
         "total": 4,
         "nextPageToken": 2,
@@ -152,6 +158,6 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"{}", b"[]", b'{"requests": [{}]}'])
-def test_a_bad_submission(body: bytes) -> None:
-    with pytest.raises(batch_calls.BadSubmissionError):
-        batch_calls.items_from(body)
+def test_malformed_submission_is_rejected(body: bytes) -> None:
+    with pytest.raises(batch_bodies.BadSubmissionError):
+        batch_bodies.parse_items(body)
--- a/tests/platform/test_server_entry.py
+++ b/tests/platform/test_server_entry.py
@@ -11,7 +11,7 @@
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.platform import server_entry
 
-GOOD: dict[str, Any] = {
+VALID_ENTRY: dict[str, Any] = {
     "backend": "s",
     "address": "10.0.0.9:80",
     "zone": "z",
@@ -36,21 +36,21 @@
 )
 
 
-def read(entry: object, key: str = "servers/i-1") -> BackendInstance | None:
+def parse_entry(entry: object, key: str = "servers/i-1") -> BackendInstance | None:
     value = entry if isinstance(entry, bytes) else json.dumps(entry).encode()
-    return server_entry.instance_from(KeyChange(key, 4, value))
+    return server_entry.parse_instance(KeyChange(key, 4, value))
 
 
-def test_an_entry_names_a_back_end() -> None:
-    assert read(GOOD) == BackendInstance(
+def test_valid_entry_is_parsed() -> None:
+    assert parse_entry(VALID_ENTRY) == BackendInstance(
         "i-1", "s", "10.0.0.9", 80, "z", 3, True, 0.25, 1_764_700_000_000
     )
-    assert server_entry.instance_from(KeyChange("servers/i-1", 4, None)) is None
+    assert server_entry.parse_instance(KeyChange("servers/i-1", 4, None)) is None
 
 
-def test_what_it_need_not_say() -> None:
-    entry = {key: GOOD[key] for key in ("backend", "address", "zone", "slots", "state")}
-    instance = read(entry)
+def test_optional_fields_have_defaults() -> None:
+    entry = {key: VALID_ENTRY[key] for key in ("backend", "address", "zone", "slots", "state")}
+    instance = parse_entry(entry)
     assert instance is not None
     assert (instance.cold_for_s, instance.started_at_ms) == (0.0, None)
 
@@ -82,15 +82,15 @@
         ("born", "1"),
     ],
 )
-def test_a_field_of_another_form_names_none(field: str, value: object) -> None:
+def test_invalid_field_is_rejected(field: str, value: object) -> None:
     with pytest.raises(server_entry.BadEntryError, match=field):
-        read({**GOOD, field: value})
+        parse_entry({**VALID_ENTRY, field: value})
 
 
 @pytest.mark.parametrize("field", ["backend", "address", "zone", "slots", "state"])
-def test_a_missing_field_names_none(field: str) -> None:
+def test_missing_field_is_rejected(field: str) -> None:
     with pytest.raises(server_entry.BadEntryError, match=field):
-        read({key: value for key, value in GOOD.items() if key != field})
+        parse_entry({key: value for key, value in VALID_ENTRY.items() if key != field})
 
 
 @pytest.mark.parametrize(
@@ -100,28 +100,28 @@
         b"\xff\xfe",
         b"[]",
         b"[" * 200_000,
-        json.dumps(GOOD).replace("250", "Infinity").encode(),
-        json.dumps(GOOD).replace('"slots": 3', '"slots": Infinity').encode(),
-        json.dumps(GOOD).replace("250", "NaN").encode(),
+        json.dumps(VALID_ENTRY).replace("250", "Infinity").encode(),
+        json.dumps(VALID_ENTRY).replace('"slots": 3', '"slots": Infinity').encode(),
+        json.dumps(VALID_ENTRY).replace("250", "NaN").encode(),
     ],
 )
-def test_bytes_of_another_form_name_none(value: bytes) -> None:
+def test_malformed_json_is_rejected(value: bytes) -> None:
     with pytest.raises(server_entry.BadEntryError):
-        read(value)
+        parse_entry(value)
 
 
 @pytest.mark.parametrize(
     "key", ["servers/", "servers/a\r\nb", "servers/\u00e9", "servers/" + "i" * 300]
 )
-def test_an_id_that_no_header_can_carry_names_none(key: str) -> None:
+def test_id_that_is_no_valid_header_value_is_rejected(key: str) -> None:
     with pytest.raises(server_entry.BadEntryError):
-        read(GOOD, key)
+        parse_entry(VALID_ENTRY, key)
 
 
 def _read_or_refuse(value: bytes) -> None:
     """Nothing but BadEntryError leaves the reader, and what it reads can be used."""
     try:
-        instance = server_entry.instance_from(KeyChange("servers/i-1", 4, value))
+        instance = server_entry.parse_instance(KeyChange("servers/i-1", 4, value))
     except server_entry.BadEntryError:
         return
     assert instance is not None
@@ -132,9 +132,9 @@
 
 
 @settings(max_examples=FLOOR_OF_CASES, derandomize=True, deadline=None)
-@given(st.dictionaries(st.sampled_from(sorted(GOOD)), odd_values, max_size=3))
+@given(st.dictionaries(st.sampled_from(sorted(VALID_ENTRY)), odd_values, max_size=3))
 def test_no_entry_raises_anything_else(changed: dict[str, Any]) -> None:
-    _read_or_refuse(json.dumps({**GOOD, **changed}).encode())
+    _read_or_refuse(json.dumps({**VALID_ENTRY, **changed}).encode())
 
 
 @settings(max_examples=FLOOR_OF_CASES, derandomize=True, deadline=None)
--- a/tests/routing/test_changes_during_connect.py
+++ b/tests/routing/test_changes_during_connect.py
@@ -18,8 +18,8 @@
 from wharfcart.http.connection import HttpConnection
 from wharfcart.observability.decisions import DecisionLog
 from wharfcart.observability.serving_metrics import ServingMetrics
-from wharfcart.platform import exchanges
-from wharfcart.platform.exchanges import RequestFacts
+from wharfcart.platform import http_headers
+from wharfcart.platform.http_headers import RequestMetadata
 from wharfcart.routing import sender
 from wharfcart.routing.backend_selection import BackendSelector
 from wharfcart.routing.caller_request import CallerRequest
@@ -30,7 +30,7 @@
 from wharfcart.storage.partial_texts import ItemPartialText
 
 ZONES = ("a", "b", "c")
-HEADERS = [("host", "h"), (exchanges.REQUEST_ID_HEADER, "q")]
+HEADERS = [("host", "h"), (http_headers.REQUEST_ID_HEADER, "q")]
 
 
 class DelayedPool(ConnectionPool):
@@ -139,7 +139,7 @@
             "/x",
             HEADERS,
             b"",
-            RequestFacts("q", None, (), 0, None),
+            RequestMetadata("q", None, (), 0, None),
             route,
             "s",
             monotonic(),
--- a/tests/routing/test_forwarder_residence.py
+++ b/tests/routing/test_forwarder_residence.py
@@ -14,7 +14,7 @@
 from wharfcart.http.connection import ConnectFailedError, ConnectionBrokenError
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.observability.serving_metrics import ServingMetrics
-from wharfcart.platform.exchanges import RequestFacts
+from wharfcart.platform.http_headers import RequestMetadata
 from wharfcart.routing.backend_selection import BackendSelector
 from wharfcart.routing.caller_request import CallerRequest
 from wharfcart.routing.crash_detection import CrashDetector
@@ -113,7 +113,7 @@
         kind = RouteKind.REPEATABLE
         shares = (TrafficShare("s", 1.0),)
         bound = Route("r", "h", "/", kind, shares, 5.0, 0.3, max_backends=3, residence=route)
-        facts = RequestFacts("id", None, (), 0, None)
+        facts = RequestMetadata("id", None, (), 0, None)
 
         async def forward() -> None:
             now = asyncio.get_running_loop().time()
