--- a/src/wharfcart/batch/job_execution.py
+++ b/src/wharfcart/batch/job_execution.py
@@ -133,7 +133,7 @@
         if placed is None or placed.is_stopping:
             return
         urgency = self._urgency(placed.scheduled, placed.item, placed.slot.service)
-        self._metrics.items_yielded.add(cause.value)
+        self._metrics.items_preempted.add(cause.value)
         self._log.write(
             Event.ITEM_YIELDED,
             item=placed.item.item_id,
@@ -367,7 +367,7 @@
             self._placed.remove(placed)
             self._slots.release(placed.slot, verdict)
             self._wake_up.set()
-        self._metrics.items.add(outcome.value)
+        self._metrics.item_runs.add(outcome.value)
         if outcome is RunOutcome.SUCCEEDED:
             events = len(progress.partial_text.texts)
             self._estimate(placed.slot.service).record_finished(events, progress.run_time_s)
--- a/src/wharfcart/cli/explain.py
+++ b/src/wharfcart/cli/explain.py
@@ -9,7 +9,7 @@
 
 from wharfcart.cli.options import OutputOption
 from wharfcart.cli.output import ExitCode, OutputFormat
-from wharfcart.observability.timeline import LogLine, Timeline, timeline_of
+from wharfcart.observability.timeline import LogLine, Timeline, build_timeline
 
 
 def explain(
@@ -19,7 +19,7 @@
 ) -> None:
     """Gather every decision about an id over the logs of all processes, in order of time."""
     texts = (line for path in files for line in path.open(encoding="utf-8", errors="replace"))
-    timeline = timeline_of(wanted, texts)
+    timeline = build_timeline(wanted, texts)
     if output is OutputFormat.JSON:
         typer.echo(json.dumps(dataclasses.asdict(timeline) | {"verdict": timeline.verdict}))
     else:
--- a/src/wharfcart/cli/processes.py
+++ b/src/wharfcart/cli/processes.py
@@ -17,7 +17,7 @@
 from wharfcart.experiments.main_job import MainJob, Target
 from wharfcart.node import process
 from wharfcart.node.node import Node
-from wharfcart.observability.logs import configure_logs
+from wharfcart.observability.logs import configure_logging
 from wharfcart.settings.loading import load_settings
 from wharfcart.settings.schema import EmulatorSettings, NodeSettings
 
@@ -35,7 +35,7 @@
     """Run one node until SIGTERM, then leave without cutting anything."""
     flags = {"listen": listen, "zone": zone, "data_folder": data_folder}
     checked = _load(NodeSettings, settings, flags)
-    configure_logs(checked.log.level, checked.node_id)
+    configure_logging(checked.log.level, checked.node_id)
     uvloop.run(_run_node(Node(checked)))
 
 
@@ -59,7 +59,7 @@
 def emulator(settings: SettingsOption) -> None:
     """Run stand-ins for the platform and the back ends."""
     checked = _load(EmulatorSettings, settings, {})
-    configure_logs(checked.log.level, "emulator")
+    configure_logging(checked.log.level, "emulator")
     uvloop.run(_run_emulator(EmulatedFleet(checked)))
 
 
@@ -80,7 +80,7 @@
     nodes: Annotated[int, typer.Option(min=3, max=9, help="How many nodes.")] = 3,
 ) -> None:
     """Run a small whole fleet inside this process."""
-    configure_logs("warning", "dev")
+    configure_logging("warning", "dev")
     uvloop.run(_run_dev(DevFleet(profile, nodes, listen)))
 
 
@@ -103,7 +103,7 @@
     items: Annotated[int, typer.Option(min=10, help="Items of the batch job.")] = 5000,
 ) -> None:
     """Run the main job on a fleet and report whether every promise was kept."""
-    configure_logs("error", "demo")
+    configure_logging("error", "demo")
     passed = uvloop.run(_run_demo(profile, against, admin_key, items))
     raise typer.Exit(int(ExitCode.OK if passed else ExitCode.FAILED))
 
--- a/src/wharfcart/node/evacuations.py
+++ b/src/wharfcart/node/evacuations.py
@@ -53,7 +53,7 @@
         """Show what still runs in emptied zones, and tell which have become quiet."""
         for zone, begun_at in self._started_at_by_zone.items():
             in_flight = self._selector.in_flight_in_zone(zone)
-            self._metrics.evacuated_in_flight.set(zone, in_flight)
+            self._metrics.in_flight_in_evacuated_zones.set(zone, in_flight)
             if in_flight:
                 self._idle_zones.discard(zone)
             elif zone not in self._idle_zones:
@@ -70,7 +70,7 @@
     def _start(self, zone: str, revision: int) -> None:
         self._started_at_by_zone[zone] = monotonic()
         self._update_eligibility()
-        self._metrics.evacuated.set(zone, 1)
+        self._metrics.evacuated_zones.set(zone, 1)
         self._write(Event.EVACUATION_BEGUN, zone, revision)
 
     def _finish(self, zone: str, revision: int) -> None:
@@ -80,8 +80,8 @@
         self._update_eligibility()
         # Its back ends may have turned cold just before, which their entries tell only later.
         self._selector.cold.zone_restored(zone, monotonic(), revision)
-        self._metrics.evacuated.set(zone, 0)
-        self._metrics.evacuated_in_flight.set(zone, 0)
+        self._metrics.evacuated_zones.set(zone, 0)
+        self._metrics.in_flight_in_evacuated_zones.set(zone, 0)
         self._write(Event.EVACUATION_ENDED, zone, revision)
 
     def _update_eligibility(self) -> None:
--- a/src/wharfcart/node/node.py
+++ b/src/wharfcart/node/node.py
@@ -152,7 +152,7 @@
     def _build_serving(self) -> None:
         settings = self.settings
         self.router = Router(settings.zone, random.Random())
-        self.owner = BackendOwner(self._session, self.metrics.batch_yields.inc)
+        self.owner = BackendOwner(self._session, self.metrics.batch_preemptions.inc)
         view = ClusterView(settings.node_id, self._live_in_zone, self._gossip.address_of)
         self._dispatcher = Dispatcher(view, self.router, self.owner, self._transport, self.metrics)
         self._journal_client = JournalClient(
@@ -189,7 +189,7 @@
             self._batch_leader,
         )
         requests = KeyedRequests(
-            self._journal_client, self._dispatcher, self.router, self.owner, self._tasks.keep
+            self._journal_client, self._dispatcher, self.router, self.owner, self._tasks.track
         )
         jobs = BatchApiService(
             self._journal_client, self.services.find_service, settings.most_line_bytes
--- a/src/wharfcart/node/roles.py
+++ b/src/wharfcart/node/roles.py
@@ -17,7 +17,7 @@
 from wharfcart.node.early_listening import EarlySockets
 from wharfcart.node.settings_reloader import SettingsReloader
 from wharfcart.observability.decisions import DecisionLog, Event
-from wharfcart.observability.logs import configure_logs
+from wharfcart.observability.logs import configure_logging
 from wharfcart.settings.serving import (
     GatewaySettings,
     ServingSettings,
@@ -107,5 +107,5 @@
         for finding in error.findings:
             print(finding, file=sys.stderr)
         sys.exit(EXIT_SETTINGS)
-    configure_logs("info", settings.node_id)
+    configure_logging("info", settings.node_id)
     return settings
--- a/src/wharfcart/node/serving_node.py
+++ b/src/wharfcart/node/serving_node.py
@@ -119,11 +119,13 @@
         self._poison_evidence_sync = PoisonEvidenceSync(
             suspects, self.coordination, self.mirror, self.random, self._relay_crashes
         )
-        self.metrics.contents_held.set_function(lambda: suspects.quarantined_count(time()))
+        self.metrics.quarantined_fingerprints.set_function(
+            lambda: suspects.quarantined_count(time())
+        )
         self.metrics.cold_backends.set_function(
             lambda: len(self.selector.cold_instances(monotonic()))
         )
-        self.metrics.mirror_age.set_function(lambda: min(self.mirror_sync.age_s, MAX_AGE_S))
+        self.metrics.mirror_age_seconds.set_function(lambda: min(self.mirror_sync.age_s, MAX_AGE_S))
         self.role_handler: Handler = _ignore
         self.count_nodes: Callable[[], int] = lambda: len(self.nodes)
 
@@ -254,7 +256,7 @@
         distance = "unknown"
         if zone is not None:
             distance = self.topology.distance(self.settings.zone, zone).name.lower()
-        self.metrics.sent_to_peer(distance, kind, size)
+        self.metrics.count_peer_message(distance, kind, size)
 
     # ---- mirror ----
 
--- a/src/wharfcart/observability/decisions.py
+++ b/src/wharfcart/observability/decisions.py
@@ -13,10 +13,10 @@
 from time import time
 from typing import Protocol
 
-MOST_WAITING_LINES = 2000
-MOST_LINES_A_SECOND = 200
-FLUSH_PERIOD_S = 0.5
-STANDARD_OUTPUT = 1
+MAX_PENDING_LINES = 2000
+MAX_LINES_PER_SECOND = 200
+FLUSH_INTERVAL_S = 0.5
+STDOUT_FD = 1
 
 
 class Counter(Protocol):
@@ -88,9 +88,9 @@
 
     def __init__(self, node_id: str) -> None:
         self._node_id = node_id
-        self._waiting: deque[str] = deque()
+        self._pending_lines: deque[str] = deque()
         self._dropped = 0
-        self._second = 0
+        self._current_second = 0
         self._lines_this_second = 0
 
     def write(self, event: Event, **fields: object) -> None:
@@ -100,46 +100,46 @@
         outcome.
         """
         now = time()
-        if not self._within_rate(int(now)):
+        if not self._admit_line(int(now)):
             self._dropped += 1
             return
         line = {"time": round(now, 3), "node": self._node_id, "event": event.value, **fields}
-        self._waiting.append(json.dumps(line, default=str))
+        self._pending_lines.append(json.dumps(line, default=str))
 
     async def run(self) -> None:
         """Write what waits, until cancelled; a stuck reader holds up only this."""
         while True:
-            await asyncio.sleep(FLUSH_PERIOD_S)
-            if self._waiting:
-                data = self._take()
+            await asyncio.sleep(FLUSH_INTERVAL_S)
+            if self._pending_lines:
+                data = self._drain_pending_lines()
                 await asyncio.get_running_loop().run_in_executor(None, _write_all, data)
 
     def flush(self) -> None:
         """Write what waits before the process ends."""
-        if self._waiting:
-            _write_all(self._take())
+        if self._pending_lines:
+            _write_all(self._drain_pending_lines())
 
-    def _within_rate(self, second: int) -> bool:
-        if second != self._second:
-            self._second = second
+    def _admit_line(self, second: int) -> bool:
+        if second != self._current_second:
+            self._current_second = second
             self._lines_this_second = 0
         self._lines_this_second += 1
-        within = self._lines_this_second <= MOST_LINES_A_SECOND
-        return within and len(self._waiting) < MOST_WAITING_LINES
+        within = self._lines_this_second <= MAX_LINES_PER_SECOND
+        return within and len(self._pending_lines) < MAX_PENDING_LINES
 
-    def _take(self) -> bytes:
+    def _drain_pending_lines(self) -> bytes:
         if self._dropped:
             dropped, self._dropped = self._dropped, 0
-            self._second = 0
+            self._current_second = 0
             self.write(Event.LINES_DROPPED, count=dropped)
-        data = ("\n".join(self._waiting) + "\n").encode()
-        self._waiting.clear()
+        data = ("\n".join(self._pending_lines) + "\n").encode()
+        self._pending_lines.clear()
         return data
 
 
 def _write_all(data: bytes) -> None:
     try:
         while data:
-            data = data[os.write(STANDARD_OUTPUT, data) :]
+            data = data[os.write(STDOUT_FD, data) :]
     except OSError as error:
         print(f"decision log: {error}", file=sys.stderr)
--- a/src/wharfcart/observability/logs.py
+++ b/src/wharfcart/observability/logs.py
@@ -38,7 +38,7 @@
         return True
 
 
-def configure_logs(level: str, node_id: str) -> None:
+def configure_logging(level: str, node_id: str) -> None:
     """Send all logs of the process to standard error as JSON lines."""
     handler = logging.StreamHandler(sys.stderr)
     formatter = JsonFormatter(
--- a/src/wharfcart/observability/metrics.py
+++ b/src/wharfcart/observability/metrics.py
@@ -31,7 +31,7 @@
         self.batch_items = Counter(
             "wharfcart_batch_items", "Batch items ended here", ["end"], registry=self.registry
         )
-        self.batch_yields = Counter(
+        self.batch_preemptions = Counter(
             "wharfcart_batch_yields", "Batch items stopped for online work", registry=self.registry
         )
         self.key_value_calls = Counter(
--- a/src/wharfcart/observability/serving_metrics.py
+++ b/src/wharfcart/observability/serving_metrics.py
@@ -8,10 +8,10 @@
 from prometheus_client import Histogram as PrometheusHistogram
 
 # Tenants that are refused are few; a fleet of two years from now has 270 in all.
-MOST_TENANTS = 300
-OTHERS = "(others)"
+MAX_TENANT_LABELS = 300
+OTHER_LABELS = "(others)"
 # More zones than any fleet has.
-MOST_ZONES = 64
+MAX_ZONE_LABELS = 64
 LATENCY_BUCKETS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 8, 30)
 
 
@@ -34,17 +34,17 @@
         most: values that are shown by themselves.
     """
 
-    def __init__(self, counter: LabelledCounter, most: int) -> None:
+    def __init__(self, counter: LabelledCounter, max_labels: int) -> None:
         self._counter = counter
-        self._most = most
-        self._shown: set[str] = set()
+        self._max_labels = max_labels
+        self._labels: set[str] = set()
 
     def add(self, label: str) -> None:
         """Count one."""
-        if label not in self._shown and len(self._shown) >= self._most:
-            label = OTHERS
+        if label not in self._labels and len(self._labels) >= self._max_labels:
+            label = OTHER_LABELS
         else:
-            self._shown.add(label)
+            self._labels.add(label)
         self._counter.add(label)
 
 
@@ -56,15 +56,15 @@
         most: values that are shown.
     """
 
-    def __init__(self, gauge: PrometheusGauge, most: int) -> None:
+    def __init__(self, gauge: PrometheusGauge, max_labels: int) -> None:
         self._gauge = gauge
-        self._most = most
-        self._shown: set[str] = set()
+        self._max_labels = max_labels
+        self._labels: set[str] = set()
 
     def set(self, label: str, value: float) -> None:
         """Show a value."""
-        if label in self._shown or len(self._shown) < self._most:
-            self._shown.add(label)
+        if label in self._labels or len(self._labels) < self._max_labels:
+            self._labels.add(label)
             self._gauge.labels(label).set(value)
 
 
@@ -82,9 +82,9 @@
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
         self.requests = self._counter("wharfcart_answers", "Answers to callers", "outcome")
-        self.limited = BoundedCounter(
+        self.limited_requests = BoundedCounter(
             self._counter("wharfcart_limited", "Requests over their tenant's limit", "tenant"),
-            MOST_TENANTS,
+            MAX_TENANT_LABELS,
         )
         self.outside_residence = self._counter(
             "wharfcart_outside_residence",
@@ -104,8 +104,8 @@
             ["distance", "kind"],
             registry=self.registry,
         )
-        self.items = self._counter("wharfcart_items", "Runs of batch items", "outcome")
-        self.first_byte = PrometheusHistogram(
+        self.item_runs = self._counter("wharfcart_items", "Runs of batch items", "outcome")
+        self.first_byte_seconds = PrometheusHistogram(
             "wharfcart_first_byte_seconds",
             "Time from a whole request to the first byte of its answer",
             ["kind"],
@@ -115,30 +115,30 @@
         self.configuration_version = self._gauge(
             "wharfcart_configuration_version", "Version of the configuration in force"
         )
-        self.mirror_age = self._gauge(
+        self.mirror_age_seconds = self._gauge(
             "wharfcart_coordination_age_seconds", "Time since coordination state was last confirmed"
         )
-        self.evacuated = BoundedGauge(
+        self.evacuated_zones = BoundedGauge(
             self._gauge("wharfcart_zone_evacuated", "1 while nothing goes to a zone", "zone"),
-            MOST_ZONES,
+            MAX_ZONE_LABELS,
         )
-        self.evacuated_in_flight = BoundedGauge(
+        self.in_flight_in_evacuated_zones = BoundedGauge(
             self._gauge(
                 "wharfcart_zone_evacuated_in_flight",
                 "Requests of this process that still run in a zone that was emptied",
                 "zone",
             ),
-            MOST_ZONES,
+            MAX_ZONE_LABELS,
         )
         self.cold_backends = self._gauge(
             "wharfcart_cold_backends", "Back ends that count as cold and are sent little"
         )
-        self.contents_held = self._gauge(
+        self.quarantined_fingerprints = self._gauge(
             "wharfcart_contents_held_back",
             "Contents of requests that are held back since back ends ended while they ran them",
         )
         self.open_items = self._gauge("wharfcart_open_items", "Batch items not finished, if leader")
-        self.items_yielded = self._counter(
+        self.items_preempted = self._counter(
             "wharfcart_items_yielded", "Items that left a slot for online requests", "cause"
         )
         self.requests_waiting = self._gauge(
@@ -148,9 +148,9 @@
             "wharfcart_replicas_behind", "Replicas that lack acknowledged state, if leader"
         )
 
-    def sent_to_peer(self, distance: str, kind: str, size: int) -> None:
+    def count_peer_message(self, distance: str, kind: str, size_bytes: int) -> None:
         """Count a message to another node; both labels have few values."""
-        self._peer_bytes.labels(distance, kind).inc(size)
+        self._peer_bytes.labels(distance, kind).inc(size_bytes)
 
     def render(self) -> bytes:
         """Return the text format."""
@@ -160,8 +160,10 @@
         """Serve the text format over HTTP, from a thread of its own."""
         start_http_server(port, host, self.registry)
 
-    def _counter(self, name: str, text: str, label: str) -> LabelledCounter:
-        return LabelledCounter(PrometheusCounter(name, text, [label], registry=self.registry))
+    def _counter(self, name: str, description: str, label: str) -> LabelledCounter:
+        return LabelledCounter(
+            PrometheusCounter(name, description, [label], registry=self.registry)
+        )
 
-    def _gauge(self, name: str, text: str, *labels: str) -> PrometheusGauge:
-        return PrometheusGauge(name, text, labels, registry=self.registry)
+    def _gauge(self, name: str, description: str, *labels: str) -> PrometheusGauge:
+        return PrometheusGauge(name, description, labels, registry=self.registry)
--- a/src/wharfcart/observability/tasks.py
+++ b/src/wharfcart/observability/tasks.py
@@ -17,16 +17,16 @@
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+    def spawn(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         """Run work in a task of its own and return the task."""
-        task = asyncio.get_running_loop().create_task(work)
-        self.keep(task)
+        task = asyncio.get_running_loop().create_task(coroutine)
+        self.track(task)
         return task
 
-    def keep(self, task: asyncio.Task[None]) -> None:
+    def track(self, task: asyncio.Task[None]) -> None:
         """Keep a task until it ends."""
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
 
     def cancel(self) -> None:
         """Cancel every task that still runs."""
@@ -38,7 +38,7 @@
         self.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             logger.error("task failed", exc_info=task.exception())
--- a/src/wharfcart/observability/timeline.py
+++ b/src/wharfcart/observability/timeline.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-CONTEXT_S = 6.0
+CONTEXT_WINDOW_S = 6.0
 CONTEXT_EVENTS = frozenset(
     {
         "started",
@@ -67,9 +67,9 @@
         return "no line names this id"
 
 
-def read_lines(texts: Iterable[str]) -> Iterator[dict[str, Any]]:
+def parse_decision_lines(log_lines: Iterable[str]) -> Iterator[dict[str, Any]]:
     """Yield the decision lines among log lines; a prefix before the JSON object is passed over."""
-    for text in texts:
+    for text in log_lines:
         start = text.find('{"time"')
         if start < 0:
             continue
@@ -81,26 +81,26 @@
             yield line
 
 
-def timeline_of(wanted: str, texts: Iterable[str]) -> Timeline:
+def build_timeline(searched_id: str, log_lines: Iterable[str]) -> Timeline:
     """Gather what the logs tell of an id."""
-    lines = list(read_lines(texts))
-    direct = [line for line in lines if any(line.get(name) == wanted for name in ID_FIELDS)]
-    timeline = Timeline(wanted)
+    lines = list(parse_decision_lines(log_lines))
+    direct = [line for line in lines if any(line.get(name) == searched_id for name in ID_FIELDS)]
+    timeline = Timeline(searched_id)
     if not direct:
         return timeline
-    first = min(_began(line) for line in direct)
+    first = min(_started_at(line) for line in direct)
     last = max(float(line["time"]) for line in direct)
     nodes = {line["node"] for line in direct}
     backends = {line["backend"] for line in direct if line.get("backend")}
     for line in lines:
-        names_it = any(line.get(name) == wanted for name in ID_FIELDS)
+        names_it = any(line.get(name) == searched_id for name in ID_FIELDS)
         if names_it or _is_context(line, first, last, nodes, backends):
             timeline.lines.append(_log_line(line, names_it))
     timeline.lines.sort(key=lambda line: line.time)
     return timeline
 
 
-def _began(line: dict[str, Any]) -> float:
+def _started_at(line: dict[str, Any]) -> float:
     return float(line["time"]) - float(line.get("seconds") or 0.0)
 
 
@@ -109,7 +109,7 @@
 ) -> bool:
     if line["event"] not in CONTEXT_EVENTS:
         return False
-    if not first - CONTEXT_S <= float(line["time"]) <= last + 1.0:
+    if not first - CONTEXT_WINDOW_S <= float(line["time"]) <= last + 1.0:
         return False
     if line.get("backend"):
         return line["backend"] in backends
--- a/src/wharfcart/routing/request_log.py
+++ b/src/wharfcart/routing/request_log.py
@@ -51,7 +51,7 @@
 
     def limited(self, request: CallerRequest, progress: RequestProgress, status: int) -> None:
         """Tell that a request was refused under its tenant's limit."""
-        self._metrics.limited.add(request.tenant_name)
+        self._metrics.limited_requests.add(request.tenant_name)
         self.finished(request, progress, "limited", status)
 
     def retried(self, request: CallerRequest, progress: RequestProgress) -> None:
@@ -91,7 +91,9 @@
         """Note that the answer begins."""
         if progress.first_byte_s is None:
             progress.first_byte_s = monotonic() - request.received_at
-            self._metrics.first_byte.labels(request.route.kind.value).observe(progress.first_byte_s)
+            self._metrics.first_byte_seconds.labels(request.route.kind.value).observe(
+                progress.first_byte_s
+            )
 
     def finished(
         self, request: CallerRequest, progress: RequestProgress, outcome: str, status: int
--- a/tests/observability/test_dashboard.py
+++ b/tests/observability/test_dashboard.py
@@ -10,28 +10,32 @@
 SUFFIXES = ("_bucket", "_total", "_sum", "_count", "_created")
 
 
-def family(name: str) -> str:
+def metric_family(name: str) -> str:
     for suffix in SUFFIXES:
         name = name.removesuffix(suffix)
     return name
 
 
-def served() -> set[str]:
+def served_metrics() -> set[str]:
     text = ServingMetrics().render().decode()
-    return {family(line.split()[2]) for line in text.splitlines() if line.startswith("# TYPE")}
+    return {
+        metric_family(line.split()[2]) for line in text.splitlines() if line.startswith("# TYPE")
+    }
 
 
-def asked() -> set[str]:
+def queried_metrics() -> set[str]:
     panels = json.loads(DASHBOARD.read_text())["panels"]
     queries = [target["expr"] for panel in panels for target in panel["targets"]]
-    return {family(name) for query in queries for name in re.findall(r"wharfcart_\w+", query)}
+    return {
+        metric_family(name) for query in queries for name in re.findall(r"wharfcart_\w+", query)
+    }
 
 
-def test_the_dashboard_asks_for_each_metric_that_is_served() -> None:
-    assert asked() == served()
+def test_dashboard_queries_exactly_the_served_metrics() -> None:
+    assert queried_metrics() == served_metrics()
 
 
-def test_panels_stand_apart() -> None:
+def test_panels_do_not_overlap() -> None:
     places = [
         tuple(panel["gridPos"].values()) for panel in json.loads(DASHBOARD.read_text())["panels"]
     ]
--- a/tests/observability/test_timeline.py
+++ b/tests/observability/test_timeline.py
@@ -2,14 +2,14 @@
 
 import json
 
-from wharfcart.observability.timeline import timeline_of
+from wharfcart.observability.timeline import build_timeline
 
 
 def line(time: float, node: str, event: str, **fields: object) -> str:
     return "12.3 " + node + " " + json.dumps({"time": time, "node": node, "event": event, **fields})
 
 
-LOGS = [
+LOG_LINES = [
     line(100.0, "g1", "backend_gone", backend="i-1", service="s"),
     line(100.5, "g2", "backend_gone", backend="i-2", service="s"),
     line(101.0, "g1", "request_ended", request="r1", outcome="cut", cause="broken",
@@ -20,8 +20,8 @@
 ]  # fmt: skip
 
 
-def test_the_timeline_holds_the_id_and_what_happened_to_its_back_end() -> None:
-    timeline = timeline_of("r1", LOGS)
+def test_timeline_has_lines_of_the_id_and_of_its_back_end() -> None:
+    timeline = build_timeline("r1", LOG_LINES)
     assert [(entry.event, entry.direct) for entry in timeline.lines] == [
         ("backend_gone", False),
         ("request_ended", True),
@@ -30,7 +30,7 @@
 
 
 def test_an_unknown_id() -> None:
-    timeline = timeline_of("nobody", LOGS)
+    timeline = build_timeline("nobody", LOG_LINES)
     assert timeline.lines == [] and "no line" in timeline.verdict
 
 
@@ -39,16 +39,16 @@
         line(100.0, "g1", "request_placed", request="r1", backend="i-1", waited_s=0.01),
         line(100.4, "g1", "started"),
     ]
-    timeline = timeline_of("r1", logs)
+    timeline = build_timeline("r1", logs)
     assert "gateway was killed" in timeline.verdict
     assert [entry.event for entry in timeline.lines] == ["request_placed", "started"]
 
 
-def test_a_line_that_tells_of_many_back_ends_counts_for_each_of_them() -> None:
+def test_line_with_several_back_ends_is_context_of_each() -> None:
     logs = [
         line(100.0, "g1", "backend_gone", backends=["i-1", "i-2", "i-3"], service="s"),
         line(100.0, "g1", "backend_gone", backends=["i-4", "i-5"], service="s"),
         line(100.4, "g1", "request_ended", request="r1", outcome="cut", backend="i-2", seconds=1.0),
     ]
-    timeline = timeline_of("r1", logs)
+    timeline = build_timeline("r1", logs)
     assert [entry.event for entry in timeline.lines] == ["backend_gone", "request_ended"]
