--- a/src/wharfcart/settings/fields.py
+++ b/src/wharfcart/settings/fields.py
@@ -14,9 +14,9 @@
 Check = Callable[[object], object]
 Model = TypeVar("Model")
 
-_CHECK = "check"
-_REQUIRED = "Field required"
-_UNKNOWN = "Extra inputs are not permitted"
+_CHECK_KEY = "check"
+_MISSING_MESSAGE = "Field required"
+_UNKNOWN_MESSAGE = "Extra inputs are not permitted"
 
 
 class FieldsError(ValueError):
@@ -33,7 +33,7 @@
 
 def checked(check: Check, default: object = MISSING, factory: Any = MISSING) -> Any:
     """Return a dataclass field whose value passes a check, which may return it in another form."""
-    return field(default=default, default_factory=factory, metadata={_CHECK: check})
+    return field(default=default, default_factory=factory, metadata={_CHECK_KEY: check})
 
 
 def read_model(model: type[Model], values: Mapping[str, object]) -> Model:
@@ -46,14 +46,14 @@
     taken: dict[str, object] = {}
     known = {one.name: one for one in fields(model)}  # type: ignore[arg-type]
     for key in values.keys() - known.keys():
-        reasons[key] = _UNKNOWN
+        reasons[key] = _UNKNOWN_MESSAGE
     for name, one in known.items():
         if name not in values:
             if one.default is MISSING and one.default_factory is MISSING:
-                reasons[name] = _REQUIRED
+                reasons[name] = _MISSING_MESSAGE
             continue
         try:
-            taken[name] = one.metadata[_CHECK](values[name])
+            taken[name] = one.metadata[_CHECK_KEY](values[name])
         except FieldsError as error:
             reasons |= {f"{name}.{key}": reason for key, reason in error.reasons.items()}
         except ValueError as error:
@@ -66,15 +66,15 @@
 # ---- checks ----
 
 
-def text(pattern: str = "", most: int | None = None, least: int = 0) -> Check:
+def string(pattern: str = "", max_length: int | None = None, min_length: int = 0) -> Check:
     """Return a check for text that matches a pattern as a whole and has so many characters."""
     compiled = re.compile(pattern) if pattern else None
 
     def check(value: object) -> str:
         if not isinstance(value, str):
             raise ValueError("must be text")
-        if len(value) < least or (most is not None and len(value) > most):
-            raise ValueError(f"must have {least} to {most} characters")
+        if len(value) < min_length or (max_length is not None and len(value) > max_length):
+            raise ValueError(f"must have {min_length} to {max_length} characters")
         if compiled is not None and compiled.fullmatch(value) is None:
             raise ValueError(f"must match {pattern}")
         return value
@@ -82,14 +82,14 @@
     return check
 
 
-def whole_number(least: int, most: int) -> Check:
+def integer(minimum: int, maximum: int) -> Check:
     """Return a check for a whole number within bounds."""
 
     def check(value: object) -> int:
         if isinstance(value, bool) or not isinstance(value, int):
             raise ValueError("must be a whole number")
-        if not least <= value <= most:
-            raise ValueError(f"must be from {least} to {most}")
+        if not minimum <= value <= maximum:
+            raise ValueError(f"must be from {minimum} to {maximum}")
         return value
 
     return check
@@ -102,14 +102,14 @@
     return float(value)
 
 
-def flag(value: object) -> bool:
+def boolean(value: object) -> bool:
     """Check true or false."""
     if not isinstance(value, bool):
         raise ValueError("must be true or false")
     return value
 
 
-def folder(value: object) -> Path:
+def directory_path(value: object) -> Path:
     """Check the path of a folder."""
     if not isinstance(value, str | Path):
         raise ValueError("must be a path")
--- a/src/wharfcart/settings/loading.py
+++ b/src/wharfcart/settings/loading.py
@@ -8,7 +8,7 @@
 from returns.result import Failure, Result, Success
 
 from wharfcart.errors import Finding, FindingsError
-from wharfcart.settings.sources import given_settings
+from wharfcart.settings.sources import read_raw_settings
 
 SettingsModel = TypeVar("SettingsModel", bound=BaseModel)
 
@@ -28,7 +28,7 @@
         flags: dotted key to value, over both; None is passed over.
     """
     try:
-        given = given_settings(path, environment, flags)
+        given = read_raw_settings(path, environment, flags)
     except FindingsError as error:
         return Failure(error.findings)
     try:
--- a/src/wharfcart/settings/serving.py
+++ b/src/wharfcart/settings/serving.py
@@ -9,21 +9,21 @@
 from wharfcart.settings.base import ENDPOINT_PATTERN
 from wharfcart.settings.fields import (
     FieldsError,
+    boolean,
     checked,
-    flag,
-    folder,
+    directory_path,
+    integer,
     list_of,
     mapping_of,
     optional,
     positive_number,
     read_model,
     section,
-    text,
-    whole_number,
+    string,
 )
-from wharfcart.settings.sources import given_settings
+from wharfcart.settings.sources import read_raw_settings
 
-_ENDPOINT = text(ENDPOINT_PATTERN)
+_ENDPOINT = string(ENDPOINT_PATTERN)
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -35,8 +35,8 @@
         zones: zones, with all nodes and back ends there.
     """
 
-    storage_nodes: int = checked(whole_number(0, 8), 1)
-    zones: int = checked(whole_number(0, 8), 0)
+    storage_nodes: int = checked(integer(0, 8), 1)
+    zones: int = checked(integer(0, 8), 0)
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -57,14 +57,14 @@
         metrics_listen: metrics over HTTP.
     """
 
-    node_id: str = checked(text(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}"))
-    zone: str = checked(text(least=1, most=64))
-    regions_by_zone: dict[str, str] = checked(mapping_of(text()), factory=dict)
+    node_id: str = checked(string(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}"))
+    zone: str = checked(string(min_length=1, max_length=64))
+    regions_by_zone: dict[str, str] = checked(mapping_of(string()), factory=dict)
     coordination: str = checked(_ENDPOINT)
     cluster_listen: str = checked(_ENDPOINT)
     cluster_advertise: str | None = checked(optional(_ENDPOINT), None)
-    seeds: list[str] = checked(list_of(text()), factory=list)
-    first_start: bool = checked(flag, False)
+    seeds: list[str] = checked(list_of(string()), factory=list)
+    first_start: bool = checked(boolean, False)
     stop_within_s: float = checked(positive_number, 8.0)
     tolerance: ToleranceSettings = checked(section(ToleranceSettings), ToleranceSettings())
     metrics_listen: str | None = checked(optional(_ENDPOINT), None)
@@ -102,8 +102,8 @@
         keep_jobs_s: how long an ended job stays readable.
     """
 
-    data_folder: Path = checked(folder)
-    job_groups: int = checked(whole_number(1, 1024), 1)
+    data_folder: Path = checked(directory_path)
+    job_groups: int = checked(integer(1, 1024), 1)
     keep_jobs_s: float = checked(positive_number, 180.0)
 
 
@@ -123,7 +123,7 @@
     Raises:
         FindingsError: with every finding and the place it came from.
     """
-    given = given_settings(path, environment)
+    given = read_raw_settings(path, environment)
     try:
         return read_model(model, given.values)
     except FieldsError as error:
--- a/src/wharfcart/settings/sources.py
+++ b/src/wharfcart/settings/sources.py
@@ -9,13 +9,13 @@
 from wharfcart.errors import Finding, FindingsError
 
 VARIABLE_PREFIX = "WHARFCART_"
-CLIENT_PREFIX = "WHARFCART_CLI_"  # read by the client commands, no settings of a process
+CLIENT_VARIABLE_PREFIX = "WHARFCART_CLI_"  # read by the client commands, no settings of a process
 SETTINGS_VARIABLE = "WHARFCART_SETTINGS"  # names the file itself
-NESTING_MARK = "__"
+NESTING_SEPARATOR = "__"
 
 
 @dataclass(frozen=True)
-class GivenSettings:
+class RawSettings:
     """Settings as they are given, not checked yet.
 
     Attributes:
@@ -33,9 +33,9 @@
         return Finding(self.sources.get(key, str(self.path)), key or "file", reason)
 
 
-def given_settings(
+def read_raw_settings(
     path: Path, environment: Mapping[str, str], flags: Mapping[str, object] | None = None
-) -> GivenSettings:
+) -> RawSettings:
     """Read all sources.
 
     Args:
@@ -55,27 +55,27 @@
         raise FindingsError([Finding(str(path), "file", f"not TOML: {error}")]) from error
     sources: dict[str, str] = {}
     for name, text in environment.items():
-        if name == SETTINGS_VARIABLE or name.startswith(CLIENT_PREFIX):
+        if name == SETTINGS_VARIABLE or name.startswith(CLIENT_VARIABLE_PREFIX):
             continue
         if name.startswith(VARIABLE_PREFIX):
-            key = name.removeprefix(VARIABLE_PREFIX).lower().replace(NESTING_MARK, ".")
-            _set(values, key, _parse(text))
+            key = name.removeprefix(VARIABLE_PREFIX).lower().replace(NESTING_SEPARATOR, ".")
+            _set_nested(values, key, _parse_value(text))
             sources[key] = name
     for key, value in (flags or {}).items():
         if value is not None:
-            _set(values, key, value)
+            _set_nested(values, key, value)
             sources[key] = "--" + key.replace(".", "-").replace("_", "-")
-    return GivenSettings(path, values, sources)
+    return RawSettings(path, values, sources)
 
 
-def _parse(text: str) -> object:
+def _parse_value(text: str) -> object:
     try:
         return tomllib.loads(f"value = {text}")["value"]
     except tomllib.TOMLDecodeError:
         return text
 
 
-def _set(values: dict[str, Any], key: str, value: object) -> None:
+def _set_nested(values: dict[str, Any], key: str, value: object) -> None:
     *parents, last = key.split(".")
     for parent in parents:
         values = values.setdefault(parent, {})
--- a/tests/settings/test_serving_settings.py
+++ b/tests/settings/test_serving_settings.py
@@ -23,7 +23,7 @@
 STORAGE = GATEWAY.replace('listen = "10.0.0.2:3"\nreadiness_listen = "[::1]:4"\n', "")
 
 
-def file_with(folder: Path, text: str) -> Path:
+def write_settings(folder: Path, text: str) -> Path:
     path = folder / "settings.toml"
     path.write_text(text, encoding="utf-8")
     return path
@@ -40,7 +40,7 @@
 def test_values_and_defaults(tmp_path: Path) -> None:
     text = GATEWAY + 'stop_within_s = 3\n[tolerance]\nzones = 1\n[regions_by_zone]\na = "r"\n'
     environment = {"WHARFCART_NODE_ID": "g-2", "WHARFCART_TOLERANCE__STORAGE_NODES": "2"}
-    settings = load_serving_settings(GatewaySettings, file_with(tmp_path, text), environment)
+    settings = load_serving_settings(GatewaySettings, write_settings(tmp_path, text), environment)
     assert settings.node_id == "g-2"
     assert (settings.listen, settings.readiness_listen) == ("10.0.0.2:3", "[::1]:4")
     assert settings.stop_within_s == 3.0
@@ -50,16 +50,18 @@
     assert settings.cluster_address == "10.0.0.2:2"
 
 
-def test_a_storage_node_has_a_folder(tmp_path: Path) -> None:
-    path = file_with(tmp_path, STORAGE + 'data_folder = "/data"\ncluster_advertise = "1.1.1.1:1"')
+def test_storage_settings(tmp_path: Path) -> None:
+    path = write_settings(
+        tmp_path, STORAGE + 'data_folder = "/data"\ncluster_advertise = "1.1.1.1:1"'
+    )
     settings = load_serving_settings(StorageSettings, path, {})
     assert settings.data_folder == Path("/data")
     assert (settings.job_groups, settings.keep_jobs_s) == (1, 180.0)
     assert settings.cluster_address == "1.1.1.1:1"
 
 
-def test_all_findings_come_together_each_with_its_source(tmp_path: Path) -> None:
-    path = file_with(
+def test_all_findings_are_reported_with_their_sources(tmp_path: Path) -> None:
+    path = write_settings(
         tmp_path,
         'zone = ""\ncoordination = "host:1"\ncluster_listen = 7\nlisten = "1.1.1.1:1\\n"\n'
         'colour = "red"\nseeds = ["1.1.1.1:1", 2]\nfirst_start = 1\nstop_within_s = 0\n'
@@ -88,18 +90,18 @@
     assert findings_of(GatewaySettings, path, environment) == expected
 
 
-def test_what_is_missing_is_a_finding(tmp_path: Path) -> None:
-    path = file_with(tmp_path, 'node_id = "n"\nzone = "z"\n')
+def test_missing_required_settings_are_findings(tmp_path: Path) -> None:
+    path = write_settings(tmp_path, 'node_id = "n"\nzone = "z"\n')
     places = {place for _, place in findings_of(StorageSettings, path)}
     assert places == {"coordination", "cluster_listen", "data_folder"}
 
 
-def test_a_zone_has_a_region_if_any_has(tmp_path: Path) -> None:
-    path = file_with(tmp_path, GATEWAY + '[regions_by_zone]\nb = "r"\n')
+def test_zone_without_region_is_a_finding_when_regions_are_set(tmp_path: Path) -> None:
+    path = write_settings(tmp_path, GATEWAY + '[regions_by_zone]\nb = "r"\n')
     assert findings_of(GatewaySettings, path) == {(str(path), "file")}
 
 
 @pytest.mark.parametrize("text", ["a = ", "\x00"])
-def test_no_toml_and_no_file_are_findings(tmp_path: Path, text: str) -> None:
-    assert findings_of(GatewaySettings, file_with(tmp_path, text))
+def test_invalid_and_absent_files_are_findings(tmp_path: Path, text: str) -> None:
+    assert findings_of(GatewaySettings, write_settings(tmp_path, text))
     assert findings_of(GatewaySettings, tmp_path / "absent.toml")
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -7,7 +7,7 @@
 from wharfcart.settings.loading import load_settings
 from wharfcart.settings.schema import NodeSettings
 
-GOOD = f"""
+VALID_SETTINGS = f"""
 node_id = "n1"
 zone = "a"
 listen = "127.0.0.1:1"
@@ -18,14 +18,14 @@
 """
 
 
-def _file(folder: Path, text: str) -> Path:
+def _write_settings(folder: Path, text: str) -> Path:
     path = folder / "node.toml"
     path.write_text(text)
     return path
 
 
-def test_variables_go_over_the_file_and_flags_over_both(tmp_path: Path) -> None:
-    path = _file(tmp_path, GOOD)
+def test_variables_override_the_file_and_flags_override_both(tmp_path: Path) -> None:
+    path = _write_settings(tmp_path, VALID_SETTINGS)
     environment = {
         "WHARFCART_ZONE": "b",
         "WHARFCART_NODE_ID": "n2",
@@ -39,8 +39,8 @@
     assert settings.listen == "127.0.0.1:1"
 
 
-def test_all_findings_come_together_each_with_its_source(tmp_path: Path) -> None:
-    path = _file(tmp_path, GOOD + 'colour = "red"\n[journal]\nshards = 0\n')
+def test_all_findings_are_reported_with_their_sources(tmp_path: Path) -> None:
+    path = _write_settings(tmp_path, VALID_SETTINGS + 'colour = "red"\n[journal]\nshards = 0\n')
     environment = {"WHARFCART_LISTEN": "nowhere"}
     findings = load_settings(NodeSettings, path, environment, {"node_id": "N!"}).failure()
     places = {(finding.file, finding.place) for finding in findings}
@@ -53,8 +53,8 @@
 
 
 @pytest.mark.parametrize("text", ["a = ", "\x00"])
-def test_no_toml_is_a_finding(tmp_path: Path, text: str) -> None:
-    assert load_settings(NodeSettings, _file(tmp_path, text), {}).failure()
+def test_invalid_toml_is_a_finding(tmp_path: Path, text: str) -> None:
+    assert load_settings(NodeSettings, _write_settings(tmp_path, text), {}).failure()
 
 
 def test_absent_file_is_a_finding(tmp_path: Path) -> None:
