--- a/src/wharfcart/routing/sender.py
+++ b/src/wharfcart/routing/sender.py
@@ -18,13 +18,13 @@
 from wharfcart.cluster.topology import RegionName
 from wharfcart.configuration.serving import RouteKind
 from wharfcart.http.connection import (
-    AnswerHead,
     BreakCause,
     ConnectFailedError,
     ConnectionBrokenError,
     HttpConnection,
+    ResponseHead,
 )
-from wharfcart.platform import exchanges
+from wharfcart.platform import http_headers
 from wharfcart.routing.backend_selection import BackendSelector, InstanceState
 from wharfcart.routing.caller_request import AnswerSink, CallerRequest
 from wharfcart.routing.crash_detection import CrashDetector, InterruptedRun
@@ -186,7 +186,7 @@
                 self._reachability.record_failure(
                     self._region_of(state), instance.instance_id, monotonic()
                 )
-            if connection.answered == 0:
+            if connection.response_count == 0:
                 self._avoid(state, "broken")
             await self._inspect_interruption(
                 request, state, send_id, error.cause, monotonic() - sent_at
@@ -245,7 +245,7 @@
         connection.send(
             request.method,
             request.target,
-            exchanges.headers_for_server(
+            http_headers.headers_for_server(
                 request.headers,
                 state.instance.instance_id,
                 request.deadline - monotonic(),
@@ -253,7 +253,7 @@
                 request.tenant_name,
             ),
             request.body,
-            exchanges.REQUEST_ID_HEADER,
+            http_headers.REQUEST_ID_HEADER,
             request.facts.request_id,
         )
         progress.sends += 1
@@ -262,17 +262,17 @@
         self._selector.record_first_byte(state, send_id)
         self._reachability.record_success(self._region_of(state))
         self._placement.first_byte_received(request.route.name, monotonic() - sent_at)
-        load = exchanges.reported_load(head)
+        load = http_headers.parse_reported_load(head)
         if load is not None:
             self._selector.record_reported_load(state, load.running, load.waiting, monotonic())
-        if exchanges.was_not_run(head):
+        if http_headers.was_not_run(head):
             await connection.read_body()
             progress.sends -= 1
             progress.refusals += 1
             if head.status == STATUS_UNAVAILABLE:
                 self._selector.record_full(state, monotonic())
             return SendFailure(False, f"refused_{head.status}")
-        if not exchanges.is_signed(head) and head.status < 300:
+        if not http_headers.is_signed(head) and head.status < 300:
             raise ConnectionBrokenError("answer has no signature")
         if request.route.kind is RouteKind.STREAM and head.status < 300:
             await self._forward_stream(request, sink, progress, connection, head)
@@ -285,7 +285,7 @@
         sink: AnswerSink,
         progress: RequestProgress,
         connection: HttpConnection,
-        head: AnswerHead,
+        head: ResponseHead,
     ) -> SendFailure | None:
         body = await connection.read_body()
         failed = head.status >= STATUS_SERVER_ERROR
@@ -297,7 +297,7 @@
         self._request_log.first_byte(request, progress)
         if progress.answer_started:
             raise ConnectionBrokenError("back end refused to resume the stream")
-        await sink.send_whole(head.status, exchanges.headers_for_client(head), body)
+        await sink.send_whole(head.status, http_headers.headers_for_client(head), body)
         self._request_log.finished(request, progress, "answered", head.status)
         return None
 
@@ -307,7 +307,7 @@
         sink: AnswerSink,
         progress: RequestProgress,
         connection: HttpConnection,
-        head: AnswerHead,
+        head: ResponseHead,
     ) -> None:
         if progress.answer_started:
             self._request_log.resumed(request, progress)
@@ -343,7 +343,7 @@
                 return await answer
         except TimeoutError as error:
             self._hedge_budget.withdraw()
-            raise ConnectionBrokenError("timed out", cause=BreakCause.SLOW) from error
+            raise ConnectionBrokenError("timed out", cause=BreakCause.TIMED_OUT) from error
 
     def _timeout_s(self, request: CallerRequest, progress: RequestProgress) -> float | None:
         route = request.route
@@ -362,13 +362,17 @@
         return max(MIN_HEDGE_DELAY_S, route.objective_s * HEDGE_DELAY_SHARE)
 
     async def _ensure_started(
-        self, request: CallerRequest, sink: AnswerSink, progress: RequestProgress, head: AnswerHead
+        self,
+        request: CallerRequest,
+        sink: AnswerSink,
+        progress: RequestProgress,
+        head: ResponseHead,
     ) -> None:
         if progress.answer_started:
             return
         self._request_log.first_byte(request, progress)
         progress.answer_started = True
-        await sink.start(head.status, exchanges.headers_for_client(head))
+        await sink.start(head.status, http_headers.headers_for_client(head))
 
     def _region_of(self, state: InstanceState) -> RegionName | None:
         return self._selector.eligibility.topology.region(state.instance.zone)
