--- a/src/wharfcart/http/__init__.py
+++ b/src/wharfcart/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 plumbing shared by the clients of back ends and of the platform."""
+"""HTTP/1.1 connections for the clients of back ends and of the platform."""
--- a/src/wharfcart/http/connection.py
+++ b/src/wharfcart/http/connection.py
@@ -1,12 +1,12 @@
-"""One HTTP/1.1 client connection, one request at a time, that trusts no byte too many.
+"""HTTP/1.1 client connection for one request at a time, strict about malformed responses.
 
-Parsing is httptools' (llhttp). What this module adds, and why a ready-made client does not do:
+httptools (llhttp) parses the bytes. Common HTTP clients lack these checks:
 
-* an answer without a length is whole only if the peer ended the connection in order; a reset one
-  is not (the usual client takes both for whole);
-* an answer that carries another request's id is dropped, and the one that follows is awaited;
-* bytes that arrive while no request is waiting make the connection unusable;
-* an answer that came before the request's body was written leaves an unusable connection.
+* a response without a length is complete only if the peer closed the connection in order, not if
+  it reset it;
+* a response with the id of another request is dropped, and the connection waits for the next one;
+* bytes that arrive while no request is pending make the connection unusable;
+* a response that arrives before the request body is written makes the connection unusable.
 """
 
 import asyncio
@@ -21,18 +21,18 @@
 
 from wharfcart.http.dead_peer_detection import enable_dead_peer_detection
 
-# A peer that acknowledges nothing for so long is gone: longer than packets that are sent once more
-# take, shorter than a caller stays.
+# Longer than a TCP retransmission, shorter than a caller waits.
 UNACKNOWLEDGED_TIMEOUT_MS = 1500
 CONNECTION_BUFFER_BYTES = 256 * 1024
 NO_BODY_STATUSES = frozenset({204, 304})
 
 
 class ConnectFailedError(Exception):
-    """No connection came up: nothing was sent.
+    """The connection could not be opened, so nothing was sent.
 
     Attributes:
-        refused: the peer's machine answered that nobody listens; otherwise nothing is known of it.
+        refused: whether the peer's machine refused or reset the connection. If False, the state of
+            the peer is unknown.
     """
 
     def __init__(self, reason: str = "", refused: bool = False) -> None:
@@ -41,12 +41,12 @@
 
 
 class BreakCause(StrEnum):
-    """Why an exchange came to no whole answer.
+    """Why a request got no complete response.
 
     Attributes:
         CLOSED: the peer closed or reset the connection.
-        MALFORMED: what arrived was no answer to the request.
-        SLOW: this node did not wait any longer.
+        MALFORMED: the received bytes are not a valid response to the request.
+        TIMED_OUT: this node stopped waiting.
     """
 
     CLOSED = "closed"
@@ -55,11 +55,11 @@
 
 
 class ConnectionBrokenError(Exception):
-    """The connection ended, or what arrived was no HTTP, before the answer was whole.
+    """The connection closed or received malformed bytes before the response was complete.
 
     Attributes:
         sent: whether any byte of the request may have reached the peer.
-        cause: what kind of break it was.
+        cause: why the response is incomplete.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
 
 
 class ResponseHead:
-    """Status and headers of an answer; header names are in lower case."""
+    """Status and headers of a response; header names are in lower case."""
 
     __slots__ = ("headers", "status")
 
@@ -89,10 +89,12 @@
 
 @dataclass
 class _Response:
-    """What has come of the answer that is awaited.
+    """Parser state of the pending response.
 
-    ``stray``: the message at hand answers another request. ``poisoned``: a second answer came.
-    ``until_close``: the answer has no length and ends with its connection.
+    Attributes:
+        until_close: the response has no length and ends when the peer closes the connection.
+        belongs_to_other_request: the message being parsed has the id of another request.
+        has_extra_response: a second response arrived for one request.
     """
 
     status: int = 0
@@ -107,7 +109,14 @@
 
 
 class HttpConnection(asyncio.Protocol):
-    """A connection to one address."""
+    """Client connection to one address.
+
+    Attributes:
+        idle_since: monotonic time at which the last response was finished.
+        idle_limit_s: idle timeout that the peer announced, or 0.
+        closed: whether the connection is closed.
+        response_count: responses completed on this connection.
+    """
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
@@ -128,15 +137,14 @@
         self.closed = False
         self.response_count = 0
 
-    # ---- use ----
+    # ---- requests ----
 
     @classmethod
     async def open(cls, host: str, port: int, timeout_s: float) -> "HttpConnection":
-        """Connect.
+        """Open a connection.
 
-        Raises
-        ------
-        ConnectFailedError
+        Raises:
+            ConnectFailedError: the connection was not established within ``timeout_s``.
         """
         loop = asyncio.get_running_loop()
         try:
@@ -149,7 +157,7 @@
 
     @property
     def reusable(self) -> bool:
-        """Whether another request may be sent on this connection."""
+        """Whether another request can be sent on this connection."""
         return not self.closed and self._failure is None and not self._busy
 
     def send(
@@ -161,13 +169,12 @@
         id_header: str = "",
         expected_id: str = "",
     ) -> None:
-        """Write a request.
+        """Send a request.
 
-        An answer whose ``id_header`` names another request than ``expected_id`` is dropped.
+        A response whose ``id_header`` differs from ``expected_id`` is dropped.
 
-        Raises
-        ------
-        ConnectionBrokenError with ``sent`` False
+        Raises:
+            ConnectionBrokenError: the connection is not reusable; ``sent`` is False.
         """
         if not self.reusable or self._transport is None or self._transport.is_closing():
             raise ConnectionBrokenError("connection is closed", sent=False)
@@ -183,11 +190,10 @@
         self._transport.write(head + body)
 
     async def read_head(self) -> ResponseHead:
-        """Wait for status and headers.
+        """Wait for the status and headers of the response.
 
-        Raises
-        ------
-        ConnectionBrokenError
+        Raises:
+            ConnectionBrokenError: the connection broke before they arrived.
         """
         while not self._response.head_ready:
             self._raise_failure()
@@ -195,11 +201,10 @@
         return ResponseHead(self._response.status, self._response.headers)
 
     async def read_part(self) -> bytes | None:
-        """Return the next bytes of the body, or None at the end of a whole answer.
+        """Return the next bytes of the body, or None at the end of a complete response.
 
-        Raises
-        ------
-        ConnectionBrokenError
+        Raises:
+            ConnectionBrokenError: the connection broke before the response was complete.
         """
         while not self._parts:
             if self._response.complete:
@@ -215,11 +220,10 @@
         return part
 
     async def read_body(self) -> bytes:
-        """Return the rest of the body of a whole answer.
+        """Return the rest of the body of a complete response.
 
-        Raises
-        ------
-        ConnectionBrokenError
+        Raises:
+            ConnectionBrokenError: the connection broke before the response was complete.
         """
         parts = []
         while (part := await self.read_part()) is not None:
@@ -227,9 +231,9 @@
         return b"".join(parts)
 
     def finish(self, now: float) -> bool:
-        """End the use of a whole answer; return whether the connection may be kept."""
+        """Release the connection after a response; close it and return False if not reusable."""
         unsent = self._transport is not None and self._transport.get_write_buffer_size() > 0
-        kept = (
+        reusable = (
             self._response.complete
             and not self._response.has_extra_response
             and self._response.keep_alive
@@ -237,7 +241,7 @@
             and not self.closed
             and self._failure is None
         )
-        if not kept:
+        if not reusable:
             self.close()
             return False
         self._busy = False
@@ -246,7 +250,7 @@
         return True
 
     def close(self) -> None:
-        """Close at once, whatever is under way: the peer sees its caller leave."""
+        """Abort the connection at once, even while a request is pending."""
         self.closed = True
         if self._transport is not None:
             self._transport.abort()
@@ -254,20 +258,20 @@
     # ---- asyncio.Protocol ----
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
-        # uvloop's transports are no subclasses of asyncio's.
+        """Store the transport and enable dead-peer detection."""
+        # uvloop's transports are not subclasses of asyncio's.
         self._transport = cast(asyncio.Transport, transport)
         enable_dead_peer_detection(transport, UNACKNOWLEDGED_TIMEOUT_MS)
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes; without a request they make the connection unusable."""
+        """Parse received bytes; fail the connection if no request is pending."""
         if not self._busy:
-            self._fail("bytes without a request", BreakCause.MALFORMED)
+            self._fail("bytes received while no request is pending", BreakCause.MALFORMED)
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self._fail(f"no HTTP: {type(error).__name__}", BreakCause.MALFORMED)
+            self._fail(f"malformed HTTP: {type(error).__name__}", BreakCause.MALFORMED)
             return
         if self._buffered_bytes > CONNECTION_BUFFER_BYTES and self._transport is not None:
             self._reading_paused = True
@@ -275,42 +279,41 @@
         self._notify()
 
     def eof_received(self) -> bool:
-        """Complete an answer that ends with its connection; fail any other."""
-        ended_in_order = self._socket_error() == 0
+        """Complete a response that ends at close; fail any other one."""
+        closed_in_order = self._socket_error() == 0
         if (
-            ended_in_order
+            closed_in_order
             and self._response.head_ready
             and not self._response.complete
             and self._response.until_close
         ):
             self._response.complete = True
             self._response.keep_alive = False
-        self._fail("ended by the peer" if ended_in_order else "reset")
+        self._fail("ended by the peer" if closed_in_order else "reset")
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail an answer that is not whole."""
+        """Fail an incomplete response."""
         self.closed = True
         self._fail("reset" if exc is not None else "closed")
 
     # ---- httptools callbacks ----
 
     def on_message_begin(self) -> None:
-        """Begin an answer; a second one is not due."""
+        """Begin a response, or record an extra one."""
         if self._response.complete:
-            # A second answer where none is due.
             self._response.has_extra_response = True
             return
         self._response.headers = []
         self._response.belongs_to_other_request = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header."""
+        """Store a header."""
         if not self._response.has_extra_response:
             self._response.headers.append((name.decode("latin-1").lower(), value.decode("latin-1")))
 
     def on_headers_complete(self) -> None:
-        """Judge whose answer it is and how its end is known."""
+        """Check the response's request id and how its body ends."""
         if self._response.has_extra_response:
             return
         status = self._parser.get_status_code()
@@ -319,9 +322,9 @@
             return
         self._response.informational = False
         head = ResponseHead(status, self._response.headers)
-        answer_id = head.get(self._id_header) if self._id_header else None
+        response_id = head.get(self._id_header) if self._id_header else None
         self._response.belongs_to_other_request = (
-            answer_id is not None and answer_id != self._expected_id
+            response_id is not None and response_id != self._expected_id
         )
         if self._response.belongs_to_other_request:
             return
@@ -333,7 +336,7 @@
         self._set_idle_limit(head)
 
     def on_body(self, body: bytes) -> None:
-        """Keep bytes of the body."""
+        """Buffer bytes of the body."""
         if (
             self._response.has_extra_response
             or self._response.belongs_to_other_request
@@ -344,7 +347,7 @@
         self._buffered_bytes += len(body)
 
     def on_message_complete(self) -> None:
-        """Note that the answer is whole."""
+        """Record that the response is complete."""
         if (
             self._response.has_extra_response
             or self._response.belongs_to_other_request
@@ -354,13 +357,13 @@
         self._response.complete = True
         self._response.keep_alive = self._parser.should_keep_alive()
 
-    # ---- inner ----
+    # ---- internals ----
 
     def _socket_error(self) -> int:
-        """Return the error that is pending on the socket, 0 for none.
+        """Return the pending error of the socket, 0 for none.
 
-        libuv tells the end of the stream where a reset came together with the last bytes (it takes
-        the hang-up for the end without another read); only the socket still knows.
+        libuv reports end of stream when a reset arrives together with the last bytes, since it
+        treats the hang-up as the end without another read. Only the socket shows the reset.
         """
         if self._transport is None:
             return 0
--- a/src/wharfcart/http/dead_peer_detection.py
+++ b/src/wharfcart/http/dead_peer_detection.py
@@ -1,13 +1,12 @@
-"""Connections that go silent without a reset: the peer's machine is dark, or the way to it is cut.
+"""Detection of unresponsive peers on TCP connections.
 
-Nothing but the socket's own timers shows it. What was sent and is not acknowledged, and probes that
-nobody answers while nothing is sent, end the connection.
+A peer whose machine or network fails sends no reset. The kernel closes the connection when sent
+data stays unacknowledged too long, or when an idle connection's keep-alive probes get no response.
 """
 
 import asyncio
 import socket
 
-# Probes begin after so long without a byte; after so many without an answer the peer is gone.
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 MAX_KEEPALIVE_PROBES = 2
@@ -16,11 +15,11 @@
 def enable_dead_peer_detection(
     transport: asyncio.BaseTransport, unacknowledged_timeout_ms: int
 ) -> None:
-    """Have a connection end once its peer is silent.
+    """Configure a connection to fail when its peer is unresponsive.
 
     Args:
-        transport: of the connection.
-        unacknowledged_ms: for how long bytes may stay without an acknowledgement.
+        transport: transport of the connection.
+        unacknowledged_timeout_ms: how long sent data may stay unacknowledged.
     """
     raw = transport.get_extra_info("socket")
     if raw is None:
--- a/src/wharfcart/platform/batch_bodies.py
+++ b/src/wharfcart/platform/batch_bodies.py
@@ -1,4 +1,4 @@
-"""Batch calls of clients: bodies of submissions and of result pages."""
+"""JSON bodies of the batch API: submissions and result pages."""
 
 import base64
 import binascii
@@ -9,15 +9,14 @@
 
 
 class BadSubmissionError(Exception):
-    """The body of a submission is not of the agreed form."""
+    """The body of a submission is malformed."""
 
 
 def parse_items(body: bytes) -> list[RequestItem]:
-    """Read the items of a submission.
+    """Return the items of a submission.
 
-    Raises
-    ------
-    BadSubmissionError
+    Raises:
+        BadSubmissionError: the body is not valid JSON or a field is missing or malformed.
     """
     try:
         return [
@@ -38,7 +37,7 @@
 
 
 def encode_result_page(total: int, offset: int, results: Iterable[ItemOutcome]) -> bytes:
-    """Write a page of results that begins at a position."""
+    """Return the JSON of a page of results; ``offset`` is the position of the first one."""
     rows = [
         {
             "id": result.item_id,
--- a/src/wharfcart/platform/documents.py
+++ b/src/wharfcart/platform/documents.py
@@ -1,4 +1,4 @@
-"""What the operator and the servers write into the metadata store, in the product's terms."""
+"""Parsing of the documents that the operator and the servers write to the metadata store."""
 
 import json
 from dataclasses import replace
@@ -35,11 +35,11 @@
 
 
 def parse_configuration(value: bytes) -> ServingConfiguration:
-    """Read the operator's configuration.
+    """Parse the operator's configuration.
 
-    Raises
-    ------
-    ValueError, LookupError: the document is not of the form that the platform accepts.
+    Raises:
+        ValueError: the document is not valid JSON, or a value is malformed.
+        LookupError: a required field is missing.
     """
     document = json.loads(value)
     limits = document.get("limits", {})
@@ -58,7 +58,7 @@
 
 
 def parse_instance(change: KeyChange) -> BackendInstance | None:
-    """Read a server's entry; None if it was removed or can't be read."""
+    """Parse a server's entry; return None if it was removed or is invalid."""
     try:
         return server_entry.parse_instance(change)
     except server_entry.BadEntryError:
@@ -66,7 +66,7 @@
 
 
 def was_accepting(removal: KeyChange) -> bool | None:
-    """Tell whether a server whose entry was removed took requests; None if that is not known."""
+    """Return whether a server accepted requests before its entry was removed; None if unknown."""
     if removal.last_value is None:
         return None
     instance = parse_instance(replace(removal, value=removal.last_value))
@@ -74,7 +74,7 @@
 
 
 def encode_retire_status(state: str) -> bytes:
-    """Write how far the emptying of a storage machine has come."""
+    """Return the JSON of a storage node's retirement status."""
     return json.dumps({"state": state}).encode()
 
 
@@ -83,7 +83,7 @@
 
 
 def _service(service: dict[str, Any]) -> ServiceSpec:
-    # 0 and a missing field both stand for no limit.
+    # 0 and a missing field both mean no limit.
     cold_per_s = float(service.get("coldPerS") or 0)
     cold_s = float(service.get("warmupS") or 0)
     return ServiceSpec(
@@ -99,7 +99,7 @@
 
 
 def _tenant(entry: dict[str, Any]) -> ServedTenant:
-    # 0 and a missing field both stand for no limit.
+    # 0 and a missing field both mean no limit.
     per_s = float(entry.get("ratePerS") or 0)
     priority = entry.get("priority")
     return ServedTenant(
@@ -112,7 +112,7 @@
 
 
 def _caller_timeout_s(route: dict[str, Any]) -> float:
-    """Return how long a caller waits for the first event of a stream, as the pages tell it."""
+    """Return how long a caller waits for the first event of a stream."""
     objective_s = float(route.get("targetLatencyMs") or 0) / 1000
     longest_gap_s = float(route.get("gapAimMs") or 0) / 1000
     return max(
--- a/src/wharfcart/platform/etcd_json.py
+++ b/src/wharfcart/platform/etcd_json.py
@@ -1,4 +1,4 @@
-"""Key-value adapter: etcd v3 through its JSON gateway (etcd API reference v3)."""
+"""Key-value store client for the JSON gateway of etcd v3."""
 
 import base64
 from typing import Any
@@ -12,7 +12,7 @@
 
 
 class EtcdJsonStore:
-    """An etcd v3 JSON gateway."""
+    """Key-value store behind an etcd v3 JSON gateway."""
 
     def __init__(self, address: str, session: aiohttp.ClientSession, metrics: Metrics) -> None:
         self._base_url = f"http://{address}/v3/kv"
@@ -20,12 +20,12 @@
         self._metrics = metrics
 
     async def get(self, key: str) -> VersionedValue | None:
-        """Return one value."""
+        """Return the value of a key, or None."""
         found = await self._range({"key": _encode(key)})
         return found[0] if found else None
 
     async def get_prefix(self, prefix: str, min_mod_revision: int = 0) -> list[VersionedValue]:
-        """Return all values under a prefix."""
+        """Return all values under a prefix that were set at or after a revision."""
         end = prefix[:-1] + chr(ord(prefix[-1]) + 1)
         body = {"key": _encode(prefix), "range_end": _encode(end)}
         if min_mod_revision:
@@ -35,7 +35,7 @@
     async def compare_and_put(
         self, compare_key: str, expected_mod_revision: int, puts: dict[str, bytes]
     ) -> bool:
-        """Put all values in one transaction."""
+        """Write all values in one transaction; return whether the condition held."""
         compare = {
             "key": _encode(compare_key),
             "target": "MOD",
@@ -46,18 +46,18 @@
             {"request_put": {"key": _encode(key), "value": base64.b64encode(value).decode()}}
             for key, value in puts.items()
         ]
-        answer = await self._call("txn", {"compare": [compare], "success": operations}, True)
-        return bool(answer.get("succeeded", False))
+        result = await self._call("txn", {"compare": [compare], "success": operations}, True)
+        return bool(result.get("succeeded", False))
 
     async def _range(self, body: dict[str, str]) -> list[VersionedValue]:
-        answer = await self._call("range", body, False)
+        result = await self._call("range", body, False)
         return [
             VersionedValue(
                 base64.b64decode(pair["key"]).decode(),
                 base64.b64decode(pair.get("value", "")),
                 int(pair["mod_revision"]),
             )
-            for pair in answer.get("kvs", [])
+            for pair in result.get("kvs", [])
         ]
 
     async def _call(self, name: str, body: dict[str, Any], is_write: bool) -> dict[str, Any]:
@@ -68,11 +68,11 @@
                 f"{self._base_url}/{name}", json=body, timeout=timeout
             ) as response:
                 if response.status != 200:
-                    # An etcd gateway answers 4xx and 429 before it proposes anything.
+                    # An etcd gateway responds with 4xx before it proposes a write.
                     refused = 400 <= response.status < 500
                     raise KeyValueUnavailableError(f"status {response.status}", not refused)
-                answer: dict[str, Any] = await response.json()
-                return answer
+                result: dict[str, Any] = await response.json()
+                return result
         except aiohttp.ClientConnectorError as error:
             raise KeyValueUnavailableError(str(error), False) from error
         except (TimeoutError, aiohttp.ClientError, ValueError) as error:
--- a/src/wharfcart/platform/http_headers.py
+++ b/src/wharfcart/platform/http_headers.py
@@ -1,4 +1,4 @@
-"""Headers of requests and answers between clients, wharfcart and servers."""
+"""Headers of requests and responses between clients, wharfcart and model servers."""
 
 import json
 from collections.abc import Iterable
@@ -12,7 +12,7 @@
 RETRY_AFTER_HEADER = names.RETRY_AFTER
 STATUS_WRONG_INSTANCE = 421
 
-# Headers that concern one connection, or that each hop writes itself.
+# Headers that apply to one connection only, and headers that each hop sets itself.
 _HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A part of a prompt that other prompts may begin with, too."""
+    """A part of a prompt; prompts that begin with the same parts share a prefix."""
 
     part_id: str
     tokens: int
@@ -44,14 +44,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestMetadata:
-    """What a client's headers tell.
-
-    Parameters
-    ----------
-    deadline_s: how long the client waits, or None.
-    prompt: the prompt's parts in order; the last belongs to the request itself.
-    output_tokens: the most that may be generated.
-    resume_after: number of the last event that the client has, or None.
+    """Metadata of a request from the client's headers.
+
+    Attributes:
+        request_id: id of the request, or ''.
+        deadline_s: how long the client waits, in seconds, or None.
+        prompt: parts of the prompt in order; the last one is specific to the request.
+        output_tokens: maximum number of generated tokens.
+        resume_after: number of the last event that the client received, or None.
     """
 
     request_id: str
@@ -63,7 +63,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportedLoad:
-    """Requests running and waiting at a back end as it answered."""
+    """Load of a back end when it sent a response.
+
+    Attributes:
+        running: requests that run.
+        waiting: requests that wait.
+        slots: requests that can run at once.
+    """
 
     running: int
     waiting: int
@@ -71,7 +77,7 @@
 
 
 def parse_request_metadata(headers: Iterable[tuple[str, str]]) -> RequestMetadata:
-    """Read a client's headers; what is missing or can't be read counts as not given."""
+    """Parse a client's headers; ignore values that are malformed."""
     found = {name.lower(): value for name, value in headers}
     deadline_ms = _parse_number(found.get(names.DEADLINE_MS))
     tokens = (found.get(names.TOKEN_COUNT) or "").split(",")
@@ -87,14 +93,14 @@
 
 
 def parse_api_key(headers: Iterable[tuple[str, str]]) -> str:
-    """Return the key that a client shows, or ''."""
+    """Return the API key of the authorization header, or ''."""
     found = {name.lower(): value for name, value in headers}
     scheme, _, key = found.get(names.AUTHORIZATION, "").strip().partition(" ")
     return key.strip() if scheme.lower() == _AUTHORIZATION_SCHEME else ""
 
 
 def without_api_key(headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
-    """Return headers without a client's key, which no server may see."""
+    """Return headers without the client's API key, which must not reach a server."""
     return [(name, value) for name, value in headers if name.lower() != names.AUTHORIZATION]
 
 
@@ -105,14 +111,14 @@
     resume_after: int | None,
     tenant: str,
 ) -> list[tuple[str, str]]:
-    """Return the headers with which a request is passed on to one incarnation of a server.
+    """Return the headers of a request that is forwarded to one instance of a server.
 
     Args:
-        headers: of the client, without its key.
-        instance_id: the incarnation; any other one refuses the request.
-        remaining_s: until the client leaves.
-        resume_after: number of the last event that the client has, or None.
-        tenant: whose request it is; '' where that is not known.
+        headers: headers from the client, without its API key.
+        instance_id: the instance; any other instance refuses the request.
+        remaining_s: seconds until the client's deadline.
+        resume_after: number of the last event that the client received, or None.
+        tenant: tenant of the request, or '' if unknown.
     """
     passed = [
         (name, value)
@@ -129,27 +135,27 @@
 
 
 def headers_for_client(head: ResponseHead) -> list[tuple[str, str]]:
-    """Return the headers of a server's answer that are passed on."""
+    """Return the headers of a server's response that are forwarded to the client."""
     return [(name, value) for name, value in head.headers if name not in _HOP_BY_HOP_HEADERS]
 
 
 def was_not_run(head: ResponseHead) -> bool:
-    """Whether the answer proves that the server did not run the request and never will."""
+    """Return whether the response proves that the server did not and will not run the request."""
     return head.get(names.NOT_RUN) is not None or head.status == STATUS_WRONG_INSTANCE
 
 
 def is_signed(head: ResponseHead) -> bool:
-    """Whether the answer carries a server's signature."""
+    """Return whether the response has the stamp of a server."""
     return head.get(names.RESPONSE_STAMP) is not None
 
 
 def load_report_request(instance: BackendInstance) -> tuple[str, list[tuple[str, str]]]:
-    """Return path and headers of the call that asks a model server for its state."""
+    """Return path and headers of the call that requests a model server's load report."""
     return names.REPORT_PATH, [("host", f"{instance.host}:{instance.port}")]
 
 
 def parse_request_count(report: bytes) -> int | None:
-    """Return the requests that run or wait at a model server; None if its report can't be read."""
+    """Return the number of running and queued requests in a report; None if it is malformed."""
     try:
         state = json.loads(report)
         return int(state["activeRequests"]) + int(state["queuedRequests"])
@@ -158,7 +164,7 @@
 
 
 def parse_reported_load(head: ResponseHead) -> ReportedLoad | None:
-    """Return the load that the answer tells, if it does."""
+    """Return the load in a response's header, or None if it is missing or malformed."""
     parts = (head.get(names.SERVER_LOAD) or "").split(",")
     if len(parts) != 3:
         return None
--- a/src/wharfcart/platform/key_value.py
+++ b/src/wharfcart/platform/key_value.py
@@ -6,7 +6,7 @@
 
 @dataclass(frozen=True)
 class VersionedValue:
-    """A value and the service's revision that set it."""
+    """A value and the revision that set it."""
 
     key: str
     value: bytes
@@ -14,9 +14,10 @@
 
 
 class KeyValueUnavailableError(Exception):
-    """The service did not answer, or refused for its rate limit.
+    """The service did not respond, or refused the call.
 
-    ``may_have_taken_effect`` is False only on proof that a write did not happen.
+    Attributes:
+        may_have_taken_effect: False only if the write is known not to have happened.
     """
 
     def __init__(self, reason: str, may_have_taken_effect: bool) -> None:
@@ -25,14 +26,13 @@
 
 
 class KeyValueStore(Protocol):
-    """What wharfcart asks of the service. Another dialect is another class."""
+    """Interface that wharfcart needs; each kind of service has an implementation."""
 
     async def get(self, key: str) -> VersionedValue | None:
-        """Return one value.
+        """Return the value of a key, or None.
 
-        Raises
-        ------
-        KeyValueUnavailableError
+        Raises:
+            KeyValueUnavailableError: the service did not respond, or refused the call.
         """
         ...
 
@@ -43,8 +43,9 @@
     async def compare_and_put(
         self, compare_key: str, expected_mod_revision: int, puts: dict[str, bytes]
     ) -> bool:
-        """Put all values at once if ``compare_key`` was last set at the expected revision.
+        """Write all values atomically if ``compare_key`` was last set at the expected revision.
 
-        An expected revision of 0 means that the key does not exist. Return whether it took effect.
+        An expected revision of 0 means that the key does not exist. Return whether the values were
+        written.
         """
         ...
--- a/src/wharfcart/platform/machine_list.py
+++ b/src/wharfcart/platform/machine_list.py
@@ -1,4 +1,4 @@
-"""Machine list: interface, and the adapter for Prometheus HTTP service discovery."""
+"""Machine list: its interface and a client for Prometheus HTTP service discovery."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -10,7 +10,11 @@
 
 @dataclass(frozen=True)
 class ListedMachine:
-    """One back end as the list tells it, possibly some time ago."""
+    """One back end in the list, which may be out of date.
+
+    Attributes:
+        leaving: whether the machine is about to shut down.
+    """
 
     machine_id: str
     kind: str
@@ -21,24 +25,23 @@
 
 
 class MachineListUnavailableError(Exception):
-    """The list could not be read."""
+    """The machine list is unreachable or malformed."""
 
 
 class MachineList(Protocol):
-    """Source of live and leaving machines."""
+    """Source of the machines that run or are about to shut down."""
 
     async def fetch(self) -> list[ListedMachine]:
         """Return the machines.
 
-        Raises
-        ------
-        MachineListUnavailableError
+        Raises:
+            MachineListUnavailableError: the list is unreachable or malformed.
         """
         ...
 
 
 class PrometheusDiscovery:
-    """Prometheus HTTP service discovery: target groups with labels."""
+    """Machine list from the target groups of Prometheus HTTP service discovery."""
 
     def __init__(self, url: str, session: aiohttp.ClientSession) -> None:
         self._url = url
--- a/src/wharfcart/platform/metadata_store.py
+++ b/src/wharfcart/platform/metadata_store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store, as the coordination service."""
+"""Client of the platform's metadata store, which serves as the coordination service."""
 
 import asyncio
 import base64
@@ -30,7 +30,7 @@
 
 
 class MetadataStore:
-    """Client of the store; one kept connection for watches, one for everything else."""
+    """Client of the metadata store; reuses idle connections."""
 
     def __init__(self, host: str, port: int, calls: Counter) -> None:
         self._host = host
@@ -39,29 +39,33 @@
         self._idle_connections: list[HttpConnection] = []
 
     async def read_all(self, stale: bool = False) -> ChangeBatch:
-        """Return every key, a page at a time; ``stale`` ones may be seconds old."""
+        """Return every key, read page by page.
+
+        Args:
+            stale: whether values may be some seconds old.
+        """
         found: list[KeyChange] = []
         after = ""
-        at = 0
+        first_revision = 0
         while True:
             query = f"?pathPrefix=&after={quote(after, safe='')}" if after else "?pathPrefix="
             query += "&stale=1" if stale else ""
             page = await self._call("GET", names.READ_RANGE + query)
-            # Pages are no snapshot: only the first one's revision is sure to be complete.
-            at = at or int(page["at"])
+            # Later pages are newer; the batch is complete only up to the first page's revision.
+            first_revision = first_revision or int(page["at"])
             found += [_parse_change(item) for item in page["requests"]]
             if not page.get("more") or not page["requests"]:
-                return ChangeBatch(tuple(found), at, complete=True)
+                return ChangeBatch(tuple(found), first_revision, complete=True)
             after = str(page["requests"][-1]["key"])
 
     async def wait_for_changes(self, after: int, wait_s: float) -> ChangeBatch:
-        """Wait for changes after a revision."""
+        """Return the changes after a revision; wait for the first one for at most ``wait_s``."""
         query = f"?pathPrefix=&after={after}&waitMs={int(wait_s * 1000)}"
         page = await self._call("GET", names.WATCH + query, wait_s + WATCH_TIMEOUT_MARGIN_S)
         return ChangeBatch(tuple(_parse_change(event) for event in page["events"]), int(page["at"]))
 
     async def read(self, key: str) -> KeyChange | None:
-        """Return one key."""
+        """Return the value of a key and its revision, or None."""
         query = f"?key={quote(key, safe='')}"
         try:
             return _parse_change(await self._call("GET", names.READ_KEY + query))
@@ -69,7 +73,7 @@
             return None
 
     async def commit(self, transaction: Transaction) -> int:
-        """Carry out a transaction."""
+        """Execute a transaction and return its revision."""
         body = {
             "expectedRevision": [
                 {"key": key, "revision": revision} for key, revision in transaction.expected.items()
@@ -81,8 +85,8 @@
             "remove": list(transaction.remove),
         }
         data = json.dumps(body).encode()
-        answer = await self._call("POST", names.TRANSACTION, CALL_TIMEOUT_S, data)
-        return int(answer["revision"])
+        result = await self._call("POST", names.TRANSACTION, CALL_TIMEOUT_S, data)
+        return int(result["revision"])
 
     async def _call(
         self, method: str, target: str, timeout_s: float = CALL_TIMEOUT_S, body: bytes = b""
@@ -124,10 +128,10 @@
 def _parse_response(status: int, data: bytes, is_write: bool) -> dict[str, Any]:
     if status == 200:
         try:
-            answer: dict[str, Any] = json.loads(data)
+            result: dict[str, Any] = json.loads(data)
         except ValueError as error:
-            raise CoordinationUnavailableError("answer is no JSON", is_write) from error
-        return answer
+            raise CoordinationUnavailableError("response is not JSON", is_write) from error
+        return result
     if status == 404:
         raise KeyError
     if status == 410:
--- a/src/wharfcart/platform/names.py
+++ b/src/wharfcart/platform/names.py
@@ -1,4 +1,4 @@
-"""Names of the users' platform: headers, paths, keys and words. Nothing else states them."""
+"""Headers, paths and keys of the platform's interfaces; no other module may contain them."""
 
 # ---- headers ----
 REQUEST_ID = "x-request-id"
@@ -17,15 +17,15 @@
 WAIT_MS = "x-wait-ms"
 RETRY_AFTER = "retry-after"
 
-# ---- calls of clients ----
+# ---- HTTP paths for clients ----
 READINESS_PATH = "/api/readiness"
 JOB_PATH = "/api/lots/"
 ITEM_BODY_PATH = "/api/items/"
 
-# ---- calls on model servers ----
+# ---- HTTP paths of model servers ----
 REPORT_PATH = "/api/report"
 
-# ---- calls of the metadata store ----
+# ---- HTTP paths of the metadata store ----
 READ_KEY = "/api/kv-key"
 READ_RANGE = "/api/kv-range"
 WATCH = "/api/kv-watch"
--- a/src/wharfcart/platform/server_entry.py
+++ b/src/wharfcart/platform/server_entry.py
@@ -1,7 +1,7 @@
-"""A server's entry in the metadata store, read with care: others may write there, too.
+"""Validating parser for servers' entries in the metadata store.
 
-An entry of another form names no back end; what is wrong with it is told by :class:`BadEntryError`.
-Nothing else is raised, whatever the bytes are.
+Any process may write there, so the parser accepts arbitrary bytes: it raises :class:`BadEntryError`
+for an invalid entry, and no other exception.
 """
 
 import json
@@ -13,28 +13,28 @@
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.platform import names
 
-# Longer names than this are none of an operator's; they would end up in each log line.
+# Names appear in log lines, which must stay short.
 MAX_NAME_LENGTH = 256
-# Far above any server: a number beyond it is a mistake, and would draw all requests there.
+# A larger number is a mistake and would attract all requests to one server.
 MAX_SLOTS = 100_000
 MAX_PORT = 65_535
-# A server that says it is cold for longer than a day is wrong.
+# A warm-up longer than a day is a mistake.
 MAX_COLD_MS = 86_400_000.0
-# Milliseconds since 1970 that a signed 64-bit number holds.
+# Maximum of a signed 64-bit integer.
 MAX_STARTED_AT_MS = 2**63 - 1
 _PORT = re.compile("[0-9]{1,5}")
 _STATES = {"ready": True, "draining": False}
 
 
 class BadEntryError(ValueError):
-    """An entry names no back end; the text says why."""
+    """An entry is invalid; the message is the reason."""
 
 
 def parse_instance(change: KeyChange) -> BackendInstance | None:
-    """Read a server's entry; None if it was removed.
+    """Parse a server's entry; return None if it was removed.
 
     Raises:
-        BadEntryError: it can't be read, or a field is missing or out of its range.
+        BadEntryError: the entry is not a JSON object, or a field is missing or out of range.
     """
     if change.value is None:
         return None
@@ -66,20 +66,20 @@
 
 
 def _reject_constant(text: str) -> NoReturn:
-    raise BadEntryError(f"{text} is no number")
+    raise BadEntryError(f"{text} is not a JSON number")
 
 
 def _parse_instance_id(text: str) -> str:
-    # It goes into a header of each request that is sent there.
+    # The id is sent as a header value with each request to the server.
     if not 0 < len(text) <= MAX_NAME_LENGTH or not text.isascii() or not text.isprintable():
-        raise BadEntryError("the id is no name")
+        raise BadEntryError("the id is not a valid header value")
     return text
 
 
 def _parse_name(entry: dict[str, Any], field: str) -> str:
     text = entry.get(field)
     if not isinstance(text, str) or not 0 < len(text) <= MAX_NAME_LENGTH or not text.isprintable():
-        raise BadEntryError(f"{field} is no name")
+        raise BadEntryError(f"{field} is not a valid name")
     return text
 
 
@@ -88,16 +88,16 @@
     try:
         ip_address(host.removeprefix("[").removesuffix("]"))
     except ValueError:
-        raise BadEntryError("address has no IP number") from None
+        raise BadEntryError("address has no valid IP address") from None
     if not _PORT.fullmatch(port) or not 0 < int(port) <= MAX_PORT:
-        raise BadEntryError("address has no port")
+        raise BadEntryError("address has no valid port")
     return host, int(port)
 
 
 def _parse_integer(entry: dict[str, Any], field: str, minimum: int, maximum: int) -> int:
     number = entry.get(field)
     if type(number) is not int or not minimum <= number <= maximum:
-        raise BadEntryError(f"{field} is no whole number from {minimum} to {maximum}")
+        raise BadEntryError(f"{field} is not an integer from {minimum} to {maximum}")
     return number
 
 
@@ -113,5 +113,5 @@
     if number is None:
         return 0.0
     if type(number) not in (int, float) or not 0 <= number <= MAX_COLD_MS:
-        raise BadEntryError("warmupLeftMs is no time")
+        raise BadEntryError("warmupLeftMs is not a valid duration")
     return float(number)
--- a/tests/http/test_connection.py
+++ b/tests/http/test_connection.py
@@ -1,4 +1,4 @@
-"""What a peer may do to a client connection, byte by byte."""
+"""Client connections detect malformed, truncated and misdirected responses."""
 
 import asyncio
 import socket
@@ -61,12 +61,12 @@
 
 
 def test_connection_is_reusable_after_complete_response() -> None:
-    async def script(reader, writer) -> None:
+    async def server_script(reader, writer) -> None:
         for _ in range(2):
             await read_request(reader)
             writer.write(encode_response("hello"))
 
-    async def use(connection: HttpConnection) -> None:
+    async def client(connection: HttpConnection) -> None:
         for _ in range(2):
             send(connection)
             head = await connection.read_head()
@@ -74,47 +74,47 @@
             assert await connection.read_body() == b"hello"
             assert connection.finish(0.0)
 
-    run_exchange(script, use)
+    run_exchange(server_script, client)
 
 
 def test_response_without_length_ends_at_close() -> None:
-    async def script(reader, writer) -> None:
+    async def server_script(reader, writer) -> None:
         await read_request(reader)
         writer.write(b"HTTP/1.1 200 OK\r\n\r\nall of it")
         await writer.drain()
         writer.close()
 
-    async def use(connection: HttpConnection) -> None:
+    async def client(connection: HttpConnection) -> None:
         send(connection)
         await connection.read_head()
         assert await connection.read_body() == b"all of it"
         assert not connection.finish(0.0)
 
-    run_exchange(script, use)
+    run_exchange(server_script, client)
 
 
 def test_reset_response_without_length_is_incomplete() -> None:
-    async def script(reader, writer) -> None:
+    async def server_script(reader, writer) -> None:
         await read_request(reader)
         writer.write(b"HTTP/1.1 200 OK\r\n\r\npart of it")
         await writer.drain()
         await asyncio.sleep(0.05)
-        linger_never = struct.pack("ii", 1, 0)  # the close resets the connection
+        linger_zero = struct.pack("ii", 1, 0)  # the close resets the connection
         raw = writer.get_extra_info("socket")
-        raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger_never)
+        raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger_zero)
         writer.transport.abort()
 
-    async def use(connection: HttpConnection) -> None:
+    async def client(connection: HttpConnection) -> None:
         send(connection)
         await connection.read_head()
         with pytest.raises(ConnectionBrokenError):
             await connection.read_body()
 
-    run_exchange(script, use)
+    run_exchange(server_script, client)
 
 
 def test_reset_together_with_last_bytes_is_incomplete() -> None:
-    """Bench, garble unframed: libuv tells the end of the stream for data and reset at once."""
+    """libuv reports end of stream when data and a reset arrive together."""
     listener = socket.create_server(("127.0.0.1", 0))
 
     async def scenario() -> None:
@@ -126,7 +126,7 @@
         peer.recv(65536)
         peer.sendall(b"HTTP/1.1 200 OK\r\n\r\npart of it")
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        peer.close()  # both wait for this loop now
+        peer.close()  # data and reset are both pending when the loop reads
         await connection.read_head()
         with pytest.raises(ConnectionBrokenError):
             await connection.read_body()
@@ -136,52 +136,52 @@
 
 
 def test_truncated_response_is_incomplete() -> None:
-    async def script(reader, writer) -> None:
+    async def server_script(reader, writer) -> None:
         await read_request(reader)
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nshort")
         await writer.drain()
         writer.close()
 
-    async def use(connection: HttpConnection) -> None:
+    async def client(connection: HttpConnection) -> None:
         send(connection)
         await connection.read_head()
         with pytest.raises(ConnectionBrokenError):
             await connection.read_body()
 
-    run_exchange(script, use)
+    run_exchange(server_script, client)
 
 
 def test_response_to_another_request_is_dropped() -> None:
-    async def script(reader, writer) -> None:
+    async def server_script(reader, writer) -> None:
         await read_request(reader)
         writer.write(encode_response("late, for b", "b") + encode_response("mine", "a"))
 
-    async def use(connection: HttpConnection) -> None:
+    async def client(connection: HttpConnection) -> None:
         send(connection)
         await connection.read_head()
         assert await connection.read_body() == b"mine"
 
-    run_exchange(script, use)
+    run_exchange(server_script, client)
 
 
 def test_extra_response_makes_connection_unusable() -> None:
-    async def script(reader, writer) -> None:
+    async def server_script(reader, writer) -> None:
         await read_request(reader)
         writer.write(encode_response("mine") + encode_response("one too many", "z"))
         await writer.drain()
         await asyncio.sleep(1)
 
-    async def use(connection: HttpConnection) -> None:
+    async def client(connection: HttpConnection) -> None:
         send(connection)
         await connection.read_head()
         assert await connection.read_body() == b"mine"
         assert not connection.finish(0.0)
 
-    run_exchange(script, use)
+    run_exchange(server_script, client)
 
 
 def test_unsolicited_bytes_make_connection_unusable() -> None:
-    async def script(reader, writer) -> None:
+    async def server_script(reader, writer) -> None:
         await read_request(reader)
         writer.write(encode_response("mine"))
         await writer.drain()
@@ -190,7 +190,7 @@
         await writer.drain()
         await asyncio.sleep(1)
 
-    async def use(connection: HttpConnection) -> None:
+    async def client(connection: HttpConnection) -> None:
         send(connection)
         await connection.read_head()
         await connection.read_body()
@@ -201,53 +201,53 @@
             send(connection, "b")
         assert not caught.value.sent
 
-    run_exchange(script, use)
+    run_exchange(server_script, client)
 
 
 def test_response_before_request_body_was_sent_closes_connection() -> None:
-    async def script(reader, writer) -> None:
+    async def server_script(reader, writer) -> None:
         await read_request(reader)
         writer.write(encode_response("early"))
         await writer.drain()
         await asyncio.sleep(1)
 
-    async def use(connection: HttpConnection) -> None:
+    async def client(connection: HttpConnection) -> None:
         send(connection, body=b"x" * 30_000_000)
         await connection.read_head()
         assert await connection.read_body() == b"early"
         assert not connection.finish(0.0)
 
-    run_exchange(script, use)
+    run_exchange(server_script, client)
 
 
 def test_malformed_response_breaks_connection() -> None:
-    async def script(reader, writer) -> None:
+    async def server_script(reader, writer) -> None:
         await read_request(reader)
         writer.write(b"\x00\x01 not http at all\r\n\r\n")
         await writer.drain()
         await asyncio.sleep(1)
 
-    async def use(connection: HttpConnection) -> None:
+    async def client(connection: HttpConnection) -> None:
         send(connection)
         with pytest.raises(ConnectionBrokenError) as caught:
             await connection.read_head()
         assert caught.value.sent
 
-    run_exchange(script, use)
+    run_exchange(server_script, client)
 
 
 def test_idle_limit_is_read_from_keep_alive_header() -> None:
-    async def script(reader, writer) -> None:
+    async def server_script(reader, writer) -> None:
         await read_request(reader)
         writer.write(encode_response("x", extra="Keep-Alive: timeout=7\r\n"))
         await asyncio.sleep(1)
 
-    async def use(connection: HttpConnection) -> None:
+    async def client(connection: HttpConnection) -> None:
         send(connection)
         await connection.read_head()
         assert connection.idle_limit_s == 7
 
-    run_exchange(script, use)
+    run_exchange(server_script, client)
 
 
 def test_closed_port_raises_connect_failed() -> None:
--- a/tests/http/test_dead_peer_detection.py
+++ b/tests/http/test_dead_peer_detection.py
@@ -1,4 +1,4 @@
-"""Connections that go silent are noticed by the socket's own timers."""
+"""Connections have the socket options that detect dead peers."""
 
 import asyncio
 import socket
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -1,4 +1,4 @@
-"""Translation of the platform's documents and headers."""
+"""Parsing of the platform's documents and headers."""
 
 import json
 
--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -1,4 +1,4 @@
-"""The platform's names stand in its folder only."""
+"""Headers, paths and JSON fields of the platform occur only in the platform folder."""
 
 from pathlib import Path
 
@@ -13,25 +13,25 @@
 ]
 JSON_FIELDS = ["pathPrefix", "trafficSplit", "targetLatencyMs", "maxAttempts", "expectedRevision",
           "dead_letter", "nextPageToken", "warmupLeftMs", "timeoutMs"]  # fmt: skip
-# Stand-ins speak the platform's own language; generated code holds none of it.
+# The emulators implement the platform's interfaces.
 EXEMPT = (
     "platform/",
     "emulator/metadata_store.py",
     "emulator/model_server.py",
     "emulator/operator_documents.py",
 )
-# Names that wharfcart's own interface has had for long, under the same spelling.
+# Headers that are also part of wharfcart's own interface.
 SHARED_HEADERS = {"x-request-id", "retry-after", "last-event-id", "authorization"}
 
 
 def test_platform_names_occur_in_platform_folder_only() -> None:
     found = []
     for path in SOURCE.rglob("*.py"):
-        place = str(path.relative_to(SOURCE))
-        if place.startswith(EXEMPT):
+        relative_path = str(path.relative_to(SOURCE))
+        if relative_path.startswith(EXEMPT):
             continue
         text = path.read_text().lower()
         for word in (*WIRE_NAMES, *JSON_FIELDS):
             if word.lower() not in SHARED_HEADERS and f'"{word.lower()}' in text:
-                found.append(f"{place}: {word}")
+                found.append(f"{relative_path}: {word}")
     assert found == []
--- a/tests/platform/test_server_entry.py
+++ b/tests/platform/test_server_entry.py
@@ -1,4 +1,4 @@
-"""Entries of servers, whoever wrote them: what can't be used names none and harms no other."""
+"""Invalid entries of servers raise BadEntryError and nothing else."""
 
 import json
 from typing import Any
@@ -119,7 +119,7 @@
 
 
 def _read_or_refuse(value: bytes) -> None:
-    """Nothing but BadEntryError leaves the reader, and what it reads can be used."""
+    """Parse an entry; check that it raises only BadEntryError and returns a valid instance."""
     try:
         instance = server_entry.parse_instance(KeyChange("servers/i-1", 4, value))
     except server_entry.BadEntryError:
