--- a/src/wharfcart/observability/decisions.py
+++ b/src/wharfcart/observability/decisions.py
@@ -1,7 +1,7 @@
-"""The decision log: one JSON line on standard output for each decision a process takes.
+"""Decision log: one JSON line on standard output for each decision of a process.
 
-Bounded and never blocking: lines wait in memory up to a bound and are written by a thread of their
-own, a few times a second. What does not fit is dropped and counted, and the count is logged.
+The log never blocks its callers. A bounded buffer holds the lines, and a thread writes them
+periodically. Lines over the bound or the rate limit are dropped, and their count is logged.
 """
 
 import asyncio
@@ -23,12 +23,12 @@
     """A counter with one label."""
 
     def add(self, label: str) -> None:
-        """Count one."""
+        """Increment the counter of a label."""
         ...
 
 
 class Event(StrEnum):
-    """Kinds of lines; docs/operations/decision-log.md lists the fields of each."""
+    """Types of log lines; docs/operations/decision-log.md lists the fields of each."""
 
     STARTED = "started"
     STOPPING = "stopping"
@@ -84,7 +84,7 @@
 
 
 class DecisionLog:
-    """Writer of one process's decision lines."""
+    """Decision log of one process."""
 
     def __init__(self, node_id: str) -> None:
         self._node_id = node_id
@@ -94,10 +94,12 @@
         self._lines_this_second = 0
 
     def write(self, event: Event, **fields: object) -> None:
-        """Log one decision; never waits.
+        """Log one decision without blocking.
 
-        Fields are plain values: ids, the inputs that decided with their age or version, the
-        outcome.
+        Args:
+            event: type of the line.
+            fields: plain values: ids, the inputs of the decision with their age or version, and
+                the outcome.
         """
         now = time()
         if not self._admit_line(int(now)):
@@ -107,7 +109,7 @@
         self._pending_lines.append(json.dumps(line, default=str))
 
     async def run(self) -> None:
-        """Write what waits, until cancelled; a stuck reader holds up only this."""
+        """Write pending lines periodically until cancelled; never blocks the event loop."""
         while True:
             await asyncio.sleep(FLUSH_INTERVAL_S)
             if self._pending_lines:
@@ -115,7 +117,7 @@
                 await asyncio.get_running_loop().run_in_executor(None, _write_all, data)
 
     def flush(self) -> None:
-        """Write what waits before the process ends."""
+        """Write all pending lines, before the process exits."""
         if self._pending_lines:
             _write_all(self._drain_pending_lines())
 
@@ -124,8 +126,8 @@
             self._current_second = second
             self._lines_this_second = 0
         self._lines_this_second += 1
-        within = self._lines_this_second <= MAX_LINES_PER_SECOND
-        return within and len(self._pending_lines) < MAX_PENDING_LINES
+        within_rate = self._lines_this_second <= MAX_LINES_PER_SECOND
+        return within_rate and len(self._pending_lines) < MAX_PENDING_LINES
 
     def _drain_pending_lines(self) -> bytes:
         if self._dropped:
--- a/src/wharfcart/observability/logs.py
+++ b/src/wharfcart/observability/logs.py
@@ -1,4 +1,4 @@
-"""Logs: JSON lines on standard error, with the ids of the request at hand."""
+"""Logs: JSON lines on standard error, with the ids of the current request."""
 
 import logging
 import sys
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True)
 class RequestContext:
-    """Ids that each line of a request carries."""
+    """Ids that are added to each log line of a request."""
 
     request_id: str = ""
     tenant: str = ""
--- a/src/wharfcart/observability/metrics.py
+++ b/src/wharfcart/observability/metrics.py
@@ -1,6 +1,6 @@
-"""All metrics of a node in one place.
+"""Prometheus metrics of a node.
 
-Each node has a registry of its own: several nodes may share a process.
+Each node has its own registry, since several nodes can run in one process.
 """
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, generate_latest
@@ -29,20 +29,26 @@
             "wharfcart_refusals", "Requests not run", ["code"], registry=self.registry
         )
         self.batch_items = Counter(
-            "wharfcart_batch_items", "Batch items ended here", ["end"], registry=self.registry
+            "wharfcart_batch_items",
+            "Batch items finished on this node",
+            ["end"],
+            registry=self.registry,
         )
         self.batch_preemptions = Counter(
             "wharfcart_batch_yields", "Batch items stopped for online work", registry=self.registry
         )
         self.key_value_calls = Counter(
-            "wharfcart_key_value_calls", "Calls to the service", ["call"], registry=self.registry
+            "wharfcart_key_value_calls",
+            "Calls to the key-value service",
+            ["call"],
+            registry=self.registry,
         )
         self.journal_commits = Gauge(
             "wharfcart_journal_commits", "Group commits written", registry=self.registry
         )
         self.dropped_completions = Gauge(
             "wharfcart_dropped_completions",
-            "Completions that came second, led shards",
+            "Duplicate completions dropped, led shards",
             registry=self.registry,
         )
         self.configuration_revision = Gauge(
@@ -54,5 +60,5 @@
         )
 
     def render(self) -> bytes:
-        """Return the Prometheus text format."""
+        """Return the metrics in the Prometheus text format."""
         return generate_latest(self.registry)
--- a/src/wharfcart/observability/serving_metrics.py
+++ b/src/wharfcart/observability/serving_metrics.py
@@ -7,10 +7,9 @@
 from prometheus_client import Gauge as PrometheusGauge
 from prometheus_client import Histogram as PrometheusHistogram
 
-# Tenants that are refused are few; a fleet of two years from now has 270 in all.
+# Bounds the number of time series.
 MAX_TENANT_LABELS = 300
 OTHER_LABELS = "(others)"
-# More zones than any fleet has.
 MAX_ZONE_LABELS = 64
 LATENCY_BUCKETS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 8, 30)
 
@@ -27,11 +26,11 @@
 
 
 class BoundedCounter:
-    """A counter whose label takes any value, and shows so many; the rest count together.
+    """A counter with a bounded number of label values; all further values share one.
 
     Args:
-        counter: with one label.
-        most: values that are shown by themselves.
+        counter: a counter with one label.
+        max_labels: maximum number of label values with their own count.
     """
 
     def __init__(self, counter: LabelledCounter, max_labels: int) -> None:
@@ -49,11 +48,11 @@
 
 
 class BoundedGauge:
-    """A gauge whose label takes any value, and shows so many; further ones are not shown.
+    """A gauge with a bounded number of label values; further values are ignored.
 
     Args:
-        gauge: with one label.
-        most: values that are shown.
+        gauge: a gauge with one label.
+        max_labels: maximum number of label values.
     """
 
     def __init__(self, gauge: PrometheusGauge, max_labels: int) -> None:
@@ -62,17 +61,17 @@
         self._labels: set[str] = set()
 
     def set(self, label: str, value: float) -> None:
-        """Show a value."""
+        """Set the value of a label."""
         if label in self._labels or len(self._labels) < self._max_labels:
             self._labels.add(label)
             self._gauge.labels(label).set(value)
 
 
 class Gauge(Protocol):
-    """A value that rises and falls."""
+    """A metric whose value can go up and down."""
 
     def set(self, value: float) -> None:
-        """Show a value."""
+        """Set the value."""
         ...
 
 
@@ -88,7 +87,7 @@
         )
         self.outside_residence = self._counter(
             "wharfcart_outside_residence",
-            "Refused since nothing in the regions where the data may be could take it",
+            "Requests refused because no region allowed for their data could serve them",
             "what",
         )
         self.retries = self._counter("wharfcart_request_retries", "Further sends", "cause")
@@ -96,7 +95,7 @@
             "wharfcart_coordination_calls", "Calls to the coordination service", "call"
         )
         self.placements = self._counter(
-            "wharfcart_placements", "Choices of a back end, by who made them", "by"
+            "wharfcart_placements", "Back-end selections, by grant or local choice", "by"
         )
         self._peer_bytes = PrometheusCounter(
             "wharfcart_peer_bytes",
@@ -119,45 +118,45 @@
             "wharfcart_coordination_age_seconds", "Time since coordination state was last confirmed"
         )
         self.evacuated_zones = BoundedGauge(
-            self._gauge("wharfcart_zone_evacuated", "1 while nothing goes to a zone", "zone"),
+            self._gauge("wharfcart_zone_evacuated", "1 while a zone is evacuated", "zone"),
             MAX_ZONE_LABELS,
         )
         self.in_flight_in_evacuated_zones = BoundedGauge(
             self._gauge(
                 "wharfcart_zone_evacuated_in_flight",
-                "Requests of this process that still run in a zone that was emptied",
+                "Requests of this process in flight in an evacuated zone",
                 "zone",
             ),
             MAX_ZONE_LABELS,
         )
         self.cold_backends = self._gauge(
-            "wharfcart_cold_backends", "Back ends that count as cold and are sent little"
+            "wharfcart_cold_backends", "Back ends that count as cold and receive few requests"
         )
         self.quarantined_fingerprints = self._gauge(
             "wharfcart_contents_held_back",
-            "Contents of requests that are held back since back ends ended while they ran them",
+            "Request fingerprints quarantined because back ends crashed while running them",
         )
         self.open_items = self._gauge("wharfcart_open_items", "Batch items not finished, if leader")
         self.items_preempted = self._counter(
-            "wharfcart_items_yielded", "Items that left a slot for online requests", "cause"
+            "wharfcart_items_yielded", "Batch items preempted by online requests", "cause"
         )
         self.requests_waiting = self._gauge(
-            "wharfcart_requests_waiting", "Requests that wait for a slot, at the node that grants"
+            "wharfcart_requests_waiting", "Requests that wait for a slot, at the granting node"
         )
         self.replicas_behind = self._gauge(
             "wharfcart_replicas_behind", "Replicas that lack acknowledged state, if leader"
         )
 
     def count_peer_message(self, distance: str, kind: str, size_bytes: int) -> None:
-        """Count a message to another node; both labels have few values."""
+        """Count the bytes of a message to another node; both labels have few values."""
         self._peer_bytes.labels(distance, kind).inc(size_bytes)
 
     def render(self) -> bytes:
-        """Return the text format."""
+        """Return the metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
     def serve(self, host: str, port: int) -> None:
-        """Serve the text format over HTTP, from a thread of its own."""
+        """Serve the metrics over HTTP from a background thread."""
         start_http_server(port, host, self.registry)
 
     def _counter(self, name: str, description: str, label: str) -> LabelledCounter:
--- a/src/wharfcart/observability/tasks.py
+++ b/src/wharfcart/observability/tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks of one object: kept until they end, their failures logged."""
+"""Background tasks of one object: referenced until done, with failures logged."""
 
 import asyncio
 import logging
@@ -9,32 +9,33 @@
 
 
 class BackgroundTasks:
-    """Tasks that nobody awaits.
+    """Tasks that no caller awaits.
 
-    The event loop holds tasks weakly: one that nobody keeps may vanish halfway.
+    The event loop has only weak references to tasks, so an unreferenced task can be garbage
+    collected before it is done.
     """
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
 
     def spawn(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run work in a task of its own and return the task."""
+        """Run a coroutine as a task and return the task."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self.track(task)
         return task
 
     def track(self, task: asyncio.Task[None]) -> None:
-        """Keep a task until it ends."""
+        """Hold a reference to a task until it is done."""
         self._tasks.add(task)
         task.add_done_callback(self._on_task_done)
 
     def cancel(self) -> None:
-        """Cancel every task that still runs."""
+        """Cancel all running tasks."""
         for task in list(self._tasks):
             task.cancel()
 
     async def stop(self) -> None:
-        """Cancel every task and wait until all have ended."""
+        """Cancel all tasks and wait until they are done."""
         self.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
--- a/src/wharfcart/observability/timeline.py
+++ b/src/wharfcart/observability/timeline.py
@@ -1,7 +1,7 @@
-"""From a request's, job's or item's id to a timeline of decisions, over the logs of all processes.
+"""Timeline of a request, job or item, assembled from the decision logs of all processes.
 
-Beside the lines that name the id, the timeline holds what was decided at the same time about the
-back ends and nodes that those lines name: that is where most causes stand.
+Besides the lines with the id, a timeline has the context lines of the same period about the back
+ends and nodes of those lines, since they usually show the cause.
 """
 
 import json
@@ -37,7 +37,12 @@
 
 @dataclass(frozen=True)
 class LogLine:
-    """One decision; ``direct`` tells that it names the id itself."""
+    """One line of a decision log.
+
+    Attributes:
+        time: seconds since 1970.
+        direct: whether the line has the searched id, and is not context.
+    """
 
     time: float
     node: str
@@ -48,19 +53,24 @@
 
 @dataclass
 class Timeline:
-    """What the logs tell of one id, in order of time."""
+    """Log lines of one id and their context, in order of time.
+
+    Attributes:
+        wanted: the searched id.
+        lines: lines with the id and context lines.
+    """
 
     wanted: str
     lines: list[LogLine] = field(default_factory=list)
 
     @property
     def verdict(self) -> str:
-        """The last outcome that a line states, with its cause."""
+        """The last logged outcome with its cause."""
         for line in reversed(self.lines):
             if not line.direct:
                 continue
             if line.event == "request_placed":
-                return "placed, and no end is told: its gateway was killed or cut off"
+                return "placed, but no outcome was logged: its gateway was killed or cut off"
             outcome = line.fields.get("outcome") or line.event
             cause = line.fields.get("cause")
             return f"{outcome}: {cause}" if cause else str(outcome)
@@ -68,7 +78,7 @@
 
 
 def parse_decision_lines(log_lines: Iterable[str]) -> Iterator[dict[str, Any]]:
-    """Yield the decision lines among log lines; a prefix before the JSON object is passed over."""
+    """Yield the decision lines among log lines; skip any prefix before the JSON object."""
     for text in log_lines:
         start = text.find('{"time"')
         if start < 0:
@@ -82,20 +92,20 @@
 
 
 def build_timeline(searched_id: str, log_lines: Iterable[str]) -> Timeline:
-    """Gather what the logs tell of an id."""
+    """Return the timeline of an id."""
     lines = list(parse_decision_lines(log_lines))
     direct = [line for line in lines if any(line.get(name) == searched_id for name in ID_FIELDS)]
     timeline = Timeline(searched_id)
     if not direct:
         return timeline
-    first = min(_started_at(line) for line in direct)
-    last = max(float(line["time"]) for line in direct)
+    first_time = min(_started_at(line) for line in direct)
+    last_time = max(float(line["time"]) for line in direct)
     nodes = {line["node"] for line in direct}
     backends = {line["backend"] for line in direct if line.get("backend")}
     for line in lines:
-        names_it = any(line.get(name) == searched_id for name in ID_FIELDS)
-        if names_it or _is_context(line, first, last, nodes, backends):
-            timeline.lines.append(_log_line(line, names_it))
+        has_id = any(line.get(name) == searched_id for name in ID_FIELDS)
+        if has_id or _is_context(line, first_time, last_time, nodes, backends):
+            timeline.lines.append(_log_line(line, has_id))
     timeline.lines.sort(key=lambda line: line.time)
     return timeline
 
@@ -105,11 +115,11 @@
 
 
 def _is_context(
-    line: dict[str, Any], first: float, last: float, nodes: set[str], backends: set[str]
+    line: dict[str, Any], first_time: float, last_time: float, nodes: set[str], backends: set[str]
 ) -> bool:
     if line["event"] not in CONTEXT_EVENTS:
         return False
-    if not first - CONTEXT_WINDOW_S <= float(line["time"]) <= last + 1.0:
+    if not first_time - CONTEXT_WINDOW_S <= float(line["time"]) <= last_time + 1.0:
         return False
     if line.get("backend"):
         return line["backend"] in backends
--- a/src/wharfcart/settings/fields.py
+++ b/src/wharfcart/settings/fields.py
@@ -1,8 +1,7 @@
-"""Checked fields of the serving processes' settings.
+"""Validated dataclass fields for the settings of the serving processes.
 
-A gateway has to serve within a moment of its start, and loading a schema library takes as long as
-loading all of a gateway's own code. These settings are few and flat: a frozen
-dataclass whose fields each carry a check.
+A check function in the metadata of each field validates its value. Serving processes do not import
+a schema library, because that would about double their startup time.
 """
 
 import re
@@ -20,10 +19,10 @@
 
 
 class FieldsError(ValueError):
-    """Values that a model does not take.
+    """Values that are invalid for a model.
 
     Attributes:
-        reasons: why, by dotted key; '' for what concerns several fields.
+        reasons: reason by dotted key; the key is '' if a reason concerns several fields.
     """
 
     def __init__(self, reasons: Mapping[str, str]) -> None:
@@ -32,42 +31,48 @@
 
 
 def checked(check: Check, default: object = MISSING, factory: Any = MISSING) -> Any:
-    """Return a dataclass field whose value passes a check, which may return it in another form."""
+    """Return a dataclass field with a check.
+
+    Args:
+        check: validates a value and returns it, possibly converted; raises ValueError.
+        default: default value.
+        factory: function that returns the default value.
+    """
     return field(default=default, default_factory=factory, metadata={_CHECK_KEY: check})
 
 
 def read_model(model: type[Model], values: Mapping[str, object]) -> Model:
-    """Return a model's instance with checked values.
+    """Return an instance of a model with validated values.
 
     Raises:
-        FieldsError: values are missing, unknown or refused; every one of them is told.
+        FieldsError: values are missing, unknown or invalid; it has a reason for each of them.
     """
     reasons: dict[str, str] = {}
-    taken: dict[str, object] = {}
-    known = {one.name: one for one in fields(model)}  # type: ignore[arg-type]
+    accepted: dict[str, object] = {}
+    known = {model_field.name: model_field for model_field in fields(model)}  # type: ignore[arg-type]
     for key in values.keys() - known.keys():
         reasons[key] = _UNKNOWN_MESSAGE
-    for name, one in known.items():
+    for name, model_field in known.items():
         if name not in values:
-            if one.default is MISSING and one.default_factory is MISSING:
+            if model_field.default is MISSING and model_field.default_factory is MISSING:
                 reasons[name] = _MISSING_MESSAGE
             continue
         try:
-            taken[name] = one.metadata[_CHECK_KEY](values[name])
+            accepted[name] = model_field.metadata[_CHECK_KEY](values[name])
         except FieldsError as error:
             reasons |= {f"{name}.{key}": reason for key, reason in error.reasons.items()}
         except ValueError as error:
             reasons[name] = str(error)
     if reasons:
         raise FieldsError(reasons)
-    return model(**taken)
+    return model(**accepted)
 
 
 # ---- checks ----
 
 
 def string(pattern: str = "", max_length: int | None = None, min_length: int = 0) -> Check:
-    """Return a check for text that matches a pattern as a whole and has so many characters."""
+    """Return a check for text that has a length in a range and fully matches a pattern."""
     compiled = re.compile(pattern) if pattern else None
 
     def check(value: object) -> str:
@@ -83,7 +88,7 @@
 
 
 def integer(minimum: int, maximum: int) -> Check:
-    """Return a check for a whole number within bounds."""
+    """Return a check for an integer in a range."""
 
     def check(value: object) -> int:
         if isinstance(value, bool) or not isinstance(value, int):
@@ -96,55 +101,55 @@
 
 
 def positive_number(value: object) -> float:
-    """Check a number above 0."""
+    """Check that a value is a number greater than 0."""
     if isinstance(value, bool) or not isinstance(value, int | float) or not value > 0:
         raise ValueError("must be a number greater than 0")
     return float(value)
 
 
 def boolean(value: object) -> bool:
-    """Check true or false."""
+    """Check that a value is a boolean."""
     if not isinstance(value, bool):
         raise ValueError("must be true or false")
     return value
 
 
 def directory_path(value: object) -> Path:
-    """Check the path of a folder."""
+    """Check that a value is a path."""
     if not isinstance(value, str | Path):
         raise ValueError("must be a path")
     return Path(value)
 
 
 def optional(check: Check) -> Check:
-    """Return a check that takes None, too."""
+    """Return a check that also accepts None."""
     return lambda value: None if value is None else check(value)
 
 
 def list_of(check: Check) -> Check:
-    """Return a check for a list."""
+    """Return a check for a list whose items pass ``check``."""
 
     def check_list(value: object) -> list[object]:
         if not isinstance(value, list):
             raise ValueError("must be a list")
-        return [check(one) for one in value]
+        return [check(item) for item in value]
 
     return check_list
 
 
 def mapping_of(check: Check) -> Check:
-    """Return a check for a mapping by text."""
+    """Return a check for a mapping whose values pass ``check``."""
 
     def check_mapping(value: object) -> dict[str, object]:
         if not isinstance(value, dict):
             raise ValueError("must be a section")
-        return {str(key): check(one) for key, one in value.items()}
+        return {str(key): check(item) for key, item in value.items()}
 
     return check_mapping
 
 
 def section(model: type[Any]) -> Check:
-    """Return a check for a section that is a model of its own."""
+    """Return a check for a section that is parsed into ``model``."""
 
     def check_section(value: object) -> object:
         if isinstance(value, model):
--- a/src/wharfcart/settings/loading.py
+++ b/src/wharfcart/settings/loading.py
@@ -1,4 +1,4 @@
-"""Loading of settings that have a schema: every finding at once, with the place it came from."""
+"""Loading of settings with a pydantic schema; reports all findings with their sources."""
 
 from collections.abc import Mapping
 from pathlib import Path
@@ -19,13 +19,13 @@
     environment: Mapping[str, str],
     flags: Mapping[str, object] | None = None,
 ) -> Result[SettingsModel, list[Finding]]:
-    """Read and check settings; return them, or every finding.
+    """Read and validate settings; return them, or all findings.
 
     Args:
-        model: their schema.
-        path: of the file.
-        environment: variables, which go over the file.
-        flags: dotted key to value, over both; None is passed over.
+        model: schema of the settings.
+        path: path of the settings file.
+        environment: environment variables; they override the file.
+        flags: values by dotted key; they override both. None values are ignored.
     """
     try:
         given = read_raw_settings(path, environment, flags)
--- a/src/wharfcart/settings/serving.py
+++ b/src/wharfcart/settings/serving.py
@@ -1,4 +1,4 @@
-"""Settings of the serving processes: gateways and storage nodes of one fleet."""
+"""Settings of the serving processes: gateways and storage nodes."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -28,11 +28,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ToleranceSettings:
-    """What may be lost at once while every promise is kept.
+    """Failures that the fleet tolerates at the same time.
 
     Attributes:
-        storage_nodes: storage nodes with their disks.
-        zones: zones, with all nodes and back ends there.
+        storage_nodes: number of storage nodes that may fail, with their disks.
+        zones: number of zones that may fail, with all their nodes and back ends.
     """
 
     storage_nodes: int = checked(integer(0, 8), 1)
@@ -41,20 +41,20 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ServingSettings:
-    """One serving process.
+    """Settings of one serving process.
 
     Attributes:
         node_id: name of the node.
-        zone: where it stands.
+        zone: zone of the node.
         regions_by_zone: region of each zone of the fleet.
-        coordination: the coordination service.
-        cluster_listen: other nodes, TCP.
-        cluster_advertise: address told to other nodes, where it is not cluster_listen.
-        seeds: cluster addresses to ask before any peer is known.
-        first_start: the fleet starts for the first time.
-        stop_within_s: time from SIGTERM to the end.
-        tolerance: what may be lost at once.
-        metrics_listen: metrics over HTTP.
+        coordination: address of the coordination service.
+        cluster_listen: listen address for other nodes, TCP.
+        cluster_advertise: address announced to other nodes, if it differs from cluster_listen.
+        seeds: cluster addresses to contact before any peer is known.
+        first_start: whether the fleet starts for the first time.
+        stop_within_s: maximum time from SIGTERM to exit, in seconds.
+        tolerance: failures that the fleet tolerates at the same time.
+        metrics_listen: listen address for metrics, HTTP.
     """
 
     node_id: str = checked(string(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}"))
@@ -75,17 +75,17 @@
 
     @property
     def cluster_address(self) -> str:
-        """Where other nodes reach this one."""
+        """Address at which other nodes reach this one."""
         return self.cluster_advertise or self.cluster_listen
 
 
 @dataclass(frozen=True, kw_only=True)
 class GatewaySettings(ServingSettings):
-    """One gateway.
+    """Settings of one gateway.
 
     Attributes:
-        listen: callers, HTTP.
-        readiness_listen: readiness, HTTP.
+        listen: listen address for callers, HTTP.
+        readiness_listen: listen address for readiness checks, HTTP.
     """
 
     listen: str = checked(_ENDPOINT)
@@ -94,12 +94,12 @@
 
 @dataclass(frozen=True, kw_only=True)
 class StorageSettings(ServingSettings):
-    """One storage node.
+    """Settings of one storage node.
 
     Attributes:
         data_folder: folder on the node's disk.
-        job_groups: groups of jobs, fixed for good.
-        keep_jobs_s: how long an ended job stays readable.
+        job_groups: number of job groups; cannot change later.
+        keep_jobs_s: how long a finished job stays readable, in seconds.
     """
 
     data_folder: Path = checked(directory_path)
@@ -113,15 +113,15 @@
 def load_serving_settings(
     model: type[Settings], path: Path, environment: Mapping[str, str]
 ) -> Settings:
-    """Read and check the settings of a serving process.
+    """Read and validate the settings of a serving process.
 
     Args:
-        model: of its role.
-        path: of the file.
-        environment: variables, which go over the file.
+        model: settings class of the process's role.
+        path: path of the settings file.
+        environment: environment variables; they override the file.
 
     Raises:
-        FindingsError: with every finding and the place it came from.
+        FindingsError: the settings are invalid; it has all findings with their sources.
     """
     given = read_raw_settings(path, environment)
     try:
--- a/src/wharfcart/settings/sources.py
+++ b/src/wharfcart/settings/sources.py
@@ -1,4 +1,4 @@
-"""Where settings come from: a TOML file, ``WHARFCART_*`` variables over it, flags over both."""
+"""Sources of settings: a TOML file; ``WHARFCART_*`` variables override it, flags override both."""
 
 import tomllib
 from collections.abc import Mapping
@@ -9,19 +9,19 @@
 from wharfcart.errors import Finding, FindingsError
 
 VARIABLE_PREFIX = "WHARFCART_"
-CLIENT_VARIABLE_PREFIX = "WHARFCART_CLI_"  # read by the client commands, no settings of a process
-SETTINGS_VARIABLE = "WHARFCART_SETTINGS"  # names the file itself
+CLIENT_VARIABLE_PREFIX = "WHARFCART_CLI_"  # settings of the client commands
+SETTINGS_VARIABLE = "WHARFCART_SETTINGS"  # path of the settings file
 NESTING_SEPARATOR = "__"
 
 
 @dataclass(frozen=True)
 class RawSettings:
-    """Settings as they are given, not checked yet.
+    """Settings before validation.
 
     Attributes:
-        path: of the file.
-        values: by key, sections as mappings of their own.
-        sources: what set a value, by dotted key; the file where none is named.
+        path: path of the settings file.
+        values: values by key; sections are nested mappings.
+        sources: variable or flag that set a value, by dotted key; keys from the file are absent.
     """
 
     path: Path
@@ -29,23 +29,23 @@
     sources: dict[str, str]
 
     def finding(self, key: str, reason: str) -> Finding:
-        """Return what is wrong with a value, with the place it came from."""
+        """Return a finding about a value, with the value's source."""
         return Finding(self.sources.get(key, str(self.path)), key or "file", reason)
 
 
 def read_raw_settings(
     path: Path, environment: Mapping[str, str], flags: Mapping[str, object] | None = None
 ) -> RawSettings:
-    """Read all sources.
+    """Read and merge all sources.
 
     Args:
-        path: of the file.
-        environment: variables; ``WHARFCART_JOURNAL__SHARDS`` sets ``journal.shards``. A value is
-            read as TOML where it is one, else as text.
-        flags: dotted key to value; None is passed over.
+        path: path of the settings file.
+        environment: environment variables; ``WHARFCART_JOURNAL__SHARDS`` sets ``journal.shards``.
+            A value that is not valid TOML is text.
+        flags: values by dotted key; None values are ignored.
 
     Raises:
-        FindingsError: the file can't be read.
+        FindingsError: the file is unreadable or not valid TOML.
     """
     try:
         values: dict[str, Any] = tomllib.loads(path.read_text(encoding="utf-8"))
--- a/tests/observability/test_dashboard.py
+++ b/tests/observability/test_dashboard.py
@@ -1,4 +1,4 @@
-"""The dashboard for operators asks only for metrics that are served, and for each of them."""
+"""The operators' dashboard queries exactly the metrics that a process serves."""
 
 import json
 import re
@@ -36,7 +36,7 @@
 
 
 def test_panels_do_not_overlap() -> None:
-    places = [
+    positions = [
         tuple(panel["gridPos"].values()) for panel in json.loads(DASHBOARD.read_text())["panels"]
     ]
-    assert len(set(places)) == len(places)
+    assert len(set(positions)) == len(positions)
--- a/tests/observability/test_decisions.py
+++ b/tests/observability/test_decisions.py
@@ -1,4 +1,4 @@
-"""The decision log is bounded and never blocks."""
+"""Lines of the decision log, and its rate limit."""
 
 import json
 
--- a/tests/observability/test_serving_metrics.py
+++ b/tests/observability/test_serving_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of serving processes."""
+"""Bounds on label values of the serving processes' metrics."""
 
 from wharfcart.observability.serving_metrics import MAX_TENANT_LABELS, OTHER_LABELS, ServingMetrics
 
--- a/tests/observability/test_timeline.py
+++ b/tests/observability/test_timeline.py
@@ -1,4 +1,4 @@
-"""From an id to its cause."""
+"""Timelines of requests from decision logs."""
 
 import json
 
--- a/tests/settings/test_serving_settings.py
+++ b/tests/settings/test_serving_settings.py
@@ -1,4 +1,4 @@
-"""Settings of gateways and storage nodes: every finding with its place."""
+"""Settings of gateways and storage nodes: values, defaults and findings."""
 
 from pathlib import Path
 
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: file, variables, flags; every finding with its place."""
+"""Settings of nodes: precedence of sources, and findings."""
 
 from pathlib import Path
 
