--- a/src/wharfcart/http/connection.py
+++ b/src/wharfcart/http/connection.py
@@ -21,7 +21,7 @@
 
 from wharfcart.http.dead_peer_detection import enable_dead_peer_detection
 
-# Longer than a TCP retransmission, shorter than a caller waits.
+# Longer than TCP retransmissions take, shorter than callers wait.
 UNACKNOWLEDGED_TIMEOUT_MS = 1500
 CONNECTION_BUFFER_BYTES = 256 * 1024
 NO_BODY_STATUSES = frozenset({204, 304})
--- a/src/wharfcart/observability/metrics.py
+++ b/src/wharfcart/observability/metrics.py
@@ -18,12 +18,12 @@
         )
         self.first_byte_seconds = Histogram(
             "wharfcart_first_byte_seconds",
-            "Time to the first byte of an online answer",
+            "Time to the first byte of an online response",
             buckets=LATENCY_BUCKETS_S,
             registry=self.registry,
         )
         self.retries = Counter(
-            "wharfcart_retries", "Repeated dispatches", ["cause"], registry=self.registry
+            "wharfcart_retries", "Requests dispatched again", ["cause"], registry=self.registry
         )
         self.refusals = Counter(
             "wharfcart_refusals", "Requests not run", ["code"], registry=self.registry
--- a/src/wharfcart/observability/serving_metrics.py
+++ b/src/wharfcart/observability/serving_metrics.py
@@ -80,7 +80,7 @@
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
-        self.requests = self._counter("wharfcart_answers", "Answers to callers", "outcome")
+        self.requests = self._counter("wharfcart_answers", "Responses to callers", "outcome")
         self.limited_requests = BoundedCounter(
             self._counter("wharfcart_limited", "Requests over their tenant's limit", "tenant"),
             MAX_TENANT_LABELS,
@@ -90,7 +90,7 @@
             "Requests refused because no region allowed for their data could serve them",
             "what",
         )
-        self.retries = self._counter("wharfcart_request_retries", "Further sends", "cause")
+        self.retries = self._counter("wharfcart_request_retries", "Requests sent again", "cause")
         self.coordination_calls = self._counter(
             "wharfcart_coordination_calls", "Calls to the coordination service", "call"
         )
@@ -106,7 +106,7 @@
         self.item_runs = self._counter("wharfcart_items", "Runs of batch items", "outcome")
         self.first_byte_seconds = PrometheusHistogram(
             "wharfcart_first_byte_seconds",
-            "Time from a whole request to the first byte of its answer",
+            "Time from a complete request to the first byte of its response",
             ["kind"],
             buckets=LATENCY_BUCKETS_S,
             registry=self.registry,
--- a/src/wharfcart/platform/metadata_store.py
+++ b/src/wharfcart/platform/metadata_store.py
@@ -92,7 +92,7 @@
         self, method: str, target: str, timeout_s: float = CALL_TIMEOUT_S, body: bytes = b""
     ) -> dict[str, Any]:
         self._calls.add(target.partition("?")[0].rpartition("/")[2])
-        writes = method == "POST"
+        is_write = method == "POST"
         connection = await self._acquire_connection()
         try:
             async with asyncio.timeout(timeout_s):
@@ -104,13 +104,13 @@
                 data = await connection.read_body()
         except (TimeoutError, ConnectionBrokenError) as error:
             connection.close()
-            raise CoordinationUnavailableError(str(error) or "no answer", writes) from error
+            raise CoordinationUnavailableError(str(error) or "no answer", is_write) from error
         except BaseException:
             connection.close()
             raise
         if connection.finish(monotonic()):
             self._idle_connections.append(connection)
-        return _parse_response(head.status, data, writes)
+        return _parse_response(head.status, data, is_write)
 
     async def _acquire_connection(self) -> HttpConnection:
         now = monotonic()
--- a/src/wharfcart/settings/fields.py
+++ b/src/wharfcart/settings/fields.py
@@ -1,7 +1,7 @@
 """Validated dataclass fields for the settings of the serving processes.
 
 A check function in the metadata of each field validates its value. Serving processes do not import
-a schema library, because that would about double their startup time.
+a schema library, because importing one delays their startup.
 """
 
 import re
--- a/src/wharfcart/settings/schema.py
+++ b/src/wharfcart/settings/schema.py
@@ -27,7 +27,7 @@
 
     shards: int = Field(3, ge=1, le=1024, description="number of journal shards, fixed")
     replicas: int = Field(3, ge=2, le=7, description="replicas of each shard")
-    retention_hours: float = Field(24.0, gt=0, description="how long finished jobs stay readable")
+    retention_hours: float = Field(24.0, gt=0, description="how long finished work stays readable")
 
 
 class NodeSettings(StrictSettings):
