--- a/src/wharfcart/storage/disk.py
+++ b/src/wharfcart/storage/disk.py
@@ -1,4 +1,4 @@
-"""The disk of a storage node, off the event loop: one writer thread, one failure type."""
+"""Asynchronous access to a storage node's disk through one writer thread."""
 
 import asyncio
 import sqlite3
@@ -15,11 +15,11 @@
 
 
 class DiskFailedError(Exception):
-    """The disk refused: it is full, or broken. Nothing of the call is taken to be written."""
+    """The disk is full or broken. Callers must treat the call's writes as not written."""
 
 
 class Disk:
-    """A :class:`JobDatabase` whose calls don't hold up the event loop."""
+    """A :class:`JobDatabase` whose calls don't block the event loop."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
@@ -31,7 +31,7 @@
 
         Raises
         ------
-        DiskFailedError
+        DiskFailedError: the folder can't be opened.
         """
 
         def open_database() -> JobDatabase:
@@ -41,17 +41,17 @@
         return self._database.identity
 
     async def close(self) -> None:
-        """Close the file once what was begun is written."""
+        """Close the file after pending writes."""
         if self._database is not None:
             await self._run_on_writer(self._database.close)
         self._executor.shutdown(wait=False)
 
     async def promised_epoch(self, group: int) -> int:
-        """Return the highest epoch that was promised."""
+        """Return the highest promised epoch; 0 for none."""
         return await self._run_on_writer(lambda: self._require_open().promised_epoch(group))
 
     async def promise_epoch(self, group: int, epoch: int) -> bool:
-        """Obey no leader of a lower epoch."""
+        """Refuse leaders of lower epochs; return False if a higher epoch was promised."""
         return await self._run_on_writer(lambda: self._require_open().promise_epoch(group, epoch))
 
     async def job_states(self, group: int) -> list[JobState]:
@@ -59,30 +59,30 @@
         return await self._run_on_writer(lambda: self._require_open().job_states(group))
 
     async def apply_updates(self, group: int, epoch: int, updates: Sequence[JobUpdate]) -> bool:
-        """Write a leader's updates."""
+        """Write a leader's updates; return False if a higher epoch was promised."""
         return await self._run_on_writer(
             lambda: self._require_open().apply_updates(group, epoch, updates)
         )
 
     async def load_jobs(self, job_ids: Sequence[str]) -> list[JobUpdate]:
-        """Return whole records."""
+        """Return complete jobs; unknown IDs are skipped."""
         return await self._run_on_writer(lambda: self._require_open().load_jobs(job_ids))
 
     async def save_partial_texts(
         self, group: int, parts: Sequence[PartialText], finished_item_ids: Collection[str]
     ) -> None:
-        """Add events of items that still run; forget items that run no more."""
+        """Save partial texts of running items and delete those of finished items."""
         await self._run_on_writer(
             lambda: self._require_open().save_partial_texts(group, parts, finished_item_ids)
         )
 
     async def load_partial_texts(self, group: int) -> list[PartialText]:
-        """Return the events of items of open jobs."""
+        """Return the partial texts of open jobs."""
         return await self._run_on_writer(lambda: self._require_open().load_partial_texts(group))
 
     def _require_open(self) -> JobDatabase:
         if self._database is None:
-            raise DiskFailedError("not open")
+            raise DiskFailedError("the job database is not open")
         return self._database
 
     async def _run_on_writer(self, work: Callable[[], Answer]) -> Answer:
--- a/src/wharfcart/storage/group_context.py
+++ b/src/wharfcart/storage/group_context.py
@@ -1,4 +1,4 @@
-"""What the job groups of one storage node share."""
+"""Resources shared by the job groups of one storage node."""
 
 import math
 from collections.abc import Callable, Collection
@@ -17,17 +17,18 @@
 
 
 class GroupContext:
-    """What all groups of a node share.
+    """Resources shared by all groups of a node.
 
     Parameters
     ----------
-    identities: storage nodes known, identity to address.
-    retiring: identities that are to be emptied.
-    copies: replicas that must have a write before it counts.
-    spread_of: where a group's replicas should be; its home is its zones of a layout, or of the
-        layout in force where none is given.
+    identity: identity of this node's disk.
+    known_addresses: addresses of the known storage nodes, by identity of their disk.
+    retiring: identities of disks that groups must leave.
+    write_quorum: replicas that must have a write before it is committed.
+    placement_of: placement of a group's replicas; its preferred zones are those of a layout, or of
+        the current layout if None is given.
     region_of: region of a storage node's disk.
-    wanted_residences: where jobs that may come must stay, by the configuration in force.
+    configured_residences: residences in the current configuration that new jobs may have.
     resumed_at: monotonic time at which the machine's last suspension ended; -inf if none did.
     """
 
@@ -65,5 +66,5 @@
 
     @property
     def replication_factor(self) -> int:
-        """Replicas that a group has if there are enough disks: losses borne keep a quorum."""
+        """Replicas of a group if there are enough disks; tolerated failures leave a quorum."""
         return 2 * self.write_quorum - 1
--- a/src/wharfcart/storage/group_record.py
+++ b/src/wharfcart/storage/group_record.py
@@ -1,23 +1,23 @@
-"""The record of a job group in the coordination service: who leads it, which disks hold it."""
+"""Record of a job group in the coordination service: its leader and its replica set."""
 
 import json
 from dataclasses import dataclass
 
 
 class RecordInDoubtError(Exception):
-    """Whether a change of the group's record took effect is not known."""
+    """A change of the group's record may or may not have taken effect."""
 
 
 @dataclass(frozen=True, slots=True)
 class GroupRecord:
-    """One state of a group, changed only by compare-and-swap.
+    """State of a group, changed only by compare-and-swap.
 
     Parameters
     ----------
-    epoch: grows with each change of leader.
+    epoch: number that grows with each change of leader.
     leader: identity of the leader's disk.
-    members: identities of the disks that hold the group.
-    revision: of the record in the coordination service.
+    members: identities of the disks in the replica set.
+    revision: revision of the record in the coordination service.
     """
 
     epoch: int
@@ -26,13 +26,13 @@
     revision: int = 0
 
     def to_bytes(self) -> bytes:
-        """Write the record; the revision is the service's own."""
+        """Encode the record without its revision, which the coordination service assigns."""
         body = {"epoch": self.epoch, "leader": self.leader, "members": sorted(self.members)}
         return json.dumps(body).encode()
 
 
 def group_record_from(value: bytes | None, revision: int) -> GroupRecord | None:
-    """Read a record; None if there is none."""
+    """Decode a record; return None if there is none."""
     if value is None:
         return None
     body = json.loads(value)
--- a/src/wharfcart/storage/group_record_store.py
+++ b/src/wharfcart/storage/group_record_store.py
@@ -1,4 +1,4 @@
-"""Reading and swapping one job group's record in the coordination service."""
+"""Store of one job group's record in the coordination service."""
 
 from dataclasses import replace
 
@@ -13,17 +13,17 @@
 
 
 class GroupRecordStore:
-    """The record of one group."""
+    """Reads and swaps the record of one group."""
 
     def __init__(self, key: str, coordination: CoordinationService, mirror: Mirror) -> None:
         self._key = key
         self._coordination = coordination
         self._mirror = mirror
-        self._parsed: GroupRecord | None = None  # as it was read last
+        self._parsed: GroupRecord | None = None  # cache of the decoded entry
 
     @property
     def mirrored(self) -> GroupRecord | None:
-        """The record as this node's mirror has it."""
+        """Record in this node's mirror."""
         entry = self._mirror.get(self._key)
         if entry is None:
             return None
@@ -32,21 +32,21 @@
         return self._parsed
 
     async def read(self) -> GroupRecord | None:
-        """Return the record in force.
+        """Read the current record from the coordination service.
 
         Raises
         ------
-        CoordinationUnavailableError
+        CoordinationUnavailableError: the service does not answer.
         """
         entry = await self._coordination.read(self._key)
         return None if entry is None else group_record_from(entry.value, entry.revision)
 
     async def swap(self, record: GroupRecord, revision: int) -> GroupRecord | None:
-        """Put a record in place of the one of a revision; None if that surely failed.
+        """Replace the record of a revision; return None if the swap definitely failed.
 
         Raises
         ------
-        RecordInDoubtError: it may have taken effect, or may yet as long as its condition holds.
+        RecordInDoubtError: the swap took effect or still may, as long as its condition holds.
         """
         try:
             new_revision = await self._coordination.commit(
@@ -63,13 +63,13 @@
     async def swap_members(
         self, epoch: int, members: frozenset[str], leader: str
     ) -> GroupRecord | None:
-        """Put another replica set, and perhaps another leader, into force in an epoch.
+        """Set another replica set, and possibly another leader, within an epoch.
 
-        Returns the record in force, or None where nothing was changed.
+        Returns the current record, or None if nothing changed.
 
         Raises
         ------
-        RecordInDoubtError
+        RecordInDoubtError: the swap may or may not have taken effect.
         """
         known = self.mirrored
         if known is None or known.epoch != epoch:
--- a/src/wharfcart/storage/job_client.py
+++ b/src/wharfcart/storage/job_client.py
@@ -1,4 +1,4 @@
-"""A gateway's calls to the leaders of job groups: who leads, and asking again elsewhere."""
+"""Client of the job groups: finds the leader of a group and retries at another node."""
 
 import asyncio
 from collections.abc import Callable, Iterable, Sequence
@@ -15,19 +15,21 @@
 
 RETRY_DELAY_S = 0.1
 MIN_CALL_S = 0.05
-# Groups that have a job only if its residence was another once are asked for so long.
+# Timeout at groups that hold a job only if its residence has changed since it was accepted.
 FALLBACK_TIMEOUT_S = 0.6
-# While a node is waited for, this often is looked whether another one leads now.
+# Interval of the check for a new leader during a call.
 LEADER_CHECK_INTERVAL_S = 0.05
-# Cause of a failure: no group that may hold the data of a job is known.
+# Cause of a failure: no known group may hold the job's data.
 OUTSIDE_RESIDENCE = "outside_residence"
 
 
 @dataclass(frozen=True)
 class JobCallFailure:
-    """No leader answered in time.
+    """A call that no leader answered in time.
 
-    ``sent`` tells whether some node may have acted on the call.
+    Attributes:
+        may_have_executed: whether some node may have acted on the call.
+        cause: why the call failed, as a short code.
     """
 
     may_have_executed: bool
@@ -39,9 +41,11 @@
 
     Parameters
     ----------
+    transport: connections to the nodes.
+    group_count: number of job groups; 0 while that is unknown.
     record_of: the record of a group as this node knows it.
-    address_of: where the disk of an identity is reached.
-    region_of: where it is.
+    address_of: address of the node that has the disk with an identity.
+    region_of: region of that disk.
     """
 
     def __init__(
@@ -59,7 +63,7 @@
         self._region_of = region_of
 
     def eligible_groups(self, residence: Residence) -> tuple[int, ...]:
-        """Return the groups that may hold a job's data: all of their disks are where it may be."""
+        """Return the groups that may hold a job's data: those with all disks in its residence."""
         groups = range(self._group_count())
         if not residence.is_bound:
             return tuple(groups)
@@ -79,13 +83,16 @@
         attempt_timeout_s: float,
         residence: Residence = ANYWHERE,
     ) -> Frame | JobCallFailure:
-        """Ask the leader of the group that a job goes to until one answers surely or time is over.
+        """Call the leader of a new job's group until it answers definitely or the timeout ends.
 
-        Fails at once where no group may hold the job.
+        Fails at once if no group may hold the job.
 
         Parameters
         ----------
-        answer_field: the field of the answer that holds a status.
+        job_id: ID of the job; its hash picks the group.
+        frame: the call.
+        answer_field: field of the answer that holds a status.
+        timeout_s: timeout of the whole call.
         attempt_timeout_s: timeout of one attempt, on top of the observed round trip to the node.
         residence: where the data of the call may be sent.
         """
@@ -113,20 +120,20 @@
         attempt_timeout_s: float,
         residences: Iterable[Residence],
     ) -> Frame | JobCallFailure:
-        """Ask for a job that some group may have.
+        """Call the group that has a job, whichever it is.
 
-        Where a job is was settled when it was taken: by its residence then, and by the groups that
-        could hold it. First are asked the groups that its id gives now, one for each residence;
-        where none of them has it, all others. That there is no such job is answered only if every
-        group says so.
+        A job's group depends on its residence and the eligible groups at the time of its
+        submission, and both may have changed since. The client first calls the groups that the ID
+        hashes to now, one for each residence, and then all others. The answer is NOT_FOUND only if
+        every group returns it.
 
         Args:
-            job_id: of the job.
+            job_id: ID of the job.
             frame: the call.
-            answer_field: the field of the answer that holds a status.
-            timeout_s: time for the call at the groups that probably have it.
-            attempt_timeout_s: the longest that one node is waited for.
-            residences: where the data of such a job may be by the configuration in force.
+            answer_field: field of the answer that holds a status.
+            timeout_s: timeout of the call at the groups that probably have the job.
+            attempt_timeout_s: timeout of one attempt at one node.
+            residences: residences that the current configuration allows for such a job.
         """
         until = monotonic() + timeout_s
         if not await self._wait_for_groups(until):
@@ -152,7 +159,7 @@
         timeout_s: float,
         attempt_timeout_s: float,
     ) -> Frame | JobCallFailure:
-        """Return the first answer of a group that has the job, a failure, or that none has it."""
+        """Return the first answer of a group that has the job, else a failure, else NOT_FOUND."""
         calls = [
             asyncio.create_task(
                 self.call_group(
@@ -178,7 +185,7 @@
         return failure or missing
 
     async def _wait_for_groups(self, deadline: float) -> bool:
-        """Wait until it is known how many groups there are; whether it is in time."""
+        """Wait for the number of groups to be known; return False once the deadline is over."""
         while not self._group_count():
             if monotonic() > deadline:
                 return False
@@ -194,9 +201,9 @@
         attempt_timeout_s: float,
         residence: Residence = ANYWHERE,
     ) -> Frame | JobCallFailure:
-        """Ask the leader of a group; the arguments are those of :meth:`call`.
+        """Call the leader of a group; the arguments are those of :meth:`call`.
 
-        The call is sent to no node elsewhere, whoever is said to lead.
+        The call goes to no node outside the residence, even if a hint names one as the leader.
         """
         until = monotonic() + timeout_s
         sent = False
@@ -226,9 +233,9 @@
     async def _call_node(
         self, group: int, address: Address, frame: Frame, answer_field: str, timeout_s: float
     ) -> tuple[Frame | None, str, bool]:
-        """Ask one node; return its answer or None, the cause, and whether it may have acted.
+        """Call one node; return its answer or None, the cause, and whether it may have executed.
 
-        A node that falls silent is left as soon as another one leads.
+        Gives up on an unresponsive node as soon as the group has another leader.
         """
         request = Frame()
         request.CopyFrom(frame)
@@ -265,7 +272,7 @@
 
 
 def _with_group(frame: Frame, group: int) -> Frame:
-    """Return a call on a job that names the group which is asked."""
+    """Return a copy of a call with its group field set."""
     call = Frame()
     call.CopyFrom(frame)
     body = call.WhichOneof("body")
@@ -275,7 +282,7 @@
 
 
 def _is_missing(answer: Frame | JobCallFailure, answer_field: str) -> bool:
-    """Whether a group said that it has no such job."""
+    """Whether a group answered that it does not have the job."""
     if isinstance(answer, JobCallFailure):
         return False
     return bool(getattr(answer, answer_field).status == NOT_FOUND)
--- a/src/wharfcart/storage/job_database.py
+++ b/src/wharfcart/storage/job_database.py
@@ -1,7 +1,7 @@
-"""A storage node's disk: jobs of every group, promises to leaders, the disk's identity.
+"""Database of a storage node: jobs of its groups, promised epochs, identity of the disk.
 
-One SQLite file with ``synchronous=FULL``; a method that returns has its writes on disk. The
-exclusive lock comes before WAL mode, or SQLite maps a shared memory file, which the brief forbids.
+The database is one SQLite file with ``synchronous=FULL``: a method's writes are on disk once it
+returns. The exclusive lock is set before WAL mode so that SQLite does not map a shared-memory file.
 """
 
 import sqlite3
@@ -38,14 +38,14 @@
 
 
 class CorruptJobError(Exception):
-    """A record's checksum does not match: the disk must be set aside and rebuilt from peers."""
+    """A record does not match its checksum; the disk must be replaced and rebuilt from peers."""
 
 
 class JobDatabase:
-    """The file of one storage node. Every method runs on one writer thread."""
+    """Database file of one storage node. Every method runs on one writer thread."""
 
     def __init__(self, folder: Path | None) -> None:
-        """Open the file in a folder; None keeps everything in memory, for simulations."""
+        """Open the file in a folder; None opens an in-memory database for simulations."""
         if folder is not None:
             folder.mkdir(parents=True, exist_ok=True)
         self._connection = sqlite3.connect(
@@ -68,14 +68,14 @@
         self._connection.close()
 
     def promised_epoch(self, group: int) -> int:
-        """Return the highest epoch whose leader this disk obeys; 0 for none."""
+        """Return the highest epoch promised to a leader; 0 for none."""
         row = self._connection.execute(
             "select epoch from promise where job_group=?", (group,)
         ).fetchone()
         return 0 if row is None else int(row[0])
 
     def promise_epoch(self, group: int, epoch: int) -> bool:
-        """Obey no leader of a lower epoch from now on; False if a higher one was promised."""
+        """Refuse leaders of lower epochs from now on; return False if a higher one was promised."""
         known = self.promised_epoch(group)
         if known > epoch:
             return False
@@ -93,7 +93,7 @@
         ]
 
     def apply_updates(self, group: int, epoch: int, updates: Sequence[JobUpdate]) -> bool:
-        """Write a leader's updates in one commit; False if a higher epoch was promised."""
+        """Write a leader's updates in one commit; return False if a higher epoch was promised."""
         if not self.promise_epoch(group, epoch):
             return False
         if not updates:
@@ -110,11 +110,11 @@
         return True
 
     def load_jobs(self, job_ids: Iterable[str]) -> list[JobUpdate]:
-        """Return whole records; unknown ids are left out.
+        """Return complete jobs; unknown IDs are skipped.
 
         Raises
         ------
-        CorruptJobError
+        CorruptJobError: a record does not match its checksum.
         """
         found = (self._load_job(job_id) for job_id in job_ids)
         return [record for record in found if record is not None]
@@ -122,12 +122,12 @@
     def save_partial_texts(
         self, group: int, parts: Sequence[PartialText], finished_item_ids: Collection[str]
     ) -> None:
-        """Add events of items that still run, in one commit.
+        """Save partial texts of running items in one commit.
 
         Args:
-            group: whose items they are.
+            group: number of the items' group.
             parts: events that were not saved before.
-            over: items that run no more.
+            finished_item_ids: items that no longer run; their partial texts are deleted.
         """
         execute = self._connection.execute
         execute("begin immediate")
@@ -147,9 +147,9 @@
             raise
 
     def load_partial_texts(self, group: int) -> list[PartialText]:
-        """Return the events of items of open jobs, each item's in their order.
+        """Return the partial texts of open jobs, ordered by item and event number.
 
-        A part that does not match its checksum is left out, and so is what came after it.
+        Parts that do not match their checksum are skipped.
         """
         rows = self._connection.execute(
             "select value, checksum from running_text where job_group=?"
@@ -220,7 +220,7 @@
         )
 
     def _read_identity(self) -> str:
-        # A new identity for every new disk: an empty disk must never pass for the old replica.
+        # Every new disk gets a new identity, so that an empty disk does not count as a replica.
         row = self._connection.execute("select value from identity where name='self'").fetchone()
         if row is not None:
             return str(row[0])
--- a/src/wharfcart/storage/job_group.py
+++ b/src/wharfcart/storage/job_group.py
@@ -1,8 +1,8 @@
-"""One job group on one storage node: replica always, leader when its turn comes.
+"""One job group on one storage node: a replica, and at times the group's leader.
 
-A replica that has not heard its leader for a while takes the next epoch by compare-and-swap on the
-group's record. While the coordination service is away leaders stay; a lost one is replaced when the
-service is back.
+A replica that loses contact with its leader claims the next epoch by compare-and-swap on the
+group's record. During an outage of the coordination service leaders keep leading; a lost leader is
+replaced once the service is back.
 """
 
 import asyncio
@@ -47,20 +47,20 @@
 from wharfcart.storage.takeover import Takeover
 
 TICK_INTERVAL_S = 0.05
-# Three heartbeats that did not come; others must have missed them, too.
+# Three missed heartbeats; a pre-vote then asks the other replicas.
 ELECTION_TIMEOUT_S = 0.5
 ELECTION_TIMEOUT_STEP_S = 0.15
-# Replicas that have not answered when enough others have are waited for so long.
+# Wait for the remaining replicas after a quorum has answered.
 STRAGGLER_WAIT_S = 0.15
 CONFIRMATION_VALID_S = 0.75
 ELECTION_RETRY_S = 0.3
-# Events of running items are saved so often: what is younger is lost if all nodes lose power.
+# Interval of saving partial texts; newer events are lost if all nodes lose power.
 TEXT_SAVE_INTERVAL_S = 0.5
 LONG_AGO = -1e9
 
 
 class JobGroup:
-    """Replica and, at times, leader of one group."""
+    """A replica of one group, and its leader in the epochs that it wins."""
 
     def __init__(self, group: int, key: str, context: GroupContext) -> None:
         self.group = group
@@ -68,7 +68,7 @@
         self._context = context
         self._tasks = BackgroundTasks()
         self._leader_tasks = BackgroundTasks()
-        # Nothing was heard yet: others must not be told otherwise, or nobody is ever elected.
+        # A restarted replica has had no contact: if it claimed otherwise, pre-votes would fail.
         self._last_leader_contact_at = LONG_AGO
         self._next_election_at = LONG_AGO
         self._started_at = monotonic()
@@ -89,20 +89,19 @@
 
     @property
     def record(self) -> GroupRecord | None:
-        """The group's record as this node knows it."""
+        """Group record in this node's mirror."""
         return self.records.mirrored
 
     @property
     def placement(self) -> ReplicaPlacement:
-        """Where this group's replicas should be, by what is known now."""
+        """Preferred placement of this group's replicas, by the current state of the fleet."""
         return self._context.placement_of(self.group, None)
 
     @property
     def is_recently_confirmed(self) -> bool:
-        """Whether no other leader can have begun before a moment ago.
+        """Whether a quorum of replicas recently confirmed this node's leadership.
 
-        True if so many replicas confirmed this epoch lately that the others are too few to let
-        another leader in.
+        The other replicas are then too few to elect another leader.
         """
         leadership = self.leadership
         if leadership is None:
@@ -111,10 +110,10 @@
 
     @property
     def is_confirmed_since_resume(self) -> bool:
-        """Whether this node leads, as far as was confirmed since its machine was suspended last.
+        """Whether a quorum confirmed this node's leadership since its machine last resumed.
 
-        Another one may have led for long by then: what this one does for its items would be done
-        twice, or for jobs that have ended.
+        During a suspension another leader may have taken over. Without the check this node would
+        run items twice, or run items of finished jobs.
         """
         leadership = self.leadership
         if leadership is None:
@@ -122,7 +121,7 @@
         return self._is_confirmed_since(leadership, self._context.resumed_at())
 
     def _is_confirmed_since(self, leadership: JobLeadership, since: float) -> bool:
-        """Whether so many replicas confirmed this epoch that no other leader had begun by then."""
+        """Whether a quorum of replicas confirmed this epoch after a point in time."""
         confirming = sum(
             1
             for identity in leadership.members
@@ -133,7 +132,7 @@
 
     @property
     def replicas_behind(self) -> int:
-        """Replicas of the set that lack anything; 0 on a node that does not lead."""
+        """Replicas of the set that are behind; 0 on a node that does not lead."""
         leadership = self.leadership
         if leadership is None:
             return 0
@@ -141,7 +140,7 @@
 
     @property
     def disks(self) -> frozenset[str]:
-        """The disks that are written to: the replica set, the one to come, spares that are fed."""
+        """Disks that receive writes: the replica set, the next set, and spares catching up."""
         leadership = self.leadership
         if leadership is None:
             return frozenset()
@@ -150,7 +149,7 @@
         )
 
     def may_hold(self, identity: str) -> bool:
-        """Whether a disk may join the replica set, by where the group's jobs may be."""
+        """Whether a disk may join the replica set, by the residences of the group's jobs."""
         leadership = self.leadership
         if leadership is None:
             return False
@@ -163,7 +162,7 @@
         )
 
     async def wait_for_progress(self, timeout_s: float) -> bool:
-        """Wait until more counts, the leadership changes, or the time is over."""
+        """Wait for a commit or a change of leadership; return False after the timeout."""
         event = self._progress
         try:
             async with asyncio.timeout(timeout_s):
@@ -172,11 +171,11 @@
             return False
         return True
 
-    # ---- life ----
+    # ---- lifecycle ----
 
     async def start(self) -> None:
-        """Begin to follow the group."""
-        # At the same time: whoever led before leads again as soon as both are known.
+        """Start following the group."""
+        # Concurrently, since a former leader can take over only once both have been read.
         self._promised_epoch_at_start, saved = await asyncio.gather(
             self._context.disk.promised_epoch(self.group), self._load_partial_texts()
         )
@@ -185,14 +184,14 @@
         self._tasks.spawn(self._save_partial_texts(saved))
 
     async def stop(self) -> None:
-        """Hand over and end."""
+        """Transfer leadership and stop."""
         self._stopping = True
         await self._transfer_leadership_at_stop()
         self._step_down("stopping")
         await self._tasks.stop()
 
     def abort(self) -> None:
-        """End at once without a word, as a killed process does."""
+        """Stop at once without a transfer of leadership, like a killed process."""
         self._stopping = True
         self.leadership = None
         self._leader_tasks.cancel()
@@ -200,14 +199,14 @@
         self.notify_progress()
 
     def wake_sessions(self) -> None:
-        """Tell every session that there is something to write."""
+        """Wake every session to send pending writes."""
         for session in self.sessions.values():
             session.wake()
 
     # ---- as a replica ----
 
     async def handle_fence(self, message: FenceGroup) -> FenceResult:
-        """Promise an epoch to its leader, or tell whether one may be elected."""
+        """Promise an epoch to its leader, or answer a pre-vote."""
         disk = self._context.disk
         if message.ask_only:
             return FenceResult(granted=not self._has_leader_contact())
@@ -247,7 +246,7 @@
         self.partial_texts.apply(message.partial_texts)
 
     async def _load_partial_texts(self) -> SentOffsets:
-        """Take up the running texts that this disk keeps; return how much of each it does."""
+        """Load the saved partial texts; return the saved offsets by item."""
         saved = SentOffsets()
         with suppress(DiskFailedError):
             self.partial_texts.apply(await self._context.disk.load_partial_texts(self.group))
@@ -256,7 +255,7 @@
         return saved
 
     async def _save_partial_texts(self, saved: SentOffsets) -> None:
-        """Save the running texts from time to time; what could not be saved is saved anew."""
+        """Save partial texts periodically; after a failed write, save all of them again."""
         while True:
             await asyncio.sleep(TEXT_SAVE_INTERVAL_S)
             over = self.partial_texts.removed_items(saved)
@@ -269,7 +268,7 @@
                 saved = SentOffsets()
 
     async def handle_fetch(self, message: FetchJobs) -> JobUpdates:
-        """Return whole records."""
+        """Return complete jobs."""
         return JobUpdates(updates=await self._context.disk.load_jobs(list(message.job_ids)))
 
     def _has_leader_contact(self) -> bool:
@@ -292,7 +291,7 @@
             await asyncio.sleep(TICK_INTERVAL_S)
 
     async def _follow_record(self, record: GroupRecord) -> None:
-        """Lead, step down or ask to be elected, as the record has it."""
+        """Take over, step down or start an election, depending on the record."""
         if record.epoch > self._known_epoch:
             self._known_epoch = record.epoch
             self._epoch_seen_at = monotonic()
@@ -315,13 +314,13 @@
         if now < self._next_election_at:
             return False
         if record.leader == self._context.identity:
-            # An earlier life of this process led: nobody else has to fall silent first.
+            # This node led before its restart: there is no other leader to wait for.
             return now - self._last_leader_contact_at > TICK_INTERVAL_S
-        # Whoever has just been elected needs a moment to be heard.
+        # A leader that was just elected needs time for its first heartbeat.
         silent_s = now - max(self._last_leader_contact_at, self._started_at, self._epoch_seen_at)
         if silent_s <= ELECTION_TIMEOUT_S:
             return False
-        # The nearest first: a leader in another region grants its slots a round trip late.
+        # The nearest first: a leader in another region adds a round trip to each grant.
         rank = self.placement.rank_leaders(record.members).index(self._context.identity)
         return silent_s > ELECTION_TIMEOUT_S + ELECTION_TIMEOUT_STEP_S * rank
 
@@ -331,7 +330,7 @@
         known = self.record
         if known is None:
             return
-        # While the record names this node there is no other leader that could be unseated.
+        # While the record names this node there is no other leader to replace.
         led_before = known.leader == self._context.identity
         if not led_before and not await self._run_pre_vote(known):
             return
@@ -340,25 +339,25 @@
         except CoordinationUnavailableError:
             return
         if record is None or record.epoch > known.epoch:
-            return  # another one was faster; the mirror will tell
+            return  # another replica won; the mirror delivers its record
         if self._last_leader_contact_at > began_at:
-            return  # the other one leads already
+            return  # another leader has made contact meanwhile
         if self._context.identity not in record.members:
             return
         taken = replace(record, epoch=record.epoch + 1, leader=self._context.identity)
         try:
             written = await self.records.swap(taken, record.revision)
         except RecordInDoubtError:
-            return  # if it took effect, the mirror will tell
+            return  # if the swap took effect, the mirror delivers the record
         if written is not None:
             await self._take_over(written)
 
     async def _run_pre_vote(self, record: GroupRecord) -> bool:
-        """Whether enough replicas answer, none of which hears a leader.
+        """Return whether enough replicas answer and none of them has contact with a leader.
 
-        Without this a replica that is cut off from the others, but not from the coordination
-        service, would unseat a leader whom it can't replace. The lost leader itself does not
-        answer: once there are enough answers, the rest get only a moment more.
+        Without the pre-vote, a replica that is partitioned from the others but reaches the
+        coordination service would win an epoch that it can't lead. A lost leader does not answer:
+        once enough replicas have answered, the rest get only a short wait.
         """
         others = record.members - {self._context.identity}
         needed = len(record.members) - self._context.write_quorum
@@ -387,7 +386,7 @@
             return None
 
     async def _take_over(self, record: GroupRecord) -> None:
-        """Begin to lead an epoch that nobody led before."""
+        """Take over an epoch that this node has won."""
         self._last_led_epoch = record.epoch
         began_at = monotonic()
         takeover = Takeover(
@@ -408,7 +407,7 @@
         return known is not None and known.epoch > record.epoch
 
     async def responsive_disks(self, identities: list[str]) -> list[str]:
-        """Return those of some disks that answer now."""
+        """Return the disks that answer a call."""
         answers = await asyncio.gather(
             *(self._request_pre_vote(identity) for identity in identities)
         )
@@ -448,7 +447,7 @@
     # ---- as a leader ----
 
     def open_session(self, identity: str) -> ReplicaSession | None:
-        """Begin to keep a replica up to date, if that is not done yet."""
+        """Open a session that keeps a replica up to date, unless there is one."""
         leadership = self.leadership
         if leadership is None:
             return None
@@ -468,27 +467,27 @@
         return session
 
     def _partial_texts_for(self, identity: str) -> PartialTexts:
-        """Return the partial texts that a replica is told: none in another region.
+        """Return the partial texts that a replica receives: none in another region.
 
-        They change with every event, and bytes between regions cost more than the runs that a
-        leader there would begin anew.
+        Partial texts change with every event, and traffic between regions costs more than the runs
+        that a leader there would have to restart.
         """
         return PartialTexts() if self.placement.in_other_region(identity) else self.partial_texts
 
     def close_session(self, identity: str) -> None:
-        """Leave a disk that is no longer a replica."""
+        """Close the session with a disk that is no longer a replica."""
         self.sessions.pop(identity, None)
         task = self._session_tasks.pop(identity, None)
         if task is not None:
             task.cancel()
 
     def notify_progress(self) -> None:
-        """Wake everyone who waits for more to count."""
+        """Wake all waiters for a commit or a change of leadership."""
         event, self._progress = self._progress, asyncio.Event()
         event.set()
 
     def successors(self) -> list[str]:
-        """Return the other replicas that were heard just now, in the order they should lead."""
+        """Return the other responsive replicas in order of leadership preference."""
         leadership = self.leadership
         if leadership is None:
             return []
@@ -503,7 +502,7 @@
         return self.placement.rank_leaders(fresh)
 
     async def transfer_leadership(self, successor: str) -> None:
-        """Name another replica as the leader; this one steps down once it reads the record."""
+        """Name another replica as leader; this node steps down once it reads the record."""
         leadership = self.leadership
         if leadership is not None:
             with suppress(RecordInDoubtError):
--- a/src/wharfcart/storage/job_leadership.py
+++ b/src/wharfcart/storage/job_leadership.py
@@ -1,16 +1,16 @@
 """Leadership core: the state of a job group's leader in one epoch.
 
-The group's record in the coordination service names, by compare-and-swap, one leader an epoch and
-the set of replicas. Viewstamped replication's rules hold the rest:
-
-* A write counts once *copies* replicas of the set have it on disk in this epoch
-  (copies = losses to be borne + 1).
-* A new leader first has every replica that it reaches promise its epoch and tell what it holds;
-  with all but ``copies - 1`` of the set it knows everything that ever counted. Of each job it takes
-  the state with the highest epoch, then length.
-* Before it shows a state it has it written in its own epoch: a state of an older epoch that happens
-  to be on enough disks may yet lose against one of a newer epoch that is not reached now.
-* While the set changes, a write needs enough copies in the old set and in the new one.
+The group's record in the coordination service names one leader per epoch and the replica set; it
+changes by compare-and-swap. Replication follows Viewstamped Replication:
+
+* A write is committed once *write_quorum* replicas of the set have it on disk in this epoch
+  (write_quorum = tolerated failures + 1).
+* A new leader first obtains promises of its epoch, along with the state of every job, from all but
+  ``write_quorum - 1`` replicas. Together these know every committed write. For each job the leader
+  takes the state with the highest epoch, then the greatest length.
+* The leader replicates a state in its own epoch before it exposes it: a state of an older epoch on
+  a quorum of disks may still lose to a state of a newer epoch on an unreachable replica.
+* During a change of the set a write needs a quorum in the old set and in the new one.
 
 Pure: no sockets, clock, files.
 """
@@ -29,14 +29,15 @@
 
 @dataclass
 class ReplicaProgress:
-    """What one replica is known to hold.
+    """State of one replica as far as the leader knows it.
 
     Parameters
     ----------
-    base: job to the version up to which the replica's history is a prefix of the leader's.
-    written: job to the version that the replica wrote in this epoch; only this counts.
-    forget: jobs that the replica must drop.
-    lacking: jobs of which it has not written everything, the longest waiting first.
+    matched_versions: by job, the version up to which the replica's history matches the leader's.
+    written_versions: by job, the version that the replica wrote in this epoch; only these versions
+        count for a commit.
+    jobs_to_delete: jobs that the replica must delete.
+    incomplete_jobs: jobs that the replica has not completely written, in order of their change.
     """
 
     matched_versions: dict[str, int] = field(default_factory=dict)
@@ -47,13 +48,15 @@
 
 @dataclass
 class JobLeadership:
-    """Jobs of a group and how far each replica has them.
+    """Jobs of a group and the progress of each replica.
 
     Parameters
     ----------
-    copies: replicas that must have a write before it counts.
-    members: identities of the replica set in force.
-    target: identities of the set that is being changed to, or None.
+    epoch: epoch of this leadership.
+    write_quorum: replicas that must have a write on disk before it is committed.
+    members: identities of the current replica set.
+    target_members: identities of the next replica set during a change, else None.
+    jobs: jobs by ID.
     """
 
     epoch: int
@@ -70,11 +73,11 @@
 
     @property
     def required_promises(self) -> int:
-        """Replicas of the set that must tell what they hold before the leader knows everything."""
+        """Replicas of the set that must promise before the leader knows every committed write."""
         return len(self.members) - self.write_quorum + 1
 
     def inherit(self, records: Iterable[ReplicatedJob]) -> None:
-        """Begin with the newest state of each job that any of the replicas asked holds."""
+        """Start with the newest state of each job among the replicas that promised."""
         for record in records:
             job_id = record.job.job_id
             self._inherited_states[job_id] = JobState(job_id, record.epoch, record.version)
@@ -85,13 +88,13 @@
     # ---- replicas ----
 
     def add_replica(self, identity: str, states: Iterable[JobState]) -> None:
-        """Note what a replica holds that has just promised this epoch."""
+        """Add a replica that promised this epoch, with the states of its jobs."""
         progress = ReplicaProgress()
         self._replicas[identity] = progress
         for state in states:
             record = self.jobs.get(state.job_id)
             if record is None:
-                # Never counted, or forgotten since: it must not come back under a later leader.
+                # Never committed, or deleted since: a later leader must not restore it.
                 progress.jobs_to_delete.add(state.job_id)
             elif state.epoch == self.epoch:
                 progress.matched_versions[state.job_id] = progress.written_versions[
@@ -105,11 +108,11 @@
         self._advance_all_commits()
 
     def remove_replica(self, identity: str) -> None:
-        """Forget a replica's progress: its connection ended, or it is another disk now."""
+        """Remove a replica's progress after its connection closed or its disk was replaced."""
         self._replicas.pop(identity, None)
 
     def updates_for(self, identity: str) -> list[JobUpdate]:
-        """Return a bounded part of what a replica lacks."""
+        """Return the next updates for a replica, bounded in size and number."""
         progress = self._replicas.get(identity)
         if progress is None:
             return []
@@ -124,7 +127,7 @@
         return updates
 
     def record_written(self, identity: str, updates: Iterable[JobUpdate]) -> list[str]:
-        """Note updates on a replica's disk; return the jobs of which more counts now."""
+        """Record updates as written by a replica; return the jobs whose committed version grew."""
         progress = self._replicas.get(identity)
         if progress is None:
             return []
@@ -145,7 +148,7 @@
         return changed
 
     def is_behind(self, identity: str) -> bool:
-        """Whether a replica lacks anything."""
+        """Whether a replica has not written everything."""
         progress = self._replicas.get(identity)
         if progress is None:
             return True
@@ -154,11 +157,11 @@
     # ---- the replica set ----
 
     def begin_set_change(self, target_members: frozenset[str] | None) -> None:
-        """From now on writes need enough copies in this set, too."""
+        """Require a quorum in this set as well from now on; None cancels the change."""
         self.target_members = target_members
 
     def is_set_change_safe(self) -> bool:
-        """Whether the set may change to the target: everything has enough copies in it."""
+        """Whether every job is replicated on a quorum of the target set."""
         if self.target_members is None:
             return False
         return all(
@@ -167,7 +170,7 @@
         )
 
     def finish_set_change(self, members: frozenset[str]) -> None:
-        """The group's record names another set now."""
+        """Apply the replica set that the group's record now names."""
         self.members = members
         self.target_members = None
         self._advance_all_commits()
@@ -176,11 +179,11 @@
 
     @property
     def residences(self) -> frozenset[Residence]:
-        """Where the data of the jobs may be, those included that are kept after their end."""
+        """Residences of all jobs, including finished jobs that are still retained."""
         return frozenset(self._job_count_by_residence)
 
     def accept_job(self, job: RequestJob) -> ReplicatedJob:
-        """Take a job; the same id is the same job."""
+        """Accept a job; return the known job if one has the same ID."""
         known = self.jobs.get(job.job_id)
         if known is not None:
             return known
@@ -191,7 +194,7 @@
         return record
 
     def append_result(self, job_id: str, outcome: ItemOutcome) -> bool:
-        """Add a result; False if the job takes none any more or has one of that item."""
+        """Append a result; return False if the job is unknown or ended or has the result."""
         record = self.jobs.get(job_id)
         if record is None or not record.append_result(outcome):
             return False
@@ -199,7 +202,7 @@
         return True
 
     def end_job(self, job_id: str) -> ReplicatedJob | None:
-        """End a job on its caller's word; None if there is no such job."""
+        """End a job at its caller's request; return None if there is no such job."""
         record = self.jobs.get(job_id)
         if record is not None:
             record.end()
@@ -207,7 +210,7 @@
         return record
 
     def delete_job(self, job_id: str) -> None:
-        """Drop a job that has been kept long enough, here and on every replica."""
+        """Delete a job whose retention is over, here and on every replica."""
         record = self.jobs.pop(job_id, None)
         if record is None:
             return
@@ -223,11 +226,11 @@
             progress.incomplete_jobs.pop(job_id, None)
 
     def committed_version(self, job_id: str) -> int:
-        """Return the version of a job that has enough copies; 0 for none."""
+        """Return the committed version of a job; 0 for none."""
         return self._committed_versions.get(job_id, 0)
 
     def committed_results(self, job_id: str, after: int = 0) -> list[ItemOutcome]:
-        """Return the results that may be shown, from a position on."""
+        """Return the committed results from a position on."""
         record = self.jobs[job_id]
         return record.results[after : max(after, self.committed_version(job_id) - 1)]
 
@@ -244,7 +247,7 @@
         return min(inherited.version, state.version)
 
     def _replicated_version(self, job_id: str, replicas: frozenset[str]) -> int:
-        """Return the newest version that enough of some replicas have written; 0 for none."""
+        """Return the newest version that a quorum of some replicas has written; 0 for none."""
         written = sorted(
             (
                 progress.written_versions.get(job_id, 0)
@@ -256,7 +259,7 @@
         return written[self.write_quorum - 1] if len(written) >= self.write_quorum else 0
 
     def _advance_commit(self, job_id: str) -> bool:
-        """Count what has enough copies now; whether that is more than before."""
+        """Advance a job's committed version; return whether it grew."""
         record = self.jobs.get(job_id)
         if record is None:
             return False
--- a/src/wharfcart/storage/job_move_tracker.py
+++ b/src/wharfcart/storage/job_move_tracker.py
@@ -1,17 +1,17 @@
-"""Job moves core: whether jobs of a route and tenant went to other groups a while ago.
+"""Job move tracker core: whether jobs of a route and tenant recently moved to other groups.
 
-A gateway sees the configuration and the groups change. For some time after the groups that may hold
-such jobs have become others, a submission may be one that was sent before the change, and taken.
+The groups that may hold such jobs change with the configuration and the replica sets. For some time
+after a change, a submission may be a retry of one that a former group has already accepted.
 
-Pure: time is handed in as seconds.
+Pure: callers pass the time in seconds.
 """
 
 from dataclasses import dataclass, field
 
-# Who does not learn what became of a submission sends it again for so long, with a margin.
+# Clients retry a submission with unknown outcome for less than this time.
 RESUBMIT_WINDOW_S = 120.0
 
-# Name of a route, and of a tenant or ''.
+# Name of a route and name of a tenant, or '' without a tenant.
 JobSource = tuple[str, str]
 
 
@@ -20,7 +20,8 @@
     """Groups that may hold the jobs of one source.
 
     Attributes:
-        changed_at: when they became these; None if they never were others here.
+        groups: numbers of the groups.
+        changed_at: time of the last change in seconds; None if there was none.
     """
 
     groups: tuple[int, ...]
@@ -29,12 +30,12 @@
 
 @dataclass
 class JobMoveTracker:
-    """What one gateway has seen of the groups that jobs go to."""
+    """Tracks the groups that jobs of each source go to, as one gateway sees them."""
 
     _seen_by_source: dict[JobSource, _SeenGroups] = field(default_factory=dict)
 
     def has_moved_recently(self, source: JobSource, groups: tuple[int, ...], now: float) -> bool:
-        """Note the groups that may hold the jobs of a source; whether they were others of late."""
+        """Record the groups that may hold a source's jobs; return whether they changed recently."""
         seen = self._seen_by_source.setdefault(source, _SeenGroups(groups))
         if seen.groups != groups:
             seen.groups = groups
--- a/src/wharfcart/storage/job_residence.py
+++ b/src/wharfcart/storage/job_residence.py
@@ -1,10 +1,10 @@
 """Job residence core: which job groups may hold the data of a job, and which disks may join one.
 
-A job's body, partial texts and results are on the disks of its group, and on no other. A job that
-is bound to regions goes to a group all of whose disks are there: which one is drawn by its id, of
-those that may hold it. A group that holds such a job takes no disk elsewhere.
+A job's body, partial texts and results are stored on the disks of its group only. A job that is
+bound to regions goes to a group with all of its disks in these regions; a hash of the job's ID
+picks one of the eligible groups. A group that holds such a job admits no disk outside the regions.
 
-Pure.
+Pure: no sockets, clock, files.
 """
 
 from collections.abc import Callable, Collection, Iterable, Sequence
@@ -14,17 +14,17 @@
 from wharfcart.cluster.topology import RegionName
 from wharfcart.configuration.residence import Residence
 
-# Region of a disk by its identity; None where that is not known.
+# Region of a disk by its identity; None if unknown.
 RegionOf = Callable[[str], RegionName | None]
 
 
 def hash_to_group(key: str, groups: int) -> int:
-    """Return the group that a job or tenant belongs to, of one group or more."""
+    """Return the group of a job or tenant by the hash of its key."""
     return xxhash.xxh64_intdigest(key.encode()) % max(1, groups)
 
 
 def pick_group(job_id: str, groups: Sequence[int]) -> int | None:
-    """Return the group that a new job goes to, or None where none may hold it."""
+    """Return the group that a new job goes to, or None if no group may hold it."""
     if not groups:
         return None
     return groups[hash_to_group(job_id, len(groups))]
@@ -44,13 +44,13 @@
 ) -> bool:
     """Whether a disk may join a group's replica set.
 
-    It must be where every job of the group may be. And a group that can hold jobs of a residence
-    which the configuration names stays able to: a disk elsewhere would have all further
-    submissions refused.
+    The disk must be in the residence of every job of the group. It must also leave the group able
+    to hold jobs of each configured residence that it can hold now: otherwise all further
+    submissions with that residence would be refused.
 
     Args:
-        disk: that would join.
-        members: of the set now.
+        disk: identity of the disk that would join.
+        members: current members of the set.
         held: residences of the group's jobs.
         wanted: residences that jobs may come with.
         region_of: region of each disk.
--- a/src/wharfcart/storage/layout.py
+++ b/src/wharfcart/storage/layout.py
@@ -1,14 +1,14 @@
-"""Layout core: how many job groups a fleet has, and which back ends' slots each of them grants.
+"""Layout core: the number of job groups of a fleet, and the back ends whose slots each one grants.
 
-Decided once, when a fleet starts for the first time, and kept in the coordination service: jobs are
-spread over the groups by their ids, so that the number of groups can't change. A group grants the
-slots of the back ends of its zones. A small fleet has one group for everything; a large one has
-several, so that no node grants all slots, and the loss of one costs a part of them.
+The layout is fixed at the first start of a fleet and stored in the coordination service: jobs are
+distributed over the groups by a hash of their IDs, so the number of groups can't change. A group
+grants the slots of the back ends in its zones. A small fleet has one group; a large fleet has
+several, so that the loss of one granting node affects only a part of the slots.
 
-In a fleet over several regions each region with enough storage nodes has groups of its own: a slot
-that is granted in another region costs a round trip between the regions with each request.
+In a fleet over several regions each region with enough storage nodes has its own groups: a slot
+granted in another region adds a round trip between the regions to each request.
 
-Pure.
+Pure: no sockets, clock, files.
 """
 
 import json
@@ -24,22 +24,22 @@
 from wharfcart.storage.group_record import GroupRecord
 from wharfcart.storage.replica_placement import ReplicaPlacement
 
-# So many storage nodes come to one group: five replicas that bear the loss of two, and a spare.
+# Five replicas, which tolerate two failures, and a spare.
 NODES_PER_GROUP = 6
-# Each leader and each gateway holds a session with every group's granting node.
+# Bounds the sessions: each leader and gateway holds one with every group's granting node.
 MAX_GROUPS = 16
 NO_REGIONS = Topology()
 
 
 @dataclass(frozen=True)
 class Layout:
-    """The groups of a fleet.
+    """Job groups of a fleet.
 
     Attributes:
         zones_by_group: for each group, the zones whose back ends' slots it grants; several groups
             may share a zone.
-        region_by_group: for each group, the region that its replicas belong to; empty where groups
-            belong to the whole fleet.
+        region_by_group: for each group, the region of its replicas; empty if groups belong to the
+            whole fleet.
     """
 
     zones_by_group: tuple[tuple[str, ...], ...]
@@ -53,8 +53,8 @@
     def group_of(self, instance: BackendInstance, topology: Topology = NO_REGIONS) -> int:
         """Return the group that grants a back end's slots.
 
-        Those of a zone are spread over the groups that share it; those of a zone that no group has,
-        over the groups of its region, or over all where there is none.
+        The back ends of a zone are distributed over the groups that share the zone. Back ends of a
+        zone without a group are distributed over the groups of its region, or else over all groups.
         """
         sharing = [
             group for group, zones in enumerate(self.zones_by_group) if instance.zone in zones
@@ -74,7 +74,7 @@
     def may_grant_in(self, group: int, residence: Residence, topology: Topology) -> bool:
         """Whether a group may grant slots of back ends in the regions of a residence.
 
-        Those of a zone that no group names may belong to any group.
+        Back ends of a zone that no group names may belong to any group.
         """
         if not residence.is_bound:
             return True
@@ -86,26 +86,26 @@
         )
 
     def grants_zone(self, group: int, zone: str) -> bool:
-        """Whether a group grants slots of a zone."""
+        """Whether a zone is one of a group's zones."""
         return zone in self.zones_by_group[group]
 
     def distance(self, group: int, zone: str, topology: Topology) -> Distance:
-        """Return how far a zone is from the nearest back ends of a group."""
+        """Return the distance from a zone to the nearest zone of a group."""
         zones = self.zones_by_group[group]
         return min(topology.distance(zone, own) for own in zones)
 
     def region(self, group: int) -> RegionName | None:
-        """Return the region that a group's replicas belong to, or None for the whole fleet."""
+        """Return the region of a group's replicas, or None if the group has no region."""
         return self.region_by_group[group] if self.region_by_group else None
 
     def preferred_zones(self, group: int, topology: Topology) -> tuple[str, ...]:
-        """Return the zones that a group's replicas should be near."""
+        """Return the zones of a group that are in its region; its replicas should be near them."""
         zones = self.zones_by_group[group]
         region = self.region(group)
         return tuple(zone for zone in zones if region in (None, topology.region(zone)))
 
     def to_bytes(self) -> bytes:
-        """Write the layout."""
+        """Encode the layout as JSON."""
         body: dict[str, object] = {"zones_by_group": self.zones_by_group}
         if self.region_by_group:
             body["region_by_group"] = self.region_by_group
@@ -113,7 +113,7 @@
 
 
 def layout_from_bytes(value: bytes) -> Layout:
-    """Read a layout; one that was written before groups had regions has none."""
+    """Decode a layout; older layouts have no regions."""
     body = json.loads(value)
     return Layout(
         tuple(tuple(zones) for zones in body["zones_by_group"]),
@@ -124,12 +124,12 @@
 def plan_layout(
     zones_by_identity: Mapping[str, str], topology: Topology = NO_REGIONS, write_quorum: int = 1
 ) -> Layout:
-    """Return the layout of a fleet with these disks.
+    """Return the layout of a fleet.
 
     Args:
         zones_by_identity: zone of each storage node, by its disk's identity.
         topology: regions of the fleet's zones.
-        copies: replicas that must have a write; a region with fewer disks has no group.
+        write_quorum: replicas that must have a write; a region with fewer disks gets no group.
     """
     nodes_by_region = _nodes_by_region(zones_by_identity, topology)
     hosting = {region for region, nodes in nodes_by_region.items() if nodes >= write_quorum}
@@ -156,13 +156,13 @@
     replication_factor: int,
     placement_of: Callable[[int], ReplicaPlacement] | None = None,
 ) -> list[GroupRecord]:
-    """Return the first record of each group: its disks, spread over the fleet, and its leader.
+    """Return the initial record of each group: its replica set and its leader.
 
     Args:
         layout: the groups.
         zones_by_identity: zone of each storage node, by its disk's identity.
-        full_size: replicas that a group has if there are enough disks.
-        spread_of: where a group's replicas should be; None where only the zones are known.
+        replication_factor: replicas of a group if there are enough disks.
+        placement_of: placement of a group's replicas; None if only the zones are known.
     """
     identities = _interleave_zones(zones_by_identity)
     uses: Counter[str] = Counter()
@@ -192,9 +192,9 @@
 
 
 def _group_counts_by_region(nodes_by_region: Mapping[RegionName, int]) -> dict[RegionName, int]:
-    """Return the number of groups of each region, all regions together within the bound.
+    """Return the number of groups of each region, at most MAX_GROUPS in total.
 
-    Where there are more regions than groups, those with fewest nodes have none.
+    With more regions than groups, the regions with the fewest nodes get none.
     """
     largest = sorted(nodes_by_region, key=lambda region: (-nodes_by_region[region], region))
     groups = {region: _group_count_for(nodes_by_region[region]) for region in largest[:MAX_GROUPS]}
@@ -204,7 +204,7 @@
 
 
 def _divide_zones(zones: list[str], group_count: int) -> tuple[tuple[str, ...], ...]:
-    """Return the zones of each group: some for each, or one that several groups share."""
+    """Return the zones of each group: several per group, or one zone shared by several groups."""
     if group_count <= len(zones):
         return tuple(tuple(zones[group::group_count]) for group in range(group_count))
     return tuple((zones[group % len(zones)],) for group in range(group_count))
@@ -222,7 +222,7 @@
 
 
 def _interleave_zones(zones_by_identity: Mapping[str, str]) -> list[str]:
-    """Return the disks such that neighbours are in different zones."""
+    """Return the disks in an order in which neighbours are in different zones."""
     by_zone: dict[str, list[str]] = {}
     for identity, zone in sorted(zones_by_identity.items()):
         by_zone.setdefault(zone, []).append(identity)
--- a/src/wharfcart/storage/layout_bootstrap.py
+++ b/src/wharfcart/storage/layout_bootstrap.py
@@ -1,4 +1,4 @@
-"""Writes the layout of a fleet and the first record of each group, once and for all."""
+"""Bootstrap of a fleet: writes the layout and the initial record of each group."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,9 +15,9 @@
 from wharfcart.storage.layout import plan_group_records, plan_layout
 
 POLL_INTERVAL_S = 0.05
-# The storage nodes of a fleet that starts announce themselves within this time.
+# Storage nodes of a starting fleet announce themselves within this time.
 GATHER_TIMEOUT_S = 1.5
-# No other one has announced itself for so long: these are probably all.
+# Time without a new announcement after which the node list counts as complete.
 SETTLE_S = 0.3
 RETRY_DELAY_S = 0.3
 
@@ -25,13 +25,13 @@
 class LayoutBootstrap:
     """One storage node's part in the first start of a fleet.
 
-    Every node waits for the others to announce themselves. Then the one with the least identity
-    writes layout and records in one transaction, on the condition that there are none.
+    Every node waits for the others to announce themselves. The node with the lowest identity then
+    writes the layout and the records in one transaction, which fails if any of them exists.
 
     Args:
-        context: what the groups of this node share.
-        layout_key: where the layout stands.
-        group_key: where a group's record stands.
+        context: resources shared by the groups of this node.
+        layout_key: key of the layout in the coordination service.
+        group_key: key of a group's record, by the group's number.
         zones_by_identity: zone of each storage node that has announced itself.
         topology: regions of the fleet's zones.
     """
@@ -53,7 +53,7 @@
         self._known_since = monotonic()
 
     async def run(self) -> None:
-        """Wait until there is a layout; write it if that is this node's part."""
+        """Wait until there is a layout, and write it if this node is the one to do so."""
         began_at = monotonic()
         while self._context.mirror.get(self._layout_key) is None:
             await asyncio.sleep(POLL_INTERVAL_S)
@@ -77,7 +77,7 @@
         return settled or now - began_at >= GATHER_TIMEOUT_S
 
     def _covers_all_regions(self, known: dict[str, str]) -> bool:
-        """Whether every region has a node: what is laid out without one stays so for good."""
+        """Whether every region has a node; a region without one never gets its own groups."""
         regions = set(self._topology.region_by_zone.values())
         return regions <= {self._topology.region(zone) for zone in known.values()}
 
@@ -96,7 +96,7 @@
         try:
             await self._context.coordination.commit(Transaction(dict.fromkeys(put, 0), put))
         except ConditionFailedError:
-            pass  # another node was faster; the mirror will tell
+            pass  # another node has written it; the mirror delivers the layout
         except CoordinationUnavailableError as error:
             self._context.log.write(
                 Event.DEPENDENCY_LOST, dependency="coordination_service", reason=error.reason
--- a/src/wharfcart/storage/partial_texts.py
+++ b/src/wharfcart/storage/partial_texts.py
@@ -1,8 +1,7 @@
-"""What is known of items that still run: at the leader as it comes, at the replicas a moment later.
+"""Partial texts of running items, which the leader replicates asynchronously.
 
-Each node also saves them to its disk about twice a second, unasked: losing one costs a run, not a
-result. A new leader goes on after the last event, and does not try an item anew that has failed
-often enough.
+Each node also saves them to its disk periodically: losing one costs a run, not a result. A new
+leader continues after the last event and does not retry an item that has failed too often.
 """
 
 from collections.abc import Collection, Iterable
@@ -15,12 +14,14 @@
 
 @dataclass
 class ItemPartialText:
-    """Data of an item's events so far, and where it failed.
+    """Events of one item so far, and the back ends at which it failed.
 
     Parameters
     ----------
-    last_event: number of the last event, if any.
-    failed_at: incarnations that answered that it failed, once for each answer.
+    job_id: ID of the item's job.
+    last_event: number of the last event, or None.
+    texts: data of the events, in order.
+    failed_at: back-end instances that returned a failure, one entry per failure.
     """
 
     job_id: str
@@ -29,20 +30,20 @@
     failed_at: list[str] = field(default_factory=list)
 
     def add_event(self, number: int, text: str) -> None:
-        """Add the next event."""
+        """Append the next event."""
         self.last_event = number
         self.texts.append(text)
 
 
 @dataclass
 class SentOffsets:
-    """How much of each item a replica was sent, or a disk keeps: events and failures, by item."""
+    """Events and failures of each item that were sent to a replica or saved to a disk, counted."""
 
     events: dict[str, int] = field(default_factory=dict)
     failures: dict[str, int] = field(default_factory=dict)
 
     def retain_only(self, item_ids: Collection[str]) -> None:
-        """Forget the items that no longer run."""
+        """Remove all items except the given ones."""
         for sent in (self.events, self.failures):
             for item_id in sent.keys() - item_ids:
                 del sent[item_id]
@@ -50,31 +51,31 @@
 
 @dataclass
 class PartialTexts:
-    """Running texts of one job group, by item."""
+    """Partial texts of one job group, by item."""
 
     _texts: dict[str, ItemPartialText] = field(default_factory=dict)
 
     def get_or_create(self, job_id: str, item_id: str) -> ItemPartialText:
-        """Return an item's text, empty at first."""
+        """Return an item's partial text, which is created empty."""
         return self._texts.setdefault(item_id, ItemPartialText(job_id))
 
     def event_count(self, item_id: str) -> int:
-        """Return how many events an item has given so far."""
+        """Return the number of events that an item has produced so far."""
         text = self._texts.get(item_id)
         return 0 if text is None else len(text.texts)
 
     def remove_item(self, item_id: str) -> None:
-        """Forget an item that has its result."""
+        """Remove an item that has its result."""
         self._texts.pop(item_id, None)
 
     def remove_job(self, job_id: str) -> None:
-        """Forget the items of a job that is over."""
+        """Remove the items of a finished job."""
         over = [item_id for item_id, text in self._texts.items() if text.job_id == job_id]
         for item_id in over:
             del self._texts[item_id]
 
     def take_unsent(self, sent: SentOffsets) -> list[PartialText]:
-        """Return what a replica lacks that was sent so much, and note it as sent."""
+        """Return the parts that were not sent yet, bounded in size, and record them as sent."""
         news = []
         size = 0
         for item_id, text in self._texts.items():
@@ -100,11 +101,11 @@
         return news
 
     def removed_items(self, sent: SentOffsets) -> set[str]:
-        """Return the items of which something was sent and that run no more."""
+        """Return the items that were sent in part and no longer run."""
         return (sent.events.keys() | sent.failures.keys()) - self._texts.keys()
 
     def apply(self, parts: Iterable[PartialText]) -> None:
-        """Take what the leader sent; events that do not fit on are left out."""
+        """Apply parts from the leader; a part that would leave a gap is ignored."""
         for message in parts:
             text = self.get_or_create(message.job_id, message.item_id)
             text.failed_at = list(message.failed_at)
--- a/src/wharfcart/storage/replica_links.py
+++ b/src/wharfcart/storage/replica_links.py
@@ -1,4 +1,4 @@
-"""Links from a leader to replicas: its own disk, and disks of other nodes."""
+"""Links from a leader to replicas: its own disk and disks of other nodes."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -30,11 +30,11 @@
         self._disk = disk
 
     async def grants_pre_vote(self) -> bool:
-        """A replica agrees with itself."""
+        """Return True: the replica itself requests the vote."""
         return True
 
     async def fence(self, epoch: int) -> list[JobState]:
-        """Promise an epoch to itself."""
+        """Promise an epoch on the leader's own disk."""
         try:
             if not await self._disk.promise_epoch(self._group, epoch):
                 raise HigherEpochError(epoch + 1)
@@ -45,7 +45,7 @@
     async def replicate(
         self, epoch: int, updates: Sequence[JobUpdate], partial_texts: Sequence[PartialText]
     ) -> None:
-        """Write updates; the leader has the partial texts in memory already."""
+        """Write updates; the partial texts are already in the leader's memory."""
         if not updates:
             return
         try:
@@ -62,11 +62,11 @@
             raise ReplicaFailedError(str(error)) from error
 
     def round_trip_s(self) -> float:
-        """The disk is here."""
+        """Return 0: the disk is local."""
         return 0.0
 
     def drop_connection(self) -> None:
-        """There is no connection."""
+        """Do nothing: there is no connection."""
 
 
 class RemoteReplicaLink:
@@ -87,12 +87,12 @@
         self._transport = transport
 
     async def grants_pre_vote(self) -> bool:
-        """Ask whether the replica hears no leader."""
+        """Ask whether the replica has no contact with a leader."""
         message = FenceGroup(group=self._group, target=self._target, ask_only=True)
         return (await self._call(Frame(fence_group=message))).fence_result.granted
 
     async def fence(self, epoch: int) -> list[JobState]:
-        """Have the replica promise an epoch."""
+        """Obtain the replica's promise of an epoch and the states of its jobs."""
         message = FenceGroup(
             group=self._group, epoch=epoch, leader=self._leader, target=self._target
         )
@@ -104,7 +104,7 @@
     async def replicate(
         self, epoch: int, updates: Sequence[JobUpdate], partial_texts: Sequence[PartialText]
     ) -> None:
-        """Have updates written."""
+        """Write updates; return once they are on the replica's disk."""
         message = ReplicateJobs(
             group=self._group,
             epoch=epoch,
@@ -124,12 +124,12 @@
         return list(answer.job_updates.updates)
 
     def round_trip_s(self) -> float:
-        """Return the least time that a message there and back took lately."""
+        """Return the minimum recent round-trip time in seconds; 0 if unknown."""
         address = self._address_of(self._target)
         return 0.0 if address is None else self._transport.round_trip_s(address)
 
     def drop_connection(self) -> None:
-        """Leave the connection, which may have died without a word."""
+        """Drop the connection, which may be dead."""
         address = self._address_of(self._target)
         if address is not None:
             self._transport.drop(address)
@@ -137,28 +137,28 @@
     def _refusal_error(self, promised: int, epoch: int) -> Exception:
         if promised > epoch:
             return HigherEpochError(promised)
-        return ReplicaFailedError("replica refused: disk or identity")
+        return ReplicaFailedError("replica refused the call: its disk failed or was replaced")
 
     async def _call(self, frame: Frame) -> Frame:
         address = self._address_of(self._target)
         if address is None:
-            raise ReplicaFailedError("no address: the disk is gone")
+            raise ReplicaFailedError("no address known for the replica's disk")
         try:
             async with asyncio.timeout(CALL_TIMEOUT_S):
                 return await self._transport.call(address, frame)
         except TimeoutError as error:
-            # The connection may have died without a word: the next call begins a new one.
+            # The connection may be dead: the next call opens a new one.
             self._transport.drop(address)
-            raise ReplicaFailedError("no answer in time") from error
+            raise ReplicaFailedError("replica did not answer in time") from error
         except (PeerUnreachableError, ServingError) as error:
             raise ReplicaFailedError(str(error)) from error
 
 
 def state_from_message(digest: JobDigest) -> JobState:
-    """Read a digest."""
+    """Decode a digest."""
     return JobState(digest.job_id, digest.epoch, 1 + digest.results + int(digest.ended))
 
 
 def state_to_message(state: JobState) -> JobDigest:
-    """Write a digest; only the length counts, so the end is told as part of it."""
+    """Encode a state; the end marker counts as part of ``results``, only the length matters."""
     return JobDigest(job_id=state.job_id, epoch=state.epoch, results=state.version - 1)
--- a/src/wharfcart/storage/replica_placement.py
+++ b/src/wharfcart/storage/replica_placement.py
@@ -1,10 +1,10 @@
-"""Replica spread core: which disks should hold a job group, and which of them should lead it.
+"""Replica placement core: which disks should hold a job group, and which of them should lead it.
 
-A group's home is the zones whose back ends' slots it grants. Its replicas are to be near them: each
-write waits for some of them, and its leader answers the gateways there. And they are to be spread
-over zones such that the zones that may be lost at once never hold every copy of a write.
+A group prefers the zones whose back ends' slots it grants: its leader serves the gateways there,
+and each write waits for several replicas. The replicas are also distributed over zones so that a
+tolerated number of zone failures never destroys every copy of a write.
 
-Pure.
+Pure: no sockets, clock, files.
 """
 
 from collections import Counter
@@ -20,15 +20,15 @@
 
 @dataclass(frozen=True)
 class ReplicaPlacement:
-    """Where the replicas of one group should be, by what is known of the fleet now.
+    """Placement rules for the replicas of one group, given the known disks of the fleet.
 
     Attributes:
-        copies: replicas that must have a write before it counts.
-        full_size: replicas that the group has if there are enough disks.
+        write_quorum: replicas that must have a write before it is committed.
+        replication_factor: replicas of the group if there are enough disks.
         zones_by_identity: zone of each storage node, by its disk's identity.
         topology: regions of the zones.
-        home_zones: zones whose back ends' slots the group grants; none for all zones.
-        zones_lost: zones that may be lost at once.
+        preferred_zones: zones whose back ends' slots the group grants; empty for all zones.
+        tolerated_zone_failures: zones that may fail at the same time.
         may_hold: whether a disk may hold the group at all.
     """
 
@@ -42,20 +42,20 @@
 
     @property
     def max_per_zone(self) -> int:
-        """Replicas that a zone may hold at most.
+        """Maximum number of replicas in one zone.
 
-        A write has ``copies`` copies, so that one is left if fewer than that are lost.
+        A committed write has ``write_quorum`` copies, so one is left if fewer copies are lost.
         """
         if self.tolerated_zone_failures == 0:
             return self.replication_factor
         return max(1, (self.write_quorum - 1) // self.tolerated_zone_failures)
 
     def zone_of(self, identity: str) -> str:
-        """Return the zone of a disk; '' while that is not known."""
+        """Return the zone of a disk, or '' if unknown."""
         return self.zones_by_identity.get(identity, "")
 
     def distance_to(self, identity: str) -> Distance:
-        """Return how far a disk is from the group's home."""
+        """Return the distance from a disk to the nearest preferred zone."""
         if not self.preferred_zones:
             return Distance.SAME_ZONE
         zone = self.zone_of(identity)
@@ -66,7 +66,7 @@
         return self.distance_to(identity) == Distance.OTHER_REGION
 
     def rank_leaders(self, members: Iterable[str]) -> list[str]:
-        """Return the members in the order in which they should lead, the nearest first."""
+        """Return the members in order of leadership preference, the nearest first."""
         return sorted(members, key=lambda identity: (self.distance_to(identity), identity))
 
     def choose_additions(
@@ -77,14 +77,14 @@
     ) -> list[str]:
         """Return the spares that should join the kept members, the best first.
 
-        One that would overfill its zone does not join a set that is large enough to write and
-        bears the loss of zones: a group that is not full still has what counted afterwards, an
-        overfilled one may not.
+        A spare that would exceed the limit of its zone does not join a set that has a write quorum
+        and tolerates zone failures: after a zone failure a smaller set still has every committed
+        write, while a set with an overfilled zone may not.
 
         Args:
             kept: members that stay.
             spares: disks that could join.
-            uses: groups that a disk holds already, where several groups are planned.
+            group_counts: number of groups already on each disk, when planning several groups.
         """
         in_zone = Counter(map(self.zone_of, kept))
         size = in_zone.total()
@@ -106,9 +106,9 @@
     def repaired_members(
         self, alive: Sequence[str], dead: Sequence[str], spares: Iterable[str]
     ) -> frozenset[str]:
-        """Return the members after a repair: those alive, spares, and the dead not replaced yet.
+        """Return the members after a repair: live members, added spares, dead members still kept.
 
-        Of the dead those leave first whose zones hold most.
+        Each added spare replaces one dead member, from the zone with the most members first.
         """
         added = self.choose_additions(alive, spares)
         remaining = list(dead)
@@ -122,12 +122,12 @@
     def find_better_swap(
         self, members: Collection[str], spares: Iterable[str], keep: str
     ) -> tuple[str, str] | None:
-        """Return a member and a spare that should take its place, or None where nothing is gained.
+        """Return a member and the spare that should replace it, or None if no swap is better.
 
         Args:
-            members: the members, all of them alive.
+            members: current members, all of them alive.
             spares: disks that could join.
-            keep: a member that stays, the leader.
+            keep: the leader, which is not replaced.
         """
         exchanges = [
             (leaving, joining)
@@ -146,7 +146,7 @@
         return best
 
     def is_satisfied_by(self, members: Collection[str]) -> bool:
-        """Whether all members are in the group's region, and such that zones may be lost."""
+        """Whether all members are in the group's region and tolerate the zone failures."""
         if any(
             self.in_other_region(identity) or not self.may_hold(identity) for identity in members
         ):
@@ -154,7 +154,7 @@
         return self._tolerates_zone_failures(Counter(map(self.zone_of, members)))
 
     def shortfalls(self, members: Collection[str]) -> list[str]:
-        """Return why some members can't bear what the fleet promises to bear; none if they can."""
+        """Return the reasons why the members don't tolerate the configured failures."""
         found = []
         if len(members) < self.replication_factor:
             found.append(f"{len(members)} replicas of {self.replication_factor}")
@@ -178,7 +178,7 @@
     def _rank(
         self, identity: str, in_zone: Mapping[str, int], group_counts: Mapping[str, int]
     ) -> tuple[bool, bool, int, int, Distance, str]:
-        """Return what ranks the disks that could join, the least first."""
+        """Return the sort key of a disk that could join; the lowest is the best."""
         count = in_zone.get(self.zone_of(identity), 0)
         distance = self.distance_to(identity)
         return (
@@ -191,7 +191,7 @@
         )
 
     def _violations(self, members: Iterable[str]) -> tuple[int, int, int]:
-        """Return members that may not hold the group, are too many in their zone, or are far."""
+        """Count members that may not hold the group, exceed their zone, or are in other regions."""
         members = list(members)
         in_zone = Counter(map(self.zone_of, members))
         return (
--- a/src/wharfcart/storage/replica_session.py
+++ b/src/wharfcart/storage/replica_session.py
@@ -1,7 +1,7 @@
-"""A leader's session with one replica: promise, catch up, writes, heartbeats.
+"""A leader's session with one replica: promise, catch-up, writes, heartbeats.
 
-The leader's own disk is a replica like the others, so a full or hanging disk of the leader holds up
-nothing that enough other disks have.
+The leader's own disk is a replica like the others, so a full or hanging disk of the leader does not
+block writes that a quorum of other disks has.
 """
 
 import asyncio
@@ -16,19 +16,18 @@
 from wharfcart.storage.replicated_job import JobState
 
 HEARTBEAT_INTERVAL_S = 0.15
-# A heartbeat that was lost is followed by another one within the replica's patience. The round trip
-# that was observed to the replica comes on top.
+# Added to the observed round trip; allows another heartbeat within the election timeout.
 HEARTBEAT_TIMEOUT_S = 0.2
 MAX_UNRESPONSIVE_S = 0.9
 RETRY_DELAY_S = 0.25
 
 
 class ReplicaFailedError(Exception):
-    """The replica can't be reached or its disk refuses; what it did is not known."""
+    """The replica is unreachable or its disk failed; whether it executed the call is unknown."""
 
 
 class HigherEpochError(Exception):
-    """The replica obeys a newer leader."""
+    """The replica has promised a higher epoch."""
 
     def __init__(self, epoch: int) -> None:
         super().__init__(str(epoch))
@@ -36,40 +35,40 @@
 
 
 class ReplicaLink(Protocol):
-    """How a leader talks to one replica.
+    """A leader's connection to one replica.
 
-    Every method raises ReplicaFailedError or HigherEpochError.
+    Calls to the replica raise ReplicaFailedError or HigherEpochError.
     """
 
     async def grants_pre_vote(self) -> bool:
-        """Ask whether the replica hears no leader."""
+        """Ask whether the replica has no contact with a leader."""
         ...
 
     async def fence(self, epoch: int) -> list[JobState]:
-        """Have the replica promise an epoch and tell what it holds."""
+        """Obtain the replica's promise of an epoch and the states of its jobs."""
         ...
 
     async def replicate(
         self, epoch: int, updates: Sequence[JobUpdate], partial_texts: Sequence[PartialText]
     ) -> None:
-        """Have updates written; returns once they are on disk. Partial texts are kept in memory."""
+        """Write updates; return once they are on disk. Partial texts are kept in memory."""
         ...
 
     async def fetch(self, job_ids: Sequence[str]) -> list[JobUpdate]:
-        """Return whole records."""
+        """Return complete jobs."""
         ...
 
     def round_trip_s(self) -> float:
-        """Return the least time that a message there and back took lately; 0 if unknown."""
+        """Return the minimum recent round-trip time in seconds; 0 if unknown."""
         ...
 
     def drop_connection(self) -> None:
-        """Leave the connection, which may have died without a word; the next call makes one."""
+        """Drop the connection, which may be dead; the next call opens a new one."""
         ...
 
 
 class ReplicaSession:
-    """Keeps one replica up to date for as long as the epoch lasts."""
+    """Keeps one replica up to date during one epoch."""
 
     def __init__(
         self,
@@ -96,21 +95,21 @@
         self.started_at = monotonic()
 
     def wake(self) -> None:
-        """Tell that there may be something to write."""
+        """Signal that there may be updates to write."""
         self._wake_event.set()
 
     def record_promise(self, states: Sequence[JobState], requested_at: float) -> None:
-        """Note a promise that was obtained before this session began."""
+        """Record a promise of the replica and the states of its jobs."""
         self._leadership.add_replica(self.identity, states)
         self._has_promised = True
         self.confirmed_at = requested_at
 
     def unresponsive_s(self, now: float) -> float:
-        """Seconds since the replica's last sign of life, or since the session began."""
+        """Return the seconds since the replica's last response, or since the session began."""
         return now - max(self.confirmed_at, self.started_at)
 
     async def run(self) -> None:
-        """Serve the replica until cancelled or deposed."""
+        """Keep the replica up to date until cancelled or until it reports a higher epoch."""
         while True:
             try:
                 await self._step()
@@ -152,15 +151,15 @@
             self._on_progress()
 
     def _handle_missed_heartbeat(self) -> None:
-        """Try again at once, before the replica takes its leader for lost.
+        """Retry at once, before the replica's election timeout expires.
 
         Raises:
-            ReplicaFailedError: it has been silent for too long.
+            ReplicaFailedError: the replica has been unresponsive for too long.
         """
         self._sent_offsets = SentOffsets()
         if self.unresponsive_s(monotonic()) > MAX_UNRESPONSIVE_S:
             self._link.drop_connection()
-            raise ReplicaFailedError("no answer in time")
+            raise ReplicaFailedError("replica did not answer heartbeats in time")
 
     def _log_failure(self, reason: str) -> None:
         if not self._failing:
--- a/src/wharfcart/storage/replica_set_changer.py
+++ b/src/wharfcart/storage/replica_set_changer.py
@@ -24,13 +24,12 @@
 DEAD_AFTER_S = 1.5
 CHANGE_TIMEOUT_S = 4.0
 STRAGGLER_WAIT_S = 1.0
-# A node that restarts is back within this time; moving a replica or the leadership costs more than
-# serving from afar for so long.
+# Longer than a node's restart, so that restarts cause no rebalancing.
 REBALANCE_DELAY_S = 5.0
 
 
 class ReplicaSetChanger:
-    """Compares the replica set with what it should be, for one leadership."""
+    """Repairs and rebalances a group's replica set during one leadership."""
 
     def __init__(self, group: "JobGroup", context: "GroupContext") -> None:
         self._group = group
@@ -40,14 +39,14 @@
         self._logged_shortfalls: list[str] = []
 
     async def run(self) -> None:
-        """Keep the set as it should be, until cancelled."""
+        """Repair and rebalance the set until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
             leadership = self._group.leadership
             if leadership is None:
                 return
             self._log_shortfalls(leadership.members)
-            # A swap in doubt may take effect as long as nothing else has: it is settled first.
+            # A swap in doubt may still take effect, so it is resolved before any other change.
             target = self._in_doubt_target or self._repaired_set(await self._live_spares())
             if self._in_doubt_target is None and target in (None, leadership.members):
                 target = await self._rebalanced_set()
@@ -57,9 +56,9 @@
                 await self._change_to(target)
 
     async def _live_spares(self) -> list[str]:
-        """Return the disks outside the set that answer now, if the set has need of any.
+        """Return the responsive disks outside the set, if the set needs any.
 
-        The list of nodes keeps machines that are gone for good: only an answer speaks for one.
+        The list of nodes may contain lost machines, so each candidate must answer a call.
         """
         leadership = self._group.leadership
         if leadership is None:
@@ -87,7 +86,7 @@
         return wanted if len(wanted) >= leadership.write_quorum else None
 
     async def _rebalanced_set(self) -> frozenset[str] | None:
-        """Return the set after one exchange, or hand over, if that brings the group nearer home."""
+        """Return the set after one swap that improves its placement, or transfer the leadership."""
         leadership = self._group.leadership
         if leadership is None or monotonic() - self._stable_since < REBALANCE_DELAY_S:
             return None
@@ -111,7 +110,7 @@
         return leadership.members - {leaving} | {joining}
 
     async def _transfer_to_own_region(self) -> bool:
-        """Hand over to a replica in the group's region if this node is in another one."""
+        """Transfer leadership to a replica in the group's region if this node is in another one."""
         leadership = self._group.leadership
         spread = self._group.placement
         if leadership is None or not spread.in_other_region(self._context.identity):
@@ -128,7 +127,7 @@
         return True
 
     def _log_shortfalls(self, members: frozenset[str]) -> None:
-        """Log what the set can't bear of what the fleet promises, once a change."""
+        """Log the configured failures that the set does not tolerate, once per change."""
         shortfalls = self._group.placement.shortfalls(members)
         if shortfalls == self._logged_shortfalls:
             return
@@ -143,8 +142,8 @@
     def _may_change_to(self, target: frozenset[str]) -> bool:
         """Whether each disk that joins may hold the group's jobs.
 
-        One may have come that it may not hold while it was asked whether it answers. A target in
-        doubt is settled in any case: no such job is taken as long as it is one.
+        The group may have accepted a job that excludes a disk while that disk was being called. A
+        target in doubt is resolved in any case: until then the group accepts no such job.
         """
         leadership = self._group.leadership
         if leadership is None:
@@ -153,7 +152,7 @@
         return target == self._in_doubt_target or all(map(self._group.may_hold, joining))
 
     def _close_ineligible_sessions(self) -> None:
-        """Leave spares that did not catch up in time and may not hold what has come since."""
+        """Close the sessions with spares that may no longer hold the group's jobs."""
         leadership = self._group.leadership
         if leadership is None:
             return
@@ -193,7 +192,7 @@
             return
         self._in_doubt_target = None
         if record.epoch != leadership.epoch:
-            return  # the group follows another leader now
+            return  # another leader has taken over
         leadership.finish_set_change(record.members)
         self._close_other_sessions(record.members)
         self._context.log.write(
@@ -206,7 +205,7 @@
         self._group.notify_progress()
 
     async def _wait_until_caught_up(self, target: frozenset[str]) -> bool:
-        """Wait until the new set has everything; its slowest disk is waited for only a while."""
+        """Wait until a quorum of the new set has every write, and briefly for the other disks."""
         leadership = self._group.leadership
         assert leadership is not None
         began_at = monotonic()
--- a/src/wharfcart/storage/replicated_job.py
+++ b/src/wharfcart/storage/replicated_job.py
@@ -1,9 +1,9 @@
-"""Jobs of requests, as a replica holds them.
+"""A job of requests as a replica holds it.
 
-A job is its specification, an append-only list of results, and an end. Its state is named by the
-epoch of the leader that last wrote it and by its length: two replicas with the same epoch and
-length hold the same, and of two lengths of one epoch the shorter is a prefix of the longer, since
-an epoch has one leader.
+A job consists of its specification, an append-only list of results, and an end marker. The epoch of
+the leader that last wrote the job and the length of its history identify a state: each epoch has
+one leader, so two replicas with the same epoch and length hold the same history, and of two lengths
+in one epoch the shorter is a prefix of the longer.
 """
 
 from dataclasses import dataclass, field
@@ -14,14 +14,16 @@
 
 @dataclass
 class ReplicatedJob:
-    """One job. Its results and its end are changed through its methods alone.
+    """One job; results and end change only through its methods.
 
     Parameters
     ----------
-    epoch: of the leader that last wrote it.
-    ended: the caller ended it; nothing is appended any more.
-    waiting_tokens: of the items without a result; 0 once it has ended.
-    residence: where its data may be, as it was settled when it was taken.
+    job: specification of the job.
+    epoch: epoch of the leader that last wrote the job.
+    results: results of items, in the order of their arrival.
+    ended: whether the caller ended the job; an ended job accepts no results.
+    waiting_tokens: tokens of the items without a result; 0 once the job has ended.
+    residence: regions that may hold the job's data, fixed at its submission.
     """
 
     job: RequestJob
@@ -42,16 +44,16 @@
 
     @property
     def version(self) -> int:
-        """Length of its history: the acceptance, each result, the end."""
+        """Length of the history: the acceptance, each result and the end count one each."""
         return 1 + len(self.results) + int(self.ended)
 
     @property
     def is_complete(self) -> bool:
-        """Whether every item has its result."""
+        """Whether every item has a result."""
         return len(self.results) >= len(self.job.items)
 
     def append_result(self, outcome: ItemOutcome) -> bool:
-        """Add a result; False if the job has ended or has one of that item."""
+        """Append a result; return False if the job has ended or the item already has a result."""
         if self.ended or outcome.item_id not in self._pending_tokens_by_item:
             return False
         self.results.append(outcome)
@@ -59,12 +61,12 @@
         return True
 
     def end(self) -> None:
-        """End the job: it takes no result any more."""
+        """End the job; it accepts no further results."""
         self.ended = True
         self.waiting_tokens = 0
 
     def update_since(self, version: int) -> JobUpdate:
-        """Return what a replica lacks that holds this history up to a version; 0 means nothing."""
+        """Return the part of the history after a version; 0 returns all of it."""
         first = min(max(0, version - 1), len(self.results))
         return JobUpdate(
             job_id=self.job.job_id,
@@ -78,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobState:
-    """Name of a job's state on one replica."""
+    """Epoch and version of a job's state on one replica."""
 
     job_id: str
     epoch: int
@@ -86,5 +88,5 @@
 
 
 def job_from_update(update: JobUpdate) -> ReplicatedJob:
-    """Build a record from an update that holds the whole of it."""
+    """Build a job from an update with its complete history."""
     return ReplicatedJob(update.job, update.epoch, list(update.results), update.ended)
--- a/src/wharfcart/storage/takeover.py
+++ b/src/wharfcart/storage/takeover.py
@@ -1,4 +1,4 @@
-"""Taking a job group over: promises of enough replicas, and the newest state of each job."""
+"""Takeover of a job group: promises of enough replicas, and the newest state of each job."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,11 +11,14 @@
 
 
 class Takeover:
-    """One new leader's way to know everything that ever counted.
+    """Collects every committed write for a new leader.
 
     Parameters
     ----------
-    link: how a replica is reached, the leader's own disk among them.
+    record: group record that names the new leader.
+    identity: identity of the new leader's disk.
+    write_quorum: replicas that must have a write before it is committed.
+    link_to: link to a replica, including the leader's own disk.
     """
 
     def __init__(
@@ -32,9 +35,9 @@
         self.states_by_identity: dict[str, list[JobState]] = {}
 
     async def collect_promises(self, is_cancelled: Callable[[], bool]) -> bool:
-        """Have replicas promise the epoch until there are enough; False if given up.
+        """Collect promises of the epoch until there are enough; return False if cancelled.
 
-        The own disk promises first: this process must never lead the epoch in another life.
+        The own disk promises first, so that this node never leads the epoch again after a restart.
         """
         try:
             own = self._link_to(self._identity)
@@ -50,11 +53,11 @@
         return True
 
     async def newest_jobs(self) -> list[ReplicatedJob]:
-        """Return each job's state with the highest epoch, then length.
+        """Return each job in the state with the highest epoch, then the greatest length.
 
         Raises
         ------
-        ReplicaFailedError: a replica that has the newest state of a job did not give it.
+        ReplicaFailedError: a replica that has the newest state of a job did not return it.
         """
         newest: dict[str, tuple[tuple[int, int], str]] = {}
         ordered = sorted(self.states_by_identity, key=lambda identity: identity != self._identity)
@@ -70,12 +73,12 @@
                 continue
             updates = await self._link_to(identity).fetch(wanted)
             if len(updates) != len(wanted):
-                raise ReplicaFailedError("a job is missing")
+                raise ReplicaFailedError("replica returned fewer jobs than requested")
             records += [job_from_update(update) for update in updates]
         return records
 
     async def _request_missing_promises(self) -> None:
-        """Ask the replicas that have not promised yet; stop once there are enough."""
+        """Request promises from the remaining replicas; stop once there are enough."""
         calls = {
             asyncio.create_task(self._link_to(identity).fence(self._record.epoch)): identity
             for identity in self._record.members - self.states_by_identity.keys()
