--- a/src/wharfcart/storage/journal.py
+++ b/src/wharfcart/storage/journal.py
@@ -1,7 +1,7 @@
-"""Journal driver: runs the shards of one node over its database and the transport.
+"""Journal driver: runs the shards of one node on its database and the transport.
 
-All shards share one group commit: while one is being written, the next gathers. Messages that rest
-on a write leave after it.
+All shards share one group commit: while one commit is being written, the next one collects writes.
+Messages that depend on a write are sent after it.
 """
 
 import asyncio
@@ -46,7 +46,7 @@
 
 @dataclass
 class _GroupCommit:
-    """What one database commit will carry for all shards."""
+    """Writes of all shards for one database commit, and what follows it."""
 
     writes: dict[int, ShardWrites] = field(default_factory=dict)
     messages: list[ReplicaMessage] = field(default_factory=list)
@@ -94,7 +94,7 @@
         self._tasks.spawn(self._tick_loop())
 
     async def stop(self) -> None:
-        """Hand leaderships over, flush, and close the database."""
+        """Transfer leaderships, flush pending writes, and close the database."""
         self.step_down()
         while self._next_commit.writes or self._next_commit.messages:
             await self._write_once()
@@ -117,7 +117,7 @@
         return shard
 
     def create_shard(self, number: int, voters: list[str]) -> None:
-        """Create an empty replica: a first voter by placement, or a learner (no voters)."""
+        """Create an empty replica: an initial voter, or a learner if there are no voters."""
         if number in self.shards:
             return
         base_set = ReplicaSet(voters=voters, in_sync=voters)
@@ -125,13 +125,13 @@
         self._tasks.spawn(self._create_on_disk(number, base_set))
 
     async def _create_on_disk(self, number: int, base_set: ReplicaSet) -> None:
-        # The one writer thread runs this before any write that the new replica asks for.
+        # The single writer thread executes this before any write of the new replica.
         await self._on_writer(lambda: self._database.create_shard(number, base_set))
 
     # ---- inputs ----
 
     def receive(self, messages: list[ReplicaMessage]) -> None:
-        """Handle messages of other replicas."""
+        """Handle messages from other replicas."""
         now = monotonic()
         for message in messages:
             if message.target != self.identity:
@@ -144,40 +144,41 @@
             self._collect_output(shard)
 
     def update_storage_members(self, live: dict[str, str], leaving: set[str]) -> None:
-        """Note which storage identities are live, identity to zone, and which are leaving."""
+        """Update the live storage identities, with their zones, and those that are restarting."""
         for shard in self.shards.values():
             shard.update_storage_members(live, leaving, monotonic())
             self._collect_output(shard)
 
     def recover_as_sole_voter(self, number: int, live: dict[str, str], known_version: int) -> None:
-        """Go on with a shard whose other disks are lost for good, by an operator's word.
+        """Continue a shard whose other disks are lost, at an operator's request.
 
         Parameters
         ----------
-        live: storage identities that membership knows.
-        known_version: newest version of the shard's placement that any node told.
+        number: number of the shard.
+        live: live storage identities in the cluster membership, with their zones.
+        known_version: newest version of the shard's placement that any node reported.
 
         Raises
         ------
         ServingError
-            ``recovery_refused`` if a majority of the voters lives, if this disk holds no replica of
-            the shard, or if the shard's set changed after this replica last heard of it.
+            ``recovery_refused`` if a majority of the voters is live, if this disk holds no voting
+            replica of the shard, or if the shard's set has changed without this replica.
         """
         shard = self.shards.get(number)
         if shard is None or self.identity not in shard.replica.replica_set.voters:
             raise _recovery_refused("this node holds no voting replica of the shard")
         voters = shard.replica.replica_set.voters
         if sum(voter in live for voter in voters) * 2 > len(voters):
-            raise _recovery_refused("a majority of the voters lives: wait for an election")
+            raise _recovery_refused("a majority of the voters is live; wait for an election")
         in_sync = shard.replica.replica_set.in_sync
         if self.identity not in in_sync or known_version > shard.replica.replica_set_index + 1:
-            raise _recovery_refused("this replica was dropped from the in-sync set: it is behind")
-        logger.warning("shard recovered alone", extra={"shard": number})
+            raise _recovery_refused("this replica left the in-sync set and may be behind")
+        logger.warning("shard recovered with this node as the only voter", extra={"shard": number})
         shard.recover_as_sole_voter(monotonic())
         self._collect_output(shard)
 
     def step_down(self) -> None:
-        """Hand every leadership over."""
+        """Transfer every leadership."""
         for shard in self.shards.values():
             shard.step_down(monotonic())
             self._collect_output(shard)
@@ -195,7 +196,9 @@
         if shard is None or not shard.is_leader:
             raise not_leader(shard.replica.leader if shard else "")
         if self._disk_full and command.WhichOneof("body") in GROWING_COMMANDS:
-            raise ServingError("disk_full", "no room for new work", 507, retry_after_seconds=60)
+            raise ServingError(
+                "disk_full", "the disk has no space for new work", 507, retry_after_seconds=60
+            )
         token = self._next_token
         self._next_token += 1
         future: asyncio.Future[ProposeResult] = self._loop.create_future()
@@ -215,7 +218,11 @@
             self._futures.pop(token, None)
         if result.code == LOST_LEADERSHIP:
             raise ServingError(
-                LOST_LEADERSHIP, "leadership changed meanwhile", 503, Outcome.UNKNOWN, 0.5
+                LOST_LEADERSHIP,
+                "leadership changed while the command was pending",
+                503,
+                Outcome.UNKNOWN,
+                0.5,
             )
         return result
 
@@ -248,9 +255,9 @@
     async def read_rows(
         self, number: int, kind: str, id_: str, first: int, limit: int, max_bytes: int
     ) -> Rows:
-        """Read rows of one id as the leader."""
+        """Read rows of one ID as the leader."""
         self.leading_shard(number)
-        # Taken before the read: a group commit that begins meanwhile would else hide its rows.
+        # Collected before the read: otherwise a group commit that starts meanwhile hides its rows.
         unwritten = self._unwritten_rows(number, kind, id_, first)
         try:
             rows = await self._on_writer(
@@ -265,13 +272,16 @@
         return Rows(rows=rows)
 
     async def _handle_corrupt_record(self, error: CorruptRecordError) -> None:
-        """Hand over and have the next start rebuild this disk from its peers."""
-        logger.error("corrupt row, restart this node", extra={"row": str(error)})
+        """Transfer leaderships and have the next start rebuild this disk from its peers."""
+        logger.error(
+            "corrupt row found; restart this node to rebuild it from its peers",
+            extra={"row": str(error)},
+        )
         await self._on_writer(self._database.mark_corrupt)
         self.step_down()
 
     def _unwritten_rows(self, number: int, kind: str, id_: str, first: int) -> dict[int, Row]:
-        # Committed rows may still wait for their group commit; the log already has them.
+        # Rows may still wait for their group commit although their entries are committed.
         writes = self._next_commit.writes.get(number)
         if writes is None:
             return {}
@@ -304,8 +314,8 @@
             try:
                 free = await self._on_writer(lambda: self._write(group.writes))
             except Exception:
-                # A disk that refuses a write must not lead or acknowledge: drop the group's
-                # messages and wait; peers see a silent replica and drop it from the in-sync set.
+                # A disk that fails a write must not lead or acknowledge: drop the commit's messages
+                # and wait, so that peers drop the unresponsive replica from the in-sync set.
                 logger.exception("journal write failed")
                 self._requeue(group)
                 await asyncio.sleep(1.0)
@@ -328,7 +338,7 @@
         return self._database.free_bytes()
 
     def _requeue(self, group: _GroupCommit) -> None:
-        """Put a failed group back before what gathered since."""
+        """Put a failed commit back in front of the writes collected since."""
         newer = self._next_commit
         self._next_commit = group
         group.messages = []
@@ -340,7 +350,7 @@
         group.reads.extend(newer.reads)
         self._work.set()
 
-    # ---- carrying out ----
+    # ---- output of shards ----
 
     def _collect_output(self, shard: Shard) -> None:
         output = shard.take_output()
@@ -408,7 +418,7 @@
 
 
 def not_leader(leader: str) -> ServingError:
-    """Return the error of a replica asked for what only the leader may do."""
+    """Return the error for a call that only the shard's leader may execute."""
     error = ServingError("not_leader", "this replica does not lead the shard", 503)
     if leader:
         error.add_note(leader)
--- a/src/wharfcart/storage/journal_client.py
+++ b/src/wharfcart/storage/journal_client.py
@@ -1,7 +1,7 @@
-"""Journal client: finds a shard's leader and asks it, from any node.
+"""Journal client: finds a shard's leader and calls it, from any node.
 
-Commands are idempotent by the ids in them, so that a proposal whose answer was lost is simply made
-again. An error says ``not_run`` only if no attempt can have reached a leader.
+The IDs in commands make them idempotent, so the client retries a proposal whose answer was lost. An
+error has outcome ``not_run`` only if no attempt can have reached a leader.
 """
 
 import asyncio
@@ -35,7 +35,7 @@
 
 
 class JournalClient:
-    """Access to all shards."""
+    """Client of all shards of the journal."""
 
     def __init__(
         self,
@@ -55,8 +55,8 @@
         Raises
         ------
         ServingError
-            ``journal_unavailable`` if this node does not know all shards yet. It can't tell then
-            which shard decides a key, nor whether the one that an id names exists.
+            ``journal_unavailable`` if this node does not know all shards yet. It then can't tell
+            which shard a key belongs to, nor whether the shard in an ID exists.
         """
         count = self.placement.shard_count
         if count == 0:
@@ -75,7 +75,7 @@
 
         Raises
         ------
-        ServingError
+        ServingError: the shard refused the command, or no leader answered in time.
         """
         frame = Frame(propose=Propose(shard=shard, command=command))
         answer = await self._ask_leader(shard, frame, timeout_seconds)
@@ -84,7 +84,7 @@
     async def read_rows(
         self, shard: int, kind: str, id_: str, first: int, limit: int = ROWS_PER_READ
     ) -> list[Row]:
-        """Return rows of one id from ``first`` on."""
+        """Return rows of one ID from ``first`` on."""
         read = ReadRows(
             shard=shard, kind=kind, id=id_, first=first, most=limit, most_bytes=BYTES_PER_READ
         )
@@ -94,7 +94,7 @@
     async def iterate_rows(
         self, shard: int, kind: str, id_: str, first: int = 0, end: int | None = None
     ) -> AsyncIterator[Row]:
-        """Yield rows of one id in order, holding a few hundred at a time."""
+        """Yield rows of one ID in order, fetched in chunks."""
         while True:
             rows = await self.read_rows(shard, kind, id_, first)
             for row in rows:
@@ -106,7 +106,7 @@
             first = rows[-1].number + 1
 
     async def read_key(self, shard: int, key: str) -> KeyRecord:
-        """Return an idempotency key's record without its answer; empty if there is none."""
+        """Return an idempotency key's record without its response; empty if there is none."""
         frame = Frame(read_key=ReadKey(shard=shard, key=key))
         return (await self._ask_leader(shard, frame, CALL_TIMEOUT_S)).key_record
 
@@ -116,7 +116,7 @@
         return list(answer.job_views.jobs)
 
     async def ask_leader(self, shard: int, frame: Frame, timeout_seconds: float) -> Frame:
-        """Send any frame that a shard's leader answers."""
+        """Send a frame to a shard's leader and return the answer."""
         return await self._ask_leader(shard, frame, timeout_seconds)
 
     async def _ask_leader(self, shard: int, frame: Frame, timeout_seconds: float) -> Frame:
@@ -174,7 +174,7 @@
     def _follow_hint(self, shard: int, error: ServingError, tried: list[str]) -> None:
         self._leaders.pop(shard, None)
         hints: list[str] = getattr(error, "__notes__", [])
-        # A hint that leads back to where we just were would go round without a pause.
+        # A hint to a replica that was just tried would make the client loop without a delay.
         if error.code in REDIRECT_CODES and hints and hints[0] not in tried[-2:]:
             self._leaders[shard] = hints[0]
 
--- a/src/wharfcart/storage/journal_database.py
+++ b/src/wharfcart/storage/journal_database.py
@@ -1,8 +1,8 @@
 """Durable storage of one node: logs, hard state and rows of all its shards in one SQLite file.
 
-Everything is written by one thread in group commits with ``synchronous=FULL``, so that a returned
-commit is on disk. ``locking_mode=EXCLUSIVE`` comes before WAL mode: otherwise SQLite maps a shared
-memory file, which the brief forbids. Each log entry and row carries a checksum.
+One thread writes everything in group commits with ``synchronous=FULL``, so a returned commit is on
+disk. ``locking_mode=EXCLUSIVE`` is set before WAL mode so that SQLite does not map a shared-memory
+file. Each log entry and row has a checksum.
 """
 
 import logging
@@ -43,21 +43,24 @@
 
 
 class CorruptRecordError(Exception):
-    """A record's checksum does not match; the replica must be rebuilt from a peer."""
+    """A record does not match its checksum; the replica must be rebuilt from a peer."""
 
 
 def open_database(folder: Path) -> "Database":
-    """Open the data folder; one with a corrupt record is set aside and begun anew.
+    """Open the data folder; move a corrupt database aside and create an empty one.
 
-    A disk that returned a corrupt record counts as lost: its replicas must not vote under the old
-    identity with less than they acknowledged. The new identity is rebuilt from the peers.
+    A disk with a corrupt record counts as lost: under the old identity its replicas might vote
+    without entries that they acknowledged. The new identity is rebuilt from the peers.
     """
     try:
         database = Database(folder)
         database.verify()
         return database
     except (CorruptRecordError, sqlite3.DatabaseError):
-        logger.exception("data folder corrupt, set aside", extra={"folder": str(folder)})
+        logger.exception(
+            "database corrupt; moving it aside and starting with an empty one",
+            extra={"folder": str(folder)},
+        )
     for path in folder.glob(f"{DATABASE_NAME}*"):
         path.rename(path.with_name(f"corrupt-{path.name}"))
     (folder / CORRUPT_MARKER_NAME).unlink(missing_ok=True)
@@ -65,7 +68,7 @@
 
 
 class Database:
-    """The data folder of one node. Every method runs on the writer thread."""
+    """Data folder of one node. Every method runs on the writer thread."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -73,8 +76,8 @@
         self._connection = sqlite3.connect(
             folder / DATABASE_NAME, isolation_level=None, check_same_thread=False
         )
-        # Rows of about 1 kB spill to a page of their own on pages of 4 kB (tables without rowid
-        # hold a quarter of a page locally).
+        # Tables without rowid store up to a quarter of a page locally: rows of about 1 kB would
+        # overflow 4 kB pages.
         self._connection.execute("pragma page_size=16384")
         self._connection.execute("pragma locking_mode=exclusive")
         self._connection.execute("pragma journal_mode=wal")
@@ -92,7 +95,7 @@
         return shutil.disk_usage(self.folder).free
 
     def _read_identity(self) -> str:
-        # A new identity for every new disk: an empty disk must never pass for the old voter.
+        # Every new disk gets a new identity, so that an empty disk does not count as a voter.
         found = self._connection.execute("select value from identity where name='self'").fetchone()
         if found is not None:
             return str(found[0])
@@ -103,25 +106,25 @@
     # ---- reading ----
 
     def verify(self) -> None:
-        """Check what a start reads: logs and memory rows. Bulk rows are checked when read.
+        """Verify logs and memory rows; bulk rows are verified when read.
 
         Raises
         ------
-        CorruptRecordError
+        CorruptRecordError: a record does not match its checksum.
         """
         if (self.folder / CORRUPT_MARKER_NAME).exists():
-            raise CorruptRecordError("a row read before was corrupt")
+            raise CorruptRecordError("a corrupt row was read before the restart")
         for shard in self.shards():
             self.load(shard)
             for _ in self.memory_rows(shard):
                 pass
 
     def mark_corrupt(self) -> None:
-        """Have the next start set this folder aside."""
+        """Have the next start move the database aside."""
         (self.folder / CORRUPT_MARKER_NAME).touch()
 
     def shards(self) -> list[int]:
-        """Return the numbers of the shards held here."""
+        """Return the numbers of the shards in this folder."""
         return [row[0] for row in self._connection.execute("select shard from shard")]
 
     def load(self, shard: int) -> ShardRecord:
@@ -129,7 +132,7 @@
 
         Raises
         ------
-        CorruptRecordError
+        CorruptRecordError: a log entry does not match its checksum.
         """
         found = self._connection.execute("select * from shard where shard=?", (shard,)).fetchone()
         _, epoch, voted_for, base_index, base_epoch, base_set, applied, installing = found
@@ -152,9 +155,9 @@
         )
 
     def memory_rows(self, shard: int) -> Iterator[Row]:
-        """Iterate the rows from which a shard's memory is rebuilt.
+        """Iterate over the rows from which a shard's memory is rebuilt.
 
-        Lines are left out, and so are the results of ended jobs: a disk may hold a day of them.
+        Excludes lines and the results of finished jobs, which may be numerous.
         """
         open_jobs: list[str] = []
         for kind in RowKind:
@@ -168,7 +171,7 @@
             yield from self._rows_of_kind(shard, RowKind.RESULT, job_id)
 
     def _rows_of_kind(self, shard: int, kind: RowKind, id_: str) -> Iterator[Row]:
-        """Iterate the rows of a kind, of one id if that is given."""
+        """Iterate over the rows of a kind, of one ID unless it is ''."""
         query = (
             "select kind, id, number, value, checksum from record where shard=? and kind=?"
             " and (id, number) > (?, ?) and (?='' or id=?) order by id, number limit ?"
@@ -185,7 +188,7 @@
     def rows_after(
         self, shard: int, after: tuple[str, str, int], limit: int, max_bytes: int
     ) -> list[Row]:
-        """Return rows whose key comes after ``after``; ends by count or bytes."""
+        """Return rows with keys greater than ``after``, limited by count and bytes."""
         query = (
             "select kind, id, number, value, checksum from record where shard=?"
             " and (kind, id, number) > (?, ?, ?) order by kind, id, number limit ?"
@@ -195,7 +198,7 @@
     def read_rows(
         self, shard: int, kind: str, id_: str, first: int, limit: int, max_bytes: int
     ) -> list[Row]:
-        """Return rows of one id from number ``first`` on."""
+        """Return rows of one ID from number ``first`` on."""
         query = (
             "select kind, id, number, value, checksum from record where shard=? and kind=?"
             " and id=? and number>=? order by number limit ?"
@@ -224,7 +227,7 @@
         )
 
     def write(self, writes: dict[int, ShardWrites]) -> None:
-        """Write everything in one commit; when this returns, it is on disk."""
+        """Write everything in one commit, which is on disk on return."""
         self._connection.execute("begin immediate")
         try:
             for shard, shard_writes in writes.items():
@@ -271,7 +274,7 @@
         )
 
     def _compact(self, shard: int, index: int) -> None:
-        # Only what the rows already hold may leave the log.
+        # Only entries already applied to the rows may be deleted from the log.
         query = "select applied_index, base_set from shard where shard=?"
         applied, base_set = self._connection.execute(query, (shard,)).fetchone()
         index = min(index, applied)
@@ -299,7 +302,7 @@
     # ---- snapshots ----
 
     def _begin_install(self, shard: int) -> None:
-        # Until the snapshot ends, the replica counts as empty; its epoch and vote stay.
+        # The replica is empty until the snapshot ends, but keeps its epoch and vote.
         self._connection.execute("delete from log where shard=?", (shard,))
         self._connection.execute("delete from record where shard=?", (shard,))
         self._connection.execute(
--- a/src/wharfcart/storage/replica.py
+++ b/src/wharfcart/storage/replica.py
@@ -1,17 +1,17 @@
 """Journal replica core: one replica of one shard's log.
 
-Raft (Ongaro and Ousterhout 2014) with three changes, reasoned in docs/design/0002-journal.md:
-
-* **Commit** needs every replica of the *in-sync set*, never fewer than two nor than a majority of
-  the voters. A majority keeps Raft's safety; the rest keep an entry when disks are lost.
-* **In-sync set** and voters stand in the log as ``ReplicaSet`` entries. A silent replica is
-  dropped by an entry the others commit, and added again once it has caught up.
-* **Repair**: a dead identity is replaced by a caught-up spare, first removed, then added, so that
-  two consecutive voter sets always share a majority.
-
-Pre-vote and sticky leaders keep a returning replica from unseating a live leader. Reads rest on a
-lease judged by the holder's own monotonic clock from the *send* time of an acknowledged round, so a
-paused leader wakes up without one.
+Raft (Ongaro and Ousterhout 2014) with three changes; docs/design/0002-journal.md has the reasons:
+
+* **Commit** needs every replica of the *in-sync set*, at least two replicas, and a majority of the
+  voters. The majority is Raft's safety rule; the other copies keep an entry when disks are lost.
+* **In-sync set** and voters are ``ReplicaSet`` entries in the log. The others drop an unresponsive
+  replica with such an entry, and add it again once it has caught up.
+* **Repair** replaces a dead identity by a caught-up spare: it removes one, then adds the other, so
+  that two consecutive voter sets always share a majority.
+
+Pre-vote and sticky leaders prevent a returning replica from replacing a live leader. Reads require
+a lease. The leader computes it with its own monotonic clock from the *send* time of an acknowledged
+round, so a paused leader resumes without a lease.
 """
 
 from collections.abc import Sequence
@@ -61,7 +61,7 @@
 
 
 class NotLeaderError(Exception):
-    """The replica does not lead its shard; carries the identity it believes does, or ''."""
+    """The replica does not lead its shard; ``leader`` is the leader it knows of, or ''."""
 
     def __init__(self, leader: str) -> None:
         super().__init__(leader)
@@ -73,8 +73,8 @@
     """One replica of one shard.
 
     Inputs: :meth:`tick`, :meth:`receive`, :meth:`propose`, :meth:`persisted`,
-    :meth:`snapshot_installed`, :meth:`snapshot_sent`, :meth:`storage_members`. Each returns actions
-    to be carried out in order.
+    :meth:`snapshot_installed`, :meth:`snapshot_sent`, :meth:`update_storage_members`. Each returns
+    actions that the caller must execute in order.
     """
 
     shard: int
@@ -110,7 +110,8 @@
     def __post_init__(self) -> None:
         self._persisted_index = self.last_index
         self._log_bytes = sum(len(entry.command) for entry in self.log)
-        # A restarted replica may have promised a leader its lease: it waits as if it heard one.
+        # Before its restart the replica may have acknowledged a leader's lease, so it waits as if
+        # it had contact with one.
         self._last_leader_contact_at = self.started_at
         self.commit_index = max(self.commit_index, self.base_index)
         self._rebuild_sets()
@@ -135,11 +136,14 @@
 
     @property
     def replica_set_index(self) -> int:
-        """Index of the entry that set :attr:`replica_set`."""
+        """Index of the entry that contains :attr:`replica_set`."""
         return self._replica_sets[-1][0] if self._replica_sets else self.base_index
 
     def lease_valid(self, now: float) -> bool:
-        """Whether this replica may answer reads: leads, committed in its epoch, holds the lease."""
+        """Whether this replica may answer reads.
+
+        It must lead, have committed an entry of its epoch, and hold the lease.
+        """
         if self.role is not Role.LEADER or self.commit_index < self._epoch_start_index:
             return False
         return now < self._last_quorum_contact_at() + LEASE_S
@@ -158,17 +162,17 @@
         if now >= self._election_due_at:
             return self._start_pre_vote(now)
         if self.role is not Role.FOLLOWER and now - self._votes_requested_at > RESEND_TIMEOUT_S:
-            # A lost request would else cost a whole election's time.
+            # Otherwise a lost request would delay the election by a whole timeout.
             pre_vote = self.role is Role.PRE_CANDIDATE
             return self._request_votes(self.epoch + pre_vote, pre_vote, now)
         return []
 
     def propose(self, commands: Sequence[bytes], now: float) -> tuple[int, list[ReplicaAction]]:
-        """Append commands to the log; return the first one's index.
+        """Append commands to the log; return the index of the first one.
 
         Raises
         ------
-        NotLeaderError
+        NotLeaderError: this replica does not lead.
         """
         if self.role is not Role.LEADER:
             raise NotLeaderError(self.leader)
@@ -182,7 +186,7 @@
         return first, actions
 
     def persisted(self, epoch: int, index: int, now: float) -> list[ReplicaAction]:
-        """Note that the log up to ``index``, written in ``epoch``, is on disk."""
+        """Record that the log up to ``index``, written in ``epoch``, is on disk."""
         if epoch != self.epoch:
             return []
         self._persisted_index = max(self._persisted_index, min(index, self.last_index))
@@ -191,18 +195,18 @@
     def update_storage_members(
         self, live: dict[str, str], leaving: set[str], now: float
     ) -> list[ReplicaAction]:
-        """Note which storage identities are live, identity to zone, and which stop for a while.
+        """Update the live storage identities, with their zones, and those that are restarting.
 
-        The leader repairs by it. A leaving one is not replaced: a restart is no loss.
+        The leader repairs the replica set accordingly. A restarting identity is not replaced.
         """
         self._policy.live = live
         self._policy.leaving = leaving
         return self._apply_policy(now) if self.role is Role.LEADER else []
 
     def receive(self, message: ReplicaMessage, now: float) -> list[ReplicaAction]:
-        """Handle one message of another replica of this shard."""
+        """Handle a message from another replica of this shard."""
         if message.target != self.identity:
-            return []  # meant for an identity that used to live here
+            return []  # addressed to a former disk of this node
         kind = message.WhichOneof("body")
         if kind == "vote_request":
             return self._handle_vote_request(message, now)
@@ -225,7 +229,7 @@
         return actions
 
     def snapshot_sent(self, target: str, index: int, now: float) -> list[ReplicaAction]:
-        """Note that ``target`` holds the rows as of ``index`` (0: the transfer failed)."""
+        """Record that ``target`` holds the rows as of ``index`` (0: the transfer failed)."""
         progress = self._progress.get(target)
         if progress is None:
             return []
@@ -240,7 +244,7 @@
     def snapshot_installed(
         self, index: int, epoch: int, replica_set: ReplicaSet
     ) -> list[ReplicaAction]:
-        """Replace log and base by an installed snapshot."""
+        """Replace log and base with an installed snapshot."""
         self.log = []
         self._log_bytes = 0
         self.base_index = index
@@ -295,7 +299,7 @@
             transfer=transfer,
         )
         self._votes_requested_at = now
-        # A vote for oneself must be on disk before others hear of the candidacy.
+        # The vote for this replica itself must be on disk before the request is sent.
         return [
             Send(self._message(peer, epoch, vote_request=request), after_persist=not pre_vote)
             for peer in self.replica_set.voters
@@ -304,8 +308,8 @@
 
     def _handle_vote_request(self, message: ReplicaMessage, now: float) -> list[ReplicaAction]:
         request = message.vote_request
-        # A live leader's lease rests on this refusal (Raft section 6, disruptive servers).
-        # A transfer comes from a leader that has given its lease up already.
+        # A live leader's lease depends on this refusal (Raft section 6, disruptive servers).
+        # A leader that transfers its leadership has already given up its lease.
         recent = now < self._last_leader_contact_at + MIN_ELECTION_TIMEOUT_S
         sticky = self.role is Role.LEADER or (recent and not request.transfer)
         up_to_date = (request.last_epoch, request.last_index) >= (self.last_epoch, self.last_index)
@@ -327,9 +331,9 @@
         return actions
 
     def _wins_tie(self, message: ReplicaMessage) -> bool:
-        """Whether of two that stand at the same moment with equal logs it is we who go on.
+        """Whether this replica wins over another candidate with an equal log.
 
-        Else both would vote for themselves and lose another election's time.
+        Without a winner both would vote for themselves and wait for another election timeout.
         """
         request = message.vote_request
         equal = (request.last_epoch, request.last_index) == (self.last_epoch, self.last_index)
@@ -376,8 +380,8 @@
         self._round_sent_at = {}
         self._policy.reset()
         self._progress = {
-            # A majority has not heard the predecessor for an election's time: it is not waited for
-            # again before it is dropped from the in-sync set.
+            # A majority has lost contact with the previous leader for an election timeout, so it
+            # leaves the in-sync set without a further wait.
             peer: Progress(
                 next_index=self.last_index + 1,
                 last_contact_at=now - 2 * IN_SYNC_TIMEOUT_S
@@ -394,10 +398,10 @@
         return actions + self._replicate_all(now)
 
     def recover_as_sole_voter(self, now: float) -> list[ReplicaAction]:
-        """Go on as the only voter, by an operator's word that the other disks are lost for good.
+        """Continue as the only voter after an operator declared the other disks lost.
 
-        The repair then adds spares. Whether this replica was in sync to the end is not known here;
-        the caller checks what it can (docs/operations/failures.md).
+        The repair then adds spares. This method can't tell whether the replica was in sync to the
+        end; the caller checks that as far as possible (docs/operations/failures.md).
         """
         self.epoch += 1
         self.voted_for = self.identity
@@ -432,8 +436,7 @@
             self._record_replica_set(entry)
 
     def _record_replica_set(self, entry: LogEntry) -> None:
-        # The command's first bytes tell its kind; parsing megabytes of results here would double
-        # the processor time of an entry.
+        # A replica set is small: parsing large commands here would double their CPU time.
         if len(entry.command) > 4096:
             return
         command = Command.FromString(entry.command)
@@ -473,12 +476,12 @@
         self._last_leader_contact_at = now
         self._reset_election(now)
         if self.installing:
-            # Answer all the same: a leader that hears nobody steps down and begins it anew.
+            # Answer nevertheless: a leader without answers steps down, and the snapshot restarts.
             actions.append(self._append_response(message.sender, False, 0, request.round))
             return actions
         previous_epoch = self._epoch_at(request.previous_index)
         if request.previous_index < self.base_index:
-            # Everything up to the base is committed, so it matches any leader's log.
+            # Entries up to the base are committed, so they match any leader's log.
             match = self.base_index
             entries = [entry for entry in request.entries if entry.index > match]
             if not entries or entries[0].index != match + 1:
@@ -562,7 +565,7 @@
         return not self._has_majority(heard | {self.identity}) and len(voters) > 1
 
     def _last_quorum_contact_at(self) -> float:
-        """Latest time by whose sent round a majority had answered."""
+        """Return the send time of the latest round that a majority has acknowledged."""
         voters = self.replica_set.voters
         needed = len(voters) // 2 + 1 - (1 if self.identity in voters else 0)
         if needed == 0:
@@ -588,15 +591,15 @@
     def _replicate(self, peer: str, now: float, heartbeat: bool = False) -> list[ReplicaAction]:
         progress = self._progress[peer]
         if progress.in_flight and now - progress.sent_at > RESEND_TIMEOUT_S:
-            # Back to what was sent last, not to the last acknowledged index: a new leader knows no
-            # acknowledgement yet, and would begin a snapshot that empties a replica in sync.
+            # Resend from the last index sent, not from the last acknowledged one: a new leader has
+            # no acknowledgement yet, and would start a snapshot that empties a replica in sync.
             progress.in_flight = False
             progress.next_index = min(progress.next_index, progress.in_flight_from)
         if progress.snapshot_running:
             return [self._append(peer, self.last_index, ())] if heartbeat else []
         if peer in self.replica_set.in_sync:
-            # One in sync holds everything committed, so it matches at the base at the latest. A
-            # snapshot would empty it while its acknowledgements count.
+            # A replica in sync holds every committed entry, so it matches at least at the base. A
+            # snapshot would empty it while its acknowledgements still count.
             progress.next_index = max(progress.next_index, self.base_index + 1)
         if progress.next_index <= self.base_index:
             progress.snapshot_running = True
@@ -680,7 +683,7 @@
     # ---- in-sync set and repair ----
 
     def _is_set_settled(self) -> bool:
-        """Whether the newest replica set is committed, and something of this epoch, too."""
+        """Whether the newest replica set and an entry of this epoch are committed."""
         settled = self.commit_index >= self.replica_set_index
         return settled and self.commit_index >= self._epoch_start_index
 
@@ -692,7 +695,7 @@
         return actions
 
     def _apply_policy(self, now: float) -> list[ReplicaAction]:
-        """Change the replica set if the policy says so, and feed a learner it chose."""
+        """Change the replica set or start a learner, as the policy decides."""
         decision = self._policy.decide(self._view(), now)
         for gone in decision.dropped_peers:
             self._progress.pop(gone, None)
--- a/src/wharfcart/storage/replica_actions.py
+++ b/src/wharfcart/storage/replica_actions.py
@@ -1,4 +1,4 @@
-"""What a journal replica asks its driver to do."""
+"""Actions that a journal replica requests from its driver."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class HardState:
-    """What must be on disk before a message that rests on it is sent."""
+    """Raft's persistent state, which must be on disk before messages that depend on it are sent."""
 
     epoch: int
     voted_for: str
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class Persist:
-    """Action: write hard state and entries; entries replace everything from their first index."""
+    """Action: write hard state and entries; entries replace the log from their first index on."""
 
     hard_state: HardState
     entries: tuple[LogEntry, ...] = ()
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class Send:
-    """Action: send a message, after everything persisted so far is on disk if so told."""
+    """Action: send a message, either at once or after all preceding writes are on disk."""
 
     message: ReplicaMessage
     after_persist: bool = False
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class Apply:
-    """Action: hand committed entries to the state machine, in order."""
+    """Action: apply committed entries to the state machine, in order."""
 
     entries: tuple[LogEntry, ...]
 
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True)
 class RoleChanged:
-    """Action: tell the driver the new role."""
+    """Action: notify the driver of a new role."""
 
     role: Role
 
--- a/src/wharfcart/storage/replica_set_policy.py
+++ b/src/wharfcart/storage/replica_set_policy.py
@@ -1,7 +1,9 @@
-"""Which replicas a shard has and which must acknowledge: decisions of its leader, one at a time.
+"""Replica set policy core: which replicas a shard has, and which of them must acknowledge.
 
-Pure: looks at what the leader knows (:class:`LeaderView`) and returns the next replica set, or a
-spare to feed first. The rules and why they are safe: docs/design/0002-journal.md.
+The shard's leader makes one decision at a time: the next replica set, or a spare that must catch up
+first. docs/design/0002-journal.md has the rules and why they are safe.
+
+Pure: decides by a :class:`LeaderView` only.
 """
 
 from dataclasses import dataclass, field
@@ -16,7 +18,7 @@
 
 @dataclass
 class Progress:
-    """What the leader knows of one other replica."""
+    """Replication progress of one other replica, as the leader knows it."""
 
     next_index: int
     match_index: int = 0
@@ -30,11 +32,14 @@
 
 @dataclass(frozen=True)
 class LeaderView:
-    """What the leader knows when it decides.
+    """State of a shard as its leader knows it.
 
     Parameters
     ----------
-    settled: whether the newest set is committed, and something of the leader's own epoch, too.
+    replica_set: newest replica set in the log.
+    progress: progress of the other replicas, by identity.
+    commit_index: index of the last committed entry.
+    settled: whether the newest set and an entry of the leader's own epoch are committed.
     """
 
     replica_set: ReplicaSet
@@ -43,14 +48,14 @@
     settled: bool
 
     def caught_up(self, peer: str) -> bool:
-        """Whether a replica holds everything committed."""
+        """Whether a replica holds every committed entry."""
         progress = self.progress.get(peer)
         return progress is not None and progress.match_index >= self.commit_index
 
 
 @dataclass(frozen=True)
 class ReplicaSetDecision:
-    """What to do: propose a set, or feed a learner; and whose progress to forget."""
+    """A set to propose, a learner to start, and peers whose progress is no longer needed."""
 
     next_set: ReplicaSet | None = None
     learner: str | None = None
@@ -59,7 +64,7 @@
 
 @dataclass
 class ReplicaSetPolicy:
-    """Keeps the in-sync set answering and replaces voters that are gone."""
+    """Removes unresponsive replicas from the in-sync set and replaces lost voters."""
 
     live: dict[str, str] = field(default_factory=dict)  # identity -> zone
     leaving: set[str] = field(default_factory=set)
@@ -67,21 +72,22 @@
     _absent_since: dict[str, float] = field(default_factory=dict)
 
     def reset(self) -> None:
-        """Forget what an earlier leadership was about to do."""
+        """Discard the state of an earlier leadership."""
         self._learner = ""
         self._absent_since = {}
 
     def decide(self, view: LeaderView, now: float) -> ReplicaSetDecision:
-        """Drop silent replicas from the in-sync set; else repair."""
+        """Drop unresponsive replicas from the in-sync set; if there are none, repair."""
         if self._unresponsive(view, now):
             return ReplicaSetDecision(self._shrunk_set(view, now))
-        # Fewer voters need more of them to answer: never shrink while one in sync is silent.
+        # With fewer voters a larger share must answer: don't remove one while another in sync is
+        # unresponsive.
         if self.live and view.settled:
             return self._repair(view, now)
         return ReplicaSetDecision()
 
     def admit(self, view: LeaderView, peer: str) -> ReplicaSet | None:
-        """Return the set with a voter that has caught up, if it is not in sync yet."""
+        """Return the set with a caught-up voter added to the in-sync set, or None."""
         current = view.replica_set
         if peer in current.in_sync or peer not in current.voters or not view.settled:
             return None
@@ -107,8 +113,8 @@
         current = view.replica_set
         silent = self._unresponsive(view, now)
         keep = [peer for peer in current.in_sync if peer not in silent]
-        # A voter that has caught up takes a silent one's place in the same entry: with two in sync,
-        # dropping the silent one first would leave a single copy.
+        # A caught-up voter replaces an unresponsive one in the same entry: with two in sync,
+        # dropping the unresponsive one first would leave a single copy.
         keep.extend(
             peer
             for peer in current.voters
@@ -124,7 +130,7 @@
     # ---- repair ----
 
     def _repair(self, view: LeaderView, now: float) -> ReplicaSetDecision:
-        """Replace a voter whose identity has been gone for a while by a spare."""
+        """Replace a voter that has been absent for a while by a spare."""
         current = view.replica_set
         if len(current.voters) <= MIN_COPIES:
             return self._add_voter(view)
--- a/src/wharfcart/storage/shard.py
+++ b/src/wharfcart/storage/shard.py
@@ -1,7 +1,7 @@
-"""One shard on one node: replica, state machine, waiting proposals and snapshots, without I/O.
+"""One shard on one node: replica, state machine, pending proposals and snapshots, without I/O.
 
-The driver (:mod:`wharfcart.storage.journal`) and the simulator both run this class: they carry out
-its :class:`ShardOutput` and report back what reached the disk.
+The driver (:mod:`wharfcart.storage.journal`) and the simulator both run this class: they execute
+its :class:`ShardOutput` and report the writes that are on disk.
 """
 
 import logging
@@ -43,10 +43,10 @@
 
 @dataclass(frozen=True)
 class ReadSnapshotRows:
-    """Ask the driver for the rows after a key, for a snapshot to ``target``.
+    """Request to the driver for the rows after a key, for a snapshot to ``target``.
 
-    To be read after this output's writes are on disk: the snapshot's index counts rows as present
-    that still wait for a group commit when it begins.
+    The driver must read them after this output's writes are on disk: the snapshot's index includes
+    rows that are still waiting for a group commit when the snapshot starts.
     """
 
     target: str
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class ProposalResult:
-    """The outcome of one proposal; ``code`` of the result is ``lost_leadership`` if unknown."""
+    """Result of one proposal; its ``code`` is ``lost_leadership`` if the outcome is unknown."""
 
     token: int
     result: ProposeResult
@@ -63,7 +63,7 @@
 
 @dataclass
 class ShardOutput:
-    """Everything to be carried out after a step."""
+    """Everything that the driver must execute after a step."""
 
     writes: ShardWrites = field(default_factory=ShardWrites)
     dirty: bool = False
@@ -139,7 +139,7 @@
         return self.replica.role is Role.LEADER
 
     def take_output(self) -> ShardOutput:
-        """Return and clear what is to be carried out."""
+        """Return and clear the pending output."""
         output = self._output
         self._output = ShardOutput()
         rows, deleted = self.state.take_changes()
@@ -164,7 +164,7 @@
                 self._execute(self.replica.snapshot_sent(target, 0, now))
 
     def receive(self, message: ReplicaMessage, now: float) -> None:
-        """Handle a message of another replica."""
+        """Handle a message from another replica."""
         kind = message.WhichOneof("body")
         if kind == "snapshot_chunk":
             self._handle_snapshot_chunk(message, now)
@@ -174,11 +174,11 @@
             self._execute(self.replica.receive(message, now))
 
     def propose(self, proposals: Sequence[tuple[int, Command]], now: float) -> None:
-        """Propose commands, each with a token its answer will carry.
+        """Propose commands, each with a token that identifies its result.
 
         Raises
         ------
-        NotLeaderError
+        NotLeaderError: this replica does not lead the shard.
         """
         blobs = [command.SerializeToString() for _, command in proposals]
         first, actions = self.replica.propose(blobs, now)
@@ -187,16 +187,16 @@
         self._execute(actions)
 
     def mark_written(self, mark: tuple[int, int], now: float) -> None:
-        """Note that everything of an earlier output is on disk."""
+        """Record that the writes of an earlier output are on disk."""
         epoch, index = mark
         self._execute(self.replica.persisted(epoch, index, now))
 
     def update_storage_members(self, live: dict[str, str], leaving: set[str], now: float) -> None:
-        """Note which storage identities are live, identity to zone, and which are leaving."""
+        """Update the live storage identities, with their zones, and those that are restarting."""
         self._execute(self.replica.update_storage_members(live, leaving, now))
 
     def recover_as_sole_voter(self, now: float) -> None:
-        """Go on as the only voter, by an operator's word."""
+        """Continue as the only voter, at an operator's request."""
         self._execute(self.replica.recover_as_sole_voter(now))
 
     def step_down(self, now: float) -> None:
@@ -255,7 +255,7 @@
         self._output.reads.append(ReadSnapshotRows(target, FIRST_ROW))
 
     def snapshot_rows_read(self, target: str, rows: list[Row], now: float) -> None:
-        """Send the rows that :class:`ReadSnapshotRows` asked for; none ends the snapshot."""
+        """Send the rows that :class:`ReadSnapshotRows` requested; no rows end the snapshot."""
         snapshot = self._outgoing.get(target)
         if snapshot is None or not self.is_leader:
             self._outgoing.pop(target, None)
@@ -325,7 +325,7 @@
         self._output.send_after_write.append(answer)
 
     def _starts_new_snapshot(self, epoch: int, chunk: SnapshotChunk) -> bool:
-        """Whether a first chunk begins something new: a late copy must not empty the replica."""
+        """Whether a first chunk starts a new snapshot; a late copy must not empty the replica."""
         if chunk.snapshot_index <= self.replica.commit_index and not self.replica.installing:
             return False
         return (epoch, chunk.stream) > self._newest_stream
@@ -339,7 +339,7 @@
         self._installed_base = base
 
     def reload(self, rows: Iterable[Row]) -> None:
-        """Rebuild memory from the rows of a snapshot that is now on disk."""
+        """Rebuild the state machine from the rows of a snapshot that is now on disk."""
         base = self._installed_base
         assert base is not None
         self.state = ShardState()
--- a/src/wharfcart/storage/shard_state.py
+++ b/src/wharfcart/storage/shard_state.py
@@ -1,9 +1,9 @@
-"""Shard state machine: what the committed entries of one shard mean.
+"""Shard state machine: applies the committed entries of one shard.
 
-Deterministic and pure. Bulk values (file lines, item results, stored answers) live in rows on disk;
-memory holds one byte an item and small records, so that a job of 690,000 items costs under a
-megabyte. Memory can be rebuilt from the rows alone, and applying an entry twice is harmless, which
-lets a snapshot be read while it changes (as ZooKeeper's fuzzy snapshots).
+Deterministic and pure. Rows on disk hold bulk values (file lines, item results, stored responses);
+memory holds one byte per item and small records. Memory can be rebuilt from the rows alone, and
+applying an entry twice is harmless, so a snapshot may be read while it changes (as in ZooKeeper's
+fuzzy snapshots).
 """
 
 from collections.abc import Iterable
@@ -34,7 +34,7 @@
 
 
 class RowKind(StrEnum):
-    """Kinds of rows a shard keeps on disk."""
+    """Kinds of rows that a shard stores on disk."""
 
     LINE = "line"  # id: file, number: input row
     CLASSES = "classes"  # id: file, number: first row, value: one byte a row
@@ -46,7 +46,7 @@
 
 
 class ItemState(IntEnum):
-    """State of one batch item, one byte in memory."""
+    """State of one batch item; stored as one byte."""
 
     PENDING = 0
     LEASED = 1
@@ -81,7 +81,7 @@
     record: JobRecord
     states: bytearray
     classes: bytes  # one byte a row: index into the record's service names
-    pending_from: dict[int, int] = field(default_factory=dict)  # by class: none pending before
+    pending_from: dict[int, int] = field(default_factory=dict)  # first row that may be pending
 
     @property
     def cancelled(self) -> bool:
@@ -94,7 +94,7 @@
 
     @property
     def finished(self) -> bool:
-        """Whether every item ended."""
+        """Whether every item is in a final state."""
         return self.record.finished_ms > 0
 
     def next_pending(self, class_: int, limit: int) -> list[int]:
@@ -125,7 +125,7 @@
         return ItemState.PENDING in self.states or ItemState.LEASED in self.states
 
     def make_pending(self, row: int) -> None:
-        """Return a leased row to the pending ones."""
+        """Make a leased row pending again."""
         self.states[row] = ItemState.PENDING
         class_ = self.classes[row]
         self.pending_from[class_] = min(self.pending_from.get(class_, 0), row)
@@ -137,13 +137,13 @@
 
     @property
     def summarized(self) -> bool:
-        """Whether only counts are left of the items."""
+        """Whether only the counts of the items are kept."""
         return self.finished and not self.record.unknown
 
     def finish(self, now_ms: int) -> None:
-        """Note that every item ended, and keep only their counts.
+        """Mark the job as finished and reduce its items to counts.
 
-        A job with items of unknown outcome keeps them: they may become definite yet.
+        A job with items of unknown outcome keeps its items, since a late result may resolve them.
         """
         record = self.record
         record.completed = self.count(ItemState.COMPLETED)
@@ -171,7 +171,7 @@
         }
 
     def to_view(self) -> JobView:
-        """Return what callers see."""
+        """Return the job as callers see it."""
         create = self.record.create
         return JobView(
             job_id=create.job_id,
@@ -196,7 +196,7 @@
 
 @dataclass
 class ShardState:
-    """State of one shard, and the rows its last entries changed."""
+    """State of one shard, and the rows that its last entries changed."""
 
     applied_index: int = 0
     files: dict[str, FileRecord] = field(default_factory=dict)
@@ -210,7 +210,7 @@
     deleted_rows: list[Row] = field(default_factory=list)
 
     def apply(self, index: int, command: Command) -> ProposeResult:
-        """Apply one committed entry and return the answer for its proposer."""
+        """Apply one committed entry and return the result for its proposer."""
         self.applied_index = index
         kind = command.WhichOneof("body")
         now_ms = command.at_ms
@@ -237,7 +237,7 @@
         return ProposeResult(code="ok")
 
     def take_changes(self) -> tuple[list[Row], list[Row]]:
-        """Return rows to put and rows to delete since the last call."""
+        """Return the rows to put and the rows to delete since the last call."""
         changes = (self.changed_rows, self.deleted_rows)
         self.changed_rows, self.deleted_rows = [], []
         return changes
@@ -254,7 +254,7 @@
         if record.sealed:
             return ProposeResult(code="sealed")
         classes = self.file_classes[append.file_id]
-        # A repeated append writes the same again; it must not cut off what came after it.
+        # A repeated append writes the same rows; it must not truncate rows appended later.
         classes[append.first_row : append.first_row + len(append.classes)] = append.classes
         del record.service_names[:]
         record.service_names.extend(append.service_names)
@@ -358,8 +358,8 @@
         return ProposeResult(code="ok", accepted=accepted, dropped=dropped)
 
     def _complete_item(self, job: BatchJob, result: ItemResult) -> bool:
-        # First valid completion wins, also one that comes after its lease ended. An item recorded
-        # unknown becomes definite when a late answer proves what happened.
+        # The first valid completion wins, even after its lease ended. A late result resolves an
+        # item whose outcome was unknown.
         if result.row >= len(job.states):
             return False
         state = ItemState(job.states[result.row])
@@ -376,7 +376,7 @@
         return not job.summarized and any(job.states[r] == ItemState.LEASED for r in lease.rows)
 
     def _lease_end(self, end: LeaseEnd, now_ms: int) -> ProposeResult:
-        """End a lease or rows of it: what did not run or may be repeated goes back."""
+        """End a lease or some of its rows; make rows pending that did not run or are repeatable."""
         lease = self.leases.get(end.lease_id)
         if lease is None:
             return ProposeResult(code="ok")
@@ -408,14 +408,14 @@
     # ---- idempotency keys ----
 
     def _key_start(self, start: KeyStart, now_ms: int) -> ProposeResult:
-        """Claim a key, or tell what it already stands for."""
+        """Claim a key, or return its known record."""
         known = self.keys.get(start.key)
         if known is not None and known.start.digest != start.digest:
             return ProposeResult(code="key_conflict", key_record=known)
         if known is not None and known.state != KeyState.NOT_RUN:
             if known.start.request_id != start.request_id or known.state != KeyState.STARTED:
                 return ProposeResult(code="key_known", key_record=known)
-            known.start.target = start.target  # next try, after proof of not run
+            known.start.target = start.target  # next attempt after a definite "not run"
             self._put(RowKind.KEY, start.key, 0, known.SerializeToString())
             return ProposeResult(code="ok", key_record=known)
         record = KeyRecord(start=start, state=KeyState.STARTED, at_ms=now_ms)
@@ -442,7 +442,7 @@
     # ---- retention ----
 
     def _expire(self, before_ms: int, limit: int) -> ProposeResult:
-        """Drop ended jobs, their files and settled keys older than ``before_ms``."""
+        """Delete finished jobs, files that no job uses, and keys older than ``before_ms``."""
         jobs = [
             job_id
             for job_id, job in self.jobs.items()
@@ -486,13 +486,13 @@
     def _mark_leased(self, lease: Lease) -> None:
         job = self.jobs[lease.job_id]
         if job.summarized:
-            return  # the job ended through other leases; this one lapses
+            return  # the job finished through other leases; this one is void
         for number in lease.rows:
             if job.states[number] == ItemState.PENDING:
                 job.states[number] = ItemState.LEASED
 
     def load(self, rows: Iterable[Row], applied_index: int) -> None:
-        """Rebuild memory from rows; lines are skipped, results set only their item's state."""
+        """Rebuild memory from rows; skip lines, and use results only for the state of items."""
         results: list[tuple[str, int, int]] = []
         for row in rows:
             if row.kind == RowKind.FILE:
@@ -520,7 +520,7 @@
         for job_id, number, end in results:
             if job_id in self.jobs and not self.jobs[job_id].summarized:
                 self.jobs[job_id].states[number] = _STATE_BY_END[end]
-        # A lease read from a snapshot before its job was: the log behind the snapshot makes both.
+        # A lease may precede its job in a snapshot: the log after the snapshot restores both.
         for lease_id, lease in list(self.leases.items()):
             if lease.job_id in self.jobs:
                 self._mark_leased(lease)
--- a/src/wharfcart/storage/shard_writes.py
+++ b/src/wharfcart/storage/shard_writes.py
@@ -1,4 +1,4 @@
-"""What a shard asks its node's storage to write, and what it is restored from."""
+"""Writes that a shard requests from its node's storage, and the record it is restored from."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class ShardRecord:
-    """What a shard's replica starts from."""
+    """Persistent state from which a shard's replica starts."""
 
     shard: int
     hard_state: HardState
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class InstalledBase:
-    """Base of a replica after a snapshot."""
+    """Base of a replica's log after a snapshot."""
 
     index: int
     epoch: int
@@ -32,7 +32,7 @@
 
 @dataclass
 class ShardWrites:
-    """All writes for one shard in one group commit."""
+    """All writes of one shard in one group commit."""
 
     hard_state: HardState | None = None
     entries: list[LogEntry] = field(default_factory=list)
@@ -44,14 +44,14 @@
     end_install: InstalledBase | None = None
 
     def merge(self, newer: "ShardWrites") -> "ShardWrites":
-        """Return what both ask for in one commit, ``newer`` having come later."""
+        """Merge later writes into these and return the result."""
         if newer.begin_install:
-            # An install empties the replica: only epoch and vote of what came before still count.
+            # An install empties the replica: of the earlier writes only epoch and vote remain.
             newer.hard_state = newer.hard_state or self.hard_state
             return newer
         self.hard_state = newer.hard_state or self.hard_state
         self.add_entries(newer.entries)
-        # Rows are put before others are deleted: of a row that comes in both, only the later stays.
+        # Rows are put before others are deleted: keep only the later write of a row.
         if newer.deleted_rows:
             self.rows = _without(self.rows, newer.deleted_rows)
         if self.deleted_rows:
@@ -65,7 +65,7 @@
         return self
 
     def add_entries(self, entries: Sequence[LogEntry]) -> None:
-        """Add entries, which replace everything from their first index on."""
+        """Add entries, which replace the log from their first index on."""
         if not entries:
             return
         first = entries[0].index
