--- a/src/wharfcart/storage/job_client.py
+++ b/src/wharfcart/storage/job_client.py
@@ -96,8 +96,8 @@
         attempt_timeout_s: timeout of one attempt, on top of the observed round trip to the node.
         residence: where the data of the call may be sent.
         """
-        until = monotonic() + timeout_s
-        if not await self._wait_for_groups(until):
+        deadline = monotonic() + timeout_s
+        if not await self._wait_for_groups(deadline):
             return JobCallFailure(False, "no_groups")
         group = pick_group(job_id, self.eligible_groups(residence))
         if group is None:
@@ -106,7 +106,7 @@
             group,
             _with_group(frame, group),
             answer_field,
-            until - monotonic(),
+            deadline - monotonic(),
             attempt_timeout_s,
             residence,
         )
@@ -135,14 +135,14 @@
             attempt_timeout_s: timeout of one attempt at one node.
             residences: residences that the current configuration allows for such a job.
         """
-        until = monotonic() + timeout_s
-        if not await self._wait_for_groups(until):
+        deadline = monotonic() + timeout_s
+        if not await self._wait_for_groups(deadline):
             return JobCallFailure(False, "no_groups")
         known = set(residences) or {ANYWHERE}
         picks = {pick_group(job_id, self.eligible_groups(residence)) for residence in known}
         likely = sorted(group for group in picks if group is not None)
         answer = await self._find_in_groups(
-            likely, frame, answer_field, until - monotonic(), attempt_timeout_s
+            likely, frame, answer_field, deadline - monotonic(), attempt_timeout_s
         )
         others = [group for group in range(self._group_count()) if group not in likely]
         if not others or (likely and not _is_missing(answer, answer_field)):
@@ -205,30 +205,30 @@
 
         The call goes to no node outside the residence, even if a hint names one as the leader.
         """
-        until = monotonic() + timeout_s
-        sent = False
+        deadline = monotonic() + timeout_s
+        may_have_executed = False
         cause = "no_leader"
         hint = ""
-        while (left_s := until - monotonic()) > MIN_CALL_S:
+        while (left_s := deadline - monotonic()) > MIN_CALL_S:
             leader = self._leader_of(group, hint)
             if leader and not residence.allows(self._region_of(leader)):
-                return JobCallFailure(sent, OUTSIDE_RESIDENCE)
+                return JobCallFailure(may_have_executed, OUTSIDE_RESIDENCE)
             address = self._address_of(leader) if leader else None
             hint = ""
             if address is not None:
-                answer, cause, may_have_acted = await self._call_node(
+                answer, cause, attempt_may_have_executed = await self._call_node(
                     group, address, frame, answer_field, min(left_s, attempt_timeout_s)
                 )
-                sent = sent or may_have_acted
+                may_have_executed = may_have_executed or attempt_may_have_executed
                 if answer is not None:
                     status = getattr(answer, answer_field).status
                     if status not in (NOT_LEADING, UNSURE):
                         return answer
                     hint = getattr(answer, answer_field).leader
-                    sent = sent or status == UNSURE
+                    may_have_executed = may_have_executed or status == UNSURE
                     cause = "not_leading" if status == NOT_LEADING else "unsure"
-            await asyncio.sleep(min(RETRY_DELAY_S, max(0.0, until - monotonic())))
-        return JobCallFailure(sent, cause)
+            await asyncio.sleep(min(RETRY_DELAY_S, max(0.0, deadline - monotonic())))
+        return JobCallFailure(may_have_executed, cause)
 
     async def _call_node(
         self, group: int, address: Address, frame: Frame, answer_field: str, timeout_s: float
@@ -240,11 +240,11 @@
         request = Frame()
         request.CopyFrom(frame)
         epoch = self._epoch_of(group)
-        until = monotonic() + timeout_s + self._transport.round_trip_s(address)
+        deadline = monotonic() + timeout_s + self._transport.round_trip_s(address)
         call = asyncio.create_task(self._transport.call(address, request))
         try:
             while not call.done() and self._epoch_of(group) == epoch:
-                left_s = until - monotonic()
+                left_s = deadline - monotonic()
                 if left_s <= 0:
                     self._transport.drop(address)
                     return None, "timeout", True
--- a/src/wharfcart/storage/job_group.py
+++ b/src/wharfcart/storage/job_group.py
@@ -258,12 +258,12 @@
         """Save partial texts periodically; after a failed write, save all of them again."""
         while True:
             await asyncio.sleep(TEXT_SAVE_INTERVAL_S)
-            over = self.partial_texts.removed_items(saved)
+            finished_item_ids = self.partial_texts.removed_items(saved)
             parts = self.partial_texts.take_unsent(saved)
-            if not parts and not over:
+            if not parts and not finished_item_ids:
                 continue
             try:
-                await self._context.disk.save_partial_texts(self.group, parts, over)
+                await self._context.disk.save_partial_texts(self.group, parts, finished_item_ids)
             except DiskFailedError:
                 saved = SentOffsets()
 
@@ -317,16 +317,18 @@
             # This node led before its restart: there is no other leader to wait for.
             return now - self._last_leader_contact_at > TICK_INTERVAL_S
         # A leader that was just elected needs time for its first heartbeat.
-        silent_s = now - max(self._last_leader_contact_at, self._started_at, self._epoch_seen_at)
-        if silent_s <= ELECTION_TIMEOUT_S:
+        no_contact_s = now - max(
+            self._last_leader_contact_at, self._started_at, self._epoch_seen_at
+        )
+        if no_contact_s <= ELECTION_TIMEOUT_S:
             return False
         # The nearest first: a leader in another region adds a round trip to each grant.
         rank = self.placement.rank_leaders(record.members).index(self._context.identity)
-        return silent_s > ELECTION_TIMEOUT_S + ELECTION_TIMEOUT_STEP_S * rank
+        return no_contact_s > ELECTION_TIMEOUT_S + ELECTION_TIMEOUT_STEP_S * rank
 
     async def _run_election(self) -> None:
-        began_at = monotonic()
-        self._next_election_at = began_at + ELECTION_RETRY_S * (1 + self._context.random.random())
+        started_at = monotonic()
+        self._next_election_at = started_at + ELECTION_RETRY_S * (1 + self._context.random.random())
         known = self.record
         if known is None:
             return
@@ -340,13 +342,13 @@
             return
         if record is None or record.epoch > known.epoch:
             return  # another replica won; the mirror delivers its record
-        if self._last_leader_contact_at > began_at:
+        if self._last_leader_contact_at > started_at:
             return  # another leader has made contact meanwhile
         if self._context.identity not in record.members:
             return
-        taken = replace(record, epoch=record.epoch + 1, leader=self._context.identity)
+        claimed = replace(record, epoch=record.epoch + 1, leader=self._context.identity)
         try:
-            written = await self.records.swap(taken, record.revision)
+            written = await self.records.swap(claimed, record.revision)
         except RecordInDoubtError:
             return  # if the swap took effect, the mirror delivers the record
         if written is not None:
@@ -365,9 +367,9 @@
         agreed = 0
         denied = False
         while pending and not denied:
-            limit_s = STRAGGLER_WAIT_S if agreed >= needed else None
+            timeout_s = STRAGGLER_WAIT_S if agreed >= needed else None
             done, pending = await asyncio.wait(
-                pending, timeout=limit_s, return_when=asyncio.FIRST_COMPLETED
+                pending, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED
             )
             if not done:
                 break
@@ -388,7 +390,7 @@
     async def _take_over(self, record: GroupRecord) -> None:
         """Take over an epoch that this node has won."""
         self._last_led_epoch = record.epoch
-        began_at = monotonic()
+        started_at = monotonic()
         takeover = Takeover(
             record, self._context.identity, self._context.write_quorum, self._link_to
         )
@@ -397,10 +399,10 @@
         ):
             return
         try:
-            records = await takeover.newest_jobs()
+            jobs = await takeover.newest_jobs()
         except ReplicaFailedError:
             return
-        self._start_leading(record, records, takeover.states_by_identity, began_at)
+        self._start_leading(record, jobs, takeover.states_by_identity, started_at)
 
     def _is_superseded(self, record: GroupRecord) -> bool:
         known = self.record
@@ -492,14 +494,14 @@
         if leadership is None:
             return []
         now = monotonic()
-        fresh = [
+        responsive = [
             identity
             for identity in leadership.members
             if identity != self._context.identity
             and identity in self.sessions
             and self.sessions[identity].unresponsive_s(now) < CONFIRMATION_VALID_S
         ]
-        return self.placement.rank_leaders(fresh)
+        return self.placement.rank_leaders(responsive)
 
     async def transfer_leadership(self, successor: str) -> None:
         """Name another replica as leader; this node steps down once it reads the record."""
@@ -509,9 +511,9 @@
                 await self.records.swap_members(leadership.epoch, leadership.members, successor)
 
     async def _transfer_leadership_at_stop(self) -> None:
-        heirs = self.successors()
-        if heirs:
-            await self.transfer_leadership(heirs[0])
+        candidates = self.successors()
+        if candidates:
+            await self.transfer_leadership(candidates[0])
 
     def _step_down(self, reason: str) -> None:
         leadership = self.leadership
--- a/src/wharfcart/storage/job_leadership.py
+++ b/src/wharfcart/storage/job_leadership.py
@@ -248,7 +248,7 @@
 
     def _replicated_version(self, job_id: str, replicas: frozenset[str]) -> int:
         """Return the newest version that a quorum of some replicas has written; 0 for none."""
-        written = sorted(
+        versions = sorted(
             (
                 progress.written_versions.get(job_id, 0)
                 for identity in replicas
@@ -256,7 +256,7 @@
             ),
             reverse=True,
         )
-        return written[self.write_quorum - 1] if len(written) >= self.write_quorum else 0
+        return versions[self.write_quorum - 1] if len(versions) >= self.write_quorum else 0
 
     def _advance_commit(self, job_id: str) -> bool:
         """Advance a job's committed version; return whether it grew."""
--- a/src/wharfcart/storage/layout.py
+++ b/src/wharfcart/storage/layout.py
@@ -145,8 +145,10 @@
         zones_by_group += _divide_zones(_zones_in(region, topology), groups)
         region_by_group += [region] * groups
     for region in sorted(set(topology.region_by_zone.values()) - groups_by_region.keys()):
-        least = min(range(len(zones_by_group)), key=lambda group: len(zones_by_group[group]))
-        zones_by_group[least] += tuple(_zones_in(region, topology))
+        fewest_zones_group = min(
+            range(len(zones_by_group)), key=lambda group: len(zones_by_group[group])
+        )
+        zones_by_group[fewest_zones_group] += tuple(_zones_in(region, topology))
     return Layout(tuple(zones_by_group), tuple(region_by_group))
 
 
@@ -165,23 +167,27 @@
         placement_of: placement of a group's replicas; None if only the zones are known.
     """
     identities = _interleave_zones(zones_by_identity)
-    uses: Counter[str] = Counter()
+    group_counts: Counter[str] = Counter()
     leaders: set[str] = set()
     records = []
     for group in range(layout.group_count):
         first = group * replication_factor % len(identities)
         members = (identities[first:] + identities[:first])[:replication_factor]
-        spread = None if placement_of is None else placement_of(group)
-        if spread is not None and not spread.is_satisfied_by(members):
-            members = spread.choose_additions([], identities, uses) or members
-        own = [
+        placement = None if placement_of is None else placement_of(group)
+        if placement is not None and not placement.is_satisfied_by(members):
+            members = placement.choose_additions([], identities, group_counts) or members
+        granting = [
             identity
             for identity in members
             if layout.grants_zone(group, zones_by_identity[identity])
         ]
-        ranked = (own or members) if spread is None else sorted(members, key=spread.distance_to)
+        ranked = (
+            (granting or members)
+            if placement is None
+            else sorted(members, key=placement.distance_to)
+        )
         leader = next((identity for identity in ranked if identity not in leaders), ranked[0])
-        uses.update(members)
+        group_counts.update(members)
         leaders.add(leader)
         records.append(GroupRecord(1, leader, frozenset(members)))
     return records
--- a/src/wharfcart/storage/layout_bootstrap.py
+++ b/src/wharfcart/storage/layout_bootstrap.py
@@ -54,13 +54,13 @@
 
     async def run(self) -> None:
         """Wait until there is a layout, and write it if this node is the one to do so."""
-        began_at = monotonic()
+        started_at = monotonic()
         while self._context.mirror.get(self._layout_key) is None:
             await asyncio.sleep(POLL_INTERVAL_S)
-            if self._should_write(began_at):
+            if self._should_write(started_at):
                 await self._write_layout()
 
-    def _should_write(self, began_at: float) -> bool:
+    def _should_write(self, started_at: float) -> bool:
         known = self._zones_by_identity()
         now = monotonic()
         if len(known) != self._known_count:
@@ -70,11 +70,11 @@
             return False
         if self._context.mirror.at == 0 or min(known) != self._context.identity:
             return False
-        complete = len(known) >= self._context.replication_factor and self._covers_all_regions(
+        is_complete = len(known) >= self._context.replication_factor and self._covers_all_regions(
             known
         )
-        settled = complete and now - self._known_since >= SETTLE_S
-        return settled or now - began_at >= GATHER_TIMEOUT_S
+        settled = is_complete and now - self._known_since >= SETTLE_S
+        return settled or now - started_at >= GATHER_TIMEOUT_S
 
     def _covers_all_regions(self, known: dict[str, str]) -> bool:
         """Whether every region has a node; a region without one never gets its own groups."""
--- a/src/wharfcart/storage/partial_texts.py
+++ b/src/wharfcart/storage/partial_texts.py
@@ -70,13 +70,13 @@
 
     def remove_job(self, job_id: str) -> None:
         """Remove the items of a finished job."""
-        over = [item_id for item_id, text in self._texts.items() if text.job_id == job_id]
-        for item_id in over:
+        finished = [item_id for item_id, text in self._texts.items() if text.job_id == job_id]
+        for item_id in finished:
             del self._texts[item_id]
 
     def take_unsent(self, sent: SentOffsets) -> list[PartialText]:
         """Return the parts that were not sent yet, bounded in size, and record them as sent."""
-        news = []
+        parts = []
         size = 0
         for item_id, text in self._texts.items():
             events = sent.events.get(item_id, 0)
@@ -93,12 +93,12 @@
             )
             sent.events[item_id] = len(text.texts)
             sent.failures[item_id] = len(text.failed_at)
-            news.append(message)
+            parts.append(message)
             size += message.ByteSize()
             if size > MAX_BYTES_PER_MESSAGE:
                 break
         sent.retain_only(self._texts.keys())
-        return news
+        return parts
 
     def removed_items(self, sent: SentOffsets) -> set[str]:
         """Return the items that were sent in part and no longer run."""
--- a/src/wharfcart/storage/replica.py
+++ b/src/wharfcart/storage/replica.py
@@ -415,12 +415,12 @@
         """Give up leadership for a planned stop and ask the most advanced peer to campaign."""
         if self.role is not Role.LEADER:
             return []
-        heirs = [peer for peer in self.replica_set.in_sync if peer in self._progress]
+        successors = [peer for peer in self.replica_set.in_sync if peer in self._progress]
         actions = self._become_follower(self.epoch, "", now)
         self._election_due_at = now + 10 * MIN_ELECTION_TIMEOUT_S
-        if heirs:
-            heir = max(heirs, key=lambda peer: self._progress[peer].match_index)
-            actions.append(Send(self._message(heir, self.epoch, campaign_now=CampaignNow())))
+        if successors:
+            successor = max(successors, key=lambda peer: self._progress[peer].match_index)
+            actions.append(Send(self._message(successor, self.epoch, campaign_now=CampaignNow())))
         return actions
 
     # ---- log ----
@@ -557,12 +557,12 @@
 
     def _lost_quorum(self, now: float) -> bool:
         voters = self.replica_set.voters
-        heard = {
+        in_contact = {
             peer
             for peer, progress in self._progress.items()
             if now - progress.last_contact_at < 2 * MIN_ELECTION_TIMEOUT_S
         }
-        return not self._has_majority(heard | {self.identity}) and len(voters) > 1
+        return not self._has_majority(in_contact | {self.identity}) and len(voters) > 1
 
     def _last_quorum_contact_at(self) -> float:
         """Return the send time of the latest round that a majority has acknowledged."""
@@ -619,14 +619,14 @@
 
     def _entries_from(self, index: int) -> tuple[LogEntry, ...]:
         start = index - self.base_index - 1
-        taken: list[LogEntry] = []
+        entries: list[LogEntry] = []
         total = 0
         for entry in self.log[start : start + MAX_ENTRIES_PER_MESSAGE]:
             total += len(entry.command)
-            if taken and total > MAX_BYTES_PER_MESSAGE:
+            if entries and total > MAX_BYTES_PER_MESSAGE:
                 break
-            taken.append(entry)
-        return tuple(taken)
+            entries.append(entry)
+        return tuple(entries)
 
     def _append(self, peer: str, previous: int, entries: tuple[LogEntry, ...]) -> Send:
         request = AppendRequest(
--- a/src/wharfcart/storage/replica_placement.py
+++ b/src/wharfcart/storage/replica_placement.py
@@ -88,18 +88,20 @@
         """
         in_zone = Counter(map(self.zone_of, kept))
         size = in_zone.total()
-        left = {identity for identity in spares if self.may_hold(identity)}
+        candidates = {identity for identity in spares if self.may_hold(identity)}
         chosen: list[str] = []
-        while left and size + len(chosen) < self.replication_factor:
-            best = min(left, key=lambda identity: self._rank(identity, in_zone, group_counts or {}))
-            zone = self.zone_of(best)
-            enough = size + len(chosen) >= self.write_quorum and self._tolerates_zone_failures(
-                in_zone
+        while candidates and size + len(chosen) < self.replication_factor:
+            best = min(
+                candidates, key=lambda identity: self._rank(identity, in_zone, group_counts or {})
             )
-            if enough and in_zone[zone] >= self.max_per_zone:
+            zone = self.zone_of(best)
+            is_sufficient = size + len(
+                chosen
+            ) >= self.write_quorum and self._tolerates_zone_failures(in_zone)
+            if is_sufficient and in_zone[zone] >= self.max_per_zone:
                 break
             in_zone[zone] += 1
-            left.remove(best)
+            candidates.remove(best)
             chosen.append(best)
         return chosen
 
@@ -129,19 +131,22 @@
             spares: disks that could join.
             keep: the leader, which is not replaced.
         """
-        exchanges = [
+        swaps = [
             (leaving, joining)
             for leaving in members
             if leaving != keep
             for joining in spares
             if self.may_hold(joining)
         ]
-        after = {
-            exchange: self._violations([*(set(members) - {exchange[0]}), exchange[1]])
-            for exchange in exchanges
+        violations_by_swap = {
+            swap: self._violations([*(set(members) - {swap[0]}), swap[1]]) for swap in swaps
         }
-        best = min(after, key=lambda exchange: (after[exchange], exchange), default=None)
-        if best is None or after[best] >= self._violations(members):
+        best = min(
+            violations_by_swap,
+            key=lambda swap: (violations_by_swap[swap], swap),
+            default=None,
+        )
+        if best is None or violations_by_swap[best] >= self._violations(members):
             return None
         return best
 
@@ -155,19 +160,19 @@
 
     def shortfalls(self, members: Collection[str]) -> list[str]:
         """Return the reasons why the members don't tolerate the configured failures."""
-        found = []
+        reasons = []
         if len(members) < self.replication_factor:
-            found.append(f"{len(members)} replicas of {self.replication_factor}")
+            reasons.append(f"{len(members)} replicas of {self.replication_factor}")
         in_zone = Counter(map(self.zone_of, members))
         if not self._tolerates_zone_failures(in_zone):
             held = self._max_in_failed_zones(in_zone)
-            found.append(
+            reasons.append(
                 f"{self.tolerated_zone_failures} zones hold {held} replicas of {len(members)}"
             )
-        barred = sum(not self.may_hold(identity) for identity in members)
-        if barred:
-            found.append(f"{barred} replicas are on disks that may not hold the group")
-        return found
+        excluded = sum(not self.may_hold(identity) for identity in members)
+        if excluded:
+            reasons.append(f"{excluded} replicas are on disks that may not hold the group")
+        return reasons
 
     def _max_in_failed_zones(self, in_zone: Counter[str]) -> int:
         return sum(count for _, count in in_zone.most_common(self.tolerated_zone_failures))
--- a/src/wharfcart/storage/replica_set_changer.py
+++ b/src/wharfcart/storage/replica_set_changer.py
@@ -95,15 +95,15 @@
             return None
         if await self._transfer_to_own_region():
             return None
-        spread = self._group.placement
+        group_placement = self._group.placement
         known = (
             self._context.known_addresses().keys() - leadership.members - self._context.retiring()
         )
         outside = set(filter(self._group.may_hold, known))
-        exchange = spread.find_better_swap(leadership.members, outside, self._context.identity)
-        if exchange is None:
+        swap = group_placement.find_better_swap(leadership.members, outside, self._context.identity)
+        if swap is None:
             return None
-        leaving, joining = exchange
+        leaving, joining = swap
         if not await self._group.responsive_disks([joining]):
             self._stable_since = monotonic()
             return None
@@ -112,18 +112,18 @@
     async def _transfer_to_own_region(self) -> bool:
         """Transfer leadership to a replica in the group's region if this node is in another one."""
         leadership = self._group.leadership
-        spread = self._group.placement
-        if leadership is None or not spread.in_other_region(self._context.identity):
+        group_placement = self._group.placement
+        if leadership is None or not group_placement.in_other_region(self._context.identity):
             return False
-        heirs = [
+        caught_up = [
             identity
             for identity in self._group.successors()
-            if not spread.in_other_region(identity) and not leadership.is_behind(identity)
+            if not group_placement.in_other_region(identity) and not leadership.is_behind(identity)
         ]
-        if not heirs:
+        if not caught_up:
             return False
         self._stable_since = monotonic()
-        await self._group.transfer_leadership(heirs[0])
+        await self._group.transfer_leadership(caught_up[0])
         return True
 
     def _log_shortfalls(self, members: frozenset[str]) -> None:
@@ -208,11 +208,11 @@
         """Wait until a quorum of the new set has every write, and briefly for the other disks."""
         leadership = self._group.leadership
         assert leadership is not None
-        began_at = monotonic()
-        while monotonic() - began_at < CHANGE_TIMEOUT_S:
+        started_at = monotonic()
+        while monotonic() - started_at < CHANGE_TIMEOUT_S:
             safe = leadership.is_set_change_safe()
-            all_there = not any(leadership.is_behind(identity) for identity in target)
-            if safe and (all_there or monotonic() - began_at > STRAGGLER_WAIT_S):
+            all_caught_up = not any(leadership.is_behind(identity) for identity in target)
+            if safe and (all_caught_up or monotonic() - started_at > STRAGGLER_WAIT_S):
                 return True
             await self._group.wait_for_progress(CHECK_INTERVAL_S)
         return False
--- a/src/wharfcart/storage/replica_set_policy.py
+++ b/src/wharfcart/storage/replica_set_policy.py
@@ -99,8 +99,8 @@
 
     def _is_responsive(self, view: LeaderView, peer: str, now: float) -> bool:
         known_gone = self.live and peer not in self.live
-        patience = IN_SYNC_TIMEOUT_LEAVING_S if known_gone else IN_SYNC_TIMEOUT_S
-        return now - view.progress[peer].last_contact_at <= patience
+        timeout_s = IN_SYNC_TIMEOUT_LEAVING_S if known_gone else IN_SYNC_TIMEOUT_S
+        return now - view.progress[peer].last_contact_at <= timeout_s
 
     def _unresponsive(self, view: LeaderView, now: float) -> list[str]:
         return [
@@ -111,8 +111,8 @@
 
     def _shrunk_set(self, view: LeaderView, now: float) -> ReplicaSet | None:
         current = view.replica_set
-        silent = self._unresponsive(view, now)
-        keep = [peer for peer in current.in_sync if peer not in silent]
+        unresponsive = self._unresponsive(view, now)
+        keep = [peer for peer in current.in_sync if peer not in unresponsive]
         # A caught-up voter replaces an unresponsive one in the same entry: with two in sync,
         # dropping the unresponsive one first would leave a single copy.
         keep.extend(
@@ -165,9 +165,9 @@
 
     def _find_dead_voter(self, view: LeaderView, now: float) -> str | None:
         for voter in view.replica_set.voters:
-            silent = voter in view.progress and voter not in view.replica_set.in_sync
+            unresponsive = voter in view.progress and voter not in view.replica_set.in_sync
             present = voter in self.live or voter in self.leaving
-            if present or not silent:
+            if present or not unresponsive:
                 self._absent_since.pop(voter, None)
             elif now - self._absent_since.setdefault(voter, now) > REPAIR_DELAY_S:
                 return voter
--- a/tests/storage/test_database.py
+++ b/tests/storage/test_database.py
@@ -1,4 +1,4 @@
-"""The data folder: what is written is there again; what is corrupt is set aside."""
+"""The data folder: writes survive a restart, and a corrupt database is moved aside."""
 
 import sqlite3
 from pathlib import Path
@@ -109,7 +109,7 @@
     first.close()
     _corrupt(tmp_path, "update record set value = x'00' where number = 2")
     again = open_database(tmp_path)
-    assert again.identity == first.identity  # bulk rows are not read at a start
+    assert again.identity == first.identity  # a start does not read bulk rows
     with pytest.raises(CorruptRecordError):
         again.read_rows(0, "line", "f", 0, 10, 10**6)
     again.mark_corrupt()
--- a/tests/storage/test_job_client.py
+++ b/tests/storage/test_job_client.py
@@ -23,7 +23,7 @@
 
 
 class Peers:
-    """Nodes that answer, are gone, or are silent."""
+    """Nodes that answer, are unreachable, or don't respond."""
 
     def __init__(self, *unresponsive: str, unreachable: str = "") -> None:
         self.unresponsive = {ADDRESSES[name] for name in unresponsive}
@@ -46,7 +46,7 @@
 
 
 class Client:
-    """A client that believes what ``record`` says."""
+    """A client whose group has the record in ``record``."""
 
     def __init__(self, peers: Peers) -> None:
         self.record = GroupRecord(1, "a", frozenset(ADDRESSES))
--- a/tests/storage/test_job_client_residence.py
+++ b/tests/storage/test_job_client_residence.py
@@ -1,4 +1,4 @@
-"""To which groups and nodes a gateway sends a job's body, and where it looks for a job."""
+"""The groups and nodes to which a gateway sends jobs and lookups, by residence."""
 
 from collections.abc import Iterator
 from unittest import mock
@@ -40,7 +40,7 @@
 
 
 class GroupLeaders:
-    """Leaders of four groups, some of which have a job and some of which are gone."""
+    """Leaders of four groups; one group may have the job, some leaders may be unreachable."""
 
     def __init__(
         self, group_with_job: int | None = None, unreachable: tuple[str, ...] = ()
--- a/tests/storage/test_job_database.py
+++ b/tests/storage/test_job_database.py
@@ -1,4 +1,4 @@
-"""A storage node's disk."""
+"""The job database of a storage node."""
 
 import shutil
 import sqlite3
@@ -118,7 +118,7 @@
 
 
 def copy_of_disk(folder: Path) -> Path:
-    """Return the disk as a loss of power leaves it."""
+    """Return a copy of the folder, as after a loss of power."""
     copy = folder.with_name(f"{folder.name}-copy")
     shutil.copytree(folder, copy)
     return copy
@@ -133,7 +133,7 @@
     ended = make_update(1)
     ended.ended = True
     database.apply_updates(0, 1, [ended])
-    # Saved just after: the job is over all the same.
+    # Partial texts saved after the end of the job don't count.
     database.save_partial_texts(0, [make_part("1", 1, "c")], [])
     assert database.load_partial_texts(0) == []
 
--- a/tests/storage/test_job_group.py
+++ b/tests/storage/test_job_group.py
@@ -1,4 +1,4 @@
-"""A job group's drivers in virtual time: elections, fail-over, changes of the replica set."""
+"""Job groups in virtual time: elections, failover, changes of the replica set."""
 
 import asyncio
 from dataclasses import replace
@@ -34,12 +34,12 @@
 
 WEST, EAST = RegionName("west"), RegionName("east")
 TOPOLOGY = Topology({"w1": WEST, "w2": WEST, "e1": EAST})
-# Two copies of each write, three replicas: the west has a group, the east has too few disks.
+# With a write quorum of two only the west has enough disks for a group.
 OVER_REGIONS = ("w1", "w2", "e1", "w1")
 
 
 class Fleet:
-    """Storage nodes without clients or faults of their own."""
+    """Simulated storage nodes without clients and random faults."""
 
     def __init__(
         self, stores: int = 3, seed: int = 1, zones: tuple[str, ...] = (), zones_lost: int = 0
@@ -91,7 +91,7 @@
         return self.leader
 
     async def time_until_led_s(self) -> float:
-        """Return after how long somebody leads."""
+        """Wait for a leader; return the time that it took."""
         loop = asyncio.get_running_loop()
         began_at = loop.time()
         while self.leader is None:
@@ -109,13 +109,13 @@
         assert (await leader.service.submit(SubmitJob(job=job))).status == DONE
 
     async def readable_now(self, job_id: str) -> bool:
-        """Whether the leader has a job that counts."""
+        """Whether the leader has a job committed."""
         leader = await self.until_led()
         assert leader.service is not None
         return (await leader.service.read(ReadResults(job_id=job_id))).status == DONE
 
     async def readable(self, job_id: str) -> bool:
-        """Whether a job can be read; a new leader may be unsure of it for a moment."""
+        """Whether a job can be read; retries while a new leader answers UNSURE."""
         for _ in range(20):
             leader = await self.until_led()
             assert leader.service is not None
@@ -134,14 +134,14 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_all_processes_killed_at_once_serve_again(seed: int) -> None:
-    """Bench finding: replicas that all started anew told each other that they heard a leader."""
+    """Restarted replicas must not report contact with a leader, or none is ever elected."""
 
     async def scenario() -> None:
         fleet = Fleet(seed=seed)
         await fleet.start()
         await fleet.submit("a")
         first = await fleet.until_led()
-        first.kill()  # so that the leader is not the first in rank
+        first.kill()  # so that the first in rank does not lead
         await fleet.until_led(4.0)
         await first.start()
         await asyncio.sleep(1.0)
@@ -158,7 +158,7 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_the_previous_leader_leads_again_as_soon_as_enough_replicas_restarted(seed: int) -> None:
-    """It is back first, and does not wait for a second look or for another try later."""
+    """The restarted leader retries its takeover without waiting for another election."""
 
     async def scenario() -> None:
         fleet = Fleet(seed=seed)
@@ -169,13 +169,12 @@
             node.kill()
         await asyncio.sleep(1.5)
         await before.start()
-        await asyncio.sleep(0.25)  # what it asks of the others now fails
+        await asyncio.sleep(0.25)  # its first requests for promises fail
         for node in fleet.nodes.values():
             if node is not before:
                 await node.start()
         led_after_s = await fleet.time_until_led_s()
-        # It asks again each 0.15 s those that did not answer; another try of its own would come
-        # 0.17 s after the others or later.
+        # Requests for promises are retried every 0.15 s; another election would take longer.
         assert led_after_s < 0.16
         assert fleet.leader is before
         assert await fleet.readable("a")
@@ -199,7 +198,7 @@
 
 
 def test_a_replica_cut_off_from_the_others_does_not_unseat_the_leader() -> None:
-    """It reaches the coordination service, but could not lead: two leaders in turn would stall."""
+    """It reaches the coordination service, but could not lead without the other replicas."""
 
     async def scenario() -> None:
         fleet = Fleet()
@@ -235,7 +234,7 @@
 
 
 def test_a_resumed_leader_is_unconfirmed_until_replicas_answer() -> None:
-    """Its heartbeats of before are no sign: another one may have led and be gone again."""
+    """Heartbeats from before the suspension don't confirm: another leader may have led since."""
 
     async def scenario() -> None:
         fleet = Fleet()
@@ -258,7 +257,7 @@
 
 
 def test_a_dead_spare_is_not_taken_into_the_set() -> None:
-    """Bench finding: entries of machines that were gone for good passed for spares."""
+    """A lost machine whose entry is still in the list of nodes must not become a member."""
 
     async def scenario() -> None:
         fleet = Fleet(stores=4)
@@ -349,7 +348,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_guarantees_hold_under_random_faults_over_regions(seed: int) -> None:
-    """Replicas that filled in from another region move home beside the faults, as does the lead."""
+    """Replicas and the leadership also return to the group's region despite the faults."""
     simulation = JobGroupSimulation(seed, stores=5, length_s=40.0)
     simulation.topology = TOPOLOGY
     simulation.zones = dict(enumerate(("w1", "e1", "w2", "e1", "w1", "w2", "e1")))
@@ -360,7 +359,7 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_a_partitioned_leader_is_replaced_within_two_seconds(seed: int) -> None:
-    """Run 9cbb3a13: calls to the lost leader hung, and the election waited for them."""
+    """The election must not wait for hanging calls to the lost leader."""
 
     async def scenario() -> None:
         fleet = Fleet(seed=seed)
@@ -378,7 +377,7 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_one_lost_leader_gives_one_election_while_the_service_is_slow(seed: int) -> None:
-    """Run 9cbb3a13: two replicas took the next epochs one after the other."""
+    """A second replica must not claim another epoch while the first swap is slow."""
 
     async def scenario() -> None:
         fleet = Fleet(seed=seed)
@@ -435,7 +434,7 @@
 
 
 def test_a_layout_without_regions_keeps_its_replica_set() -> None:
-    """Its one group has all zones, so that no disk is far and nothing moves."""
+    """The single group has all zones, so no disk is in another region and nothing moves."""
 
     async def scenario() -> None:
         fleet = Fleet(stores=4, zones=("e1", "w1", "w2", "w1"))
@@ -529,7 +528,7 @@
 
 
 def test_a_lost_replica_is_replaced_in_another_zone_where_one_may_be_lost() -> None:
-    """The first spare by name was in the zone that held the other copies."""
+    """The first spare by name is in the zone that holds the other copies."""
 
     async def scenario() -> None:
         fleet = Fleet(stores=6, zones=("w1", "w2", "e1", "w1", "w1", "w1"), zones_lost=1)
@@ -602,7 +601,7 @@
 
 
 def test_a_bound_job_is_refused_while_a_spare_in_another_region_catches_up() -> None:
-    """The spare is no replica yet, but gets whatever the leader writes."""
+    """A spare that catches up receives all writes although it is not a member yet."""
 
     async def scenario() -> None:
         fleet = Fleet(stores=4, zones=("w1", "w1", "w2", "e1"))
@@ -626,7 +625,7 @@
 
 
 def test_the_session_with_an_ineligible_spare_is_closed() -> None:
-    """Bound jobs would be refused for as long as it is fed."""
+    """Bound jobs are refused as long as the session is open."""
 
     async def scenario() -> None:
         fleet = Fleet(stores=4, zones=("w1", "w1", "w2", "e1"))
@@ -647,7 +646,7 @@
 
 
 def test_a_bound_job_accepted_during_the_spare_check_excludes_the_spare() -> None:
-    """The spare answers, and by then the group has a job that it may not hold."""
+    """While the spare is called, the group accepts a job that the spare may not hold."""
 
     async def scenario() -> None:
         fleet = Fleet(stores=4, zones=("w1", "w1", "w2", "e1"))
@@ -674,7 +673,7 @@
 
 
 def test_items_go_on_after_all_nodes_lost_power() -> None:
-    """All work on running items was lost with the power, and with it most jobs' due times."""
+    """Saved partial texts are restored when all nodes restart after a loss of power."""
 
     async def scenario() -> None:
         fleet = Fleet()
--- a/tests/storage/test_job_residence.py
+++ b/tests/storage/test_job_residence.py
@@ -1,4 +1,4 @@
-"""Which groups may hold a job's data, which disks may join one, and who may be asked for slots."""
+"""Groups that may hold a job's data, disks that may join one, and groups that may grant slots."""
 
 import pytest
 
@@ -16,7 +16,7 @@
 WEST, EAST = residence_in(["west"]), residence_in(["east"])
 BOTH = residence_in(["west", "east"])
 NOWHERE = Residence(frozenset())
-# The region of a disk is the first letter of its name; one is in no known region.
+# The first letter of a disk's name is its region; other letters are unknown regions.
 REGIONS = {"w": RegionName("west"), "e": RegionName("east")}
 TOPOLOGY = Topology({"w1": REGIONS["w"], "w2": REGIONS["w"], "e1": REGIONS["e"]})
 
@@ -62,7 +62,7 @@
 def test_a_disk_may_not_join_if_the_group_could_no_longer_hold_a_configured_residence() -> None:
     assert not may_join_group("e-9", ["w-1", "w-2"], [], [ANYWHERE, WEST], region_of)
     assert may_join_group("w-9", ["w-1", "w-2"], [], [ANYWHERE, WEST], region_of)
-    # It can't hold any as it is: nothing is lost.
+    # The group can't hold such jobs anyway.
     assert may_join_group("e-9", ["w-1", "e-1"], [], [WEST], region_of)
     assert may_join_group("e-9", ["w-1", "w-2"], [], [EAST], region_of)
 
--- a/tests/storage/test_journal_simulation.py
+++ b/tests/storage/test_journal_simulation.py
@@ -1,4 +1,4 @@
-"""The journal under simulated faults: clean runs, and seeded defects that must be seen."""
+"""The journal under simulated faults: runs without violations, and seeded defects to detect."""
 
 from collections.abc import Callable, Iterator
 from contextlib import ExitStack, contextmanager
@@ -43,7 +43,7 @@
     assert one.operations == other.operations
 
 
-# ---- defects seeded on purpose ----
+# ---- seeded defects ----
 
 
 def _acknowledge_before_fsync() -> Any:
@@ -151,14 +151,14 @@
             try:
                 violations = JournalSimulation(seed, plan).run().check()
             except (AssertionError, KeyError, IndexError, AttributeError):
-                return  # the defect broke the machine itself
+                return  # the defect crashed the simulation
             if violations:
                 return
     pytest.fail("no seed showed the defect")
 
 
 def test_simulation_reaches_snapshots_and_repair() -> None:
-    """The runs above mean little if they never reach the rare paths."""
+    """The simulation must reach the rare paths, or the runs above prove little."""
     seen: set[str] = set()
     original_snapshot = Shard._start_snapshot
     original_install = Shard._end_install
--- a/tests/storage/test_layout.py
+++ b/tests/storage/test_layout.py
@@ -1,4 +1,4 @@
-"""How many groups a fleet has, and what each of them grants."""
+"""The layout of a fleet: number of groups, their zones, and their initial records."""
 
 from collections import Counter
 
@@ -77,7 +77,7 @@
 
 
 def regional_disks(**nodes_by_region: int) -> dict[str, str]:
-    """Disks by turns in the two zones of each region."""
+    """Return disks that alternate between the two zones of each region."""
     return {
         f"{region}-disk-{n:02}": f"{region}-{'ab'[n % 2]}"
         for region, nodes in nodes_by_region.items()
@@ -85,12 +85,14 @@
     }
 
 
-def records_of(layout: Layout, zones: dict[str, str], zones_lost: int = 0, **more):
-    def spread_of(group: int) -> ReplicaPlacement:
+def records_of(layout: Layout, zones: dict[str, str], tolerated_zone_failures: int = 0, **more):
+    def placement_of(group: int) -> ReplicaPlacement:
         home_zones = layout.preferred_zones(group, TOPOLOGY)
-        return ReplicaPlacement(COPIES, FULL_SIZE, zones, TOPOLOGY, home_zones, zones_lost, **more)
+        return ReplicaPlacement(
+            COPIES, FULL_SIZE, zones, TOPOLOGY, home_zones, tolerated_zone_failures, **more
+        )
 
-    return plan_group_records(layout, zones, FULL_SIZE, spread_of)
+    return plan_group_records(layout, zones, FULL_SIZE, placement_of)
 
 
 def members_by_region(zones: dict[str, str], record) -> Counter[str]:
@@ -180,20 +182,23 @@
 
 
 def test_a_layout_written_without_regions_is_kept() -> None:
-    kept = b'{"zones_by_group": [["east-a", "north-a", "west-a"], ["east-b", "north-b", "west-b"]]}'
-    layout = layout_from_bytes(kept)
+    stored = (
+        b'{"zones_by_group": [["east-a", "north-a", "west-a"], ["east-b", "north-b", "west-b"]]}'
+    )
+    layout = layout_from_bytes(stored)
     assert layout.region_by_group == ()
     assert layout.region(0) is None
     assert layout.preferred_zones(1, TOPOLOGY) == ("east-b", "north-b", "west-b")
     assert layout.group_of(instance("a", "north-b"), TOPOLOGY) == 1
     assert {layout.group_of(instance(f"i-{n}", "new"), TOPOLOGY) for n in range(50)} == {0, 1}
     zones = regional_disks(east=5, north=4, west=4)
-    spread = ReplicaPlacement(
+    placement = ReplicaPlacement(
         COPIES, FULL_SIZE, zones, TOPOLOGY, layout.preferred_zones(0, TOPOLOGY)
     )
     (first, _) = plan_group_records(layout, zones, FULL_SIZE)
     assert (
-        spread.find_better_swap(first.members, zones.keys() - first.members, first.leader) is None
+        placement.find_better_swap(first.members, zones.keys() - first.members, first.leader)
+        is None
     )
 
 
--- a/tests/storage/test_partial_texts.py
+++ b/tests/storage/test_partial_texts.py
@@ -1,31 +1,31 @@
-"""Running texts at the replicas."""
+"""Replication of the partial texts of running items."""
 
 from wharfcart.storage.partial_texts import PartialTexts, SentOffsets
 
 
 def test_a_replica_gets_what_it_lacks_and_no_more() -> None:
     leader, replica = PartialTexts(), PartialTexts()
-    sent = SentOffsets()
+    offsets = SentOffsets()
     text = leader.get_or_create("j", "i")
     text.add_event(0, "a")
     text.add_event(1, "b")
-    replica.apply(leader.take_unsent(sent))
-    assert leader.take_unsent(sent) == []
+    replica.apply(leader.take_unsent(offsets))
+    assert leader.take_unsent(offsets) == []
     text.add_event(2, "c")
-    (news,) = leader.take_unsent(sent)
-    assert list(news.texts) == ["c"]
-    replica.apply([news])
+    (part,) = leader.take_unsent(offsets)
+    assert list(part.texts) == ["c"]
+    replica.apply([part])
     copy = replica.get_or_create("j", "i")
     assert (copy.last_event, copy.texts) == (2, ["a", "b", "c"])
 
 
 def test_a_part_with_a_gap_before_it_is_ignored() -> None:
     leader, replica = PartialTexts(), PartialTexts()
-    sent = SentOffsets(events={"i": 1})
+    offsets = SentOffsets(events={"i": 1})
     text = leader.get_or_create("j", "i")
     text.add_event(0, "a")
     text.add_event(1, "b")
-    replica.apply(leader.take_unsent(sent))
+    replica.apply(leader.take_unsent(offsets))
     assert replica.get_or_create("j", "i").texts == []
 
 
@@ -40,12 +40,12 @@
 
 def test_failures_of_an_item_without_events_are_replicated() -> None:
     leader, replica = PartialTexts(), PartialTexts()
-    sent = SentOffsets()
+    offsets = SentOffsets()
     leader.get_or_create("j", "i").failed_at += ["a", "b"]
-    replica.apply(leader.take_unsent(sent))
-    assert leader.take_unsent(sent) == []
+    replica.apply(leader.take_unsent(offsets))
+    assert leader.take_unsent(offsets) == []
     leader.get_or_create("j", "i").failed_at.append("a")
-    replica.apply(leader.take_unsent(sent))
+    replica.apply(leader.take_unsent(offsets))
     copy = replica.get_or_create("j", "i")
     assert (copy.failed_at, copy.last_event, copy.texts) == (["a", "b", "a"], None, [])
 
@@ -62,11 +62,11 @@
 
 
 def test_saved_parts_are_restored_up_to_the_first_gap() -> None:
-    texts, again = PartialTexts(), PartialTexts()
+    texts, restored = PartialTexts(), PartialTexts()
     saved = SentOffsets()
     parts = []
     for number in range(3):
         texts.get_or_create("j", "i").add_event(number, str(number))
         parts += texts.take_unsent(saved)
-    again.apply([parts[0], parts[2]])
-    assert (again.event_count("i"), again.event_count("other")) == (1, 0)
+    restored.apply([parts[0], parts[2]])
+    assert (restored.event_count("i"), restored.event_count("other")) == (1, 0)
--- a/tests/storage/test_replica.py
+++ b/tests/storage/test_replica.py
@@ -1,4 +1,4 @@
-"""Rules of the journal replica, each by itself."""
+"""Rules of the journal replica, one by one."""
 
 import random
 
@@ -29,7 +29,7 @@
 
 
 def _leader() -> Replica:
-    """A leader of epoch 1 whose first entry is on its own disk."""
+    """Return a leader of epoch 1 with its first entry on its own disk."""
     replica = _replica()
     replica.tick(10.0)
     replica.receive(_vote("b", 1, pre_vote=True), 10.0)
--- a/tests/storage/test_replica_placement.py
+++ b/tests/storage/test_replica_placement.py
@@ -1,4 +1,4 @@
-"""Which disks hold a group: near its home, and spread over the zones that may be lost."""
+"""Placement of a group's replicas: near its preferred zones, tolerant of zone failures."""
 
 from collections import Counter
 
@@ -12,8 +12,8 @@
 TOPOLOGY = Topology({"w1": WEST, "w2": WEST, "e1": EAST, "e2": EAST})
 
 
-def make_placement(zones: dict[str, str], copies: int = 3, **more) -> ReplicaPlacement:
-    return ReplicaPlacement(copies, 2 * copies - 1, zones, **more)
+def make_placement(zones: dict[str, str], write_quorum: int = 3, **more) -> ReplicaPlacement:
+    return ReplicaPlacement(write_quorum, 2 * write_quorum - 1, zones, **more)
 
 
 def disks(**nodes_by_zone: int) -> dict[str, str]:
@@ -30,31 +30,31 @@
 
 def test_spares_of_the_region_go_first_though_they_share_zones() -> None:
     zones = disks(w1=3, w2=2, e1=3)
-    view = make_placement(zones, topology=TOPOLOGY, preferred_zones=("w1", "w2"))
-    assert set(view.choose_additions([], zones)) == {"w1-0", "w1-1", "w1-2", "w2-0", "w2-1"}
+    placement = make_placement(zones, topology=TOPOLOGY, preferred_zones=("w1", "w2"))
+    assert set(placement.choose_additions([], zones)) == {"w1-0", "w1-1", "w1-2", "w2-0", "w2-1"}
 
 
 def test_another_region_joins_if_one_zone_failure_would_lose_a_write() -> None:
     zones = disks(w1=3, w2=2, e1=3)
-    view = make_placement(
+    placement = make_placement(
         zones, topology=TOPOLOGY, preferred_zones=("w1", "w2"), tolerated_zone_failures=1
     )
-    members = view.choose_additions([], zones)
-    assert Counter(map(view.zone_of, members)) == {"w1": 2, "w2": 2, "e1": 1}
+    members = placement.choose_additions([], zones)
+    assert Counter(map(placement.zone_of, members)) == {"w1": 2, "w2": 2, "e1": 1}
 
 
 def test_disks_that_may_not_hold_the_group_never_join() -> None:
     zones = disks(w1=2, w2=2, e1=3)
-    view = make_placement(
+    placement = make_placement(
         zones,
         topology=TOPOLOGY,
         preferred_zones=("w1", "w2"),
         may_hold=lambda identity: identity.startswith("w"),
     )
-    assert set(view.choose_additions([], zones)) == {"w1-0", "w1-1", "w2-0", "w2-1"}
+    assert set(placement.choose_additions([], zones)) == {"w1-0", "w1-1", "w2-0", "w2-1"}
     members = ["w1-0", "w1-1", "w2-0", "e1-0"]
-    assert view.find_better_swap(members, zones.keys() - members, "w1-0") == ("e1-0", "w2-1")
-    assert view.shortfalls(members) == [
+    assert placement.find_better_swap(members, zones.keys() - members, "w1-0") == ("e1-0", "w2-1")
+    assert placement.shortfalls(members) == [
         "4 replicas of 5",
         "1 replicas are on disks that may not hold the group",
     ]
@@ -62,17 +62,17 @@
 
 def test_a_replica_in_another_region_is_swapped_but_the_leader_stays() -> None:
     zones = disks(w1=3, w2=2, e1=2)
-    view = make_placement(zones, topology=TOPOLOGY, preferred_zones=("w1", "w2"))
+    placement = make_placement(zones, topology=TOPOLOGY, preferred_zones=("w1", "w2"))
     members = ["w1-0", "w1-1", "w2-0", "w2-1", "e1-0"]
-    assert view.find_better_swap(members, ["w1-2", "e1-1"], "w1-0") == ("e1-0", "w1-2")
-    assert view.find_better_swap(members, ["w1-2", "e1-1"], "e1-0") is None
-    assert view.find_better_swap(members, ["e1-1"], "w1-0") is None
+    assert placement.find_better_swap(members, ["w1-2", "e1-1"], "w1-0") == ("e1-0", "w1-2")
+    assert placement.find_better_swap(members, ["w1-2", "e1-1"], "e1-0") is None
+    assert placement.find_better_swap(members, ["e1-1"], "w1-0") is None
 
 
 def test_leaders_are_ranked_by_distance_from_the_preferred_zones() -> None:
     zones = disks(e1=1, w2=1, w1=1)
-    view = make_placement(zones, topology=TOPOLOGY, preferred_zones=("w1",))
-    assert view.rank_leaders(zones) == ["w1-0", "w2-0", "e1-0"]
+    placement = make_placement(zones, topology=TOPOLOGY, preferred_zones=("w1",))
+    assert placement.rank_leaders(zones) == ["w1-0", "w2-0", "e1-0"]
 
 
 def test_shortfalls_name_the_failures_that_a_set_does_not_tolerate() -> None:
@@ -91,70 +91,77 @@
 
 @st.composite
 def repairs(draw) -> tuple[ReplicaPlacement, list[str], list[str], list[str]]:
-    """A fleet, the members of a group that are alive and dead, and the spares."""
+    """Return a placement, the live and dead members of a group, and the spares."""
     nodes_by_zone = draw(
         st.dictionaries(st.sampled_from(["w1", "w2", "e1", "e2"]), st.integers(1, 5), min_size=1)
     )
     zones = disks(**nodes_by_zone)
-    copies = draw(st.integers(2, 3))
-    home_zones = draw(st.sampled_from([(), ("w1",), ("w1", "w2"), ("e2",)]))
+    write_quorum = draw(st.integers(2, 3))
+    granted_zones = draw(st.sampled_from([(), ("w1",), ("w1", "w2"), ("e2",)]))
     topology = draw(st.sampled_from([Topology(), TOPOLOGY]))
-    view = make_placement(
-        zones, copies, topology=topology, preferred_zones=home_zones, tolerated_zone_failures=1
+    placement = make_placement(
+        zones,
+        write_quorum,
+        topology=topology,
+        preferred_zones=granted_zones,
+        tolerated_zone_failures=1,
     )
     members: list[str] = []
     for identity in draw(st.permutations(sorted(zones))):
-        fits = [zones[member] for member in members].count(zones[identity]) < copies - 1
-        if fits and len(members) < view.replication_factor:
+        fits = [zones[member] for member in members].count(zones[identity]) < write_quorum - 1
+        if fits and len(members) < placement.replication_factor:
             members.append(identity)
     lost = draw(st.sets(st.sampled_from(sorted(zones))))
     alive = [identity for identity in members if identity not in lost]
     dead = [identity for identity in members if identity in lost]
     spares = [identity for identity in zones if identity not in members and identity not in lost]
-    return view, alive, dead, spares
+    return placement, alive, dead, spares
 
 
 @given(repairs())
 def test_any_zone_may_fail_after_any_repair(repair) -> None:
-    view, alive, dead, spares = repair
-    wanted = view.repaired_members(alive, dead, spares)
+    placement, alive, dead, spares = repair
+    wanted = placement.repaired_members(alive, dead, spares)
     assert set(alive) <= wanted <= {*alive, *dead, *spares}
-    assert len(wanted) <= view.replication_factor
-    standing = Counter(map(view.zone_of, [*alive, *spares]))
-    bearable = sum(min(count, view.max_per_zone) for count in standing.values())
-    if bearable >= view.write_quorum:
-        assert max(Counter(map(view.zone_of, wanted)).values()) < view.write_quorum
+    assert len(wanted) <= placement.replication_factor
+    count_by_zone = Counter(map(placement.zone_of, [*alive, *spares]))
+    tolerable = sum(min(count, placement.max_per_zone) for count in count_by_zone.values())
+    if tolerable >= placement.write_quorum:
+        assert max(Counter(map(placement.zone_of, wanted)).values()) < placement.write_quorum
 
 
 @given(repairs())
 def test_no_spare_of_another_region_joins_while_a_local_one_fits(repair) -> None:
-    view, alive, dead, spares = repair
-    wanted = view.repaired_members(alive, dead, spares)
+    placement, alive, dead, spares = repair
+    wanted = placement.repaired_members(alive, dead, spares)
     added = wanted & set(spares)
-    if not any(map(view.in_other_region, added)):
+    if not any(map(placement.in_other_region, added)):
         return
-    in_zone = Counter(map(view.zone_of, [*alive, *added]))
+    in_zone = Counter(map(placement.zone_of, [*alive, *added]))
     for spare in set(spares) - wanted:
-        assert view.in_other_region(spare) or in_zone[view.zone_of(spare)] >= view.max_per_zone
+        assert (
+            placement.in_other_region(spare)
+            or in_zone[placement.zone_of(spare)] >= placement.max_per_zone
+        )
 
 
 @given(repairs())
 def test_swaps_terminate(repair) -> None:
-    view, alive, dead, spares = repair
-    members = set(view.repaired_members(alive, dead, spares))
+    placement, alive, dead, spares = repair
+    members = set(placement.repaired_members(alive, dead, spares))
     outside = set(spares) - members
     for _ in range(len(members) * 3):
-        exchange = view.find_better_swap(sorted(members), sorted(outside), min(members))
-        if exchange is None:
+        swap = placement.find_better_swap(sorted(members), sorted(outside), min(members))
+        if swap is None:
             return
-        leaving, joining = exchange
+        leaving, joining = swap
         members = members - {leaving} | {joining}
         outside = outside - {joining} | {leaving}
-    raise AssertionError("exchanges go on for ever")
+    raise AssertionError("swaps don't terminate")
 
 
 def test_dead_members_of_overfilled_zones_leave_first() -> None:
     zones = disks(a=3, b=2, c=1)
-    view = make_placement(zones, tolerated_zone_failures=1)
-    wanted = view.repaired_members(["a-1", "b-0", "b-1"], ["a-0", "c-0"], ["a-2"])
+    placement = make_placement(zones, tolerated_zone_failures=1)
+    wanted = placement.repaired_members(["a-1", "b-0", "b-1"], ["a-0", "c-0"], ["a-2"])
     assert wanted == {"a-1", "a-2", "b-0", "b-1", "c-0"}
--- a/tests/storage/test_replica_set_policy.py
+++ b/tests/storage/test_replica_set_policy.py
@@ -1,4 +1,4 @@
-"""Who replicates a shard, decision by decision."""
+"""Decisions of the replica set policy of a shard."""
 
 from wharfcart.cluster.messages_pb2 import ReplicaSet
 from wharfcart.storage.replica_set_policy import (
@@ -13,16 +13,16 @@
 COMMITTED = 7
 
 
-def _view(voters: str, in_sync: str, answering: str, caught_up: str = "abcdef") -> LeaderView:
-    """The view of leader ``a``; others answer or not, hold everything or not."""
+def _view(voters: str, in_sync: str, responsive: str, caught_up: str = "abcdef") -> LeaderView:
+    """Return the view of leader ``a`` with the given responsive and caught-up peers."""
     progress = {
         peer: Progress(
             next_index=COMMITTED + 1,
             match_index=COMMITTED if peer in caught_up else 0,
-            last_contact_at=NOW if peer in answering else NOW - 2 * IN_SYNC_TIMEOUT_S,
+            last_contact_at=NOW if peer in responsive else NOW - 2 * IN_SYNC_TIMEOUT_S,
         )
         for peer in "bcdef"
-        if peer in voters + answering
+        if peer in voters + responsive
     }
     return LeaderView(ReplicaSet(voters=voters, in_sync=in_sync), progress, COMMITTED, True)
 
@@ -71,7 +71,7 @@
 
 
 def test_lost_spare_is_replaced_by_another() -> None:
-    """Found by a scenario: the first spare was an identity that was lost already."""
+    """A learner whose identity is no longer live must not block the repair."""
     policy = _policy("ax")
     assert policy.decide(_view("a", "a", ""), NOW).learner == "x"
     policy.live = {"a": "zone-a", "d": "zone-d"}
