--- a/src/wharfcart/storage/__init__.py
+++ b/src/wharfcart/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Replicated journal: logs, state machine, database."""
+"""Replicated storage: job groups, and the journal with its logs, state machine and database."""
--- a/src/wharfcart/storage/disk.py
+++ b/src/wharfcart/storage/disk.py
@@ -29,9 +29,8 @@
     async def open(self) -> str:
         """Open the data folder and return the disk's identity.
 
-        Raises
-        ------
-        DiskFailedError: the folder can't be opened.
+        Raises:
+            DiskFailedError: the folder can't be opened.
         """
 
         def open_database() -> JobDatabase:
--- a/src/wharfcart/storage/group_context.py
+++ b/src/wharfcart/storage/group_context.py
@@ -19,17 +19,16 @@
 class GroupContext:
     """Resources shared by all groups of a node.
 
-    Parameters
-    ----------
-    identity: identity of this node's disk.
-    known_addresses: addresses of the known storage nodes, by identity of their disk.
-    retiring: identities of disks that groups must leave.
-    write_quorum: replicas that must have a write before it is committed.
-    placement_of: placement of a group's replicas; its preferred zones are those of a layout, or of
-        the current layout if None is given.
-    region_of: region of a storage node's disk.
-    configured_residences: residences in the current configuration that new jobs may have.
-    resumed_at: monotonic time at which the machine's last suspension ended; -inf if none did.
+    Args:
+        identity: identity of this node's disk.
+        known_addresses: addresses of the known storage nodes, by identity of their disk.
+        retiring: identities of disks that groups must leave.
+        write_quorum: replicas that must have a write before it is committed.
+        placement_of: placement of a group's replicas; its preferred zones are those of a layout,
+            or of the current layout if None is given.
+        region_of: region of a storage node's disk.
+        configured_residences: residences in the current configuration that new jobs may have.
+        resumed_at: monotonic time at which the machine's last suspension ended; -inf if none did.
     """
 
     def __init__(
--- a/src/wharfcart/storage/group_record.py
+++ b/src/wharfcart/storage/group_record.py
@@ -12,12 +12,11 @@
 class GroupRecord:
     """State of a group, changed only by compare-and-swap.
 
-    Parameters
-    ----------
-    epoch: number that grows with each change of leader.
-    leader: identity of the leader's disk.
-    members: identities of the disks in the replica set.
-    revision: revision of the record in the coordination service.
+    Attributes:
+        epoch: number that grows with each change of leader.
+        leader: identity of the leader's disk.
+        members: identities of the disks in the replica set.
+        revision: revision of the record in the coordination service.
     """
 
     epoch: int
--- a/src/wharfcart/storage/group_record_store.py
+++ b/src/wharfcart/storage/group_record_store.py
@@ -34,9 +34,8 @@
     async def read(self) -> GroupRecord | None:
         """Read the current record from the coordination service.
 
-        Raises
-        ------
-        CoordinationUnavailableError: the service does not answer.
+        Raises:
+            CoordinationUnavailableError: the service does not answer.
         """
         entry = await self._coordination.read(self._key)
         return None if entry is None else group_record_from(entry.value, entry.revision)
@@ -44,9 +43,8 @@
     async def swap(self, record: GroupRecord, revision: int) -> GroupRecord | None:
         """Replace the record of a revision; return None if the swap definitely failed.
 
-        Raises
-        ------
-        RecordInDoubtError: the swap took effect or still may, as long as its condition holds.
+        Raises:
+            RecordInDoubtError: the swap took effect or still may, as long as its condition holds.
         """
         try:
             new_revision = await self._coordination.commit(
@@ -67,9 +65,8 @@
 
         Returns the current record, or None if nothing changed.
 
-        Raises
-        ------
-        RecordInDoubtError: the swap may or may not have taken effect.
+        Raises:
+            RecordInDoubtError: the swap may or may not have taken effect.
         """
         known = self.mirrored
         if known is None or known.epoch != epoch:
--- a/src/wharfcart/storage/job_client.py
+++ b/src/wharfcart/storage/job_client.py
@@ -39,13 +39,12 @@
 class JobClient:
     """Calls to job groups.
 
-    Parameters
-    ----------
-    transport: connections to the nodes.
-    group_count: number of job groups; 0 while that is unknown.
-    record_of: the record of a group as this node knows it.
-    address_of: address of the node that has the disk with an identity.
-    region_of: region of that disk.
+    Args:
+        transport: connections to the nodes.
+        group_count: number of job groups; 0 while that is unknown.
+        record_of: the record of a group as this node knows it.
+        address_of: address of the node that has the disk with an identity.
+        region_of: region of that disk.
     """
 
     def __init__(
@@ -87,14 +86,13 @@
 
         Fails at once if no group may hold the job.
 
-        Parameters
-        ----------
-        job_id: ID of the job; its hash picks the group.
-        frame: the call.
-        answer_field: field of the answer that holds a status.
-        timeout_s: timeout of the whole call.
-        attempt_timeout_s: timeout of one attempt, on top of the observed round trip to the node.
-        residence: where the data of the call may be sent.
+        Args:
+            job_id: ID of the job; its hash picks the group.
+            frame: the call.
+            answer_field: field of the answer that holds a status.
+            timeout_s: timeout of the whole call.
+            attempt_timeout_s: timeout of one attempt, on top of the observed round trip.
+            residence: regions that the data of the call may be sent to.
         """
         deadline = monotonic() + timeout_s
         if not await self._wait_for_groups(deadline):
--- a/src/wharfcart/storage/job_database.py
+++ b/src/wharfcart/storage/job_database.py
@@ -112,9 +112,8 @@
     def load_jobs(self, job_ids: Iterable[str]) -> list[JobUpdate]:
         """Return complete jobs; unknown IDs are skipped.
 
-        Raises
-        ------
-        CorruptJobError: a record does not match its checksum.
+        Raises:
+            CorruptJobError: a record does not match its checksum.
         """
         found = (self._load_job(job_id) for job_id in job_ids)
         return [record for record in found if record is not None]
--- a/src/wharfcart/storage/job_leadership.py
+++ b/src/wharfcart/storage/job_leadership.py
@@ -31,13 +31,12 @@
 class ReplicaProgress:
     """State of one replica as far as the leader knows it.
 
-    Parameters
-    ----------
-    matched_versions: by job, the version up to which the replica's history matches the leader's.
-    written_versions: by job, the version that the replica wrote in this epoch; only these versions
-        count for a commit.
-    jobs_to_delete: jobs that the replica must delete.
-    incomplete_jobs: jobs that the replica has not completely written, in order of their change.
+    Attributes:
+        matched_versions: version up to which the replica's history matches the leader's, by job.
+        written_versions: version that the replica wrote in this epoch, by job; only these versions
+            count for a commit.
+        jobs_to_delete: jobs that the replica must delete.
+        incomplete_jobs: jobs that the replica has not completely written, in order of their change.
     """
 
     matched_versions: dict[str, int] = field(default_factory=dict)
@@ -50,13 +49,12 @@
 class JobLeadership:
     """Jobs of a group and the progress of each replica.
 
-    Parameters
-    ----------
-    epoch: epoch of this leadership.
-    write_quorum: replicas that must have a write on disk before it is committed.
-    members: identities of the current replica set.
-    target_members: identities of the next replica set during a change, else None.
-    jobs: jobs by ID.
+    Attributes:
+        epoch: epoch of this leadership.
+        write_quorum: replicas that must have a write on disk before it is committed.
+        members: identities of the current replica set.
+        target_members: identities of the next replica set during a change, else None.
+        jobs: jobs by ID.
     """
 
     epoch: int
@@ -67,7 +65,7 @@
     _inherited_states: dict[str, JobState] = field(default_factory=dict)
     _replicas: dict[str, ReplicaProgress] = field(default_factory=dict)
     _committed_versions: dict[str, int] = field(default_factory=dict)
-    _job_count_by_residence: Counter[Residence] = field(default_factory=Counter)  # jobs of each
+    _job_count_by_residence: Counter[Residence] = field(default_factory=Counter)
 
     # ---- taking over ----
 
--- a/src/wharfcart/storage/journal.py
+++ b/src/wharfcart/storage/journal.py
@@ -152,17 +152,15 @@
     def recover_as_sole_voter(self, number: int, live: dict[str, str], known_version: int) -> None:
         """Continue a shard whose other disks are lost, at an operator's request.
 
-        Parameters
-        ----------
-        number: number of the shard.
-        live: live storage identities in the cluster membership, with their zones.
-        known_version: newest version of the shard's placement that any node reported.
-
-        Raises
-        ------
-        ServingError
-            ``recovery_refused`` if a majority of the voters is live, if this disk holds no voting
-            replica of the shard, or if the shard's set has changed without this replica.
+        Args:
+            number: number of the shard.
+            live: live storage identities in the cluster membership, with their zones.
+            known_version: newest version of the shard's placement that any node reported.
+
+        Raises:
+            ServingError: ``recovery_refused`` if a majority of the voters is live, if this disk
+                holds no voting replica of the shard, or if the shard's set has changed without
+                this replica.
         """
         shard = self.shards.get(number)
         if shard is None or self.identity not in shard.replica.replica_set.voters:
@@ -186,11 +184,9 @@
     async def propose(self, number: int, command: Command) -> ProposeResult:
         """Replicate a command and return its result.
 
-        Raises
-        ------
-        ServingError
-            ``not_leader`` with outcome ``not_run`` and the leader's identity as a note;
-            ``lost_leadership`` or ``journal_timeout`` with outcome ``unknown``.
+        Raises:
+            ServingError: ``not_leader`` with outcome ``not_run`` and the leader's identity as a
+                note; ``lost_leadership`` or ``journal_timeout`` with outcome ``unknown``.
         """
         shard = self.shards.get(number)
         if shard is None or not shard.is_leader:
@@ -242,10 +238,8 @@
     def leading_shard(self, number: int) -> Shard:
         """Return the shard if reads of its memory are current.
 
-        Raises
-        ------
-        ServingError
-            ``not_leader``.
+        Raises:
+            ServingError: ``not_leader``.
         """
         shard = self.shards.get(number)
         if shard is None or not shard.replica.lease_valid(monotonic()):
--- a/src/wharfcart/storage/journal_client.py
+++ b/src/wharfcart/storage/journal_client.py
@@ -52,11 +52,9 @@
     def shard_count(self) -> int:
         """Number of shards of the journal.
 
-        Raises
-        ------
-        ServingError
-            ``journal_unavailable`` if this node does not know all shards yet. It then can't tell
-            which shard a key belongs to, nor whether the shard in an ID exists.
+        Raises:
+            ServingError: ``journal_unavailable`` if this node does not know all shards yet. It then
+                can't tell which shard a key belongs to, nor whether the shard in an ID exists.
         """
         count = self.placement.shard_count
         if count == 0:
@@ -73,9 +71,8 @@
     ) -> ProposeResult:
         """Commit a command and return its result.
 
-        Raises
-        ------
-        ServingError: the shard refused the command, or no leader answered in time.
+        Raises:
+            ServingError: the shard refused the command, or no leader answered in time.
         """
         frame = Frame(propose=Propose(shard=shard, command=command))
         answer = await self._ask_leader(shard, frame, timeout_seconds)
--- a/src/wharfcart/storage/journal_database.py
+++ b/src/wharfcart/storage/journal_database.py
@@ -108,9 +108,8 @@
     def verify(self) -> None:
         """Verify logs and memory rows; bulk rows are verified when read.
 
-        Raises
-        ------
-        CorruptRecordError: a record does not match its checksum.
+        Raises:
+            CorruptRecordError: a record does not match its checksum.
         """
         if (self.folder / CORRUPT_MARKER_NAME).exists():
             raise CorruptRecordError("a corrupt row was read before the restart")
@@ -130,9 +129,8 @@
     def load(self, shard: int) -> ShardRecord:
         """Read one shard's log and state.
 
-        Raises
-        ------
-        CorruptRecordError: a log entry does not match its checksum.
+        Raises:
+            CorruptRecordError: a log entry does not match its checksum.
         """
         found = self._connection.execute("select * from shard where shard=?", (shard,)).fetchone()
         _, epoch, voted_for, base_index, base_epoch, base_set, applied, installing = found
--- a/src/wharfcart/storage/partial_texts.py
+++ b/src/wharfcart/storage/partial_texts.py
@@ -16,12 +16,11 @@
 class ItemPartialText:
     """Events of one item so far, and the back ends at which it failed.
 
-    Parameters
-    ----------
-    job_id: ID of the item's job.
-    last_event: number of the last event, or None.
-    texts: data of the events, in order.
-    failed_at: back-end instances that returned a failure, one entry per failure.
+    Attributes:
+        job_id: ID of the item's job.
+        last_event: number of the last event, or None.
+        texts: data of the events, in order.
+        failed_at: back-end instances that returned a failure, one entry per failure.
     """
 
     job_id: str
--- a/src/wharfcart/storage/replica.py
+++ b/src/wharfcart/storage/replica.py
@@ -170,9 +170,8 @@
     def propose(self, commands: Sequence[bytes], now: float) -> tuple[int, list[ReplicaAction]]:
         """Append commands to the log; return the index of the first one.
 
-        Raises
-        ------
-        NotLeaderError: this replica does not lead.
+        Raises:
+            NotLeaderError: this replica does not lead.
         """
         if self.role is not Role.LEADER:
             raise NotLeaderError(self.leader)
--- a/src/wharfcart/storage/replica_links.py
+++ b/src/wharfcart/storage/replica_links.py
@@ -55,7 +55,7 @@
             raise ReplicaFailedError(str(error)) from error
 
     async def fetch(self, job_ids: Sequence[str]) -> list[JobUpdate]:
-        """Return whole records."""
+        """Return complete jobs."""
         try:
             return await self._disk.load_jobs(job_ids)
         except DiskFailedError as error:
@@ -118,7 +118,7 @@
             raise self._refusal_error(answer.epoch, epoch)
 
     async def fetch(self, job_ids: Sequence[str]) -> list[JobUpdate]:
-        """Return whole records."""
+        """Return complete jobs."""
         message = FetchJobs(group=self._group, target=self._target, job_ids=job_ids)
         answer = await self._call(Frame(fetch_jobs=message))
         return list(answer.job_updates.updates)
--- a/src/wharfcart/storage/replica_set_policy.py
+++ b/src/wharfcart/storage/replica_set_policy.py
@@ -11,7 +11,7 @@
 from wharfcart.cluster.messages_pb2 import ReplicaSet
 
 IN_SYNC_TIMEOUT_S = 1.0
-IN_SYNC_TIMEOUT_LEAVING_S = 0.3  # membership says that the replica is gone or leaving
+IN_SYNC_TIMEOUT_LEAVING_S = 0.3  # if membership no longer lists the replica as live
 REPAIR_DELAY_S = 3.0
 MIN_COPIES = 2
 
@@ -34,12 +34,11 @@
 class LeaderView:
     """State of a shard as its leader knows it.
 
-    Parameters
-    ----------
-    replica_set: newest replica set in the log.
-    progress: progress of the other replicas, by identity.
-    commit_index: index of the last committed entry.
-    settled: whether the newest set and an entry of the leader's own epoch are committed.
+    Attributes:
+        replica_set: newest replica set in the log.
+        progress: progress of the other replicas, by identity.
+        commit_index: index of the last committed entry.
+        settled: whether the newest set and an entry of the leader's own epoch are committed.
     """
 
     replica_set: ReplicaSet
--- a/src/wharfcart/storage/replicated_job.py
+++ b/src/wharfcart/storage/replicated_job.py
@@ -16,14 +16,13 @@
 class ReplicatedJob:
     """One job; results and end change only through its methods.
 
-    Parameters
-    ----------
-    job: specification of the job.
-    epoch: epoch of the leader that last wrote the job.
-    results: results of items, in the order of their arrival.
-    ended: whether the caller ended the job; an ended job accepts no results.
-    waiting_tokens: tokens of the items without a result; 0 once the job has ended.
-    residence: regions that may hold the job's data, fixed at its submission.
+    Attributes:
+        job: specification of the job.
+        epoch: epoch of the leader that last wrote the job.
+        results: results of items, in the order of their arrival.
+        ended: whether the caller ended the job; an ended job accepts no results.
+        waiting_tokens: tokens of the items without a result; 0 once the job has ended.
+        residence: regions that may hold the job's data, fixed at its submission.
     """
 
     job: RequestJob
@@ -32,7 +31,7 @@
     ended: bool = False
     waiting_tokens: int = field(init=False)
     residence: Residence = field(init=False)
-    _pending_tokens_by_item: dict[str, int] = field(init=False, repr=False)  # by item
+    _pending_tokens_by_item: dict[str, int] = field(init=False, repr=False)
 
     def __post_init__(self) -> None:
         self.residence = residence_from_message(self.job)
--- a/src/wharfcart/storage/shard.py
+++ b/src/wharfcart/storage/shard.py
@@ -129,7 +129,7 @@
         self._pending_proposals: dict[int, tuple[int, int]] = {}  # index -> epoch, token
         self._outgoing: dict[str, _OutgoingSnapshot] = {}
         self._streams = 0
-        self._newest_stream = (0, 0)  # epoch and number of the newest snapshot begun here
+        self._newest_stream = (0, 0)  # epoch and number of the newest incoming snapshot
         self._incoming: _IncomingSnapshot | None = None
         self._installed_base: InstalledBase | None = None
 
@@ -176,9 +176,8 @@
     def propose(self, proposals: Sequence[tuple[int, Command]], now: float) -> None:
         """Propose commands, each with a token that identifies its result.
 
-        Raises
-        ------
-        NotLeaderError: this replica does not lead the shard.
+        Raises:
+            NotLeaderError: this replica does not lead the shard.
         """
         blobs = [command.SerializeToString() for _, command in proposals]
         first, actions = self.replica.propose(blobs, now)
--- a/src/wharfcart/storage/shard_state.py
+++ b/src/wharfcart/storage/shard_state.py
@@ -37,7 +37,7 @@
     """Kinds of rows that a shard stores on disk."""
 
     LINE = "line"  # id: file, number: input row
-    CLASSES = "classes"  # id: file, number: first row, value: one byte a row
+    CLASSES = "classes"  # id: file, number: first row, value: one byte per row
     RESULT = "result"  # id: job, number: input row
     FILE = "file"
     JOB = "job"
@@ -80,7 +80,7 @@
 
     record: JobRecord
     states: bytearray
-    classes: bytes  # one byte a row: index into the record's service names
+    classes: bytes  # one byte per row: index into the record's service names
     pending_from: dict[int, int] = field(default_factory=dict)  # first row that may be pending
 
     @property
@@ -98,7 +98,7 @@
         return self.record.finished_ms > 0
 
     def next_pending(self, class_: int, limit: int) -> list[int]:
-        """Return up to ``most`` pending rows of one class, lowest first, without marking them."""
+        """Return up to ``limit`` pending rows of one class, lowest first, without marking them."""
         rows: list[int] = []
         position = self.pending_from.get(class_, 0)
         while len(rows) < limit:
--- a/src/wharfcart/storage/takeover.py
+++ b/src/wharfcart/storage/takeover.py
@@ -13,12 +13,11 @@
 class Takeover:
     """Collects every committed write for a new leader.
 
-    Parameters
-    ----------
-    record: group record that names the new leader.
-    identity: identity of the new leader's disk.
-    write_quorum: replicas that must have a write before it is committed.
-    link_to: link to a replica, including the leader's own disk.
+    Args:
+        record: group record that names the new leader.
+        identity: identity of the new leader's disk.
+        write_quorum: replicas that must have a write before it is committed.
+        link_to: link to a replica, including the leader's own disk.
     """
 
     def __init__(
@@ -55,9 +54,8 @@
     async def newest_jobs(self) -> list[ReplicatedJob]:
         """Return each job in the state with the highest epoch, then the greatest length.
 
-        Raises
-        ------
-        ReplicaFailedError: a replica that has the newest state of a job did not return it.
+        Raises:
+            ReplicaFailedError: a replica that has the newest state of a job did not return it.
         """
         newest: dict[str, tuple[tuple[int, int], str]] = {}
         ordered = sorted(self.states_by_identity, key=lambda identity: identity != self._identity)
--- a/tests/storage/test_database.py
+++ b/tests/storage/test_database.py
@@ -32,7 +32,7 @@
     return database
 
 
-def test_everything_is_there_after_a_restart(tmp_path: Path) -> None:
+def test_writes_survive_a_restart(tmp_path: Path) -> None:
     first = _database(tmp_path)
     first.close()
     again = open_database(tmp_path)
@@ -94,7 +94,7 @@
     connection.close()
 
 
-def test_corrupt_log_sets_the_folder_aside_under_a_new_identity(tmp_path: Path) -> None:
+def test_corrupt_log_is_moved_aside_and_the_identity_changes(tmp_path: Path) -> None:
     first = _database(tmp_path)
     first.close()
     _corrupt(tmp_path, "update log set command = x'00' where number = 4")
@@ -104,7 +104,7 @@
     assert (tmp_path / f"corrupt-{DATABASE_NAME}").exists()
 
 
-def test_corrupt_row_is_found_when_read_and_the_next_start_begins_anew(tmp_path: Path) -> None:
+def test_corrupt_row_is_detected_on_read_and_the_next_start_is_empty(tmp_path: Path) -> None:
     first = _database(tmp_path)
     first.close()
     _corrupt(tmp_path, "update record set value = x'00' where number = 2")
@@ -117,6 +117,6 @@
     assert open_database(tmp_path).identity != first.identity
 
 
-def test_file_that_is_no_database_is_set_aside(tmp_path: Path) -> None:
+def test_file_that_is_no_database_is_moved_aside(tmp_path: Path) -> None:
     (tmp_path / DATABASE_NAME).write_bytes(b"garbage" * 1000)
     assert open_database(tmp_path).shards() == []
--- a/tests/storage/test_job_client_residence.py
+++ b/tests/storage/test_job_client_residence.py
@@ -90,7 +90,7 @@
     return answer.result_page.status
 
 
-def test_a_job_goes_to_groups_all_of_whose_disks_are_in_its_regions() -> None:
+def test_a_job_goes_to_a_group_with_all_disks_in_its_regions() -> None:
     async def scenario() -> None:
         leaders = GroupLeaders()
         for n in range(40):
@@ -100,7 +100,7 @@
     run_virtually(scenario())
 
 
-def test_a_job_that_no_group_may_hold_is_refused_at_once_and_sent_nowhere() -> None:
+def test_a_job_without_an_eligible_group_is_refused_at_once() -> None:
     async def scenario() -> None:
         leaders = GroupLeaders()
         for residence in (residence_in(["south"]), WEST.within(EAST)):
@@ -138,10 +138,10 @@
     run_virtually(scenario())
 
 
-@pytest.mark.parametrize("having", [0, 1, 3])
-def test_a_job_from_before_a_change_is_found_at_another_group(having: int) -> None:
+@pytest.mark.parametrize("group", [0, 1, 3])
+def test_a_job_from_before_a_change_is_found_at_another_group(group: int) -> None:
     async def scenario() -> None:
-        leaders = GroupLeaders(group_with_job=having)
+        leaders = GroupLeaders(group_with_job=group)
         assert status(await leaders.read("a", EAST)) == DONE
         assert status(await leaders.read("a", residence_in(["south"]))) == DONE
 
--- a/tests/storage/test_job_database.py
+++ b/tests/storage/test_job_database.py
@@ -29,7 +29,7 @@
     )
 
 
-def test_what_was_written_is_there_after_a_restart(tmp_path: Path) -> None:
+def test_writes_survive_a_restart(tmp_path: Path) -> None:
     database = JobDatabase(tmp_path)
     identity = database.identity
     assert database.apply_updates(0, 3, [make_update(2)])
@@ -72,7 +72,7 @@
     assert database.job_states(0) == [] and database.load_jobs(["j"]) == []
 
 
-def test_a_corrupt_record_is_noticed(tmp_path: Path) -> None:
+def test_a_corrupt_record_is_detected(tmp_path: Path) -> None:
     database = JobDatabase(tmp_path)
     database.apply_updates(0, 1, [make_update(1)])
     database.close()
@@ -89,7 +89,7 @@
     assert not list(tmp_path.glob("*-shm"))
 
 
-def test_a_disk_of_the_version_before_tenants_is_read(tmp_path: Path) -> None:
+def test_a_database_written_without_tenants_is_readable(tmp_path: Path) -> None:
     shutil.copy(SAMPLES / DATABASE_NAME, tmp_path)
     (loaded,) = JobDatabase(tmp_path).load_jobs(["job1"])
     assert (loaded.epoch, loaded.job.tenant, loaded.job.host) == (3, "", "h")
@@ -104,12 +104,12 @@
     )
 
 
-def test_events_of_items_that_run_outlast_a_loss_of_power(tmp_path: Path) -> None:
+def test_partial_texts_survive_a_loss_of_power(tmp_path: Path) -> None:
     database = JobDatabase(tmp_path)
     database.apply_updates(0, 1, [make_update()])
     database.save_partial_texts(0, [make_part("0", 0, "a", "b"), make_part("1", 0, "x")], [])
     database.save_partial_texts(0, [make_part("0", 2, "c")], ["1"])
-    again = JobDatabase(copy_of_disk(tmp_path))
+    again = JobDatabase(copy_folder(tmp_path))
     found = again.load_partial_texts(0)
     assert [(one.item_id, list(one.texts)) for one in found] == [("0", ["a", "b"]), ("0", ["c"])]
     assert again.load_partial_texts(1) == []
@@ -117,14 +117,14 @@
     again.close()
 
 
-def copy_of_disk(folder: Path) -> Path:
+def copy_folder(folder: Path) -> Path:
     """Return a copy of the folder, as after a loss of power."""
     copy = folder.with_name(f"{folder.name}-copy")
     shutil.copytree(folder, copy)
     return copy
 
 
-def test_events_go_with_the_result_and_with_the_job() -> None:
+def test_partial_texts_are_deleted_with_the_result_and_with_the_job() -> None:
     database = JobDatabase(None)
     database.apply_updates(0, 1, [make_update()])
     database.save_partial_texts(0, [make_part("0", 0, "a"), make_part("1", 0, "b")], [])
@@ -138,7 +138,7 @@
     assert database.load_partial_texts(0) == []
 
 
-def test_events_that_do_not_match_their_checksum_are_left_out(tmp_path: Path) -> None:
+def test_corrupt_partial_texts_are_skipped(tmp_path: Path) -> None:
     database = JobDatabase(tmp_path)
     database.apply_updates(0, 1, [make_update()])
     database.save_partial_texts(0, [make_part("0", 0, "a"), make_part("0", 1, "b")], [])
--- a/tests/storage/test_job_group.py
+++ b/tests/storage/test_job_group.py
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_all_processes_killed_at_once_serve_again(seed: int) -> None:
+def test_a_group_recovers_after_all_processes_were_killed(seed: int) -> None:
     """Restarted replicas must not report contact with a leader, or none is ever elected."""
 
     async def scenario() -> None:
@@ -197,7 +197,7 @@
     run_scenario(scenario)
 
 
-def test_a_replica_cut_off_from_the_others_does_not_unseat_the_leader() -> None:
+def test_a_partitioned_replica_does_not_replace_the_leader() -> None:
     """It reaches the coordination service, but could not lead without the other replicas."""
 
     async def scenario() -> None:
@@ -256,7 +256,7 @@
     run_scenario(scenario)
 
 
-def test_a_dead_spare_is_not_taken_into_the_set() -> None:
+def test_a_dead_spare_does_not_join_the_set() -> None:
     """A lost machine whose entry is still in the list of nodes must not become a member."""
 
     async def scenario() -> None:
@@ -527,7 +527,7 @@
     run_scenario(scenario)
 
 
-def test_a_lost_replica_is_replaced_in_another_zone_where_one_may_be_lost() -> None:
+def test_a_lost_replica_is_replaced_in_a_zone_that_tolerates_a_failure() -> None:
     """The first spare by name is in the zone that holds the other copies."""
 
     async def scenario() -> None:
@@ -558,7 +558,7 @@
     return lost.identity
 
 
-def test_a_group_with_a_bound_job_takes_no_spare_elsewhere() -> None:
+def test_a_group_with_a_bound_job_admits_no_spare_outside_its_residence() -> None:
     """The whole set is in the west, the only spare in the east."""
 
     async def scenario() -> None:
@@ -575,7 +575,7 @@
     run_scenario(scenario)
 
 
-def test_a_group_that_can_hold_bound_jobs_takes_no_spare_elsewhere() -> None:
+def test_a_group_that_can_hold_bound_jobs_admits_no_spare_outside_the_residence() -> None:
     async def scenario() -> None:
         fleet = Fleet(stores=4, zones=("w1", "w1", "w2", "e1"))
         fleet.simulation.residences = frozenset({residence_in(["west"])})
@@ -588,7 +588,7 @@
     run_scenario(scenario)
 
 
-def test_a_group_without_bound_jobs_takes_the_spare_elsewhere() -> None:
+def test_a_group_without_bound_jobs_admits_a_spare_of_another_region() -> None:
     async def scenario() -> None:
         fleet = Fleet(stores=4, zones=("w1", "w1", "w2", "e1"))
         await fleet.start()
@@ -672,7 +672,7 @@
         assert fleet.nodes[3].disk.database.job_states(0) == []
 
 
-def test_items_go_on_after_all_nodes_lost_power() -> None:
+def test_partial_texts_survive_a_power_loss_of_all_nodes() -> None:
     """Saved partial texts are restored when all nodes restart after a loss of power."""
 
     async def scenario() -> None:
--- a/tests/storage/test_job_leadership.py
+++ b/tests/storage/test_job_leadership.py
@@ -57,14 +57,14 @@
     assert not leadership.append_result("j", outcome("0", b"other"))
 
 
-def test_an_ended_job_takes_no_result() -> None:
+def test_an_ended_job_accepts_no_result() -> None:
     leadership = make_leadership()
     leadership.accept_job(job())
     leadership.end_job("j")
     assert not leadership.append_result("j", outcome("0"))
 
 
-def test_the_same_job_is_taken_once() -> None:
+def test_the_same_job_is_accepted_once() -> None:
     leadership = make_leadership()
     first = leadership.accept_job(job())
     assert leadership.accept_job(job(items=2)) is first
@@ -91,7 +91,7 @@
     assert [result.text for result in update.results] == [b"right"]
 
 
-def test_a_longer_state_of_the_same_epoch_is_cut_back() -> None:
+def test_a_longer_state_of_the_same_epoch_is_truncated() -> None:
     leadership = JobLeadership(4, 2, MEMBERS)
     leadership.inherit([ReplicatedJob(job(), 3, [outcome("0")])])
     leadership.add_replica("b", [JobState("j", 3, 4)])
@@ -161,7 +161,7 @@
     assert leadership.jobs["j"].waiting_tokens == 10
 
 
-def test_a_result_that_comes_while_an_update_is_under_way_is_sent_next() -> None:
+def test_a_result_appended_during_an_update_is_sent_next() -> None:
     leadership = make_leadership()
     leadership.accept_job(job())
     write(leadership, "a")
@@ -176,13 +176,13 @@
     assert not leadership.is_behind("a") and not leadership.updates_for("a")
 
 
-def test_a_result_of_an_item_that_the_job_does_not_have_is_not_taken() -> None:
+def test_a_result_of_an_unknown_item_is_rejected() -> None:
     leadership = make_leadership()
     leadership.accept_job(job())
     assert not leadership.append_result("j", outcome("elsewhere"))
 
 
-def test_one_result_costs_the_same_however_many_jobs_and_results_there_are(
+def test_the_cost_of_a_result_is_independent_of_other_jobs_and_results(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     leadership = make_leadership()
--- a/tests/storage/test_job_residence.py
+++ b/tests/storage/test_job_residence.py
@@ -25,7 +25,7 @@
     return REGIONS.get(disk[0])
 
 
-def test_a_job_goes_to_one_of_the_groups_that_may_hold_it_always_the_same() -> None:
+def test_a_job_goes_to_one_of_its_eligible_groups() -> None:
     ids = [f"job-{n}" for n in range(200)]
     assert {pick_group(job_id, (1, 4)) for job_id in ids} == {1, 4}
     assert pick_group("a", ()) is None
@@ -47,11 +47,11 @@
         (("w-1",), NOWHERE, False),
     ],
 )
-def test_all_disks_of_a_group_must_be_where_the_data_may_be(disks, residence, expected) -> None:
+def test_all_disks_of_a_group_must_be_in_the_residence(disks, residence, expected) -> None:
     assert all_in_residence(disks, residence, region_of) is expected
 
 
-def test_a_group_with_a_bound_job_takes_no_disk_elsewhere() -> None:
+def test_a_group_with_a_bound_job_admits_no_disk_outside_its_residence() -> None:
     assert may_join_group("w-9", ["w-1", "e-1"], [ANYWHERE, BOTH], [], region_of)
     assert may_join_group("e-9", ["w-1", "e-1"], [ANYWHERE, BOTH], [], region_of)
     assert not may_join_group("?", ["w-1", "e-1"], [ANYWHERE, BOTH], [], region_of)
--- a/tests/storage/test_journal_simulation.py
+++ b/tests/storage/test_journal_simulation.py
@@ -23,17 +23,17 @@
 
 
 @pytest.mark.parametrize("seed", CLEAN_SEEDS)
-def test_what_must_hold_holds_under_faults(seed: int) -> None:
+def test_invariants_hold_under_faults(seed: int) -> None:
     assert JournalSimulation(seed, FaultPlan()).run().check() == []
 
 
 @pytest.mark.parametrize("seed", CLEAN_SEEDS)
-def test_what_must_hold_holds_under_harsh_faults(seed: int) -> None:
+def test_invariants_hold_under_harsh_faults(seed: int) -> None:
     assert JournalSimulation(seed, HARSH).run().check() == []
 
 
 @pytest.mark.parametrize("seed", CLEAN_SEEDS)
-def test_what_must_hold_holds_on_slow_disks(seed: int) -> None:
+def test_invariants_hold_on_slow_disks(seed: int) -> None:
     assert JournalSimulation(seed, SLOW_DISKS).run().check() == []
 
 
--- a/tests/storage/test_partial_texts.py
+++ b/tests/storage/test_partial_texts.py
@@ -3,7 +3,7 @@
 from wharfcart.storage.partial_texts import PartialTexts, SentOffsets
 
 
-def test_a_replica_gets_what_it_lacks_and_no_more() -> None:
+def test_a_replica_receives_each_part_once() -> None:
     leader, replica = PartialTexts(), PartialTexts()
     offsets = SentOffsets()
     text = leader.get_or_create("j", "i")
@@ -29,7 +29,7 @@
     assert replica.get_or_create("j", "i").texts == []
 
 
-def test_finished_items_and_ended_jobs_are_dropped() -> None:
+def test_finished_items_and_ended_jobs_are_removed() -> None:
     texts = PartialTexts()
     texts.get_or_create("j", "i").add_event(0, "a")
     texts.get_or_create("k", "l").add_event(0, "a")
--- a/tests/storage/test_replica.py
+++ b/tests/storage/test_replica.py
@@ -71,7 +71,7 @@
     assert leader.commit_index == 1
 
 
-def test_silent_replica_is_dropped_and_the_rest_commit() -> None:
+def test_unresponsive_replica_is_dropped_and_the_rest_commit() -> None:
     leader = _leader()
     for tenth in range(1, 13):
         _acknowledge(leader, "b", leader.last_index, 10.0 + tenth / 10)
@@ -112,7 +112,7 @@
     assert follower.epoch == 0
 
 
-def test_lease_is_judged_by_the_send_time_of_an_acknowledged_round() -> None:
+def test_lease_starts_at_the_send_time_of_an_acknowledged_round() -> None:
     leader = _leader()
     _acknowledge(leader, "b", 1, 10.1)
     _acknowledge(leader, "c", 1, 10.1)
@@ -120,7 +120,7 @@
     assert not leader.lease_valid(10.0 + LEASE_S + 0.01)
 
 
-def test_paused_leader_wakes_up_without_its_lease() -> None:
+def test_paused_leader_resumes_without_its_lease() -> None:
     leader = _leader()
     _acknowledge(leader, "b", 1, 10.1)
     _acknowledge(leader, "c", 1, 10.1)
@@ -131,18 +131,18 @@
         leader.propose([b"x"], 40.0)
 
 
-@pytest.mark.parametrize(("heard_at", "granted"), [(9.9, False), (1.0, True)])
-def test_vote_is_refused_while_a_leader_is_heard(heard_at: float, granted: bool) -> None:
+@pytest.mark.parametrize(("last_contact_at", "granted"), [(9.9, False), (1.0, True)])
+def test_vote_is_refused_during_leader_contact(last_contact_at: float, granted: bool) -> None:
     follower = _replica("b")
     append = ReplicaMessage(sender="a", target="b", epoch=1, append_request=AppendRequest())
-    follower.receive(append, heard_at)
+    follower.receive(append, last_contact_at)
     request = VoteRequest(last_index=0, last_epoch=0)
     message = ReplicaMessage(sender="c", target="b", epoch=2, vote_request=request)
     (answer,) = _sent(follower.receive(message, 10.0))
     assert answer.vote_response.granted is granted
 
 
-def test_one_vote_an_epoch() -> None:
+def test_one_vote_per_epoch() -> None:
     voter = _replica("b")
     request = VoteRequest(last_index=0, last_epoch=0)
     for candidate, granted in (("a", True), ("c", False)):
@@ -151,7 +151,7 @@
         assert answer.vote_response.granted is granted
 
 
-def test_leadership_is_handed_over_at_once() -> None:
+def test_leadership_is_transferred_at_once() -> None:
     leader = _leader()
     _acknowledge(leader, "b", 1, 10.1)
     _acknowledge(leader, "c", 1, 10.1)
--- a/tests/storage/test_replica_placement.py
+++ b/tests/storage/test_replica_placement.py
@@ -20,7 +20,7 @@
     return {f"{zone}-{n}": zone for zone, nodes in nodes_by_zone.items() for n in range(nodes)}
 
 
-def test_a_spare_of_another_zone_goes_before_the_first_in_the_alphabet() -> None:
+def test_a_spare_of_another_zone_is_preferred_to_the_first_by_name() -> None:
     zones = disks(a=4, b=2, c=2)
     wanted = make_placement(zones, tolerated_zone_failures=1).repaired_members(
         ["a-0", "a-1", "b-0"], ["b-1"], ["a-2", "c-0"]
@@ -28,7 +28,7 @@
     assert wanted == {"a-0", "a-1", "b-0", "c-0"}
 
 
-def test_spares_of_the_region_go_first_though_they_share_zones() -> None:
+def test_spares_of_the_region_are_preferred_although_they_share_zones() -> None:
     zones = disks(w1=3, w2=2, e1=3)
     placement = make_placement(zones, topology=TOPOLOGY, preferred_zones=("w1", "w2"))
     assert set(placement.choose_additions([], zones)) == {"w1-0", "w1-1", "w1-2", "w2-0", "w2-1"}
@@ -84,7 +84,7 @@
     assert make_placement(zones).shortfalls(["a-0", "a-1"]) == ["2 replicas of 5"]
 
 
-def test_a_fleet_of_one_zone_still_has_full_groups() -> None:
+def test_a_fleet_of_one_zone_has_full_groups() -> None:
     zones = disks(a=6)
     assert len(make_placement(zones, tolerated_zone_failures=1).choose_additions([], zones)) == 5
 
--- a/tests/storage/test_replica_set_policy.py
+++ b/tests/storage/test_replica_set_policy.py
@@ -31,7 +31,7 @@
     return ReplicaSetPolicy(live={identity: f"zone-{identity}" for identity in live})
 
 
-def test_silent_replica_leaves_the_in_sync_set() -> None:
+def test_unresponsive_replica_leaves_the_in_sync_set() -> None:
     decision = _policy("ab").decide(_view("abc", "abc", "b"), NOW)
     assert decision.next_set is not None
     assert list(decision.next_set.in_sync) == ["a", "b"]
@@ -47,7 +47,7 @@
     assert list(decision.next_set.in_sync) == ["a", "c"]
 
 
-def test_voter_gone_for_long_is_replaced_by_a_spare_that_caught_up() -> None:
+def test_absent_voter_is_replaced_by_a_caught_up_spare() -> None:
     policy = _policy("abd")
     view = _view("abc", "ab", "bd")
     assert policy.decide(view, NOW) == policy.decide(view, NOW)
@@ -61,7 +61,7 @@
     assert added.next_set is not None and list(added.next_set.voters) == ["a", "b", "d"]
 
 
-def test_voter_that_left_for_a_while_is_not_replaced() -> None:
+def test_restarting_voter_is_not_replaced() -> None:
     policy = _policy("abd")
     policy.leaving = {"c"}
     view = _view("abc", "ab", "bd")
@@ -79,6 +79,6 @@
     assert policy.decide(_view("a", "a", ""), NOW).learner == "d"
 
 
-def test_spare_of_another_zone_first() -> None:
+def test_spare_of_another_zone_is_preferred() -> None:
     policy = ReplicaSetPolicy(live={"a": "1", "b": "2", "d": "1", "e": "3"})
     assert policy.decide(_view("ab", "ab", "b"), NOW).learner == "e"
