--- a/src/wharfcart/batch/files.py
+++ b/src/wharfcart/batch/files.py
@@ -1,4 +1,4 @@
-"""Uploaded files: lines checked as they arrive and written to the journal a chunk at a time."""
+"""Uploaded batch files: checks lines as they arrive and writes them to the journal in chunks."""
 
 import hashlib
 import json
@@ -13,17 +13,21 @@
 from wharfcart.configuration.services import Service
 from wharfcart.storage.journal_client import JournalClient
 
-LINES_AN_APPEND = 256
-BYTES_AN_APPEND = 1024 * 1024
-MOST_SERVICES_A_FILE = 255
-MOST_FINDINGS = 20
+MAX_LINES_PER_APPEND = 256
+MAX_BYTES_PER_APPEND = 1024 * 1024
+MAX_SERVICES_PER_FILE = 255
+MAX_FINDINGS = 20
 ENGINE_PATHS = (CHAT_PATH, COMPLETIONS_PATH)
 
 FindService = Callable[[str, str], Service | None]
 
 
-class BadLinesError(Exception):
-    """Some lines of a file cannot be items; carries row numbers (from 1) and reasons."""
+class InvalidLinesError(Exception):
+    """Lines of a batch file are invalid.
+
+    Attributes:
+        findings: line numbers, starting at 1, with reasons.
+    """
 
     def __init__(self, findings: list[tuple[int, str]]) -> None:
         super().__init__("; ".join(f"line {row}: {reason}" for row, reason in findings))
@@ -32,7 +36,15 @@
 
 @dataclass
 class LineChecker:
-    """Checks lines of a batch file and tells each one's service."""
+    """Checks the lines of a batch file and determines their services.
+
+    Attributes:
+        tenant: owner of the file.
+        find_service: returns a tenant's service by name, or None.
+        service_names: services in the order of their first use.
+        findings: line numbers, starting at 1, with reasons.
+        rows: number of checked lines.
+    """
 
     tenant: str
     find_service: FindService
@@ -42,18 +54,18 @@
     _custom_ids: set[int] = field(default_factory=set)
 
     def check(self, line: bytes) -> int:
-        """Check one line; return the index of its service, 0 if it is bad."""
+        """Check one line; return the index of its service, or 0 if the line is invalid."""
         self.rows += 1
-        reason, class_ = self._judge(line)
-        if reason is not None and len(self.findings) < MOST_FINDINGS:
+        reason, class_ = self._validate(line)
+        if reason is not None and len(self.findings) < MAX_FINDINGS:
             self.findings.append((self.rows, reason))
         return class_
 
-    def too_long(self, most_bytes: int) -> None:
-        """Note a line longer than allowed."""
-        self.findings.append((self.rows + 1, f"longer than {most_bytes} bytes"))
+    def record_too_long(self, max_bytes: int) -> None:
+        """Record that the next line exceeds the length limit."""
+        self.findings.append((self.rows + 1, f"longer than {max_bytes} bytes"))
 
-    def _judge(self, line: bytes) -> tuple[str | None, int]:
+    def _validate(self, line: bytes) -> tuple[str | None, int]:
         try:
             item = json.loads(line)
         except UnicodeDecodeError:
@@ -66,17 +78,17 @@
             return "not an object", 0
         custom_id = item.get("custom_id")
         if not isinstance(custom_id, str):
-            return "custom_id is missing or no string", 0
-        # Hashes, not the ids themselves: a file may hold 690,000 of them.
+            return "custom_id is missing or not a string", 0
+        # Keeps hashes instead of ids to limit memory: a file may have hundreds of thousands.
         if hash(custom_id) in self._custom_ids:
-            return f"custom_id {custom_id!r} stands twice", 0
+            return f"custom_id {custom_id!r} is used twice", 0
         self._custom_ids.add(hash(custom_id))
-        return self._judge_target(item)
+        return self._validate_target(item)
 
-    def _judge_target(self, item: dict[str, object]) -> tuple[str | None, int]:
+    def _validate_target(self, item: dict[str, object]) -> tuple[str | None, int]:
         url = item.get("url")
         if not isinstance(url, str):
-            return "url is missing or no string", 0
+            return "url is missing or not a string", 0
         if not isinstance(item.get("body", {}), dict):
             return "body is not an object", 0
         name = service_name_of(item)
@@ -90,12 +102,12 @@
         body = item.get("body")
         if url == CHAT_PATH and not _has_messages(body):
             return "body.messages is missing or not a list of objects", 0
-        return self._class_of(name)
+        return self._service_index(name)
 
-    def _class_of(self, name: str) -> tuple[str | None, int]:
+    def _service_index(self, name: str) -> tuple[str | None, int]:
         if name not in self.service_names:
-            if len(self.service_names) >= MOST_SERVICES_A_FILE:
-                return f"more than {MOST_SERVICES_A_FILE} services in one file", 0
+            if len(self.service_names) >= MAX_SERVICES_PER_FILE:
+                return f"more than {MAX_SERVICES_PER_FILE} services in one file", 0
             self.service_names.append(name)
         return None, self.service_names.index(name)
 
@@ -110,17 +122,30 @@
 
 
 class FileWriter:
-    """Writes one uploaded file to the journal, line by line, holding a chunk at a time."""
+    """Writes one uploaded file to the journal, buffering one chunk of lines.
+
+    Args:
+        journal: client of the shards' leaders.
+        tenant: owner of the file.
+        shard: shard that stores the file.
+        checker: checks the lines.
+        max_line_bytes: length limit of a line.
+    """
 
     def __init__(
-        self, journal: JournalClient, tenant: str, shard: int, checker: LineChecker, most_line: int
+        self,
+        journal: JournalClient,
+        tenant: str,
+        shard: int,
+        checker: LineChecker,
+        max_line_bytes: int,
     ) -> None:
         self.file_id = new_id(FILE_PREFIX, shard)
         self._journal = journal
         self._tenant = tenant
         self._shard = shard
         self._checker = checker
-        self._most_line = most_line
+        self._max_line_bytes = max_line_bytes
         self._buffer = bytearray()
         self._lines: list[bytes] = []
         self._classes = bytearray()
@@ -129,13 +154,11 @@
         self._digest = hashlib.sha256()
 
     async def write(self, data: bytes) -> None:
-        """Take the next bytes of the file.
+        """Process the next bytes of the file.
 
-        Raises
-        ------
-        BadLinesError
-            Once a line is longer than allowed or enough findings have gathered.
-        ServingError
+        Raises:
+            InvalidLinesError: a line is too long, or ``MAX_FINDINGS`` lines are invalid.
+            ServingError: the journal did not accept the lines.
         """
         self._bytes += len(data)
         self._digest.update(data)
@@ -143,27 +166,30 @@
         *lines, rest = self._buffer.split(b"\n")
         self._buffer = bytearray(rest)
         for line in lines:
-            self._take(bytes(line))
-        if len(self._buffer) > self._most_line:
-            self._checker.too_long(self._most_line)
+            self._add_line(bytes(line))
+        if len(self._buffer) > self._max_line_bytes:
+            self._checker.record_too_long(self._max_line_bytes)
         if self._checker.findings and (
-            len(self._buffer) > self._most_line or len(self._checker.findings) >= MOST_FINDINGS
+            len(self._buffer) > self._max_line_bytes or len(self._checker.findings) >= MAX_FINDINGS
+        ):
+            raise InvalidLinesError(self._checker.findings)
+        if (
+            len(self._lines) >= MAX_LINES_PER_APPEND
+            or self._pending_bytes() >= MAX_BYTES_PER_APPEND
         ):
-            raise BadLinesError(self._checker.findings)
-        if len(self._lines) >= LINES_AN_APPEND or self._pending_bytes() >= BYTES_AN_APPEND:
             await self._append()
 
     async def finish(self, filename: str) -> FileRecord:
-        """Seal the file.
+        """Write the remaining lines, seal the file and return its record.
 
-        Raises
-        ------
-        BadLinesError, ServingError
+        Raises:
+            InvalidLinesError: a line is invalid.
+            ServingError: the journal did not accept the lines.
         """
         if self._buffer.strip():
-            self._take(bytes(self._buffer))
+            self._add_line(bytes(self._buffer))
         if self._checker.findings:
-            raise BadLinesError(self._checker.findings)
+            raise InvalidLinesError(self._checker.findings)
         await self._append()
         seal = FileSeal(
             file_id=self.file_id,
@@ -176,12 +202,12 @@
         command = Command(at_ms=now_ms(), file_seal=seal)
         return (await self._journal.propose(self._shard, command)).file
 
-    def _take(self, line: bytes) -> None:
+    def _add_line(self, line: bytes) -> None:
         line = line.rstrip(b"\r")
         if not line.strip():
             return
-        if len(line) > self._most_line:
-            self._checker.too_long(self._most_line)
+        if len(line) > self._max_line_bytes:
+            self._checker.record_too_long(self._max_line_bytes)
             return
         self._classes.append(self._checker.check(line))
         self._lines.append(line)
@@ -190,14 +216,14 @@
         return sum(len(line) for line in self._lines)
 
     async def _append(self) -> None:
-        for start in range(0, len(self._lines), LINES_AN_APPEND):
-            lines = self._lines[start : start + LINES_AN_APPEND]
+        for start in range(0, len(self._lines), MAX_LINES_PER_APPEND):
+            lines = self._lines[start : start + MAX_LINES_PER_APPEND]
             append = FileAppend(
                 file_id=self.file_id,
                 tenant=self._tenant,
                 first_row=self._first_row,
                 lines=lines,
-                classes=bytes(self._classes[start : start + LINES_AN_APPEND]),
+                classes=bytes(self._classes[start : start + MAX_LINES_PER_APPEND]),
                 service_names=self._checker.service_names,
             )
             command = Command(at_ms=now_ms(), file_append=append)
--- a/src/wharfcart/cluster/gossip.py
+++ b/src/wharfcart/cluster/gossip.py
@@ -1,4 +1,4 @@
-"""Membership driver: the core over UDP datagrams and a timer."""
+"""Membership driver: runs the membership core over UDP datagrams and a timer."""
 
 import asyncio
 import logging
@@ -12,28 +12,36 @@
     MemberChanged,
     Membership,
     MembershipAction,
-    PeerRevision,
+    PeerRevisions,
     SendGossip,
 )
 from wharfcart.cluster.messages_pb2 import DEAD, Gossip, Member
 
-LONGEST_WAIT_S = 0.2
+MAX_TICK_INTERVAL_S = 0.2
 
 logger = logging.getLogger(__name__)
 
 
 class GossipDriver(asyncio.DatagramProtocol):
-    """Runs one node's membership."""
+    """Runs the membership protocol of one node.
+
+    Args:
+        local_member: this node's member record.
+        seeds: addresses of nodes to join through.
+        member_changed: called when the state of a member changes.
+        peer_revision: called with the revisions that a peer reports.
+        bytes_sent: called with the size of each datagram sent.
+    """
 
     def __init__(
         self,
-        myself: Member,
+        local_member: Member,
         seeds: list[Address],
         member_changed: Callable[[Member], None],
-        peer_revision: Callable[[PeerRevision], None],
+        peer_revision: Callable[[PeerRevisions], None],
         bytes_sent: Callable[[int], None],
     ) -> None:
-        self.membership = Membership(myself, seeds, random.Random())
+        self.membership = Membership(local_member, seeds, random.Random())
         self._member_changed = member_changed
         self._peer_revision = peer_revision
         self._bytes_sent = bytes_sent
@@ -41,75 +49,81 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self, listen: Address) -> None:
-        """Listen and join."""
+        """Open the socket and join the cluster through the seeds."""
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=(listen.host, listen.port))
-        self._carry_out(self.membership.start(monotonic()))
+        self._execute(self.membership.start(monotonic()))
         self._task = loop.create_task(self._run())
 
     async def leave(self) -> None:
-        """Announce a planned stop."""
-        self._carry_out(self.membership.leave(monotonic()))
+        """Announce that this node leaves."""
+        self._execute(self.membership.leave(monotonic()))
 
     async def stop(self) -> None:
-        """Close the socket."""
+        """Stop the timer and close the socket."""
         if self._task is not None:
             self._task.cancel()
         if self._transport is not None:
             self._transport.close()
 
-    def announce(self, configuration: int, placement: int, directory: int) -> None:
-        """Tell peers a new digest of what this node knows."""
+    def announce(self, configuration: int, placement_digest: int, directory: int) -> None:
+        """Announce the revisions known here to peers, if any has changed.
+
+        Args:
+            configuration: revision of the configuration.
+            placement_digest: digest of the shard placement.
+            directory: revision of the directory.
+        """
         membership = self.membership
         before = (
             membership.configuration_revision,
             membership.placement_version,
             membership.directory_revision,
         )
-        if before == (configuration, placement, directory):
+        if before == (configuration, placement_digest, directory):
             return
         membership.configuration_revision = configuration
-        membership.placement_version = placement
+        membership.placement_version = placement_digest
         membership.directory_revision = directory
-        self._carry_out(membership.announce_revision())
+        self._execute(membership.announce_revision())
 
     def address_of(self, node_id: str) -> Address | None:
-        """Return a node's address."""
+        """Return the address of a node; None if it is unknown."""
         member = self.membership.find(node_id)
         return None if member is None else Address(member.host, member.port)
 
     def address_of_storage(self, identity: str) -> Address | None:
-        """Return the address of the node that holds a disk."""
-        for member in [self.membership.myself, *self.membership.members.values()]:
-            # A leaving node still replicates until it is gone.
+        """Return the address of the node with a storage identity; None if there is none."""
+        for member in [self.membership.local_member, *self.membership.members.values()]:
+            # A node that has left still replicates until it stops.
             if member.storage_identity == identity and member.state != DEAD:
                 return Address(member.host, member.port)
         return None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the socket."""
-        # uvloop's UDP transport is no subclass of asyncio's.
+        """Store the transport."""
+        # uvloop's UDP transport does not subclass asyncio's.
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Handle one datagram; garbage is dropped."""
+        """Handle one datagram; malformed datagrams are dropped."""
         try:
             message = Gossip.FromString(data)
         except Exception:
-            logger.warning("bad datagram", extra={"sender": addr[0]})
+            logger.warning("dropped a malformed datagram", extra={"sender": addr[0]})
             return
         now = monotonic()
         sender = Address(addr[0], addr[1])
-        self._carry_out(self.membership.receive(message, sender, now))
+        self._execute(self.membership.receive(message, sender, now))
 
     async def _run(self) -> None:
         while True:
             now = monotonic()
-            wait = self.membership.next_deadline(now) - now
-            await asyncio.sleep(min(LONGEST_WAIT_S, max(0.005, wait)))
-            self._carry_out(self.membership.tick(monotonic()))
+            delay_s = self.membership.next_deadline(now) - now
+            await asyncio.sleep(min(MAX_TICK_INTERVAL_S, max(0.005, delay_s)))
+            self._execute(self.membership.tick(monotonic()))
 
-    def _carry_out(self, actions: Sequence[MembershipAction]) -> None:
+    def _execute(self, actions: Sequence[MembershipAction]) -> None:
         for action in actions:
             if isinstance(action, SendGossip):
                 self._send(action)
--- a/src/wharfcart/configuration/changes.py
+++ b/src/wharfcart/configuration/changes.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration: difference between two sets of entries, and their record."""
+"""Changes of the configuration: differences between two sets of entries, and their history."""
 
 import json
 from collections.abc import Sequence
@@ -8,21 +8,21 @@
 
 from pydantic import BaseModel, Field
 
-from wharfcart.configuration.schema import Item, join_entries
+from wharfcart.configuration.schema import DocumentItem, join_entries
 from wharfcart.configuration.validation import check_document
 from wharfcart.errors import Finding
 
 
 class ChangeKind(StrEnum):
-    """What happens to an entry."""
+    """Kind of change of an entry."""
 
     ADD = "add"
     UPDATE = "update"
     DELETE = "delete"
 
 
-class Change(BaseModel):
-    """One entry before and after, as JSON values."""
+class EntryChange(BaseModel):
+    """Change of one entry, with its JSON values before and after."""
 
     kind: ChangeKind
     key: str
@@ -31,24 +31,24 @@
 
 
 class ChangeRecord(BaseModel):
-    """One accepted change, as the history keeps it."""
+    """History record of one accepted change."""
 
     revision: int
     operation_id: str
     author: str = ""
     reason: str = ""
     at: Annotated[str, Field(description="time of acceptance, ISO 8601, UTC")] = ""
-    changes: list[Change] = Field(default_factory=list)
+    changes: list[EntryChange] = Field(default_factory=list)
 
 
 @dataclass(frozen=True)
 class ChangePlan:
-    """What applying a document would do."""
+    """Changes that applying a document would make."""
 
-    changes: list[Change]
+    changes: list[EntryChange]
 
     def entries(self) -> dict[str, bytes | None]:
-        """Return key to new value; None deletes."""
+        """Return the new value of each changed key; None deletes the entry."""
         return {
             change.key: None
             if change.after is None
@@ -60,29 +60,35 @@
 def plan_changes(
     current: dict[str, bytes], wanted: dict[str, bytes], replace_all: bool
 ) -> ChangePlan:
-    """Compare entries; with ``replace_all`` what ``wanted`` lacks is deleted."""
-    changes: list[Change] = []
+    """Return the changes that turn ``current`` into ``wanted``.
+
+    Args:
+        current: existing entries.
+        wanted: entries to add or update.
+        replace_all: whether to delete entries that are not in ``wanted``.
+    """
+    changes: list[EntryChange] = []
     for key, value in sorted(wanted.items()):
         before = json.loads(current[key]) if key in current else None
         after = json.loads(value)
         if before is None:
-            changes.append(Change(kind=ChangeKind.ADD, key=key, after=after))
+            changes.append(EntryChange(kind=ChangeKind.ADD, key=key, after=after))
         elif before != after:
-            changes.append(Change(kind=ChangeKind.UPDATE, key=key, before=before, after=after))
+            changes.append(EntryChange(kind=ChangeKind.UPDATE, key=key, before=before, after=after))
     if replace_all:
         for key in sorted(current.keys() - wanted.keys()):
             before = json.loads(current[key])
-            changes.append(Change(kind=ChangeKind.DELETE, key=key, before=before))
+            changes.append(EntryChange(kind=ChangeKind.DELETE, key=key, before=before))
     return ChangePlan(changes)
 
 
 def plan_rollback(current: dict[str, bytes], records: list[ChangeRecord]) -> ChangePlan:
-    """Undo ``records``, newest first, as one new change."""
+    """Return one change that undoes ``records``, newest first."""
     target: dict[str, dict[str, object] | None] = {}
     for record in sorted(records, key=lambda record: -record.revision):
         for change in record.changes:
             target[change.key] = change.before
-    changes: list[Change] = []
+    changes: list[EntryChange] = []
     for key, after in sorted(target.items()):
         before = json.loads(current[key]) if key in current else None
         if before == after:
@@ -92,12 +98,12 @@
             kind = ChangeKind.ADD
         elif after is None:
             kind = ChangeKind.DELETE
-        changes.append(Change(kind=kind, key=key, before=before, after=after))
+        changes.append(EntryChange(kind=kind, key=key, before=before, after=after))
     return ChangePlan(changes)
 
 
 def check_result(current: dict[str, bytes], plan: ChangePlan, file: str) -> list[Finding]:
-    """Return findings of the whole configuration as it would be after ``plan``."""
+    """Return findings of the whole configuration after ``plan`` is applied."""
     result = dict(current)
     for key, value in plan.entries().items():
         if value is None:
@@ -105,7 +111,7 @@
         else:
             result[key] = value
     document = join_entries(result)
-    sections: dict[str, Sequence[Item]] = {
+    sections: dict[str, Sequence[DocumentItem]] = {
         "tenants": document.tenants,
         "models": document.models,
         "templates": document.templates,
--- a/src/wharfcart/experiments/simulated_slots.py
+++ b/src/wharfcart/experiments/simulated_slots.py
@@ -12,8 +12,8 @@
 from types import SimpleNamespace
 from typing import Any, cast
 
-from wharfcart.admission.suspects import Suspects
-from wharfcart.batch.item_run import ItemRunner, ItemSend, RunOutcome
+from wharfcart.admission.poison_requests import PoisonRequests
+from wharfcart.batch.item_run import ItemAttempt, ItemRunner, RunOutcome
 from wharfcart.batch.job_execution import JobExecution
 from wharfcart.cluster.address import Address
 from wharfcart.cluster.messages_pb2 import (
@@ -35,20 +35,20 @@
 from wharfcart.experiments.virtual_time import virtual_monotonic
 from wharfcart.observability.decisions import DecisionLog
 from wharfcart.observability.serving_metrics import ServingMetrics
-from wharfcart.routing.backend_choice import BackendChoice, InstanceState
-from wharfcart.routing.placement import NoSlotError, PlacementRequest, SendVerdict
-from wharfcart.slots.asking_order import Step
+from wharfcart.routing.backend_selection import BackendSelector, InstanceState
+from wharfcart.routing.placement import NoSlotError, PlacementRequest, SendResult
 from wharfcart.slots.events import HolderId
 from wharfcart.slots.fleet_load import FleetLoad
 from wharfcart.slots.granted_placement import GrantedPlacement
 from wharfcart.slots.granter import SlotGranter
+from wharfcart.slots.group_backends import GroupBackends
+from wharfcart.slots.group_order import RequestStep
 from wharfcart.slots.item_slots import ItemSlots
 from wharfcart.slots.ledger import TakenSlot
 from wharfcart.slots.permit_relays import PermitRelays
 from wharfcart.slots.service import SlotService
-from wharfcart.slots.session import SlotNewsTaker
+from wharfcart.slots.session import SlotUpdateListener
 from wharfcart.slots.sessions import SlotSessions
-from wharfcart.slots.slot_room import SlotRoom
 from wharfcart.storage.job_group import JobGroup
 from wharfcart.storage.partial_texts import PartialTexts
 
@@ -93,26 +93,26 @@
 class ServerItemRunner:
     """Runs batch items at the servers, each one from where it was cut."""
 
-    def __init__(self, choice: BackendChoice, servers: dict[str, SlotServer]) -> None:
+    def __init__(self, choice: BackendSelector, servers: dict[str, SlotServer]) -> None:
         self._choice = choice
         self._servers = servers
         self.events_by_item: dict[str, int] = {}
 
-    async def run(self, send: ItemSend) -> RunOutcome:
+    async def run(self, send: ItemAttempt) -> RunOutcome:
         """Run an item to its end; cancelled, it keeps the events that it has."""
-        text = send.progress.text
+        text = send.progress.partial_text
         left = self.events_by_item[send.item.item_id] - len(text.texts)
         server = self._servers[send.state.instance.instance_id]
         prompt_tokens = send.item.tokens + 5 * len(text.texts)
 
         def on_event() -> None:
-            self._choice.answered(send.state, send.use)
+            self._choice.record_first_byte(send.state, send.send_id)
             text.add_event(len(text.texts), "")
 
         try:
             await server.run(prompt_tokens, left, on_event)
         finally:
-            self._choice.ended(send.state, send.use)
+            self._choice.record_finished(send.state, send.send_id)
         return RunOutcome.SUCCEEDED
 
 
@@ -168,7 +168,7 @@
     def send(self, _address: Address, frame: Frame, _traffic: TrafficClass) -> None:
         """Tell what happens within a session."""
         loop = asyncio.get_running_loop()
-        loop.call_later(ONE_WAY_S, self._service.take_events, frame.slot_events)
+        loop.call_later(ONE_WAY_S, self._service.handle_events, frame.slot_events)
 
     def round_trip_s(self, _address: Address) -> float:
         """Return the time of a message there and back."""
@@ -181,26 +181,26 @@
 class OwnChoicePlacement(GrantedPlacement):
     """A gateway that asks for no slot, but tells which ones it takes."""
 
-    def _steps(self, request: PlacementRequest) -> list[Step]:
+    def _steps(self, request: PlacementRequest) -> list[RequestStep]:
         return []
 
 
-class _KeepingRoom(SlotRoom):
+class _KeepingRoom(GroupBackends):
     """Items stay where they are until they are done."""
 
-    def yielding(self, state: InstanceState, now: float) -> list[TakenSlot]:
+    def preemption_order(self, state: InstanceState, now: float) -> list[TakenSlot]:
         """Return no item: none leaves."""
         return []
 
 
 class _KeepingGranter(SlotGranter):
-    def new_room(self) -> SlotRoom:
-        return _KeepingRoom(self.choice, self.owns, self.leads_surely, self._ledger)
+    def new_backends(self) -> GroupBackends:
+        return _KeepingRoom(self.selector, self.owns, self.is_leadership_confirmed, self._ledger)
 
 
 class _KeepingService(SlotService):
     def new_granter(self) -> SlotGranter:
-        return _KeepingGranter(self._choice, self._owns)
+        return _KeepingGranter(self._selector, self._owns)
 
 
 class SlotFleet:
@@ -246,7 +246,7 @@
         sessions = self._sessions("leader", self._leader_choice, self._item_slots)
         self._item_slots.begin(sessions)
         self._service.begin(1)
-        self._execution.begin()
+        self._execution.start()
         running = [sessions, *(held for _, _, held in self._gateways)]
         tasks = [asyncio.create_task(held.run()) for held in running]
         return [*tasks, asyncio.create_task(self._service.run())]
@@ -264,8 +264,8 @@
             unread_tokens=prompt_tokens,
             request_id=request_id,
             route_name="online",
-            in_time_until=began_at + objective_s,
-            leave_at=began_at + 1.0,
+            start_deadline=began_at + objective_s,
+            queue_deadline=began_at + 1.0,
             priority=0,
         )
         try:
@@ -274,20 +274,20 @@
             return None
         assert placed is not None
         state = placed.state
-        use = choice.sent(state, virtual_monotonic(), prompt_tokens)
+        use = choice.record_sent(state, virtual_monotonic(), prompt_tokens)
         sent_at = virtual_monotonic()
         first_s: list[float] = []
 
         def on_event() -> None:
             if not first_s:
-                choice.answered(state, use)
-                placement.answer_begun("online", virtual_monotonic() - sent_at)
+                choice.record_first_byte(state, use)
+                placement.first_byte_received("online", virtual_monotonic() - sent_at)
                 first_s.append(virtual_monotonic() - began_at)
 
         await asyncio.sleep(ONE_WAY_S)
         await self._servers[state.instance.instance_id].run(prompt_tokens, events, on_event)
-        choice.ended(state, use)
-        placement.ended(placed, SendVerdict.GOOD)
+        choice.record_finished(state, use)
+        placement.send_finished(placed, SendResult.BACKEND_OK)
         return first_s[0]
 
     def submit(
@@ -313,8 +313,8 @@
         self.records.jobs[job_id] = record
         self._execution.job_accepted(job)
 
-    def _choice(self) -> BackendChoice:
-        choice = BackendChoice(ZONE, Random(self._rng.random()))
+    def _choice(self) -> BackendSelector:
+        choice = BackendSelector(ZONE, Random(self._rng.random()))
         for instance in self._instances:
             choice.put(instance)
         return choice
@@ -340,10 +340,10 @@
             3600.0,
             self._log,
             self._metrics,
-            Suspects(),
+            PoisonRequests(),
         )
 
-    def _make_gateway(self, number: int) -> tuple[BackendChoice, GrantedPlacement, SlotSessions]:
+    def _make_gateway(self, number: int) -> tuple[BackendSelector, GrantedPlacement, SlotSessions]:
         choice = self._choice()
         sessions = self._sessions(f"gateway-{number}", choice, FleetLoad(choice))
         kind = GrantedPlacement if self._grants else OwnChoicePlacement
@@ -357,7 +357,9 @@
         )
         return choice, placement, sessions
 
-    def _sessions(self, holder: str, choice: BackendChoice, taker: SlotNewsTaker) -> SlotSessions:
+    def _sessions(
+        self, holder: str, choice: BackendSelector, taker: SlotUpdateListener
+    ) -> SlotSessions:
         return SlotSessions(
             HolderId(holder),
             choice,
--- a/src/wharfcart/node/fleet.py
+++ b/src/wharfcart/node/fleet.py
@@ -1,4 +1,4 @@
-"""Fleet driver: which back ends this node owns, what they hold, and orders to engines."""
+"""Fleet driver: ownership and probes of back ends, and orders to engines."""
 
 import asyncio
 import json
@@ -11,33 +11,41 @@
 import aiohttp
 
 from wharfcart.backends.application_client import ApplicationClient
-from wharfcart.backends.engine_client import EngineClient, EngineReport
-from wharfcart.backends.interface import BackendError, Order, OrderKind
+from wharfcart.backends.engine_client import EngineClient, EngineInventory
+from wharfcart.backends.interface import BackendError, EngineCommand, EngineCommandKind
 from wharfcart.batch.runner import BatchRunner
 from wharfcart.clock import monotonic
 from wharfcart.cluster.messages_pb2 import BackendView, Entry
-from wharfcart.cluster.ownership import choose_owner
-from wharfcart.configuration.schema import YieldingPolicy
+from wharfcart.cluster.rendezvous import choose_owner
+from wharfcart.configuration.schema import PreemptionPolicy
 from wharfcart.configuration.services import ServiceIndex
 from wharfcart.fleet.reconciler import EngineStatus, FleetReconciler, TargetModel
 from wharfcart.observability.tasks import BackgroundTasks
 from wharfcart.platform.machine_list import ListedMachine
-from wharfcart.routing.owner import OwnedBackend, Owner
+from wharfcart.routing.owner import BackendOwner, OwnedBackend
 from wharfcart.routing.router import Backend, BackendKind, Router
 
-OWNERSHIP_CHECK_S = 0.5
-PROBE_S = 1.0
-RECONCILE_S = 2.0
-DRAIN_S = 5.0  # from saying that a server drains to changing its base model
-DRAIN_LIFE_S = 8.0  # after this the owner ends a drain that its leader forgot
-FAILURES_TO_BE_DOWN = 2
+OWNERSHIP_CHECK_INTERVAL_S = 0.5
+PROBE_INTERVAL_S = 1.0
+RECONCILE_INTERVAL_S = 2.0
+DRAIN_PERIOD_S = 5.0  # from announcing a drain to replacing the server's base model
+DRAIN_TTL_S = 8.0  # the owner removes a drain after this time if its leader has not
+DOWN_AFTER_FAILURES = 2
 
 logger = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True)
 class BackendStatus:
-    """What a back end's owner published of it."""
+    """State of a back end as its owner published it.
+
+    Attributes:
+        model: name of the loaded base model; '' if none.
+        version: version of the base model.
+        adapters: names of the loaded adapters.
+        loading: whether the back end is loading a model.
+        down: whether the back end fails its probes.
+    """
 
     model: str = ""
     version: str = ""
@@ -46,63 +54,76 @@
     down: bool = False
 
     def targets(self) -> frozenset[str]:
-        """Return what requests may ask of it."""
+        """Return the models and adapters that requests may use."""
         if self.loading or self.down:
             return frozenset()
         return frozenset({self.model, *self.adapters} - {""})
 
 
 @dataclass
-class _Known:
+class _KnownBackend:
     machine: ListedMachine | None = None
     status: BackendStatus | None = None
-    drain_until: float | None = None  # wall clock, seconds
+    drain_until: float | None = None  # wall-clock time in seconds
 
 
 @dataclass
-class _Running:
+class _RunningBackend:
     runner: BatchRunner
     task: asyncio.Task[None]
     failures: int = 0
-    probed_at: float = 0.0
+    last_probe_at: float = 0.0
     stopping: asyncio.Task[None] | None = field(default=None)
 
 
 @dataclass(frozen=True)
 class FleetContext:
-    """Parts of a node that the fleet driver uses."""
+    """Dependencies of the fleet driver.
+
+    Attributes:
+        zone: zone of this node.
+        node_id: id of this node.
+        live_in_zone: returns the ids of live nodes that may own back ends of a zone.
+        services: index of the configured services.
+        router: routes requests to back ends.
+        owner: runs requests on owned back ends.
+        session: HTTP client session.
+        make_runner: creates the batch runner of an owned back end.
+        publish: sets a directory entry; None deletes it.
+        leader_epoch: returns the epoch of shard 0's leader; None unless that is this node.
+    """
 
     zone: str
     node_id: str
     live_in_zone: Callable[[str], list[str]]
     services: ServiceIndex
     router: Router
-    owner: Owner
+    owner: BackendOwner
     session: aiohttp.ClientSession
     make_runner: Callable[[OwnedBackend], BatchRunner]
     publish: Callable[[str, bytes | None], None]
-    leader_epoch: Callable[[], int | None]  # epoch of shard 0's leader if that is this node
+    leader_epoch: Callable[[], int | None]
 
 
 class FleetDriver:
-    """Back ends as one node sees, owns and orders them."""
+    """Tracks, owns and controls back ends on behalf of one node."""
 
     def __init__(self, context: FleetContext) -> None:
         self._context = context
-        self._known: dict[str, _Known] = {}
-        self._running: dict[str, _Running] = {}
+        self._known: dict[str, _KnownBackend] = {}
+        self._running: dict[str, _RunningBackend] = {}
         self._reconciler: FleetReconciler | None = None
         self._wake = asyncio.Event()
         self._tasks = BackgroundTasks()
-        self._leaving = False
+        self._stopping = False
 
     # ---- directory ----
 
     def directory_changed(self, entries: list[Entry]) -> None:
-        """Take changed entries of the directory."""
+        """Apply changed entries of the directory."""
         for entry in entries:
             kind, backend_id = entry.key.split("/", 1)
-            known = self._known.setdefault(backend_id, _Known())
+            known = self._known.setdefault(backend_id, _KnownBackend())
             value = None if entry.deleted else json.loads(entry.value)
             if kind == "machine":
                 known.machine = ListedMachine(**value) if value is not None else None
@@ -110,111 +131,111 @@
                 known.drain_until = float(value["until"]) if value is not None else None
             else:
                 known.status = _parse_status(value)
-            self._route(backend_id, known)
+            self._update_router(backend_id, known)
         self._wake.set()
 
-    def _route(self, backend_id: str, known: _Known) -> None:
+    def _update_router(self, backend_id: str, known: _KnownBackend) -> None:
         now = monotonic()
-        backend = _backend(known)
+        backend = _to_backend(known)
         if backend is None:
             self._context.router.remove_backend(backend_id)
         else:
             self._context.router.put_backend(backend, now)
 
     def membership_changed(self) -> None:
-        """Check ownership anew."""
+        """Trigger a check of ownership."""
         self._wake.set()
 
     # ---- ownership ----
 
     async def run(self) -> None:
-        """Keep ownership, probes and orders up to date, for ever."""
+        """Keep ownership, probes and orders up to date until cancelled."""
         reconciled_at = 0.0
         while True:
             self._wake.clear()
             self._check_ownership()
-            self._probe_due(monotonic())
-            if monotonic() - reconciled_at > RECONCILE_S:
+            self._start_due_probes(monotonic())
+            if monotonic() - reconciled_at > RECONCILE_INTERVAL_S:
                 reconciled_at = monotonic()
                 self._tasks.spawn(self._reconcile())
             try:
-                async with asyncio.timeout(OWNERSHIP_CHECK_S):
+                async with asyncio.timeout(OWNERSHIP_CHECK_INTERVAL_S):
                     await self._wake.wait()
             except TimeoutError:
                 continue
 
     def _check_ownership(self) -> None:
-        wanted: set[str] = set()
+        owned_ids: set[str] = set()
         for backend_id, backend in self._context.router.backends.items():
             nodes = self._context.live_in_zone(backend.zone)
-            if choose_owner(backend_id, nodes) == self._context.node_id and not self._leaving:
-                wanted.add(backend_id)
-                self._own(backend)
+            if choose_owner(backend_id, nodes) == self._context.node_id and not self._stopping:
+                owned_ids.add(backend_id)
+                self._acquire(backend)
         for backend_id in list(self._running):
-            if backend_id not in wanted:
-                self._disown(backend_id)
+            if backend_id not in owned_ids:
+                self._release(backend_id)
 
-    def _own(self, backend: Backend) -> None:
-        self._end_old_drain(backend.backend_id)
+    def _acquire(self, backend: Backend) -> None:
+        self._remove_expired_drain(backend.backend_id)
         owned = self._context.owner.adopt(backend, self._policy(backend))
         running = self._running.get(backend.backend_id)
         if running is not None and running.runner.owned is not owned:
-            self._disown(backend.backend_id)
+            self._release(backend.backend_id)
             running = None
         if running is not None and running.task.done():
-            logger.error("batch runner ended", exc_info=running.task.exception())
+            logger.error("batch runner exited unexpectedly", exc_info=running.task.exception())
             del self._running[backend.backend_id]
             running = None
         if running is None:
             runner = self._context.make_runner(owned)
             task = asyncio.get_running_loop().create_task(runner.run())
-            self._running[backend.backend_id] = _Running(runner, task)
-        elif backend.leaving and running.stopping is None:
+            self._running[backend.backend_id] = _RunningBackend(runner, task)
+        elif backend.draining and running.stopping is None:
             running.stopping = asyncio.get_running_loop().create_task(running.runner.stop())
-        elif not backend.leaving and running.stopping is not None and running.stopping.done():
-            self._disown(backend.backend_id)
+        elif not backend.draining and running.stopping is not None and running.stopping.done():
+            self._release(backend.backend_id)
 
-    def _end_old_drain(self, backend_id: str) -> None:
-        # By the owner, not by the leader that began it: leaders die.
+    def _remove_expired_drain(self, backend_id: str) -> None:
+        # The owner does this, because the leader that started the drain may have failed.
         known = self._known.get(backend_id)
         if known is not None and known.drain_until is not None and time.time() > known.drain_until:
             self._context.publish(f"drain/{backend_id}", None)
 
-    def _policy(self, backend: Backend) -> YieldingPolicy:
-        """Return the stricter policy of the templates that the back end serves."""
+    def _policy(self, backend: Backend) -> PreemptionPolicy:
+        """Return the strictest policy among the templates that the back end serves."""
         policies = {
             template.yielding
             for template in self._context.services.templates.values()
             if backend.targets & {template.adapter, template.model, template.application}
         }
-        only_throughput = policies == {YieldingPolicy.THROUGHPUT}
-        return YieldingPolicy.THROUGHPUT if only_throughput else YieldingPolicy.TAIL
+        only_throughput = policies == {PreemptionPolicy.THROUGHPUT}
+        return PreemptionPolicy.THROUGHPUT if only_throughput else PreemptionPolicy.TAIL
 
-    def _disown(self, backend_id: str) -> None:
+    def _release(self, backend_id: str) -> None:
         running = self._running.pop(backend_id)
         self._context.owner.release(backend_id)
-        self._tasks.spawn(self._wind_down(running))
+        self._tasks.spawn(self._stop_runner(running))
 
-    async def _wind_down(self, running: _Running) -> None:
+    async def _stop_runner(self, running: _RunningBackend) -> None:
         if running.stopping is None:
             await running.runner.stop()
         else:
             await running.stopping
         running.task.cancel()
 
-    async def leave(self) -> None:
-        """Give every back end up; what runs there is let finish."""
-        self._leaving = True
-        await asyncio.gather(*(self._wind_down(running) for running in self._running.values()))
+    async def release_all(self) -> None:
+        """Release all back ends after their running requests have completed."""
+        self._stopping = True
+        await asyncio.gather(*(self._stop_runner(running) for running in self._running.values()))
         self._running.clear()
 
     def revoke(self, lease_ids: list[str]) -> None:
-        """Pass a leader's revocation on to the runners."""
+        """Revoke leases of the runners on behalf of a leader."""
         for running in self._running.values():
             running.runner.revoke(lease_ids)
 
-    def views(self) -> list[BackendView]:
-        """Return what operators see of the owned back ends."""
+    def backend_views(self) -> list[BackendView]:
+        """Return the state of the owned back ends for operators."""
         return [
             BackendView(
                 backend_id=backend_id,
@@ -222,27 +243,27 @@
                 batch_in_flight=len(owned.gate.batch),
                 state=owned.gate.state.value,
                 completed=owned.completed,
-                batch_cancelled=owned.gate.stopped_batch,
+                batch_cancelled=owned.gate.preempted_count,
             )
             for backend_id, owned in self._context.owner.backends.items()
         ]
 
     # ---- probes ----
 
-    def _probe_due(self, now: float) -> None:
+    def _start_due_probes(self, now: float) -> None:
         for backend_id, running in self._running.items():
-            if now - running.probed_at >= PROBE_S:
-                running.probed_at = now
+            if now - running.last_probe_at >= PROBE_INTERVAL_S:
+                running.last_probe_at = now
                 self._tasks.spawn(self._probe(backend_id, running))
 
-    async def _probe(self, backend_id: str, running: _Running) -> None:
+    async def _probe(self, backend_id: str, running: _RunningBackend) -> None:
         known = self._known.get(backend_id)
         if known is None or known.machine is None:
             return
-        status = await self._ask(known.machine)
+        status = await self._query_status(known.machine)
         if status is None:
             running.failures += 1
-            if running.failures < FAILURES_TO_BE_DOWN:
+            if running.failures < DOWN_AFTER_FAILURES:
                 return
             status = BackendStatus(down=True)
         else:
@@ -251,13 +272,13 @@
             value = json.dumps(status.__dict__).encode()
             self._context.publish(f"status/{backend_id}", value)
 
-    async def _ask(self, machine: ListedMachine) -> BackendStatus | None:
+    async def _query_status(self, machine: ListedMachine) -> BackendStatus | None:
         session = self._context.session
         if machine.kind == BackendKind.APPLICATION:
-            alive = await ApplicationClient(machine.address, session).alive()
+            alive = await ApplicationClient(machine.address, session).is_alive()
             return BackendStatus() if alive else None
         try:
-            report: EngineReport = await EngineClient(machine.address, session).report()
+            report: EngineInventory = await EngineClient(machine.address, session).fetch_inventory()
         except BackendError:
             return None
         adapters = tuple(sorted(report.adapters))
@@ -277,32 +298,32 @@
             for model in self._context.services.models.values()
         ]
         now = monotonic()
-        for order in self._reconciler.reconcile(models, self._engines(), now):
+        for order in self._reconciler.reconcile(models, self._engine_statuses(), now):
             status = self._known[order.backend_id].status
-            if order.kind is OrderKind.LOAD_MODEL and status is not None and status.model:
-                self._tasks.spawn(self._drain_then_give(order))
+            if order.kind is EngineCommandKind.LOAD_MODEL and status is not None and status.model:
+                self._tasks.spawn(self._drain_then_send(order))
             else:
-                await self._give(order)
+                await self._send_order(order)
 
-    async def _drain_then_give(self, order: Order) -> None:
-        """Have a server finish what it runs before its model is taken away."""
-        value = json.dumps({"until": time.time() + DRAIN_LIFE_S}).encode()
+    async def _drain_then_send(self, order: EngineCommand) -> None:
+        """Drain a server before replacing its base model."""
+        value = json.dumps({"until": time.time() + DRAIN_TTL_S}).encode()
         self._context.publish(f"drain/{order.backend_id}", value)
-        await asyncio.sleep(DRAIN_S)
+        await asyncio.sleep(DRAIN_PERIOD_S)
         if self._context.leader_epoch() == order.epoch:
-            await self._give(order)
+            await self._send_order(order)
 
-    async def _give(self, order: Order) -> None:
+    async def _send_order(self, order: EngineCommand) -> None:
         machine = self._known[order.backend_id].machine
         if machine is None:
             return
-        logger.info("order", extra={"order": str(order)})
+        logger.info("sending an order", extra={"order": str(order)})
         try:
-            await EngineClient(machine.address, self._context.session).order(order)
+            await EngineClient(machine.address, self._context.session).send_command(order)
         except BackendError as error:
-            logger.info("order not answered", extra={"cause": str(error)})
+            logger.info("order failed", extra={"cause": str(error)})
 
-    def _engines(self) -> list[EngineStatus]:
+    def _engine_statuses(self) -> list[EngineStatus]:
         return [
             EngineStatus(
                 backend_id,
@@ -327,7 +348,7 @@
     return BackendStatus(**(value | {"adapters": tuple(value["adapters"])}))
 
 
-def _backend(known: _Known) -> Backend | None:
+def _to_backend(known: _KnownBackend) -> Backend | None:
     machine = known.machine
     if machine is None:
         return None
--- a/src/wharfcart/node/serving_node.py
+++ b/src/wharfcart/node/serving_node.py
@@ -1,6 +1,6 @@
-"""What gateways and storage nodes have in common: mirror, peers, back ends, own entry.
+"""State shared by gateways and storage nodes: mirror, peers, back ends and the own entry.
 
-Everything a node believes about the fleet comes from its mirror of the coordination service.
+All knowledge of the fleet comes from the node's mirror of the coordination service.
 """
 
 import asyncio
@@ -9,46 +9,46 @@
 from random import Random
 from time import time
 
-from wharfcart.admission.suspects import SPREAD_S, Suspects
+from wharfcart.admission.poison_requests import RELEASE_JITTER_S, PoisonRequests
 from wharfcart.backends.connection_pool import ConnectionPool
-from wharfcart.clock import Suspensions, monotonic
+from wharfcart.clock import SuspensionDetector, monotonic
 from wharfcart.cluster.address import Address
 from wharfcart.cluster.coordination import (
-    Change,
     ConditionFailedError,
     CoordinationUnavailableError,
+    KeyChange,
     Transaction,
 )
 from wharfcart.cluster.messages_pb2 import BackendEnds, Frame
 from wharfcart.cluster.mirror import Mirror
-from wharfcart.cluster.mirror_link import MirrorLink
-from wharfcart.cluster.news_sources import NewsSources, Peer
-from wharfcart.cluster.peer_news import NewsWriter, PeerNewsCalls
+from wharfcart.cluster.mirror_sync import MirrorSync
+from wharfcart.cluster.peer_selection import Peer, PeerSelector
+from wharfcart.cluster.peer_updates import PeerUpdatesEncoder, TransportPeerClient
 from wharfcart.cluster.topology import Distance, RegionName, Topology
 from wharfcart.cluster.transport import Handler, Responder, TrafficClass, Transport
 from wharfcart.configuration.residence import Residence
-from wharfcart.configuration.residence_check import residence_findings
+from wharfcart.configuration.residence_check import unknown_region_findings
 from wharfcart.configuration.serving import RequestLimit, ServingConfiguration
-from wharfcart.node.backend_news import BackendNews
-from wharfcart.node.evacuations import Evacuations
+from wharfcart.node.backend_updates import BackendUpdates
+from wharfcart.node.evacuations import ZoneEvacuations
 from wharfcart.node.fleet_keys import (
     GROUP_PREFIX,
     LAYOUT_KEY,
     NODE_PREFIX,
-    SUSPECT_PREFIX,
+    POISON_REQUEST_PREFIX,
     NodeEntry,
     NodeKind,
     node_entry_from,
 )
-from wharfcart.node.suspect_news import SuspectNews
+from wharfcart.node.poison_evidence_sync import PoisonEvidenceSync
 from wharfcart.node.suspension_watch import SuspensionWatch
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.observability.serving_metrics import ServingMetrics
 from wharfcart.observability.tasks import BackgroundTasks
 from wharfcart.platform import documents, names
 from wharfcart.platform.metadata_store import MetadataStore
-from wharfcart.routing.backend_choice import BackendChoice
-from wharfcart.routing.broken_runs import BrokenRuns
+from wharfcart.routing.backend_selection import BackendSelector
+from wharfcart.routing.crash_detection import CrashDetector
 from wharfcart.routing.eligibility import Eligibility
 from wharfcart.settings.base import split_endpoint
 from wharfcart.settings.serving import ServingSettings
@@ -56,19 +56,32 @@
 from wharfcart.storage.layout import Layout, layout_from_bytes
 
 ANNOUNCE_RETRY_S = 0.5
-# One wrong name in many routes need not fill the log.
-MOST_FINDINGS = 20
-FEWEST_CONNECTIONS = 2
-MOST_AGE_S = 1e6  # told while nothing was ever confirmed
-# Storage nodes that are told in place of the coordination service: if it refuses a third of all
-# nodes, one of two drawn by lot reaches it nine times in ten, and who does not tells two others.
-MOST_RELAYS = 2
-# Until it is known how many nodes there are.
-FEWEST_NODES = 8
+MAX_LOGGED_FINDINGS = 20  # of one configuration
+MIN_CONNECTIONS = 2
+MAX_AGE_S = 1e6  # shown by the metric until the mirror is first confirmed
+# Storage nodes that receive evidence when the coordination service is unavailable here.
+MAX_RELAYS = 2
+# Assumed until the number of nodes is known.
+MIN_ASSUMED_NODES = 8
 
 
 class ServingNode:
-    """State and links of one node; a gateway or storage process adds its own work."""
+    """State and connections of one node; gateway and storage processes build on it.
+
+    Args:
+        settings: settings of the node.
+        log: the decision log.
+
+    Attributes:
+        selector: selects back ends and holds what this node knows about them.
+        configuration: the configuration in force; None until it is loaded.
+        nodes: entries of all nodes by node id.
+        storage_by_identity: entries of storage nodes by identity of their disk.
+        layout: the layout of the job groups; None until it is loaded.
+        records_by_group: records of the job groups by number.
+        role_handler: handles calls that only a gateway or a storage node answers.
+        count_nodes: returns the number of nodes that share each back end's connections.
+    """
 
     def __init__(self, settings: ServingSettings, log: DecisionLog) -> None:
         self.settings = settings
@@ -80,7 +93,7 @@
         self.topology = Topology(
             {zone: RegionName(region) for zone, region in settings.regions_by_zone.items()}
         )
-        self.choice = BackendChoice(settings.zone, self.random, Eligibility(self.topology))
+        self.selector = BackendSelector(settings.zone, self.random, Eligibility(self.topology))
         self.configuration: ServingConfiguration | None = None
         self.nodes: dict[str, NodeEntry] = {}
         self.storage_by_identity: dict[str, NodeEntry] = {}
@@ -91,66 +104,76 @@
         self.coordination = MetadataStore(host, port, self.metrics.coordination_calls)
         self._zones_by_host: dict[str, str] = {}
         self.transport = Transport(self.handle, self._count_sent)
-        self._news_writer = NewsWriter()
-        self._sources = NewsSources(settings.node_id, settings.zone, self.topology)
-        self.link = MirrorLink(
+        self._updates_encoder = PeerUpdatesEncoder()
+        self._peer_selector = PeerSelector(settings.node_id, settings.zone, self.topology)
+        self.mirror_sync = MirrorSync(
             self.mirror,
             self.coordination,
-            self._sources,
-            PeerNewsCalls(self.transport),
-            self._on_changes,
+            self._peer_selector,
+            TransportPeerClient(self.transport),
+            self._apply_changes,
             log,
             _seed_peers(settings),
         )
-        self._backend_news = BackendNews(
-            self.choice, self.pool, lambda: self.link.in_outage, lambda: self.link.age_s, log
+        self._backend_updates = BackendUpdates(
+            self.selector,
+            self.pool,
+            lambda: self.mirror_sync.in_outage,
+            lambda: self.mirror_sync.age_s,
+            log,
+        )
+        self._evacuations = ZoneEvacuations(
+            self.selector, log, self.metrics, lambda: self.mirror_sync.age_s
+        )
+        self.suspension_detector = SuspensionDetector()
+        self.suspension_watch = SuspensionWatch(self.suspension_detector, log)
+        poison_requests = PoisonRequests(
+            release_jitter_s=self.random.uniform(0.0, RELEASE_JITTER_S)
         )
-        self._evacuations = Evacuations(self.choice, log, self.metrics, lambda: self.link.age_s)
-        self.suspensions = Suspensions()
-        self.suspension_watch = SuspensionWatch(self.suspensions, log)
-        suspects = Suspects(holds_longer_s=self.random.uniform(0.0, SPREAD_S))
-        self.broken_runs = BrokenRuns(suspects, log)
-        self._suspect_news = SuspectNews(
-            suspects, self.coordination, self.mirror, self.random, self._relay_ends
+        self.crash_detector = CrashDetector(poison_requests, log)
+        self._poison_evidence_sync = PoisonEvidenceSync(
+            poison_requests, self.coordination, self.mirror, self.random, self._relay_crashes
         )
-        self.metrics.contents_held.set_function(lambda: suspects.held(time()))
-        self.metrics.cold_backends.set_function(lambda: len(self.choice.cold_states(monotonic())))
-        self.metrics.mirror_age.set_function(lambda: min(self.link.age_s, MOST_AGE_S))
-        self.handle_other: Handler = _ignore
-        self.fleet_size: Callable[[], int] = lambda: len(self.nodes)
+        self.metrics.contents_held.set_function(lambda: poison_requests.quarantined_count(time()))
+        self.metrics.cold_backends.set_function(
+            lambda: len(self.selector.cold_instances(monotonic()))
+        )
+        self.metrics.mirror_age.set_function(lambda: min(self.mirror_sync.age_s, MAX_AGE_S))
+        self.role_handler: Handler = _ignore
+        self.count_nodes: Callable[[], int] = lambda: len(self.nodes)
 
     async def start(self) -> None:
-        """Listen for peers and begin to follow the coordination service."""
+        """Listen for peers and start to synchronize with the coordination service."""
         host, port = split_endpoint(self.settings.cluster_listen)
         await self.transport.start(Address(host, port))
         if self.settings.metrics_listen is not None:
             self.metrics.serve(*split_endpoint(self.settings.metrics_listen))
         self.tasks.spawn(self.log.run())
-        self.tasks.spawn(self.link.run())
+        self.tasks.spawn(self.mirror_sync.run())
         self.tasks.spawn(self._evacuations.run())
-        self.tasks.spawn(self._suspect_news.run())
+        self.tasks.spawn(self._poison_evidence_sync.run())
         self.tasks.spawn(self.suspension_watch.run())
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Stop all tasks and close all connections."""
         await self.tasks.stop()
         await self.transport.stop()
         self.pool.close()
 
     def reload(self, settings: ServingSettings) -> None:
-        """Take what may change while the process runs: the seeds and the time to stop in."""
+        """Apply the settings that may change at run time: the seeds and the stop timeout."""
         self.settings = replace(
             self.settings, seeds=settings.seeds, stop_within_s=settings.stop_within_s
         )
 
     async def announce(self, entry: NodeEntry) -> None:
-        """Write this node's entry unless it stands there already."""
+        """Write this node's entry to the coordination service unless it is there already."""
         while True:
             try:
-                known = await self.coordination.read(entry.key)
-                if known is not None and known.value == entry.to_bytes():
+                current = await self.coordination.read(entry.key)
+                if current is not None and current.value == entry.to_bytes():
                     return
-                revision = 0 if known is None else known.revision
+                revision = 0 if current is None else current.revision
                 await self.coordination.commit(
                     Transaction({entry.key: revision}, {entry.key: entry.to_bytes()})
                 )
@@ -159,30 +182,30 @@
                 await asyncio.sleep(ANNOUNCE_RETRY_S * (0.5 + self.random.random()))
 
     def connection_limit(self, service: str) -> int:
-        """Return this node's share of the connections that one back end takes."""
+        """Return this node's share of the connections that one back end accepts."""
         if self.configuration is None or service not in self.configuration.services:
-            return FEWEST_CONNECTIONS
-        whole = self.configuration.services[service].connection_limit
-        return max(FEWEST_CONNECTIONS, whole // max(FEWEST_NODES, self.fleet_size()))
+            return MIN_CONNECTIONS
+        total = self.configuration.services[service].connection_limit
+        return max(MIN_CONNECTIONS, total // max(MIN_ASSUMED_NODES, self.count_nodes()))
 
     def limit_of(self, tenant: str) -> RequestLimit | None:
-        """Return the limit of a tenant's requests; None for no limit."""
+        """Return a tenant's request limit; None if it has none."""
         return None if self.configuration is None else self.configuration.limit_of(tenant)
 
     # ---- the job groups ----
 
     @property
-    def groups(self) -> int:
-        """Number of job groups; 0 while it is not known."""
+    def group_count(self) -> int:
+        """Number of job groups; 0 while it is unknown."""
         return 0 if self.layout is None else self.layout.group_count
 
     def leader_address(self, group: int) -> Address | None:
-        """Return where a group's leader is reached, as far as this node knows."""
+        """Return the address of a group's leader; None if it is unknown."""
         record = self.records_by_group.get(group)
         return None if record is None else self.storage_address(record.leader)
 
-    def stand_in_addresses(self, group: int) -> list[Address]:
-        """Return where a group's replicas but its leader are reached, the same order everywhere."""
+    def backup_coordinator_addresses(self, group: int) -> list[Address]:
+        """Return the addresses of a group's replicas except its leader, in a fleet-wide order."""
         record = self.records_by_group.get(group)
         if record is None:
             return []
@@ -191,53 +214,58 @@
         return [address for address in addresses if address is not None]
 
     def storage_region(self, identity: str) -> RegionName | None:
-        """Return the region of the disk of an identity; None where it is not known."""
+        """Return the region of a storage identity; None if it is unknown."""
         entry = self.storage_by_identity.get(identity)
         return None if entry is None else self.topology.region(entry.zone)
 
     def storage_address(self, identity: str) -> Address | None:
-        """Return where the disk of an identity is reached."""
+        """Return the address of a storage identity; None if it is unknown."""
         entry = self.storage_by_identity.get(identity)
         return None if entry is None else entry.address
 
     def group_of_instance(self, instance_id: str) -> int | None:
-        """Return the group that grants a back end's slots; None while that is not known."""
-        state = self.choice.state(instance_id)
+        """Return the group that grants a back end's slots; None if it is unknown."""
+        state = self.selector.state(instance_id)
         if self.layout is None or state is None:
             return None
         return self.layout.group_of(state.instance, self.topology)
 
     def distance_to_group(self, group: int, zone: str | None = None) -> Distance:
-        """Return how far the nearest back ends of a group are from a zone, this node's at first."""
+        """Return the distance from a zone to a group's nearest back ends.
+
+        Args:
+            group: number of the group.
+            zone: the zone; None for this node's zone.
+        """
         if self.layout is None:
             return Distance.OTHER_REGION
         return self.layout.distance(group, zone or self.settings.zone, self.topology)
 
     def grants_in(self, group: int, residence: Residence) -> bool:
-        """Whether a group may grant slots of back ends in the regions of a residence."""
+        """Whether a group can grant slots of back ends in the regions of a residence."""
         return self.layout is None or self.layout.may_grant_in(group, residence, self.topology)
 
     async def handle(self, frame: Frame, respond: Responder) -> None:
-        """Answer a peer's call."""
+        """Handle a peer's call."""
         if frame.WhichOneof("body") == "coordination_pull":
             pull = frame.coordination_pull
-            news = await self.link.answer(pull.after, pull.wait_ms / 1000)
-            message = self._news_writer.message(news)
+            updates = await self.mirror_sync.serve_pull(pull.after, pull.wait_ms / 1000)
+            message = self._updates_encoder.encode(updates)
             await respond(Frame(last=True, coordination_changes=message))
             return
         if frame.WhichOneof("body") == "backend_ends":
-            self._suspect_news.take_relayed(frame.backend_ends)
+            self._poison_evidence_sync.apply_relayed(frame.backend_ends)
             return
-        await self.handle_other(frame, respond)
+        await self.role_handler(frame, respond)
 
-    def _relay_ends(self, message: BackendEnds) -> None:
-        """Tell some storage nodes what the coordination service would not take from this node."""
+    def _relay_crashes(self, message: BackendEnds) -> None:
+        """Send evidence that this node could not write to random storage nodes."""
         others = [
             entry
             for entry in self.storage_by_identity.values()
             if entry.node_id != self.settings.node_id
         ]
-        for entry in self.random.sample(others, min(MOST_RELAYS, len(others))):
+        for entry in self.random.sample(others, min(MAX_RELAYS, len(others))):
             frame = Frame(backend_ends=message)
             self.transport.send(entry.address, frame, TrafficClass.ONLINE)
 
@@ -250,32 +278,32 @@
 
     # ---- mirror ----
 
-    def _on_changes(self, news: list[Change]) -> None:
-        for change in news:
+    def _apply_changes(self, changes: list[KeyChange]) -> None:
+        for change in changes:
             if change.key == names.CONFIGURATION_KEY:
-                self._take_configuration(change)
+                self._apply_configuration(change)
             elif change.key.startswith(names.SERVER_PREFIX):
-                self._backend_news.take(change)
+                self._backend_updates.apply(change)
             elif change.key.startswith(names.EVACUATE_PREFIX):
-                self._evacuations.take(change)
-            elif change.key.startswith(SUSPECT_PREFIX):
-                self._suspect_news.take(change)
+                self._evacuations.apply(change)
+            elif change.key.startswith(POISON_REQUEST_PREFIX):
+                self._poison_evidence_sync.apply_change(change)
             elif change.key.startswith(NODE_PREFIX):
-                self._take_node(change)
+                self._apply_node_entry(change)
             elif change.key.startswith(GROUP_PREFIX):
-                self._take_record(change)
+                self._apply_group_record(change)
             elif change.key == LAYOUT_KEY and change.value is not None:
                 self.layout = layout_from_bytes(change.value)
-        self._backend_news.tell()
+        self._backend_updates.log_pending()
 
-    def _take_configuration(self, change: Change) -> None:
+    def _apply_configuration(self, change: KeyChange) -> None:
         if change.value is None:
             return
         configuration = documents.configuration_from(change.value)
         if self.configuration is not None and configuration.version <= self.configuration.version:
             return
         self.configuration = configuration
-        self.choice.cold.limits = configuration.cold_limits
+        self.selector.cold.limits = configuration.cold_limits
         self.metrics.configuration_version.set(configuration.version)
         self.log.write(
             Event.CONFIGURATION_TAKEN,
@@ -283,7 +311,7 @@
             revision=change.revision,
             routes=len(configuration.routes),
         )
-        for finding in residence_findings(configuration, self.topology)[:MOST_FINDINGS]:
+        for finding in unknown_region_findings(configuration, self.topology)[:MAX_LOGGED_FINDINGS]:
             self.log.write(
                 Event.CONFIGURATION_FINDING,
                 version=configuration.version,
@@ -291,7 +319,7 @@
                 reason=finding.reason,
             )
 
-    def _take_record(self, change: Change) -> None:
+    def _apply_group_record(self, change: KeyChange) -> None:
         group = int(change.key.removeprefix(GROUP_PREFIX))
         record = group_record_from(change.value, change.revision)
         if record is None:
@@ -299,12 +327,12 @@
         else:
             self.records_by_group[group] = record
 
-    def _take_node(self, change: Change) -> None:
+    def _apply_node_entry(self, change: KeyChange) -> None:
         entry = node_entry_from(change.value)
         if entry is None:
-            left = self.nodes.pop(change.key.removeprefix(NODE_PREFIX), None)
-            if left is not None:
-                self._zones_by_host.pop(left.host, None)
+            removed = self.nodes.pop(change.key.removeprefix(NODE_PREFIX), None)
+            if removed is not None:
+                self._zones_by_host.pop(removed.host, None)
         else:
             self.nodes[entry.node_id] = entry
             self._zones_by_host[entry.host] = entry.zone
@@ -313,7 +341,7 @@
             for node in self.nodes.values()
             if node.kind == NodeKind.STORAGE and node.identity
         }
-        self._sources.set_peers(
+        self._peer_selector.set_peers(
             {key: Peer(key, node.zone, node.address) for key, node in self.nodes.items()}
         )
 
@@ -323,6 +351,6 @@
 
 
 def _seed_peers(settings: ServingSettings) -> list[Peer]:
-    """Return the seeds but this node itself; their zones are not known."""
+    """Return the seeds except this node; their zones are unknown."""
     others = [seed for seed in settings.seeds if seed != settings.cluster_address]
     return [Peer(seed, "", Address(*split_endpoint(seed))) for seed in others]
--- a/src/wharfcart/node/storage_process.py
+++ b/src/wharfcart/node/storage_process.py
@@ -1,9 +1,9 @@
-"""A storage node: keeps batch jobs on its disk and, as a group's leader, runs their items."""
+"""Storage node process: stores batch jobs on disk and, as a group's leader, runs their items."""
 
 import asyncio
 
 from wharfcart.batch.item_run import ItemRunner
-from wharfcart.batch.job_service import JobService
+from wharfcart.batch.job_service import JobGroupService
 from wharfcart.clock import monotonic
 from wharfcart.cluster.address import Address
 from wharfcart.cluster.coordination import (
@@ -16,8 +16,8 @@
 from wharfcart.configuration.residence import Residence
 from wharfcart.errors import ServingError
 from wharfcart.node.fleet_keys import LAYOUT_KEY, NodeEntry, NodeKind, group_key
-from wharfcart.node.group_spread import GroupSpread
-from wharfcart.node.led_group import GroupParts, LedGroup
+from wharfcart.node.group_placement import GroupPlacement
+from wharfcart.node.hosted_group import GroupParts, HostedGroup
 from wharfcart.node.serving_node import ServingNode
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.platform import documents, names
@@ -29,25 +29,30 @@
 from wharfcart.storage.job_residence import hash_to_group
 from wharfcart.storage.layout_bootstrap import LayoutBootstrap
 
-LAYOUT_POLL_S = 0.02
-OPEN_RETRY_S = 0.5
-RETIRE_PERIOD_S = 0.3
+LAYOUT_POLL_INTERVAL_S = 0.02
+DISK_OPEN_RETRY_S = 0.5
+RETIREMENT_REPORT_INTERVAL_S = 0.3
 STOP_LINGER_S = 0.3
 
 
 class StorageProcess:
-    """One storage node from start to stop."""
+    """Lifecycle of one storage node.
+
+    Args:
+        settings: settings of the storage node.
+        log: the decision log.
+    """
 
     def __init__(self, settings: StorageSettings, log: DecisionLog) -> None:
         self._settings = settings
         self._log = log
         self._node = ServingNode(settings, log)
-        self._node.handle_other = self._handle
+        self._node.role_handler = self._handle_call
         self._disk = Disk(settings.data_folder)
-        self._groups: list[LedGroup] = []
+        self._groups: list[HostedGroup] = []
 
     async def start(self) -> None:
-        """Open the disk, join the fleet, follow the groups."""
+        """Open the disk, join the fleet and start the replicas of the job groups."""
         identity = await self._open_disk()
         await self._node.start()
         host, port = split_endpoint(self._settings.cluster_address)
@@ -66,56 +71,56 @@
             self._node.transport,
             self._node.coordination,
             self._node.mirror,
-            self._identities,
-            self._retiring,
+            self._addresses_by_identity,
+            self._retiring_identities,
             self._settings.tolerance.storage_nodes + 1,
             self._log,
             self._node.random,
-            GroupSpread(self._node, self._settings.tolerance),
+            GroupPlacement(self._node, self._settings.tolerance),
             self._node.storage_region,
-            self._wanted_residences,
-            self._node.suspensions.resumed_at,
+            self._batch_residences,
+            self._node.suspension_detector.resumed_at,
         )
-        founder = LayoutBootstrap(
+        layout_bootstrap = LayoutBootstrap(
             context, LAYOUT_KEY, group_key, self._zones_by_identity, self._node.topology
         )
-        self._node.tasks.spawn(founder.run())
+        self._node.tasks.spawn(layout_bootstrap.run())
         self._node.tasks.spawn(self._open_groups(context))
         self._node.tasks.spawn(self._report_retirements())
 
     def reload(self, settings: ServingSettings) -> None:
-        """Take changed settings."""
+        """Apply changed settings."""
         self._node.reload(settings)
 
     async def stop(self) -> None:
-        """Hand leaderships over and leave."""
-        self._log.write(Event.STOPPING, leading=sum(group.leads for group in self._groups))
-        began_at = monotonic()
+        """Hand over leaderships and stop."""
+        self._log.write(Event.STOPPING, leading=sum(group.is_leader for group in self._groups))
+        started_at = monotonic()
         await asyncio.gather(*(group.replica.stop() for group in self._groups))
-        await asyncio.sleep(max(0.0, STOP_LINGER_S - (monotonic() - began_at)))
+        await asyncio.sleep(max(0.0, STOP_LINGER_S - (monotonic() - started_at)))
         await self._node.stop()
         await self._disk.close()
         self._log.write(Event.STOPPED)
 
     async def _open_groups(self, context: GroupContext) -> None:
-        """Follow the groups, once it is known how many there are."""
+        """Start the replicas of all groups once the layout is known."""
         while self._node.layout is None:
-            await asyncio.sleep(LAYOUT_POLL_S)
+            await asyncio.sleep(LAYOUT_POLL_INTERVAL_S)
         node = self._node
         parts = GroupParts(
             node,
             context,
-            ItemRunner(node.choice, node.pool, node.connection_limit, node.broken_runs),
+            ItemRunner(node.selector, node.pool, node.connection_limit, node.crash_detector),
             JobClient(
                 node.transport,
-                lambda: node.groups,
+                lambda: node.group_count,
                 node.records_by_group.get,
                 node.storage_address,
                 node.storage_region,
             ),
             self._settings.keep_jobs_s,
         )
-        groups = [LedGroup(number, parts) for number in range(node.groups)]
+        groups = [HostedGroup(number, parts) for number in range(node.group_count)]
         for group in groups:
             await group.replica.start()
         self._groups = groups
@@ -126,11 +131,11 @@
                 return await self._disk.open()
             except DiskFailedError as error:
                 self._log.write(Event.DEPENDENCY_LOST, dependency="disk", reason=str(error))
-                await asyncio.sleep(OPEN_RETRY_S)
+                await asyncio.sleep(DISK_OPEN_RETRY_S)
 
     # ---- views of the fleet ----
 
-    def _identities(self) -> dict[str, Address]:
+    def _addresses_by_identity(self) -> dict[str, Address]:
         nodes = self._node.storage_by_identity
         return {identity: entry.address for identity, entry in nodes.items()}
 
@@ -138,23 +143,25 @@
         nodes = self._node.storage_by_identity
         return {identity: entry.zone for identity, entry in nodes.items()}
 
-    def _wanted_residences(self) -> frozenset[Residence]:
+    def _batch_residences(self) -> frozenset[Residence]:
         configuration = self._node.configuration
         return frozenset() if configuration is None else configuration.batch_residences
 
-    def _retiring(self) -> set[str]:
-        ordered = {
+    def _retiring_identities(self) -> set[str]:
+        retiring_ids = {
             change.key.removeprefix(names.RETIRE_PREFIX)
-            for change in self._node.mirror.under(names.RETIRE_PREFIX)
+            for change in self._node.mirror.with_prefix(names.RETIRE_PREFIX)
+        }
+        return {
+            entry.identity for entry in self._node.nodes.values() if entry.node_id in retiring_ids
         }
-        return {entry.identity for entry in self._node.nodes.values() if entry.node_id in ordered}
 
-    # ---- calls of other nodes ----
+    # ---- calls from other nodes ----
 
-    async def _handle(self, frame: Frame, respond: Responder) -> None:
+    async def _handle_call(self, frame: Frame, respond: Responder) -> None:
         match frame.WhichOneof("body"):
             case "slot_events":
-                self._group(frame.slot_events.group).slots.take_events(frame.slot_events)
+                self._group(frame.slot_events.group).slots.handle_events(frame.slot_events)
             case "slot_request":
                 request = frame.slot_request
                 await self._group(request.group).slots.serve_request(request, respond)
@@ -185,24 +192,26 @@
                 updates = await self._group(fetch.group).replica.handle_fetch(fetch)
                 return Frame(job_updates=updates)
             case "submit_job":
-                service = self._service(frame.submit_job, frame.submit_job.job.job_id)
+                service = self._service_of(frame.submit_job, frame.submit_job.job.job_id)
                 return Frame(job_answer=await service.submit(frame.submit_job))
             case "read_results":
-                service = self._service(frame.read_results, frame.read_results.job_id)
-                return Frame(result_page=await service.read(frame.read_results))
+                service = self._service_of(frame.read_results, frame.read_results.job_id)
+                return Frame(result_page=await service.read_results(frame.read_results))
             case "read_item_body":
-                service = self._service(frame.read_item_body, frame.read_item_body.job_id)
-                return Frame(item_body=await service.read_body(frame.read_item_body))
+                service = self._service_of(frame.read_item_body, frame.read_item_body.job_id)
+                return Frame(item_body=await service.read_item_body(frame.read_item_body))
             case "end_job":
-                service = self._service(frame.end_job, frame.end_job.job_id)
-                return Frame(job_answer=await service.end(frame.end_job))
+                service = self._service_of(frame.end_job, frame.end_job.job_id)
+                return Frame(job_answer=await service.cancel(frame.end_job))
             case "count_waiting_tokens":
                 count = frame.count_waiting_tokens
-                return Frame(waiting_tokens=self._group(count.group).service.count(count))
+                return Frame(
+                    waiting_tokens=self._group(count.group).service.count_waiting_tokens(count)
+                )
         return None
 
-    def _group(self, number: int) -> LedGroup:
-        """Return a group of this node.
+    def _group(self, number: int) -> HostedGroup:
+        """Return a group by its number.
 
         Raises:
             ServingError: this node does not know the fleet's groups yet.
@@ -211,10 +220,10 @@
             raise ServingError("starting", "the groups are not known yet", 503)
         return self._groups[number]
 
-    def _service(
+    def _service_of(
         self, call: SubmitJob | ReadResults | ReadItemBody | EndJob, job_id: str
-    ) -> JobService:
-        """Return the service of the group that a call on a job names.
+    ) -> JobGroupService:
+        """Return the service of the group to which a call about a job belongs.
 
         Raises:
             ServingError: this node does not know the fleet's groups yet.
@@ -222,24 +231,24 @@
         number = call.group if call.HasField("group") else hash_to_group(job_id, len(self._groups))
         return self._group(number).service
 
-    # ---- emptied nodes ----
+    # ---- retired nodes ----
 
     async def _report_retirements(self) -> None:
-        """As leader of the first group, tell the operator how far each emptying has come."""
+        """Report the progress of each retirement while this node leads the first group."""
         while True:
-            await asyncio.sleep(RETIRE_PERIOD_S)
-            if not self._groups or not self._groups[0].leads:
+            await asyncio.sleep(RETIREMENT_REPORT_INTERVAL_S)
+            if not self._groups or not self._groups[0].is_leader:
                 continue
-            for order in self._node.mirror.under(names.RETIRE_PREFIX):
-                await self._report_one(order.key.removeprefix(names.RETIRE_PREFIX))
+            for order in self._node.mirror.with_prefix(names.RETIRE_PREFIX):
+                await self._report_retirement(order.key.removeprefix(names.RETIRE_PREFIX))
 
-    async def _report_one(self, node_id: str) -> None:
+    async def _report_retirement(self, node_id: str) -> None:
         entry = self._node.nodes.get(node_id)
         records = [group.replica.record for group in self._groups]
-        holds = entry is not None and any(
+        holds_replicas = entry is not None and any(
             record is None or entry.identity in record.members for record in records
         )
-        state = documents.RETIRE_RUNNING if holds else documents.RETIRE_DONE
+        state = documents.RETIRE_RUNNING if holds_replicas else documents.RETIRE_DONE
         key = names.RETIRE_STATUS_PREFIX + node_id
         known = self._node.mirror.get(key)
         if known is not None and known.value in (state, documents.RETIRE_DONE):
@@ -250,5 +259,5 @@
             )
         except (CoordinationUnavailableError, ConditionFailedError):
             return
-        if not holds:
+        if not holds_replicas:
             self._log.write(Event.STORAGE_RETIRED, retired=node_id)
--- a/src/wharfcart/slots/granted_placement.py
+++ b/src/wharfcart/slots/granted_placement.py
@@ -1,4 +1,4 @@
-"""A gateway's placement: asks the nodes that grant slots; chooses by itself where none answers."""
+"""A gateway's placement: requests slots from granting nodes, with local choice as fallback."""
 
 from collections.abc import Callable, Collection
 from dataclasses import dataclass
@@ -8,135 +8,137 @@
 from wharfcart.cluster.topology import Distance
 from wharfcart.configuration.residence import Residence
 from wharfcart.observability.decisions import Counter
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_selection import BackendSelector
 from wharfcart.routing.placement import (
     LocalPlacement,
     NoSlotError,
     OverLimitError,
-    Placed,
     Placement,
+    PlacementDecision,
     PlacementRequest,
-    SendVerdict,
+    SendResult,
 )
 from wharfcart.routing.running_quantile import RunningQuantile
-from wharfcart.slots.asking_order import Step, asking_order, asking_order_by_affinity
-from wharfcart.slots.events import Manner, SlotAsked, SlotUse, Verdict
+from wharfcart.slots.events import RequestMode, RunResult, SlotRequested, SlotUse
+from wharfcart.slots.group_order import RequestStep, order_groups, order_groups_by_affinity
 from wharfcart.slots.permit_relays import PermitRelays
 from wharfcart.slots.permits import Permit
 from wharfcart.slots.session import HeldSlot, SlotSession
 from wharfcart.slots.sessions import SlotSessions
 
-# Part of the requests whose answers begin within the time that is planned for it.
-FIRST_BYTE_SHARE = 0.8
+# Quantile of a route's time to first byte that is reserved before the deadline.
+FIRST_BYTE_QUANTILE = 0.8
 
-_VERDICTS = {
-    SendVerdict.UNKNOWN: Verdict.UNKNOWN,
-    SendVerdict.GOOD: Verdict.GOOD,
-    SendVerdict.BAD: Verdict.BAD,
+_RESULTS = {
+    SendResult.UNKNOWN: RunResult.UNKNOWN,
+    SendResult.BACKEND_OK: RunResult.BACKEND_OK,
+    SendResult.BACKEND_FAILED: RunResult.BACKEND_FAILED,
 }
 
 
 @dataclass(frozen=True, eq=False)
-class PlacedInSlot(Placed):
-    """A request in a slot that counts at the node that grants it."""
+class PlacedInSlot(PlacementDecision):
+    """A request in a slot that is recorded at the granting node."""
 
     slot: HeldSlot
 
 
 class GrantedPlacement(Placement):
-    """Asks for slots.
+    """Places requests in granted slots.
 
     Args:
-        choice: what this gateway knows of the back ends.
-        sessions: with the nodes that grant.
-        distance: how far a group's back ends are from this gateway.
-        connected: back ends that this gateway keeps a connection to.
-        counter: counts who chose: ``grant`` or ``own_choice``.
-        relays: gateways that ask for permits in place of this one.
+        selector: this gateway's state of the back ends.
+        sessions: sessions with the granting nodes.
+        distance: distance of a group's back ends from this gateway.
+        connected: instances that this gateway has an open connection to.
+        counter: counts placements by label: ``grant`` or ``own_choice`` (local choice).
+        relays: gateways that request permits on behalf of this one.
     """
 
     def __init__(
         self,
-        choice: BackendChoice,
+        selector: BackendSelector,
         sessions: SlotSessions,
         distance: Callable[[int], Distance],
         connected: Callable[[], Collection[str]],
         counter: Counter,
         relays: PermitRelays,
     ) -> None:
-        self._choice = choice
+        self._selector = selector
         self._sessions = sessions
         self._distance = distance
         self._connected = connected
         self._counter = counter
         self._relays = relays
-        self._local = LocalPlacement(choice)
+        self._local = LocalPlacement(selector)
         self._first_byte_by_route: dict[str, RunningQuantile] = {}
 
-    async def place(self, request: PlacementRequest) -> Placed | None:
-        """Return where to send a request, or None where there is no back end.
+    async def place(self, request: PlacementRequest) -> PlacementDecision | None:
+        """Return where to send a request; None if there is no back end.
 
         Raises:
-            NoSlotError: every slot is taken, and the request has waited long enough.
-            OverLimitError: its tenant has sent as many requests as it may.
+            NoSlotError: every slot is taken and the request has waited until its deadline.
+            OverLimitError: the request exceeds its tenant's limit.
         """
         permit = Permit(self._sessions, self._relays, request.tenant, request.limit)
-        for group, manner in self._steps(request):
+        for group, mode in self._steps(request):
             session = self._sessions.by_group[group]
-            if not session.answers(monotonic()):
+            if not session.is_available(monotonic()):
                 continue
-            placed = await self._ask(session, request, manner, permit)
+            placed = await self._request_slot(session, request, mode, permit)
             if placed is not None:
                 self._counter.add("grant")
                 return placed
         self._counter.add("own_choice")
         await permit.obtain()
-        return await self._place_by_own_choice(request)
+        return await self._place_locally(request)
 
-    def reaches(self, service: str, residence: Residence) -> bool:
-        """Whether a node that grants slots of a service in some regions is heard from there."""
-        return bool(self._sessions.rooms(service, residence))
+    def is_granter_reachable(self, service: str, residence: Residence) -> bool:
+        """Whether a node that grants slots of a service in a residence is available."""
+        return bool(self._sessions.available_capacities(service, residence))
 
-    def ended(self, placed: Placed, verdict: SendVerdict) -> None:
-        """Note that a request is no longer at its back end, and what the send told of that."""
-        if isinstance(placed, PlacedInSlot):
-            session = self._sessions.by_group[placed.slot.group]
-            session.release(placed.slot.number, _VERDICTS[verdict])
+    def send_finished(self, decision: PlacementDecision, result: SendResult) -> None:
+        """Release the slot of a request and report the result of the send."""
+        if isinstance(decision, PlacedInSlot):
+            session = self._sessions.by_group[decision.slot.group]
+            session.release(decision.slot.number, _RESULTS[result])
 
-    def answer_begun(self, route_name: str, seconds: float) -> None:
-        """Note how long after it was sent a request's answer began."""
+    def first_byte_received(self, route_name: str, seconds: float) -> None:
+        """Record the time to first byte of a request."""
         self._first_byte_s(route_name).observe(seconds)
 
     # ---- inner ----
 
-    def _steps(self, request: PlacementRequest) -> list[Step]:
-        rooms = self._sessions.rooms(request.service, request.residence)
-        distances = {group: self._distance(group) for group in rooms}
+    def _steps(self, request: PlacementRequest) -> list[RequestStep]:
+        capacities = self._sessions.available_capacities(request.service, request.residence)
+        distances = {group: self._distance(group) for group in capacities}
         if request.affinity_key:
-            return asking_order_by_affinity(rooms, request.affinity_key, distances)
-        return asking_order(rooms, distances)
+            return order_groups_by_affinity(capacities, request.affinity_key, distances)
+        return order_groups(capacities, distances)
 
-    async def _ask(
-        self, session: SlotSession, request: PlacementRequest, manner: Manner, permit: Permit
-    ) -> Placed | None:
+    async def _request_slot(
+        self, session: SlotSession, request: PlacementRequest, mode: RequestMode, permit: Permit
+    ) -> PlacementDecision | None:
         if not permit.comes_with_slot(session):
             await permit.obtain()
-        asked = self._asked(session, request, manner)
-        grant = await session.ask(asked, request.tenant if permit.needed else "")
+        slot_request = self._slot_request(session, request, mode)
+        grant = await session.request_slot(slot_request, request.tenant if permit.needed else "")
         if grant is not None and grant.unsure:
             await permit.obtain_elsewhere()
-            asked = self._asked(session, request, manner)
-            grant = await session.ask(asked)
-        return None if grant is None else self._take(session, asked, grant, permit)
-
-    def _asked(self, session: SlotSession, request: PlacementRequest, manner: Manner) -> SlotAsked:
-        return SlotAsked(
+            slot_request = self._slot_request(session, request, mode)
+            grant = await session.request_slot(slot_request)
+        return None if grant is None else self._accept_grant(session, slot_request, grant, permit)
+
+    def _slot_request(
+        self, session: SlotSession, request: PlacementRequest, mode: RequestMode
+    ) -> SlotRequested:
+        return SlotRequested(
             session=session.key,
             number=session.new_number(),
             service=request.service,
-            in_time_until=request.in_time_until - self._first_byte_s(request.route_name).value,
-            leave_at=request.leave_at,
-            manner=manner,
+            start_deadline=request.start_deadline - self._first_byte_s(request.route_name).estimate,
+            queue_deadline=request.queue_deadline,
+            mode=mode,
             affinity_key=request.affinity_key,
             excluded=request.excluded,
             connected=self._connected_of(session.group, request.service),
@@ -147,37 +149,39 @@
         )
 
     def _connected_of(self, group: int, service: str) -> frozenset[str]:
-        """Return the back ends of a service and group that a connection is kept to."""
+        """Return the instances of a service and group that this gateway is connected to."""
         found = []
         for instance_id in self._connected():
-            state = self._choice.state(instance_id)
+            state = self._selector.state(instance_id)
             in_group = self._sessions.group_of(instance_id) == group
             if state is not None and in_group and state.instance.service == service:
                 found.append(instance_id)
         return frozenset(found)
 
-    def _take(
-        self, session: SlotSession, asked: SlotAsked, grant: SlotGrant, permit: Permit
-    ) -> Placed | None:
+    def _accept_grant(
+        self, session: SlotSession, slot_request: SlotRequested, grant: SlotGrant, permit: Permit
+    ) -> PlacementDecision | None:
         if grant.limited:
-            raise OverLimitError(grant.retry_after_ms / 1000, surely=True)
+            raise OverLimitError(grant.retry_after_ms / 1000, is_confirmed=True)
         if grant.refused:
             raise NoSlotError(grant.retry_after_ms / 1000)
         if not grant.instance_id:
             return None
-        permit.taken()
-        slot = session.hold(SlotUse(asked.number, grant.instance_id, asked.unread_tokens))
-        state = self._choice.state(grant.instance_id)
+        permit.record_obtained()
+        slot = session.record_granted(
+            SlotUse(slot_request.number, grant.instance_id, slot_request.unread_tokens)
+        )
+        state = self._selector.state(grant.instance_id)
         if (
             state is None
-            or self._choice.ruled_out(state, asked.residence)
-            or state.failed_lately(monotonic())
+            or self._selector.exclusion_reason(state, slot_request.residence)
+            or state.has_failed_recently(monotonic())
         ):
             session.release(slot.number)
             return None
         return PlacedInSlot(state, True, slot)
 
-    async def _place_by_own_choice(self, request: PlacementRequest) -> Placed | None:
+    async def _place_locally(self, request: PlacementRequest) -> PlacementDecision | None:
         placed = await self._local.place(request)
         if placed is None:
             return None
@@ -186,7 +190,9 @@
         if session is None:
             return placed
         use = SlotUse(session.new_number(), instance_id, request.unread_tokens)
-        return PlacedInSlot(placed.state, False, session.take(use))
+        return PlacedInSlot(placed.state, False, session.take_without_grant(use))
 
     def _first_byte_s(self, route_name: str) -> RunningQuantile:
-        return self._first_byte_by_route.setdefault(route_name, RunningQuantile(FIRST_BYTE_SHARE))
+        return self._first_byte_by_route.setdefault(
+            route_name, RunningQuantile(FIRST_BYTE_QUANTILE)
+        )
--- a/src/wharfcart/slots/session.py
+++ b/src/wharfcart/slots/session.py
@@ -1,7 +1,7 @@
-"""A holder's session with the node that grants the slots of one group of back ends.
+"""A holder's session with the granting node of one group of back ends.
 
-Everything that the holder has taken there is told when the session opens, and every change within
-it. A session that breaks is opened anew, with the whole list; nothing lapses by time.
+The holder reports all its taken slots when the session opens, and every later change. After a
+broken connection it opens a new session with the whole list. Taken slots do not expire.
 """
 
 import asyncio
@@ -11,7 +11,7 @@
 from random import getrandbits, random
 from typing import Protocol
 
-from wharfcart.admission.tenant_limits import TenantSend
+from wharfcart.admission.tenant_limits import PermittedSend
 from wharfcart.clock import monotonic
 from wharfcart.cluster.address import Address
 from wharfcart.cluster.messages_pb2 import (
@@ -29,92 +29,89 @@
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.slots.events import (
     HolderId,
+    RunResult,
     SessionKey,
-    SlotAsked,
     SlotEvent,
     SlotNumber,
     SlotReleased,
+    SlotRequested,
     SlotTaken,
     SlotUse,
-    Verdict,
 )
 from wharfcart.slots.messages import (
-    asked_to_message,
     event_to_message,
-    picture_from_message,
+    request_to_message,
     send_to_message,
+    snapshot_from_message,
     use_to_message,
 )
-from wharfcart.slots.picture import SlotPicture
+from wharfcart.slots.snapshot import SlotSnapshot
 
-# A grant takes a look-up, besides the round trip that was observed to its node; one that takes
-# longer is not worth waiting for.
+# In addition to the round-trip time to the node.
 GRANT_TIMEOUT_S = 0.04
-# After a grant that did not come, the node is not asked again for so long.
-PAUSE_AFTER_SILENCE_S = 0.5
-# A node that has a request wait tells that it lives more often than this.
-SIGN_OF_LIFE_TIMEOUT_S = 0.25
-# A node that grants tells the load more often than this, however many holders there are.
-NEWS_TIMEOUT_S = 2.0
-# A stand-in that does not answer by then, besides the round trips of a connection and a call, is
-# passed by for the next one.
-STAND_IN_TIMEOUT_S = 0.15
-# So often it is looked whether another node grants now.
-ADDRESS_CHECK_S = 0.1
-RETRY_S = 0.1
+# Requests to a node pause for this time after one has failed.
+PAUSE_AFTER_TIMEOUT_S = 0.5
+WAIT_HEARTBEAT_TIMEOUT_S = 0.25
+# Longer than the interval of snapshots at any number of holders.
+UPDATES_TIMEOUT_S = 2.0
+# To open a session with a backup coordinator, in addition to the round trips.
+BACKUP_TIMEOUT_S = 0.15
+ADDRESS_CHECK_INTERVAL_S = 0.1
+# Mean of a random delay.
+REOPEN_DELAY_S = 0.1
 
 
 @dataclass(frozen=True)
 class HeldSlot:
-    """A slot that this holder has taken, by the group that grants it."""
+    """A slot that this holder has taken, with the group that grants it."""
 
     group: int
     number: SlotNumber
 
 
 @dataclass(frozen=True)
-class HeardUsage:
-    """What a holder heard last of requests under tenants' limits.
+class ReportedUsage:
+    """The last usage of tenants' limits that a holder received.
 
     Attributes:
-        by_tenant: requests of one window over all gateways.
-        at: monotonic time at which it heard that.
-        gateways: how many were counted.
+        by_tenant: requests of all gateways in one window.
+        received_at: monotonic time at which the holder received it.
+        gateways: number of gateways that were counted.
     """
 
     by_tenant: dict[str, int]
-    at: float
+    received_at: float
     gateways: int
 
 
-class LimitFacts(Protocol):
-    """What a holder tells a node that keeps tenants' limits."""
+class LimitReports(Protocol):
+    """What a holder reports to a limit coordinator."""
 
-    def sends_of(self, group: int) -> list[TenantSend]:
-        """Return the holder's last requests of the tenants whose home a group is."""
+    def sends_of(self, group: int) -> list[PermittedSend]:
+        """Return the holder's recent requests of the tenants that a group coordinates."""
         ...
 
-    def heard_usage(self, group: int) -> HeardUsage:
-        """Return what any node told last of these tenants."""
+    def reported_usage(self, group: int) -> ReportedUsage:
+        """Return the last usage that a coordinator of these tenants reported."""
         ...
 
     @property
     def own_address(self) -> str:
-        """Where other gateways reach this one; '' if it is none."""
+        """Address for other gateways; '' if the holder is not a gateway."""
         ...
 
 
-class SlotNewsTaker:
-    """What a holder does with news of its sessions; this one does nothing."""
+class SlotUpdateListener:
+    """Listener for updates of a holder's sessions; this base class ignores them."""
 
-    def picture_told(self, group: int, picture: SlotPicture) -> None:
-        """Take the load of a group's back ends."""
+    def snapshot_received(self, group: int, snapshot: SlotSnapshot) -> None:
+        """Handle the load snapshot of a group's back ends."""
 
-    def items_told(self, group: int, news: SlotNews) -> None:
-        """Take slots that are offered to batch items, and items that must leave."""
+    def item_updates_received(self, group: int, updates: SlotNews) -> None:
+        """Handle slot offers to batch items and preemptions."""
 
     def session_opened(self, group: int) -> None:
-        """Note that a session has begun: what was told within the last one is forgotten there."""
+        """Handle a new session; the node has no state of the previous one."""
 
 
 class SlotSession:
@@ -122,22 +119,22 @@
 
     Args:
         group: number of the group.
-        holder: whose session it is.
-        zone: of the holder.
-        transport: reaches the node.
-        address: where it is now, or None.
-        taker: is told of news.
-        log: tells when the node is found and lost.
-        facts: told to the node that keeps tenants' limits.
-        limits_only: the session is for permits alone, with a node that grants no slots.
+        holder: id of this holder.
+        zone: zone of the holder.
+        transport: transport to the node.
+        address: current address of a group's node, or None.
+        listener: receives updates.
+        log: receives when the node is found and lost.
+        limit_reports: reports to the limit coordinator.
+        limits_only: the session is with a backup coordinator, for permits only.
 
     Attributes:
-        picture: the load as it was told last.
-        picture_at: monotonic time at which it came.
-        heard_at: monotonic time at which the node was heard last; None if it never was.
-        failing: the node did not answer the last call.
-        opened: how often a session was opened.
-        relays: other gateways that may ask for permits in place of this holder.
+        snapshot: the load snapshot that was received last.
+        snapshot_at: monotonic time at which it was received.
+        last_contact_at: monotonic time of the node's last message; None if there was none.
+        failing: the last call to the node failed.
+        open_count: number of sessions that were opened.
+        relays: gateways that can request permits on behalf of this holder.
     """
 
     def __init__(
@@ -147,9 +144,9 @@
         zone: str,
         transport: Transport,
         address: Callable[[int], Address | None],
-        taker: SlotNewsTaker,
+        listener: SlotUpdateListener,
         log: DecisionLog,
-        facts: LimitFacts,
+        limit_reports: LimitReports,
         limits_only: bool = False,
     ) -> None:
         self.group = group
@@ -157,91 +154,92 @@
         self._zone = zone
         self._transport = transport
         self._address = address
-        self._taker = taker
+        self._listener = listener
         self._log = log
-        self._facts = facts
+        self._limit_reports = limit_reports
         self._limits_only = limits_only
         self._uses_by_number: dict[SlotNumber, SlotUse] = {}
         self._next_number = 1
         self._session = 0
-        self._at: Address | None = None  # where the open session is held
+        self._open_address: Address | None = None  # of the open session's node
         self._opening = False
-        self._untold: list[SlotEvent] = []
+        self._unsent: list[SlotEvent] = []
         self._flushing = False
         self._paused_until = 0.0
-        self.picture = SlotPicture()
-        self.picture_at = monotonic()
-        self.heard_at: float | None = None
+        self.snapshot = SlotSnapshot()
+        self.snapshot_at = monotonic()
+        self.last_contact_at: float | None = None
         self.failing = False
-        self.opened = 0
+        self.open_count = 0
         self.relays: list[Address] = []
 
     @property
     def key(self) -> SessionKey:
-        """Name of the session that is open or was open last."""
+        """Key of the current or last session."""
         return SessionKey(self._holder, self._session)
 
     @property
     def uses(self) -> list[SlotUse]:
-        """Return the slots that the holder has taken."""
+        """Slots that the holder has taken."""
         return list(self._uses_by_number.values())
 
     @property
     def is_open(self) -> bool:
-        """Whether the granting node knows this session."""
-        return self._at is not None
+        """Whether the session is open at the granting node."""
+        return self._open_address is not None
 
-    def answers(self, now: float) -> bool:
-        """Whether the granting node may be asked for a slot."""
+    def is_available(self, now: float) -> bool:
+        """Whether the session is open and not paused after a failed request."""
         return self.is_open and now >= self._paused_until
 
     # ---- slots ----
 
     def new_number(self) -> SlotNumber:
-        """Return a number for a slot that is asked for or taken."""
+        """Return a number for a slot that is requested or taken."""
         self._next_number += 1
         return SlotNumber(self._next_number)
 
-    def take(self, use: SlotUse) -> HeldSlot:
-        """Note a slot that is taken without having been asked for, and tell of it."""
+    def take_without_grant(self, use: SlotUse) -> HeldSlot:
+        """Record a slot that is taken without a grant, and report it."""
         self._uses_by_number[use.number] = use
-        self.tell(SlotTaken(self.key, use))
+        self.send(SlotTaken(self.key, use))
         return HeldSlot(self.group, use.number)
 
-    def hold(self, use: SlotUse) -> HeldSlot:
-        """Note a slot that the granting node gave and so knows of."""
+    def record_granted(self, use: SlotUse) -> HeldSlot:
+        """Record a slot that the granting node granted."""
         self._uses_by_number[use.number] = use
         return HeldSlot(self.group, use.number)
 
-    def release(self, number: SlotNumber, verdict: Verdict = Verdict.UNKNOWN) -> None:
+    def release(self, number: SlotNumber, result: RunResult = RunResult.UNKNOWN) -> None:
         """Give a slot back."""
         self._uses_by_number.pop(number, None)
-        self.tell(SlotReleased(self.key, number, verdict))
+        self.send(SlotReleased(self.key, number, result))
 
-    def tell(self, event: SlotEvent) -> None:
-        """Tell the granting node of an event within the session.
+    def send(self, event: SlotEvent) -> None:
+        """Send an event to the granting node.
 
-        While a session opens it is kept: the list of what is taken may have left without it.
+        While a session opens, the event is kept, as the list of taken slots may already be sent
+        without it.
         """
         if self.is_open or self._opening:
-            self._untold.append(event)
+            self._unsent.append(event)
         if self.is_open and not self._flushing:
             self._flushing = True
             asyncio.get_running_loop().call_soon(self._flush)
 
-    async def ask(self, asked: SlotAsked, tenant: str = "") -> SlotGrant | None:
-        """Ask for a slot; None if the granting node does not answer or no longer grants.
+    async def request_slot(self, request: SlotRequested, tenant: str = "") -> SlotGrant | None:
+        """Request a slot; None if the granting node does not respond or no longer grants.
 
-        Cancelled, or without an answer in time, the request is withdrawn.
+        The request is withdrawn if it is cancelled or times out.
 
         Args:
-            asked: what is asked for.
-            tenant: whose limit the request counts towards; '' if that is settled.
+            request: the slot request.
+            tenant: tenant whose limit the request counts towards; '' if it needs no permit.
         """
-        address = self._at
+        address = self._open_address
         if address is None:
             return None
-        frame = Frame(slot_request=asked_to_message(self.group, asked, tenant, monotonic()))
+        frame = Frame(slot_request=request_to_message(self.group, request, tenant, monotonic()))
         timeout_s = GRANT_TIMEOUT_S + self._transport.round_trip_s(address)
         answered = False
         answers = self._transport.stream(address, frame, TrafficClass.SLOTS)
@@ -250,24 +248,24 @@
                 while True:
                     async with asyncio.timeout(timeout_s):
                         answer = (await anext(answers)).slot_grant
-                    self._hear()
-                    if self._session != asked.session.number or answer.no_session:
+                    self._record_contact()
+                    if self._session != request.session.number or answer.no_session:
                         return None
                     if not answer.waiting:
                         answered = True
                         return answer
-                    timeout_s = SIGN_OF_LIFE_TIMEOUT_S
+                    timeout_s = WAIT_HEARTBEAT_TIMEOUT_S
         except (TimeoutError, PeerUnreachableError, ServingError, StopAsyncIteration):
             self._pause()
             return None
         finally:
             if not answered:
-                # A grant may be on its way that nobody waits for any more.
-                self.release(asked.number)
+                # Withdraws the request, or releases a grant that is in transit.
+                self.release(request.number)
 
-    async def ask_permit(self, tenant: str) -> PermitAnswer | None:
-        """Ask whether a tenant may send one more request; None if the node does not answer."""
-        address = self._at
+    async def request_permit(self, tenant: str) -> PermitAnswer | None:
+        """Request a permit for one more request of a tenant; None if the node does not respond."""
+        address = self._open_address
         if address is None:
             return None
         key = self.key
@@ -283,46 +281,46 @@
         except (TimeoutError, PeerUnreachableError, ServingError):
             self._pause()
             return None
-        self._hear()
+        self._record_contact()
         return answer.permit_answer
 
-    def _hear(self) -> None:
-        self.heard_at = monotonic()
+    def _record_contact(self) -> None:
+        self.last_contact_at = monotonic()
         self.failing = False
 
     def _pause(self) -> None:
-        self._paused_until = monotonic() + PAUSE_AFTER_SILENCE_S
+        self._paused_until = monotonic() + PAUSE_AFTER_TIMEOUT_S
         self.failing = True
 
     # ---- the session ----
 
     async def run(self) -> None:
-        """Keep a session open until cancelled."""
+        """Keep a session open until cancelled; reopen it when it closes."""
         while True:
             await self.hold_once()
 
     async def hold_once(self) -> None:
-        """Hold a session until it ends, if it is known with whom; then rest for a moment."""
+        """Hold a session until it closes, if the node's address is known; then wait for a delay."""
         address = self._address(self.group)
         if address is not None:
             reason = await self._hold_session(address)
             self._opening = False
             if self.is_open:
-                self._at = None
+                self._open_address = None
                 self._log.write(
                     Event.GRANTER_LOST,
                     group=self.group,
                     reason=reason,
                     limits_only=self._limits_only,
                 )
-        await asyncio.sleep(RETRY_S * (0.5 + random()))
+        await asyncio.sleep(REOPEN_DELAY_S * (0.5 + random()))
 
     async def _hold_session(self, address: Address) -> str:
-        """Open a session and take its news; return why it ended."""
+        """Open a session and handle its updates; return why it closed."""
         self._session = getrandbits(63)
-        self._untold.clear()
+        self._unsent.clear()
         self._opening = True
-        heard = self._facts.heard_usage(self.group)
+        last_usage = self._limit_reports.reported_usage(self.group)
         frame = Frame(
             open_slot_session=OpenSlotSession(
                 group=self.group,
@@ -330,42 +328,42 @@
                 session=self._session,
                 zone=self._zone,
                 uses=[use_to_message(use) for use in self._uses_by_number.values()],
-                sends=[send_to_message(send) for send in self._facts.sends_of(self.group)],
+                sends=[send_to_message(send) for send in self._limit_reports.sends_of(self.group)],
                 usage=[
                     TenantUsage(tenant=tenant, count=count)
-                    for tenant, count in heard.by_tenant.items()
+                    for tenant, count in last_usage.by_tenant.items()
                 ],
-                usage_age_ms=int((monotonic() - heard.at) * 1000),
-                gateways_heard=heard.gateways,
+                usage_age_ms=int((monotonic() - last_usage.received_at) * 1000),
+                gateways_heard=last_usage.gateways,
                 limits_only=self._limits_only,
-                address=self._facts.own_address,
+                address=self._limit_reports.own_address,
             )
         )
         answers = self._transport.stream(address, frame, TrafficClass.SLOTS)
         try:
             async with aclosing(answers):
                 while True:
-                    answer = await self._next(anext(answers), address)
+                    answer = await self._next_frame(anext(answers), address)
                     if answer is None:
                         return "another node grants"
                     if answer.slot_news.refused:
                         return "refused"
-                    self._take_news(address, answer.slot_news)
+                    self._handle_updates(address, answer.slot_news)
         except TimeoutError:
             self._transport.drop(address, TrafficClass.SLOTS)
             return "silent"
         except (PeerUnreachableError, ServingError, StopAsyncIteration) as error:
             return f"{type(error).__name__}: {error}"
 
-    async def _next(self, answer: Awaitable[Frame], address: Address) -> Frame | None:
-        """Return the next news; None if another node grants now.
+    async def _next_frame(self, answer: Awaitable[Frame], address: Address) -> Frame | None:
+        """Return the next frame; None if another node grants now.
 
         Raises:
-            TimeoutError: the node tells nothing.
+            TimeoutError: the node sends nothing.
         """
-        opens_stand_in = self._limits_only and not self.is_open
-        stand_in_s = STAND_IN_TIMEOUT_S + 2 * self._transport.round_trip_s(address)
-        until = monotonic() + (stand_in_s if opens_stand_in else NEWS_TIMEOUT_S)
+        opens_backup = self._limits_only and not self.is_open
+        backup_timeout_s = BACKUP_TIMEOUT_S + 2 * self._transport.round_trip_s(address)
+        until = monotonic() + (backup_timeout_s if opens_backup else UPDATES_TIMEOUT_S)
         waiting = asyncio.ensure_future(answer)
         try:
             while not waiting.done():
@@ -373,19 +371,19 @@
                     return None
                 if monotonic() > until:
                     raise TimeoutError
-                await asyncio.wait((waiting,), timeout=ADDRESS_CHECK_S)
+                await asyncio.wait((waiting,), timeout=ADDRESS_CHECK_INTERVAL_S)
             return waiting.result()
         finally:
             if not waiting.done():
-                # It must have ended before the stream that it reads can be closed.
+                # The stream can only be closed once its reader has finished.
                 waiting.cancel()
                 await asyncio.wait((waiting,))
 
-    def _take_news(self, address: Address, news: SlotNews) -> None:
-        self._hear()
+    def _handle_updates(self, address: Address, updates: SlotNews) -> None:
+        self._record_contact()
         if not self.is_open:
-            self._at = address
-            self.opened += 1
+            self._open_address = address
+            self.open_count += 1
             self._opening = False
             self._paused_until = 0.0
             self._log.write(
@@ -395,23 +393,23 @@
                 limits_only=self._limits_only,
             )
             self._flush()
-            self._taker.session_opened(self.group)
-        if news.relays:
-            self.relays = [Address.parse(text) for text in news.relays]
-        if news.HasField("picture"):
-            self.picture = picture_from_message(news.picture)
-            self.picture_at = monotonic()
-            self._taker.picture_told(self.group, self.picture)
-        if news.offers or news.leaving:
-            self._taker.items_told(self.group, news)
+            self._listener.session_opened(self.group)
+        if updates.relays:
+            self.relays = [Address.parse(text) for text in updates.relays]
+        if updates.HasField("picture"):
+            self.snapshot = snapshot_from_message(updates.picture)
+            self.snapshot_at = monotonic()
+            self._listener.snapshot_received(self.group, self.snapshot)
+        if updates.offers or updates.leaving:
+            self._listener.item_updates_received(self.group, updates)
 
     def _flush(self) -> None:
         self._flushing = False
-        address = self._at
-        if address is None or not self._untold:
+        address = self._open_address
+        if address is None or not self._unsent:
             return
-        events = [event_to_message(event) for event in self._untold]
-        self._untold.clear()
+        events = [event_to_message(event) for event in self._unsent]
+        self._unsent.clear()
         message = SlotEvents(
             group=self.group, holder=self._holder, session=self._session, events=events
         )
--- a/src/wharfcart/storage/job_client.py
+++ b/src/wharfcart/storage/job_client.py
@@ -64,7 +64,7 @@
     def eligible_groups(self, residence: Residence) -> tuple[int, ...]:
         """Return the groups that may hold a job's data: those with all disks in its residence."""
         groups = range(self._group_count())
-        if not residence.is_bound:
+        if not residence.is_restricted:
             return tuple(groups)
         return tuple(
             group
--- a/src/wharfcart/storage/layout_bootstrap.py
+++ b/src/wharfcart/storage/layout_bootstrap.py
@@ -68,7 +68,7 @@
             self._known_since = now
         if self._context.identity not in known or len(known) < self._context.write_quorum:
             return False
-        if self._context.mirror.at == 0 or min(known) != self._context.identity:
+        if self._context.mirror.last_revision == 0 or min(known) != self._context.identity:
             return False
         is_complete = len(known) >= self._context.replication_factor and self._covers_all_regions(
             known
--- a/tests/batch/test_job_execution.py
+++ b/tests/batch/test_job_execution.py
@@ -1,4 +1,4 @@
-"""Which items a leader starts, and which one leaves when an online request needs its slot."""
+"""Start and preemption of items by a job group's leader."""
 
 import asyncio
 from collections import Counter
@@ -8,9 +8,9 @@
 from time import time
 from types import SimpleNamespace
 
-from wharfcart.admission.suspects import Suspects
+from wharfcart.admission.poison_requests import PoisonRequests
 from wharfcart.batch import job_execution
-from wharfcart.batch.item_run import ItemSend, RunOutcome
+from wharfcart.batch.item_run import ItemAttempt, RunOutcome
 from wharfcart.batch.job_execution import JobExecution
 from wharfcart.cluster.messages_pb2 import ItemOutcome, RequestItem, RequestJob
 from wharfcart.cluster.topology import RegionName, Topology
@@ -30,22 +30,22 @@
 )
 from wharfcart.observability.decisions import DecisionLog
 from wharfcart.observability.serving_metrics import ServingMetrics
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_selection import BackendSelector
 from wharfcart.routing.eligibility import Eligibility
 from wharfcart.slots.events import (
     HolderId,
-    ItemBegun,
-    ItemMustLeave,
     ItemOffered,
+    ItemPreempted,
+    ItemStarted,
     ItemsWaiting,
-    Manner,
+    RequestMode,
+    RunResult,
     SessionKey,
     SessionOpened,
-    SlotAsked,
     SlotNumber,
     SlotReleased,
+    SlotRequested,
     SlotUse,
-    Verdict,
 )
 from wharfcart.slots.granter import RESTART_COST_S, SlotGranter
 from wharfcart.slots.item_slots import ItemDemand, ItemSlot, ItemSlots
@@ -59,41 +59,41 @@
 GATEWAY = SessionKey(HolderId("g1"), 1)
 
 
-class Runner:
-    """Items run until they are cancelled or fail."""
+class FakeItemRunner:
+    """Runs items until they are cancelled or fail."""
 
-    def __init__(self, choice: BackendChoice) -> None:
-        self._choice = choice
-        self.running: dict[str, str] = {}  # item to back end
+    def __init__(self, selector: BackendSelector) -> None:
+        self._selector = selector
+        self.running: dict[str, str] = {}  # back end by item id
         self._failed: dict[str, asyncio.Event] = {}
 
-    async def run(self, send: ItemSend) -> RunOutcome:
-        self.running[send.item.item_id] = send.state.instance.instance_id
+    async def run(self, attempt: ItemAttempt) -> RunOutcome:
+        self.running[attempt.item.item_id] = attempt.state.instance.instance_id
         try:
-            await self._failed.setdefault(send.item.item_id, asyncio.Event()).wait()
+            await self._failed.setdefault(attempt.item.item_id, asyncio.Event()).wait()
         finally:
-            del self.running[send.item.item_id]
-            del self._failed[send.item.item_id]
-            self._choice.ended(send.state, send.use)
+            del self.running[attempt.item.item_id]
+            del self._failed[attempt.item.item_id]
+            self._selector.record_finished(attempt.state, attempt.send_id)
         return RunOutcome.FAILED
 
     def fail(self, item_id: str) -> None:
-        """Have a running item fail."""
+        """Make a running item fail."""
         self._failed[item_id].set()
 
 
-class GrantedSlots(ItemSlots):
-    """Slots of a granter in the same process."""
+class InProcessItemSlots(ItemSlots):
+    """Item slots of a granter in the same process."""
 
-    def __init__(self, choice: BackendChoice) -> None:
+    def __init__(self, selector: BackendSelector) -> None:
         super().__init__()
-        self.granter = SlotGranter(choice, lambda _instance: True)
+        self.granter = SlotGranter(selector, lambda _instance: True)
         self._offers: Counter[Residence] = Counter()
-        self._numbers = 0
+        self._last_number = 0
         for key in (LEADER, GATEWAY):
-            self.tell(SessionOpened(key, "z"))
+            self.handle_event(SessionOpened(key, "z"))
 
-    def tell(self, event: object) -> None:
+    def handle_event(self, event: object) -> None:
         loop = asyncio.get_running_loop()
         for instruction in self.granter.handle(event, loop.time()):
             match instruction:
@@ -101,59 +101,63 @@
                     self._offers[instruction.residence] += 1
                     slot = ItemSlot(0, instruction.number, "s", instruction.instance_id)
                     loop.call_soon(self.on_offer, slot)
-                case ItemMustLeave():
+                case ItemPreempted():
                     slot = HeldSlot(0, instruction.number)
-                    loop.call_soon(self.on_leave, slot, instruction.cause)
+                    loop.call_soon(self.on_preempted, slot, instruction.cause)
 
     @property
     def offers(self) -> int:
-        """Slots that were offered so far."""
+        """Number of slots offered so far."""
         return self._offers.total()
 
     def occupy(self, instance_id: str, slots: int) -> None:
-        """Have a gateway come that has taken slots long ago."""
+        """Open the session of a gateway that already uses slots."""
         uses = tuple(SlotUse(SlotNumber(n), instance_id) for n in range(slots))
-        self.tell(SessionOpened(SessionKey(HolderId("g2"), 1), "z", uses))
+        self.handle_event(SessionOpened(SessionKey(HolderId("g2"), 1), "z", uses))
 
-    def ask(self) -> SlotNumber:
-        """Have a gateway ask for a slot."""
-        self._numbers += 1
-        number = SlotNumber(self._numbers)
+    def request_slot(self) -> SlotNumber:
+        """Request a slot as a gateway."""
+        self._last_number += 1
+        number = SlotNumber(self._last_number)
         now = asyncio.get_running_loop().time()
-        self.tell(SlotAsked(GATEWAY, number, "s", now + 9.0, now + 9.0, Manner.WAIT))
+        self.handle_event(
+            SlotRequested(GATEWAY, number, "s", now + 9.0, now + 9.0, RequestMode.WAIT)
+        )
         return number
 
-    def free(self, number: SlotNumber) -> None:
-        self.tell(SlotReleased(GATEWAY, number))
+    def free_slot(self, number: SlotNumber) -> None:
+        self.handle_event(SlotReleased(GATEWAY, number))
 
-    def items_wait(self, service: str, demand: ItemDemand, residence: Residence = ANYWHERE) -> None:
-        self.tell(
+    def report_demand(
+        self, service: str, demand: ItemDemand, residence: Residence = ANYWHERE
+    ) -> None:
+        self.handle_event(
             ItemsWaiting(
                 LEADER,
                 service,
                 demand.count,
-                demand.urgent,
-                demand.first,
+                demand.urgent_count,
+                demand.first_urgency,
                 demand.excluded,
                 self._offers[residence],
                 residence,
             )
         )
 
-    def begun(self, slot: ItemSlot, urgency: Urgency) -> None:
-        self.tell(ItemBegun(LEADER, slot.number, urgency))
+    def report_started(self, slot: ItemSlot, urgency: Urgency) -> None:
+        self.handle_event(ItemStarted(LEADER, slot.number, urgency))
 
-    def release(self, slot: HeldSlot, verdict: Verdict = Verdict.UNKNOWN) -> None:
-        self.tell(SlotReleased(LEADER, slot.number, verdict))
+    def release(self, slot: HeldSlot, result: RunResult = RunResult.UNKNOWN) -> None:
+        self.handle_event(SlotReleased(LEADER, slot.number, result))
 
     def tick(self) -> None:
         for instruction in self.granter.tick(asyncio.get_running_loop().time()):
-            assert isinstance(instruction, ItemMustLeave)
-            self.on_leave(HeldSlot(0, instruction.number), instruction.cause)
+            assert isinstance(instruction, ItemPreempted)
+            self.on_preempted(HeldSlot(0, instruction.number), instruction.cause)
 
 
-class Records:
-    """Stands in for the group's leadership: results count at once."""
+class FakeLeadership:
+    """Leadership of a group that commits results at once."""
 
     epoch = 1
 
@@ -167,17 +171,17 @@
         return True
 
 
-class Bench:
-    """A job execution before back ends that run items for ever."""
+class ExecutionHarness:
+    """A job execution with back ends whose items run until they are stopped."""
 
     def __init__(self, servers: int = 1, slots: int = 4, zones: str = "") -> None:
-        self.choice = BackendChoice("z", Random(1), Eligibility(TOPOLOGY))
+        self.selector = BackendSelector("z", Random(1), Eligibility(TOPOLOGY))
         for n in range(servers):
             zone = zones[n] if zones else "z"
-            self.choice.put(BackendInstance(f"i{n}", "s", "127.0.0.1", 1, zone, slots, True))
-        self.slots = GrantedSlots(self.choice)
-        self.runner = Runner(self.choice)
-        self.records = Records()
+            self.selector.put(BackendInstance(f"i{n}", "s", "127.0.0.1", 1, zone, slots, True))
+        self.slots = InProcessItemSlots(self.selector)
+        self.runner = FakeItemRunner(self.selector)
+        self.leadership = FakeLeadership()
         route = Route(
             "jobs",
             "h",
@@ -191,7 +195,7 @@
         self.configuration = ServingConfiguration(1, (route,), {"s": ServiceSpec("s", 100)})
         self.group = SimpleNamespace(
             partial_texts=PartialTexts(),
-            leadership=self.records,
+            leadership=self.leadership,
             replicas_behind=0,
             is_confirmed_since_resume=True,
             wake_sessions=lambda: None,
@@ -199,22 +203,22 @@
         self.execution = JobExecution(
             self.group,
             self.runner,
-            self.choice,
+            self.selector,
             lambda: self.configuration,
             self.slots,
             60.0,
             DecisionLog("test"),
             ServingMetrics(),
-            Suspects(),
+            PoisonRequests(),
         )
-        self.execution.begin()
+        self.execution.start()
 
-    def bind_route(self, residence: Residence) -> None:
-        """Have a configuration come into force that binds the route."""
+    def restrict_route(self, residence: Residence) -> None:
+        """Apply a configuration that restricts the route."""
         route = replace(self.configuration.routes[0], residence=residence)
         self.configuration = replace(self.configuration, routes=(route,))
 
-    def at(self, instance_id: str) -> list[str]:
+    def items_at(self, instance_id: str) -> list[str]:
         """Return the items that run at a back end."""
         running = self.runner.running.items()
         return sorted(item for item, backend in running if backend == instance_id)
@@ -238,298 +242,302 @@
 
     async def settle(self) -> None:
         for _ in range(20):
-            await asyncio.sleep(job_execution.FEWEST_PERIOD_S / 5)
+            await asyncio.sleep(job_execution.MIN_DEMAND_INTERVAL_S / 5)
 
 
-def play(scenario: Callable[[Bench], Awaitable[None]], **more: int | str) -> None:
+def run_scenario(
+    scenario: Callable[[ExecutionHarness], Awaitable[None]], **harness_options: int | str
+) -> None:
     async def run() -> None:
-        bench = Bench(**more)
-        await bench.settle()
-        await scenario(bench)
-        bench.execution.end()
+        harness = ExecutionHarness(**harness_options)
+        await harness.settle()
+        await scenario(harness)
+        harness.execution.stop()
         await asyncio.sleep(0)
 
     asyncio.run(run())
 
 
-def test_items_take_every_slot_that_is_free() -> None:
-    async def scenario(bench: Bench) -> None:
-        bench.submit("j", 9)
-        await bench.settle()
-        assert len(bench.runner.running) == 4
+def test_items_use_every_free_slot() -> None:
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.submit("j", 9)
+        await harness.settle()
+        assert len(harness.runner.running) == 4
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_one_item_leaves_at_once_for_one_online_request() -> None:
-    async def scenario(bench: Bench) -> None:
-        bench.submit("j", 9)
-        await bench.settle()
-        bench.slots.ask()
-        await bench.settle()
-        assert len(bench.runner.running) == 3
+def test_one_online_request_preempts_one_item_at_once() -> None:
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.submit("j", 9)
+        await harness.settle()
+        harness.slots.request_slot()
+        await harness.settle()
+        assert len(harness.runner.running) == 3
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_the_item_with_the_most_time_left_leaves() -> None:
-    async def scenario(bench: Bench) -> None:
-        bench.submit("old", 2, age_s=5.0)
-        bench.submit("new", 2)
-        await bench.settle()
-        assert len(bench.runner.running) == 4
-        bench.slots.ask()
-        bench.slots.ask()
-        await bench.settle()
-        assert sorted(bench.runner.running) == ["old-0", "old-1"]
+def test_the_item_with_the_most_time_left_is_preempted() -> None:
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.submit("old", 2, age_s=5.0)
+        harness.submit("new", 2)
+        await harness.settle()
+        assert len(harness.runner.running) == 4
+        harness.slots.request_slot()
+        harness.slots.request_slot()
+        await harness.settle()
+        assert sorted(harness.runner.running) == ["old-0", "old-1"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_nothing_starts_in_a_slot_that_online_requests_need_in_a_moment() -> None:
-    async def scenario(bench: Bench) -> None:
+def test_items_leave_headroom_for_the_recent_online_rate() -> None:
+    async def scenario(harness: ExecutionHarness) -> None:
         for _ in range(round(2 * 1.5 / RESTART_COST_S)):
-            bench.slots.free(bench.slots.ask())
-        bench.slots.ask()
-        bench.submit("j", 9)
-        await bench.settle()
-        assert len(bench.runner.running) == 1
+            harness.slots.free_slot(harness.slots.request_slot())
+        harness.slots.request_slot()
+        harness.submit("j", 9)
+        await harness.settle()
+        assert len(harness.runner.running) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_items_leave_back_ends_that_are_fuller_than_thought() -> None:
-    async def scenario(bench: Bench) -> None:
-        bench.submit("j", 9)
-        await bench.settle()
-        bench.slots.occupy("i0", 2)
-        bench.slots.tick()
-        await bench.settle()
-        assert len(bench.runner.running) == 2
+def test_items_are_preempted_on_overcommitted_backends() -> None:
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.submit("j", 9)
+        await harness.settle()
+        harness.slots.occupy("i0", 2)
+        harness.slots.tick()
+        await harness.settle()
+        assert len(harness.runner.running) == 2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_overdue_item_leaves_before_one_that_can_still_be_in_time() -> None:
-    async def scenario(bench: Bench) -> None:
-        bench.submit("overdue", 2, age_s=OBJECTIVE_S + 5)
-        bench.submit("new", 2)
-        await bench.settle()
-        assert len(bench.runner.running) == 4
-        bench.slots.ask()
-        await bench.settle()
-        assert sum(item.startswith("new") for item in bench.runner.running) == 2
+def test_an_overdue_item_is_preempted_before_one_that_can_meet_its_objective() -> None:
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.submit("overdue", 2, age_s=OBJECTIVE_S + 5)
+        harness.submit("new", 2)
+        await harness.settle()
+        assert len(harness.runner.running) == 4
+        harness.slots.request_slot()
+        await harness.settle()
+        assert sum(item.startswith("new") for item in harness.runner.running) == 2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_jobs_that_can_still_be_in_time_start_before_an_overdue_one() -> None:
-    async def scenario(bench: Bench) -> None:
-        bench.slots.occupy("i0", 2)
-        bench.submit("overdue", 4, age_s=OBJECTIVE_S + 5)
-        bench.submit("new", 4)
-        await bench.settle()
-        assert sorted(bench.runner.running) == ["new-0", "new-1"]
+def test_jobs_that_can_meet_their_objective_start_before_an_overdue_one() -> None:
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.slots.occupy("i0", 2)
+        harness.submit("overdue", 4, age_s=OBJECTIVE_S + 5)
+        harness.submit("new", 4)
+        await harness.settle()
+        assert sorted(harness.runner.running) == ["new-0", "new-1"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_item_that_must_leave_before_it_has_begun_is_not_lost() -> None:
-    async def scenario(bench: Bench) -> None:
-        bench.submit("j", 2)
-        while not bench.choice.state("i0").in_flight:
+def test_an_item_preempted_before_its_task_starts_is_requeued() -> None:
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.submit("j", 2)
+        while not harness.selector.state("i0").in_flight:
             await asyncio.sleep(0)
-        assert not bench.runner.running
-        numbers = [bench.slots.ask() for _ in range(4)]
-        await bench.settle()
-        assert bench.choice.state("i0").in_flight == 0
-        assert not bench.runner.running
-        await asyncio.sleep(job_execution.RETRY_YIELDED_S * 2)
+        assert not harness.runner.running
+        numbers = [harness.slots.request_slot() for _ in range(4)]
+        await harness.settle()
+        assert harness.selector.state("i0").in_flight == 0
+        assert not harness.runner.running
+        await asyncio.sleep(job_execution.PREEMPTED_RETRY_DELAY_S * 2)
         for number in numbers:
-            bench.slots.free(number)
-        await asyncio.sleep(job_execution.PERIOD_S * 2)
-        assert sorted(bench.runner.running) == ["j-0", "j-1"]
+            harness.slots.free_slot(number)
+        await asyncio.sleep(job_execution.DEMAND_INTERVAL_S * 2)
+        assert sorted(harness.runner.running) == ["j-0", "j-1"]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_slot_that_no_item_takes_is_given_back() -> None:
-    async def scenario(bench: Bench) -> None:
-        bench.slots.tell(ItemsWaiting(LEADER, "s", 3, 0, Urgency(9.0, 4.0)))
-        await bench.settle()
+def test_an_unused_slot_is_released() -> None:
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.slots.handle_event(ItemsWaiting(LEADER, "s", 3, 0, Urgency(9.0, 4.0)))
+        await harness.settle()
         now = asyncio.get_running_loop().time()
-        assert sum(load.in_use for load in bench.slots.granter.picture(now).backends) == 0
+        assert sum(load.in_use for load in harness.slots.granter.snapshot(now).backends) == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_leader_that_is_not_sure_to_lead_starts_nothing() -> None:
-    async def scenario(bench: Bench) -> None:
-        bench.group.is_confirmed_since_resume = False
-        bench.submit("j", 4)
-        await bench.settle()
-        assert not bench.runner.running
-        bench.group.is_confirmed_since_resume = True
-        await bench.settle()
-        await asyncio.sleep(2 * job_execution.PERIOD_S)
-        assert len(bench.runner.running) == 4
+def test_a_leader_without_confirmed_leadership_starts_nothing() -> None:
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.group.is_confirmed_since_resume = False
+        harness.submit("j", 4)
+        await harness.settle()
+        assert not harness.runner.running
+        harness.group.is_confirmed_since_resume = True
+        await harness.settle()
+        await asyncio.sleep(2 * job_execution.DEMAND_INTERVAL_S)
+        assert len(harness.runner.running) == 4
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_offer_in_a_zone_that_was_emptied_meanwhile_is_given_back() -> None:
-    async def scenario(bench: Bench) -> None:
-        take = bench.slots.on_offer
+def test_an_offer_in_a_zone_evacuated_meanwhile_is_released() -> None:
+    async def scenario(harness: ExecutionHarness) -> None:
+        handle_offer = harness.slots.on_offer
 
-        def take_later(slot: ItemSlot) -> None:
-            bench.choice.eligibility.evacuated_zones = frozenset({"z"})
-            take(slot)
+        def evacuate_and_handle(slot: ItemSlot) -> None:
+            harness.selector.eligibility.evacuated_zones = frozenset({"z"})
+            handle_offer(slot)
 
-        bench.slots.on_offer = take_later
-        bench.submit("j", 2)
-        await bench.settle()
-        assert not bench.runner.running
-        assert not bench.slots.granter.picture(asyncio.get_running_loop().time()).backends
-        bench.slots.on_offer = take
-        bench.choice.eligibility.evacuated_zones = frozenset()
+        harness.slots.on_offer = evacuate_and_handle
+        harness.submit("j", 2)
+        await harness.settle()
+        assert not harness.runner.running
+        assert not harness.slots.granter.snapshot(asyncio.get_running_loop().time()).backends
+        harness.slots.on_offer = handle_offer
+        harness.selector.eligibility.evacuated_zones = frozenset()
         async with asyncio.timeout(5.0):
-            while len(bench.runner.running) < 2:
-                await bench.settle()
+            while len(harness.runner.running) < 2:
+                await harness.settle()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_item_goes_elsewhere_after_it_has_failed_at_a_back_end() -> None:
-    async def scenario(bench: Bench) -> None:
-        bench.submit("j", 1)
-        await bench.settle()
-        (first,) = bench.runner.running.values()
-        bench.runner.fail("j-0")
-        await asyncio.sleep(job_execution.RETRY_FAILED_S + 2 * job_execution.PERIOD_S)
-        (second,) = bench.runner.running.values()
+def test_a_failed_item_is_retried_on_another_backend() -> None:
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.submit("j", 1)
+        await harness.settle()
+        (first,) = harness.runner.running.values()
+        harness.runner.fail("j-0")
+        await asyncio.sleep(
+            job_execution.FAILED_RETRY_DELAY_S + 2 * job_execution.DEMAND_INTERVAL_S
+        )
+        (second,) = harness.runner.running.values()
         assert first != second
 
-    play(scenario, servers=2, slots=1)
+    run_scenario(scenario, servers=2, slots=1)
 
 
-def test_a_job_that_ends_before_its_items_have_begun_leaves_nothing_in_flight() -> None:
-    async def scenario(bench: Bench) -> None:
-        bench.submit("j", 2)
-        while not bench.choice.state("i0").in_flight:
+def test_a_job_cancelled_before_its_items_start_leaves_nothing_in_flight() -> None:
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.submit("j", 2)
+        while not harness.selector.state("i0").in_flight:
             await asyncio.sleep(0)
-        bench.execution.job_ended("j")
-        await bench.settle()
-        assert bench.choice.state("i0").in_flight == 0
-        assert not bench.runner.running
+        harness.execution.job_cancelled("j")
+        await harness.settle()
+        assert harness.selector.state("i0").in_flight == 0
+        assert not harness.runner.running
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_leader_that_is_deposed_leaves_nothing_in_flight() -> None:
-    async def scenario(bench: Bench) -> None:
-        bench.submit("j", 2)
-        while not bench.choice.state("i0").in_flight:
+def test_a_leader_that_loses_leadership_leaves_nothing_in_flight() -> None:
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.submit("j", 2)
+        while not harness.selector.state("i0").in_flight:
             await asyncio.sleep(0)
-        bench.execution.end()
-        await bench.settle()
-        assert bench.choice.state("i0").in_flight == 0
+        harness.execution.stop()
+        await harness.settle()
+        assert harness.selector.state("i0").in_flight == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_item_that_has_failed_often_enough_is_not_tried_by_the_next_leader() -> None:
-    async def scenario(bench: Bench) -> None:
-        known = bench.group.partial_texts.get_or_create("j", "j-0")
+def test_failures_under_earlier_leaders_count_towards_the_attempt_limit() -> None:
+    async def scenario(harness: ExecutionHarness) -> None:
+        known = harness.group.partial_texts.get_or_create("j", "j-0")
         known.failed_at += ["i0", "i1", "i2"]
-        bench.submit("j", 1)
-        await bench.settle()
-        bench.runner.fail("j-0")
-        await bench.settle()
-        assert [outcome.succeeded for outcome in bench.records.outcomes] == [False]
+        harness.submit("j", 1)
+        await harness.settle()
+        harness.runner.fail("j-0")
+        await harness.settle()
+        assert [outcome.succeeded for outcome in harness.leadership.outcomes] == [False]
 
-    play(scenario, servers=4)
+    run_scenario(scenario, servers=4)
 
 
-def test_items_run_only_where_their_job_was_bound_to_when_it_was_taken() -> None:
-    async def scenario(bench: Bench) -> None:
-        bench.submit("a", 6, residence=residence_in(["west"]))
-        await bench.settle()
-        assert bench.at("i0") == ["a-0", "a-1"]
-        assert bench.at("i1") == []
+def test_items_run_only_in_the_residence_their_job_was_accepted_with() -> None:
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.submit("a", 6, residence=residence_in(["west"]))
+        await harness.settle()
+        assert harness.items_at("i0") == ["a-0", "a-1"]
+        assert harness.items_at("i1") == []
 
-    play(scenario, servers=2, slots=2, zones="we")
+    run_scenario(scenario, servers=2, slots=2, zones="we")
 
 
-def test_items_run_only_where_their_route_is_bound_to_now() -> None:
-    async def scenario(bench: Bench) -> None:
-        bench.bind_route(residence_in(["west"]))
-        bench.submit("a", 6)
-        await bench.settle()
-        assert bench.at("i0") == ["a-0", "a-1"]
-        assert bench.at("i1") == []
+def test_items_run_only_in_the_current_residence_of_their_route() -> None:
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.restrict_route(residence_in(["west"]))
+        harness.submit("a", 6)
+        await harness.settle()
+        assert harness.items_at("i0") == ["a-0", "a-1"]
+        assert harness.items_at("i1") == []
 
-    play(scenario, servers=2, slots=2, zones="we")
+    run_scenario(scenario, servers=2, slots=2, zones="we")
 
 
-def test_an_item_that_may_run_nowhere_waits_and_takes_no_slot_from_others() -> None:
-    async def scenario(bench: Bench) -> None:
-        bench.submit("a", 6, residence=residence_in(["west"]))
-        bench.bind_route(residence_in(["east"]))
-        bench.submit("b", 6)
-        await bench.settle()
-        assert bench.at("i0") == []
-        assert bench.at("i1") == ["b-0", "b-1"]
+def test_an_item_with_an_empty_residence_waits_without_using_slots() -> None:
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.submit("a", 6, residence=residence_in(["west"]))
+        harness.restrict_route(residence_in(["east"]))
+        harness.submit("b", 6)
+        await harness.settle()
+        assert harness.items_at("i0") == []
+        assert harness.items_at("i1") == ["b-0", "b-1"]
 
-    play(scenario, servers=2, slots=2, zones="we")
+    run_scenario(scenario, servers=2, slots=2, zones="we")
 
 
 def test_jobs_of_several_residences_share_the_back_ends() -> None:
-    async def scenario(bench: Bench) -> None:
-        bench.submit("w", 9, age_s=2.0, residence=residence_in(["west"]))
-        bench.submit("e", 1, age_s=1.0, residence=residence_in(["east"]))
-        bench.submit("any", 9)
-        await bench.settle()
-        assert bench.at("i0") == ["w-0", "w-1"]
-        assert bench.at("i1") == ["any-0", "e-0"]
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.submit("w", 9, age_s=2.0, residence=residence_in(["west"]))
+        harness.submit("e", 1, age_s=1.0, residence=residence_in(["east"]))
+        harness.submit("any", 9)
+        await harness.settle()
+        assert harness.items_at("i0") == ["w-0", "w-1"]
+        assert harness.items_at("i1") == ["any-0", "e-0"]
 
-    play(scenario, servers=2, slots=2, zones="we")
+    run_scenario(scenario, servers=2, slots=2, zones="we")
 
 
-def test_an_offer_outside_is_given_back_once_and_not_made_again() -> None:
-    """The configuration binds the route after its items were told to wait for any slot."""
+def test_an_offer_outside_the_residence_is_released_and_not_repeated() -> None:
+    """The route becomes restricted after the report of its waiting items."""
 
-    async def scenario(bench: Bench) -> None:
-        bench.submit("a", 2)
-        bench.bind_route(residence_in(["west"]))
-        await bench.settle()
-        assert bench.at("i1") == []
-        offers = bench.slots.offers
-        await asyncio.sleep(3 * job_execution.PERIOD_S)
-        assert bench.slots.offers == offers
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.submit("a", 2)
+        harness.restrict_route(residence_in(["west"]))
+        await harness.settle()
+        assert harness.items_at("i1") == []
+        offers = harness.slots.offers
+        await asyncio.sleep(3 * job_execution.DEMAND_INTERVAL_S)
+        assert harness.slots.offers == offers
 
-    play(scenario, servers=2, slots=2, zones="we")
+    run_scenario(scenario, servers=2, slots=2, zones="we")
 
 
-def test_a_new_leader_puts_first_what_is_far_on_and_knows_how_far() -> None:
-    """After a loss of power items far on were thought to need the whole time, and left first."""
+def test_a_new_leader_starts_the_most_advanced_items_first() -> None:
+    """Guards against preempting advanced items first after a restart of all leaders."""
 
-    async def scenario(bench: Bench) -> None:
-        bench.execution.end()
+    async def scenario(harness: ExecutionHarness) -> None:
+        harness.execution.stop()
         lines = "\n".join(["x"] * 100).encode()
         results = [ItemOutcome(item_id=f"d-{n}", succeeded=True, text=lines) for n in range(2)]
         job = RequestJob(job_id="d", host="h", path="/jobs/d", objective_s=OBJECTIVE_S)
-        bench.records.jobs["d"] = SimpleNamespace(
+        harness.leadership.jobs["d"] = SimpleNamespace(
             job=job, results=results, ended=False, is_complete=True
         )
         for number in range(91):
-            bench.group.partial_texts.get_or_create("j", "j-7").add_event(number, "x")
-        told: list[Urgency] = []
-        bench.slots.begun = lambda slot, urgency: told.append(urgency)
-        bench.execution.begin()
-        bench.submit("j", 8)
-        await bench.settle()
-        assert "j-7" in bench.runner.running
-        # Planned 0.4 of the objective: all of it, and the 39 of 130 events that are left.
-        assert sorted({round(one.remaining_s, 1) for one in told}) == [2.4, 8.0]
-
-    play(scenario)
+            harness.group.partial_texts.get_or_create("j", "j-7").add_event(number, "x")
+        reported: list[Urgency] = []
+        harness.slots.report_started = lambda slot, urgency: reported.append(urgency)
+        harness.execution.start()
+        harness.submit("j", 8)
+        await harness.settle()
+        assert "j-7" in harness.runner.running
+        # 0.4 of the objective for a new item, and 39 of 130 planned events of it for j-7.
+        assert sorted({round(urgency.remaining_s, 1) for urgency in reported}) == [2.4, 8.0]
+
+    run_scenario(scenario)
--- a/tests/slots/network.py
+++ b/tests/slots/network.py
@@ -1,4 +1,4 @@
-"""Granting nodes, gateways and leaders in virtual time, and a network between them that fails."""
+"""Granting nodes, gateways and leaders in virtual time, connected by an unreliable network."""
 
 import asyncio
 from collections import Counter
@@ -17,7 +17,7 @@
 from wharfcart.experiments.virtual_time import run_virtually, virtual_clock
 from wharfcart.observability.decisions import DecisionLog
 from wharfcart.observability.serving_metrics import ServingMetrics
-from wharfcart.routing.backend_choice import BackendChoice
+from wharfcart.routing.backend_selection import BackendSelector
 from wharfcart.routing.placement import PlacementRequest
 from wharfcart.slots.events import HolderId
 from wharfcart.slots.fleet_load import FleetLoad
@@ -26,7 +26,7 @@
 from wharfcart.slots.permit_relays import PermitRelays
 from wharfcart.slots.permits import Permit
 from wharfcart.slots.service import SlotService
-from wharfcart.slots.session import SlotNewsTaker
+from wharfcart.slots.session import SlotUpdateListener
 from wharfcart.slots.sessions import SlotSessions
 
 METRICS = ServingMetrics()
@@ -35,59 +35,61 @@
 
 
 def distance_from_z(zone: str) -> Distance:
-    """Return how far a zone is from that of the back ends; those named so are far away."""
+    """Return the distance of a zone from the back ends' zone ``z``."""
     if zone.startswith("far"):
         return Distance.OTHER_REGION
     return Distance.SAME_ZONE if zone == "z" else Distance.SAME_REGION
 
 
 class Node:
-    """A node that may grant slots of groups."""
+    """A node that can grant slots."""
 
-    def __init__(self, number: int, choice: BackendChoice, limits: dict[str, RequestLimit]) -> None:
+    def __init__(
+        self, number: int, selector: BackendSelector, limits: dict[str, RequestLimit]
+    ) -> None:
         self.address = Address("node", number)
-        self.unsure = False  # another one may lead by now
-        self.choice = choice
+        self.leadership_unconfirmed = False  # another node may already lead
+        self.selector = selector
         self.service = SlotService(
             0,
-            choice,
+            selector,
             lambda _instance: True,
             distance_from_z,
             DecisionLog("test"),
             METRICS.requests_waiting,
             limits.get,
-            lambda: not self.unsure,
+            lambda: not self.leadership_unconfirmed,
         )
 
 
 class Network:
-    """Calls between holders and nodes. A connection is one holder's way to one node."""
+    """Connections between holders and granting nodes."""
 
     def __init__(self) -> None:
         self.nodes: dict[Address, Node] = {}
         self.one_way_s = ONE_WAY_S
-        self.round_trip_s = 0.0  # as it was observed; 0 where nothing is known
-        self.dark: set[Address] = set()  # what goes there and comes from there waits
-        self.pictures_by_holder: Counter[str] = Counter()
+        self.round_trip_s = 0.0  # as reported by the transport; 0 if unknown
+        self.unreachable: set[Address] = set()  # delays traffic in both directions
+        self.snapshots_by_holder: Counter[str] = Counter()
         self.serving: dict[tuple[str, Address], set[asyncio.Task[None]]] = {}
         self.broken: dict[tuple[str, Address], asyncio.Event] = {}
         self.relays: dict[Address, Holder] = {}
 
     @property
-    def pictures(self) -> int:
-        """Pictures of the load that were told to all holders."""
-        return self.pictures_by_holder.total()
+    def snapshots(self) -> int:
+        """Number of snapshots that were sent to all holders."""
+        return self.snapshots_by_holder.total()
 
     async def reach(self, address: Address) -> None:
-        """Take one way's time, and longer while the node is dark."""
+        """Wait for the one-way delay, and while the node is unreachable."""
         await asyncio.sleep(self.one_way_s)
-        while address in self.dark:
+        while address in self.unreachable:
             await asyncio.sleep(ONE_WAY_S)
 
-    def break_connection(self, holder: str, node: Node, told: bool = True) -> None:
-        """End a holder's connection; the node is told of it at once, or never."""
+    def break_connection(self, holder: str, node: Node, notify_node: bool = True) -> None:
+        """Break a holder's connection; the node notices it at once or never."""
         key = (holder, node.address)
-        if told:
+        if notify_node:
             for task in self.serving.pop(key, set()):
                 task.cancel()
         self.broken.pop(key, asyncio.Event()).set()
@@ -104,14 +106,14 @@
     async def stream(
         self, address: Address, frame: Frame, _traffic: TrafficClass
     ) -> AsyncGenerator[Frame, None]:
-        """Open a session or ask for a slot."""
+        """Open a session, or request a slot or a permit."""
         network = self._network
         key = (self._holder, address)
         broken = network.broken.setdefault(key, asyncio.Event())
         answers: asyncio.Queue[Frame] = asyncio.Queue()
 
         async def answer(frame: Frame) -> None:
-            network.pictures_by_holder[self._holder] += frame.slot_news.HasField("picture")
+            network.snapshots_by_holder[self._holder] += frame.slot_news.HasField("picture")
             answers.put_nowait(Frame.FromString(frame.SerializeToString()))
 
         await network.reach(address)
@@ -126,21 +128,21 @@
         network.serving.setdefault(key, set()).add(task)
         try:
             while True:
-                got = asyncio.create_task(answers.get())
-                lost = asyncio.create_task(broken.wait())
-                await asyncio.wait((got, lost), return_when=asyncio.FIRST_COMPLETED)
-                lost.cancel()
-                if not got.done():
-                    got.cancel()
+                received = asyncio.create_task(answers.get())
+                disconnected = asyncio.create_task(broken.wait())
+                await asyncio.wait((received, disconnected), return_when=asyncio.FIRST_COMPLETED)
+                disconnected.cancel()
+                if not received.done():
+                    received.cancel()
                     raise PeerUnreachableError(address, sent=True)
                 await network.reach(address)
-                yield got.result()
+                yield received.result()
         finally:
             if not broken.is_set():
                 asyncio.get_running_loop().call_later(ONE_WAY_S, task.cancel)
 
     async def call(self, address: Address, frame: Frame, traffic: TrafficClass) -> Frame:
-        """Ask for one answer."""
+        """Send a request and return its first answer."""
         if address in self._network.relays:
             await asyncio.sleep(2 * ONE_WAY_S)
             return await self._network.relays[address].answer(frame)
@@ -148,46 +150,48 @@
             return await anext(answers)
 
     def send(self, address: Address, frame: Frame, _traffic: TrafficClass) -> None:
-        """Tell what happens within a session."""
+        """Send the events of a session in order."""
         events = Frame.FromString(frame.SerializeToString()).slot_events
         key = (self._holder, address)
-        before = self._sent.get(key)
-        self._sent[key] = asyncio.create_task(self._deliver(address, events, before))
+        previous = self._sent.get(key)
+        self._sent[key] = asyncio.create_task(self._deliver(address, events, previous))
 
     async def _deliver(
-        self, address: Address, events: SlotEvents, before: asyncio.Task[None] | None
+        self, address: Address, events: SlotEvents, previous: asyncio.Task[None] | None
     ) -> None:
         await self._network.reach(address)
-        if before is not None:
-            await before  # a connection keeps the order
-        self._network.nodes[address].service.take_events(events)
+        if previous is not None:
+            await previous
+        self._network.nodes[address].service.handle_events(events)
 
     def round_trip_s(self, address: Address) -> float:
         return self._network.round_trip_s
 
     def drop(self, address: Address, _traffic: TrafficClass) -> None:
         """Close the connection."""
-        self._network.break_connection(self._holder, self._network.nodes[address], told=False)
+        self._network.break_connection(
+            self._holder, self._network.nodes[address], notify_node=False
+        )
 
 
 class Holder:
     """A gateway, or a leader with items."""
 
     def __init__(
-        self, fleet: "Fleet", name: str, taker: SlotNewsTaker | None = None, zone: str = "z"
+        self, fleet: "Fleet", name: str, listener: SlotUpdateListener | None = None, zone: str = "z"
     ) -> None:
         self.name = name
-        self.choice = fleet.new_choice(zone)
+        self.selector = fleet.new_selector(zone)
         self.sessions = SlotSessions(
             HolderId(name),
-            self.choice,
+            self.selector,
             cast(Transport, HolderTransport(fleet.network, name)),
             lambda: 1,
             lambda _group: fleet.leader.address,
             lambda _instance_id: 0,
-            taker or FleetLoad(self.choice),
+            listener or FleetLoad(self.selector),
             DecisionLog(name),
-            lambda _group: [node.address for node in fleet.stand_ins],
+            lambda _group: [node.address for node in fleet.backups],
             f"{name}:1",
         )
         self.connected: set[str] = set()
@@ -197,7 +201,7 @@
             self.sessions.relays,
         )
         self.placement = GrantedPlacement(
-            self.choice,
+            self.selector,
             self.sessions,
             lambda _group: Distance.SAME_ZONE,
             lambda: self.connected,
@@ -207,10 +211,10 @@
         self.task = asyncio.create_task(self.sessions.run())
 
     async def answer(self, frame: Frame) -> Frame:
-        """Ask for a permit in place of another gateway."""
+        """Request a permit on behalf of another gateway."""
         tenant = frame.relay_permit.tenant
         permit = Permit(self.sessions, self.relays, tenant, self._limits.get(tenant))
-        return Frame(permit_answer=await permit.answer_for_other())
+        return Frame(permit_answer=await permit.answer_for_peer())
 
 
 class Fleet:
@@ -222,30 +226,30 @@
         self.rng = Random(1)
         self.network = Network()
         self.limits: dict[str, RequestLimit] = {}
-        self.nodes = [Node(number, self.new_choice(), self.limits) for number in range(2)]
+        self.nodes = [Node(number, self.new_selector(), self.limits) for number in range(2)]
         for node in self.nodes:
             self.network.nodes[node.address] = node
         self.leader = self.nodes[0]
-        self.stand_ins: list[Node] = []  # keep limits while the leader is not reached
+        self.backups: list[Node] = []  # backup coordinators
         self.leader.service.begin(1)
         self.tasks = [asyncio.create_task(node.service.run()) for node in self.nodes]
         self.holders: dict[str, Holder] = {}
 
-    def new_choice(self, zone: str = "z") -> BackendChoice:
-        choice = BackendChoice(zone, self.rng)
+    def new_selector(self, zone: str = "z") -> BackendSelector:
+        selector = BackendSelector(zone, self.rng)
         for n in range(self.servers):
-            choice.put(BackendInstance(f"i{n}", "s", "127.0.0.1", 1, "z", self.slots, True))
-        return choice
+            selector.put(BackendInstance(f"i{n}", "s", "127.0.0.1", 1, "z", self.slots, True))
+        return selector
 
     async def gateway(self, name: str, zone: str = "z") -> Holder:
-        """Begin a gateway and wait for its session."""
+        """Start a gateway and wait for its session."""
         self.holders[name] = Holder(self, name, zone=zone)
         self.network.relays[Address(name, 1)] = self.holders[name]
         await asyncio.sleep(SETTLE_S)
         return self.holders[name]
 
     async def items(self, name: str = "leader/0") -> ItemSlots:
-        """Begin a leader with items and wait for its session."""
+        """Start a leader with items and wait for its session."""
         slots = ItemSlots()
         self.holders[name] = Holder(self, name, slots)
         slots.begin(self.holders[name].sessions)
@@ -253,17 +257,17 @@
         return slots
 
     def change_leader(self) -> None:
-        """Let the other node grant; the first one knows."""
+        """Stop granting at the current node and begin at the other one."""
         self.leader.service.end()
         self.leader = self.nodes[1 - self.nodes.index(self.leader)]
         self.leader.service.begin(2)
 
     def in_use(self) -> int:
-        """Return how many slots are taken as the granting node knows."""
+        """Return the number of taken slots according to the granting node."""
         granter = self.leader.service.granter
         assert granter is not None
         now = asyncio.get_running_loop().time()
-        return sum(load.in_use for load in granter.picture(now).backends)
+        return sum(load.in_use for load in granter.snapshot(now).backends)
 
 
 def request(waits_s: float = 5.0, **more: object) -> PlacementRequest:
@@ -275,8 +279,8 @@
         "unread_tokens": 0,
         "request_id": "r",
         "route_name": "route",
-        "in_time_until": now + 1.0,
-        "leave_at": now + waits_s,
+        "start_deadline": now + 1.0,
+        "queue_deadline": now + waits_s,
         "priority": 0,
     }
     return PlacementRequest(**(values | more))
--- a/tests/storage/test_job_client_residence.py
+++ b/tests/storage/test_job_client_residence.py
@@ -103,7 +103,7 @@
 def test_a_job_without_an_eligible_group_is_refused_at_once() -> None:
     async def scenario() -> None:
         leaders = GroupLeaders()
-        for residence in (residence_in(["south"]), WEST.within(EAST)):
+        for residence in (residence_in(["south"]), WEST.intersect(EAST)):
             refused = await leaders.submit("a", residence)
             assert refused == JobCallFailure(False, "outside_residence")
         assert virtual_monotonic() == 0.0
@@ -116,7 +116,7 @@
     async def scenario() -> None:
         leaders = GroupLeaders()
         leaders.hint = "e3"
-        refused = await leaders.submit("a", EAST.within(EAST))
+        refused = await leaders.submit("a", EAST.intersect(EAST))
         leaders.hint = "w1"
         refused = await leaders.submit("a", EAST)
         assert refused == JobCallFailure(False, "outside_residence")
