--- a/src/wharfcart/gateway/app.py
+++ b/src/wharfcart/gateway/app.py
@@ -20,14 +20,14 @@
 from wharfcart.gateway.responses import error_response, request_id_of
 from wharfcart.observability.logs import RequestContext, request_context
 
-MOST_BODY_BYTES = 16 * 1024 * 1024
-LONGEST_ANSWER_S = 3600
-LONGEST_REQUEST_S = 600
-KEEP_ALIVE_S = 75
-DRAIN_POLL_S = 0.02
-OPEN_PATHS = ("/healthz", "/readyz", "/metrics")
+MAX_BODY_BYTES = 16 * 1024 * 1024
+RESPONSE_TIMEOUT_S = 3600
+REQUEST_TIMEOUT_S = 600
+KEEP_ALIVE_TIMEOUT_S = 75
+DRAIN_POLL_INTERVAL_S = 0.02
+UNAUTHENTICATED_PATHS = ("/healthz", "/readyz", "/metrics")
 ADMIN_PREFIX = "/admin/"
-_NAME_CHARACTERS = str.maketrans("/<>:", "____")
+_ROUTE_NAME_TABLE = str.maketrans("/<>:", "____")
 
 logger = logging.getLogger(__name__)
 
@@ -45,10 +45,10 @@
             f"wharfcart-{context.node_id.replace('.', '-')}-{id(self)}", configure_logging=False
         )
         self.app.config.update(
-            REQUEST_MAX_SIZE=MOST_BODY_BYTES,
-            RESPONSE_TIMEOUT=LONGEST_ANSWER_S,
-            REQUEST_TIMEOUT=LONGEST_REQUEST_S,
-            KEEP_ALIVE_TIMEOUT=KEEP_ALIVE_S,
+            REQUEST_MAX_SIZE=MAX_BODY_BYTES,
+            RESPONSE_TIMEOUT=RESPONSE_TIMEOUT_S,
+            REQUEST_TIMEOUT=REQUEST_TIMEOUT_S,
+            KEEP_ALIVE_TIMEOUT=KEEP_ALIVE_TIMEOUT_S,
             ACCESS_LOG=False,
             MOTD=False,
             TOUCHUP=False,  # rewrites classes, which several nodes in a process share
@@ -74,7 +74,7 @@
                 route.path,
                 methods=[route.method],
                 stream=route.streams_in,
-                name=f"{route.method}-{route.path}".translate(_NAME_CHARACTERS),
+                name=f"{route.method}-{route.path}".translate(_ROUTE_NAME_TABLE),
             )
 
     def _counted(
@@ -106,7 +106,7 @@
         if self._server is not None and self._server.server is not None:
             self._server.server.close()
         while self._in_progress:
-            await asyncio.sleep(DRAIN_POLL_S)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
 
     async def stop(self) -> None:
         """Close what is left: idle connections."""
@@ -119,7 +119,7 @@
 
     async def _begin(self, request: Request) -> HTTPResponse | None:
         request.ctx.request_id = new_request_id()
-        if request.path in OPEN_PATHS:
+        if request.path in UNAUTHENTICATED_PATHS:
             return None
         try:
             self._authenticate(request)
--- a/src/wharfcart/gateway/batches.py
+++ b/src/wharfcart/gateway/batches.py
@@ -29,9 +29,9 @@
 
 OUTPUT_PREFIX = "output-"
 ERRORS_PREFIX = "errors-"
-JSONL_TYPE = "application/jsonl"
-SEND_BYTES = 64 * 1024
-MOST_LISTED = 100
+JSONL_CONTENT_TYPE = "application/jsonl"
+SEND_BUFFER_BYTES = 64 * 1024
+MAX_LISTED_JOBS = 100
 
 
 class BatchHandlers:
@@ -112,11 +112,11 @@
         return None
 
     async def _send_lines(self, request: Request, lines: AsyncIterator[bytes]) -> None:
-        response = await request.respond(content_type=JSONL_TYPE)
+        response = await request.respond(content_type=JSONL_CONTENT_TYPE)
         buffer = bytearray()
         async for line in lines:
             buffer += line + b"\n"
-            if len(buffer) >= SEND_BYTES:
+            if len(buffer) >= SEND_BUFFER_BYTES:
                 await response.send(bytes(buffer))
                 buffer.clear()
         await response.send(bytes(buffer), True)
@@ -144,8 +144,8 @@
     async def list(self, request: Request) -> HTTPResponse:
         """List the tenant's jobs, newest first."""
         tenant: Tenant = request.ctx.tenant
-        most = _integer(request, "limit", 20, 1, MOST_LISTED)
-        views = await self._context.jobs.list(tenant.name, MOST_LISTED)
+        most = _integer(request, "limit", 20, 1, MAX_LISTED_JOBS)
+        views = await self._context.jobs.list(tenant.name, MAX_LISTED_JOBS)
         after = request.args.get("after")
         if after is not None:
             ids = [view.job_id for view in views]
--- a/src/wharfcart/gateway/callers.py
+++ b/src/wharfcart/gateway/callers.py
@@ -6,7 +6,7 @@
 STATUS_UNAVAILABLE = 503
 # A key that this node does not know may be newer than the configuration that it has: news come
 # within a part of a second unless this node is cut off.
-MOST_AGE_S = 1.5
+MAX_CONFIGURATION_AGE_S = 1.5
 
 
 class CallerRefusedError(Exception):
@@ -44,6 +44,6 @@
         return tenant
     if not api_key:
         raise CallerRefusedError(STATUS_UNAUTHORIZED, "no_key")
-    if age_s > MOST_AGE_S:
+    if age_s > MAX_CONFIGURATION_AGE_S:
         raise CallerRefusedError(STATUS_UNAVAILABLE, "unknown_key_while_cut_off")
     raise CallerRefusedError(STATUS_UNAUTHORIZED, f"unknown_key_in_version_{configuration.version}")
--- a/src/wharfcart/gateway/idempotency.py
+++ b/src/wharfcart/gateway/idempotency.py
@@ -25,10 +25,10 @@
 from wharfcart.storage.journal_client import JournalClient
 from wharfcart.storage.shard_state import KeyState, RowKind
 
-WAIT_FIRST_S = 0.02
-WAIT_MOST_S = 0.25
-ABANDONED_AFTER_S = 5.0
-MOST_STORED_BYTES = 4 * 1024 * 1024
+INITIAL_POLL_INTERVAL_S = 0.02
+MAX_POLL_INTERVAL_S = 0.25
+ABANDON_GRACE_S = 5.0
+MAX_STORED_RESPONSE_BYTES = 4 * 1024 * 1024
 
 logger = logging.getLogger(__name__)
 
@@ -194,7 +194,7 @@
             request_id=request_id,
             state=KeyState.COMPLETED,
             status=head.status,
-            response=b"".join(part.data for part in parts)[:MOST_STORED_BYTES],
+            response=b"".join(part.data for part in parts)[:MAX_STORED_RESPONSE_BYTES],
             content_type=head.headers.get("content-type", "application/json"),
         )
         try:
@@ -216,12 +216,12 @@
         record: KeyRecord,
         queue: asyncio.Queue[BackendPart | ServingError],
     ) -> None:
-        delay = WAIT_FIRST_S
+        delay = INITIAL_POLL_INTERVAL_S
         while record.state == KeyState.STARTED and not self._abandoned(record, keyed.service):
             if monotonic() + delay > keyed.deadline:
                 raise _unknown("the same request is still running")
             await asyncio.sleep(delay)
-            delay = min(WAIT_MOST_S, delay * 1.5)
+            delay = min(MAX_POLL_INTERVAL_S, delay * 1.5)
             record = await self._journal.read_key(self._shard(full_key), full_key)
         if record.state in (KeyState.STARTED, KeyState.UNKNOWN):
             await self._settle(full_key, record)
@@ -239,7 +239,7 @@
         """Whether the node that ran the request must have gone away."""
         if record.state != KeyState.STARTED:
             return False
-        allowed = ABANDONED_AFTER_S + (service.deadline_seconds if service is not None else 60.0)
+        allowed = ABANDON_GRACE_S + (service.deadline_seconds if service is not None else 60.0)
         return now_ms() - record.at_ms > allowed * 1000
 
     async def _settle(self, full_key: str, record: KeyRecord) -> None:
--- a/src/wharfcart/gateway/ingress.py
+++ b/src/wharfcart/gateway/ingress.py
@@ -25,14 +25,14 @@
 REQUEST_TIMEOUT_S = 60
 # Nothing but a request's own deadline ends its answer.
 RESPONSE_TIMEOUT_S = 3600
-KEEP_ALIVE_S = 3600
-MOST_HEADER_BYTES = 16_384
-MOST_BODY_BYTES = 64 * 1024 * 1024
+KEEP_ALIVE_TIMEOUT_S = 3600
+MAX_HEADER_BYTES = 16_384
+MAX_BODY_BYTES = 64 * 1024 * 1024
 RETRY_AFTER_UNCONFIGURED_S = 0.3
 # Connections that wait to be accepted; a caller whose connection is dropped tries again after 1 s.
 BACKLOG = 1024
 # Connections that waited are accepted within this time, in a few steps of the loop.
-ACCEPT_S = 0.02
+BACKLOG_ACCEPT_S = 0.02
 
 # The last argument is the caller's tenant by name, '' where callers need no key.
 BatchHandler = Callable[[Request, Route, str], Awaitable[HTTPResponse]]
@@ -188,9 +188,9 @@
                 "TOUCHUP": False,
                 "REQUEST_TIMEOUT": REQUEST_TIMEOUT_S,
                 "RESPONSE_TIMEOUT": RESPONSE_TIMEOUT_S,
-                "KEEP_ALIVE_TIMEOUT": KEEP_ALIVE_S,
-                "REQUEST_MAX_HEADER_SIZE": MOST_HEADER_BYTES,
-                "REQUEST_MAX_SIZE": MOST_BODY_BYTES,
+                "KEEP_ALIVE_TIMEOUT": KEEP_ALIVE_TIMEOUT_S,
+                "REQUEST_MAX_HEADER_SIZE": MAX_HEADER_BYTES,
+                "REQUEST_MAX_SIZE": MAX_BODY_BYTES,
                 "FALLBACK_ERROR_FORMAT": "text",
             }
         )
@@ -310,7 +310,10 @@
         connection = None if stream is None else stream.protocol
         if self._listening_since is None or not isinstance(connection, _Connection):
             return monotonic()
-        waited = connection.take_first() and connection.accepted_at < self._serving_since + ACCEPT_S
+        waited = (
+            connection.take_first()
+            and connection.accepted_at < self._serving_since + BACKLOG_ACCEPT_S
+        )
         return self._listening_since if waited else monotonic()
 
     def _refuse(self, request: Request, status: int, cause: str) -> HTTPResponse:
--- a/src/wharfcart/gateway/job_calls.py
+++ b/src/wharfcart/gateway/job_calls.py
@@ -32,16 +32,16 @@
 from wharfcart.storage.job_move_tracker import JobMoveTracker
 
 SUBMIT_TIMEOUT_S = 3.0
-SUBMIT_TRY_S = 2.0
+SUBMIT_ATTEMPT_TIMEOUT_S = 2.0
 READ_TIMEOUT_S = 1.2
-READ_TRY_MARGIN_S = 0.7
-END_TIMEOUT_S = 3.0
-MOST_WAIT_S = 1.0
+READ_ATTEMPT_MARGIN_S = 0.7
+DELETE_TIMEOUT_S = 3.0
+MAX_LONG_POLL_S = 1.0
 # Items take seconds each: room for a job comes later than a leader.
 RETRY_AFTER_BY_STATUS_S = {503: 0.3, 429: 1.0}
 # Cause of a refusal: the leader knows of a disk elsewhere that this gateway does not.
-NO_GROUP_INSIDE = "a disk of the group is outside the residence"
-JSON_TYPE = ("content-type", "application/json")
+GROUP_OUTSIDE_CAUSE = "a disk of the group is outside the residence"
+JSON_CONTENT_TYPE = ("content-type", "application/json")
 
 
 class JobCalls:
@@ -94,13 +94,13 @@
         )
         frame = Frame(submit_job=SubmitJob(job=job, moved=self._moved(route, tenant, residence)))
         answer = await self._client.call(
-            job_id, frame, "job_answer", SUBMIT_TIMEOUT_S, SUBMIT_TRY_S, residence
+            job_id, frame, "job_answer", SUBMIT_TIMEOUT_S, SUBMIT_ATTEMPT_TIMEOUT_S, residence
         )
         if isinstance(answer, JobCallFailure):
             status = 504 if answer.may_have_executed else 503
             return self._refused(job_id, "submit", status, answer.cause, residence)
         if answer.job_answer.status == OUTSIDE_RESIDENCE:
-            return self._refused(job_id, "submit", 503, NO_GROUP_INSIDE, residence)
+            return self._refused(job_id, "submit", 503, GROUP_OUTSIDE_CAUSE, residence)
         if answer.job_answer.status == MAYBE_ELSEWHERE:
             return self._refused(job_id, "submit", 503, "another group may have it", residence)
         if answer.job_answer.status == REFUSED:
@@ -125,14 +125,14 @@
 
     async def _read(self, request: Request, job_id: str, tenant: str) -> HTTPResponse:
         first = _whole_number(request.args.get("after"))
-        wait_s = min(MOST_WAIT_S, _whole_number(request.headers.get(names.WAIT_MS)) / 1000)
+        wait_s = min(MAX_LONG_POLL_S, _whole_number(request.headers.get(names.WAIT_MS)) / 1000)
         message = ReadResults(job_id=job_id, after=first, wait_ms=int(wait_s * 1000), tenant=tenant)
         answer = await self._client.find(
             job_id,
             Frame(read_results=message),
             "result_page",
             READ_TIMEOUT_S + wait_s,
-            wait_s + READ_TRY_MARGIN_S,
+            wait_s + READ_ATTEMPT_MARGIN_S,
             self._residences(request, tenant),
         )
         if isinstance(answer, JobCallFailure):
@@ -141,7 +141,7 @@
         if page.status == NOT_FOUND:
             return self._refused(job_id, "read", 404, "no such job")
         return plain_answer(
-            200, [JSON_TYPE], batch_calls.result_page(page.total, first, page.results)
+            200, [JSON_CONTENT_TYPE], batch_calls.result_page(page.total, first, page.results)
         )
 
     async def _read_body(self, request: Request, job_id: str, tenant: str) -> HTTPResponse:
@@ -153,7 +153,7 @@
             frame,
             "item_body",
             READ_TIMEOUT_S,
-            READ_TRY_MARGIN_S,
+            READ_ATTEMPT_MARGIN_S,
             self._residences(request, tenant),
         )
         if isinstance(answer, JobCallFailure):
@@ -169,8 +169,8 @@
             job_id,
             Frame(end_job=EndJob(job_id=job_id, tenant=tenant)),
             "job_answer",
-            END_TIMEOUT_S,
-            SUBMIT_TRY_S,
+            DELETE_TIMEOUT_S,
+            SUBMIT_ATTEMPT_TIMEOUT_S,
             self._residences(request, tenant),
         )
         if isinstance(answer, JobCallFailure):
@@ -198,7 +198,7 @@
         regions: dict[str, object] = {}
         if residence.regions is not None:
             regions["regions"] = sorted(residence.regions)
-        if cause in (OUTSIDE_CAUSE, NO_GROUP_INSIDE):
+        if cause in (OUTSIDE_CAUSE, GROUP_OUTSIDE_CAUSE):
             self._metrics.outside_residence.add("job")
         self._log.write(
             Event.REQUEST_REFUSED, request=job_id, call=call, status=status, cause=cause, **regions
--- a/src/wharfcart/gateway/online.py
+++ b/src/wharfcart/gateway/online.py
@@ -35,10 +35,10 @@
 from wharfcart.gateway.schema import ChatCompletionRequest, CompletionRequest
 from wharfcart.observability.logs import request_context
 
-KEY_HEADER = "Idempotency-Key"
-MOST_KEY_LENGTH = 200
-PASSED_REQUEST_HEADERS = ("content-type", "accept", "x-business-key", "traceparent")
-PREFIX_CHARACTERS = 512
+IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
+MAX_KEY_LENGTH = 200
+FORWARDED_REQUEST_HEADERS = ("content-type", "accept", "x-business-key", "traceparent")
+PREFIX_BYTES = 512
 APPLICATION_METHODS = ("GET", "POST", "PUT", "PATCH", "DELETE")
 
 
@@ -98,7 +98,7 @@
         backend_request = build_engine_request(
             service, path, body, request_id_of(request), batch=False
         )
-        prefix = xxhash.xxh3_64_hexdigest(backend_request.body[:PREFIX_CHARACTERS])
+        prefix = xxhash.xxh3_64_hexdigest(backend_request.body[:PREFIX_BYTES])
         return await self._serve(request, service, backend_request, prefix)
 
     async def application(self, request: Request, service: str, path: str) -> HTTPResponse | None:
@@ -106,7 +106,7 @@
         found = self._find_service(request, service, TemplateKind.APPLICATION)
         headers = {
             name: request.headers[name]
-            for name in PASSED_REQUEST_HEADERS
+            for name in FORWARDED_REQUEST_HEADERS
             if name in request.headers
         }
         if request.query_string:
@@ -194,9 +194,9 @@
     ServingError
         If it is too long.
     """
-    key: str | None = request.headers.get(KEY_HEADER)
-    if key is not None and not 0 < len(key) <= MOST_KEY_LENGTH:
-        raise bad_request(f"{KEY_HEADER} must have 1 to {MOST_KEY_LENGTH} characters")
+    key: str | None = request.headers.get(IDEMPOTENCY_KEY_HEADER)
+    if key is not None and not 0 < len(key) <= MAX_KEY_LENGTH:
+        raise bad_request(f"{IDEMPOTENCY_KEY_HEADER} must have 1 to {MAX_KEY_LENGTH} characters")
     return key
 
 
--- a/src/wharfcart/gateway/traffic_shares.py
+++ b/src/wharfcart/gateway/traffic_shares.py
@@ -6,7 +6,7 @@
 
 # Successive multiples of the golden ratio, modulo 1, are spread evenly over any stretch of
 # requests.
-GOLDEN_RATIO = 0.6180339887498949
+GOLDEN_RATIO_CONJUGATE = 0.6180339887498949
 
 
 class TrafficSplitter:
@@ -20,7 +20,7 @@
         if len(route.shares) == 1:
             return route.shares[0].service
         position = self._positions.get(route.name)
-        position = random() if position is None else (position + GOLDEN_RATIO) % 1.0
+        position = random() if position is None else (position + GOLDEN_RATIO_CONJUGATE) % 1.0
         self._positions[route.name] = position
         left = position * sum(share.weight for share in route.shares)
         for share in route.shares:
--- a/tests/gateway/test_callers.py
+++ b/tests/gateway/test_callers.py
@@ -4,7 +4,7 @@
 
 from wharfcart.configuration.api_keys import digest_of
 from wharfcart.configuration.serving import ServedTenant, ServingConfiguration, TenantIndex
-from wharfcart.gateway.callers import MOST_AGE_S, CallerRefusedError, caller_tenant
+from wharfcart.gateway.callers import MAX_CONFIGURATION_AGE_S, CallerRefusedError, caller_tenant
 
 TENANT = ServedTenant("t", (digest_of("k"),))
 
@@ -26,11 +26,11 @@
 
 def test_an_unknown_key_is_refused_only_by_a_node_that_surely_knows() -> None:
     assert refusal("x") == (401, "unknown_key_in_version_7")
-    assert refusal("x", MOST_AGE_S * 2) == (503, "unknown_key_while_cut_off")
+    assert refusal("x", MAX_CONFIGURATION_AGE_S * 2) == (503, "unknown_key_while_cut_off")
 
 
 def test_no_key_is_refused_whatever_the_configuration_is() -> None:
-    assert refusal("", MOST_AGE_S * 2) == (401, "no_key")
+    assert refusal("", MAX_CONFIGURATION_AGE_S * 2) == (401, "no_key")
 
 
 def test_a_public_route_needs_no_key_and_takes_a_known_one() -> None:
--- a/tests/gateway/test_ingress.py
+++ b/tests/gateway/test_ingress.py
@@ -7,7 +7,7 @@
 from sanic import Sanic
 
 from wharfcart.configuration.serving import Route, RouteKind, ServingConfiguration, TrafficShare
-from wharfcart.gateway.ingress import ACCEPT_S, Ingress
+from wharfcart.gateway.ingress import BACKLOG_ACCEPT_S, Ingress
 from wharfcart.observability.decisions import DecisionLog
 from wharfcart.routing.caller_request import AnswerSink, CallerRequest
 
@@ -56,8 +56,8 @@
         serving_at = monotonic()
         await reader.readuntil(b"\r\n\r\n")
         await exchange(reader, writer)
-        while monotonic() < serving_at + ACCEPT_S:
-            await asyncio.sleep(ACCEPT_S)
+        while monotonic() < serving_at + BACKLOG_ACCEPT_S:
+            await asyncio.sleep(BACKLOG_ACCEPT_S)
         await exchange(*await asyncio.open_connection(*front.getsockname()))
         return opened_at, forwarder.requests, serving_at
 
