--- a/src/wharfcart/admin/handlers.py
+++ b/src/wharfcart/admin/handlers.py
@@ -32,7 +32,7 @@
 from wharfcart.configuration.schema import document_entries, join_entries
 from wharfcart.configuration.validation import load_document
 from wharfcart.errors import FindingsError, Outcome, ServingError
-from wharfcart.gateway.interface import Route
+from wharfcart.gateway.interface import HttpRoute
 from wharfcart.gateway.online import parse_json
 from wharfcart.gateway.responses import bad_request, error_body, validation_error
 from wharfcart.platform.key_value import KeyValueUnavailableError
@@ -78,17 +78,17 @@
         self._context = context
         self._store = store
 
-    def routes(self) -> list[Route]:
+    def routes(self) -> list[HttpRoute]:
         """Return the handlers and where they belong."""
         root = "/admin/v1"
         return [
-            Route(self.get, f"{root}/configuration", "GET"),
-            Route(self.plan, f"{root}/configuration/plan", "POST"),
-            Route(self.apply, f"{root}/configuration", "POST"),
-            Route(self.rollback, f"{root}/configuration/rollback", "POST"),
-            Route(self.history, f"{root}/configuration/history", "GET"),
-            Route(self.status, f"{root}/status", "GET"),
-            Route(self.recover, f"{root}/journal/<shard:int>/recover", "POST"),
+            HttpRoute(self.get, f"{root}/configuration", "GET"),
+            HttpRoute(self.plan, f"{root}/configuration/plan", "POST"),
+            HttpRoute(self.apply, f"{root}/configuration", "POST"),
+            HttpRoute(self.rollback, f"{root}/configuration/rollback", "POST"),
+            HttpRoute(self.history, f"{root}/configuration/history", "GET"),
+            HttpRoute(self.status, f"{root}/status", "GET"),
+            HttpRoute(self.recover, f"{root}/journal/<shard:int>/recover", "POST"),
         ]
 
     # ---- reading ----
--- a/src/wharfcart/gateway/answers.py
+++ b/src/wharfcart/gateway/answers.py
@@ -4,7 +4,7 @@
 from sanic.response import HTTPResponse
 
 
-def plain_answer(
+def plain_response(
     status: int, headers: list[tuple[str, str]] | None = None, body: bytes = b""
 ) -> HTTPResponse:
     """Return an answer with just these headers."""
--- a/src/wharfcart/gateway/app.py
+++ b/src/wharfcart/gateway/app.py
@@ -15,7 +15,7 @@
 from wharfcart.configuration.api_keys import digest_of
 from wharfcart.errors import FindingsError, Outcome, ServingError
 from wharfcart.gateway.batches import BatchHandlers
-from wharfcart.gateway.interface import GatewayContext, Route
+from wharfcart.gateway.interface import GatewayContext, HttpRoute
 from wharfcart.gateway.online import OnlineHandlers, new_request_id
 from wharfcart.gateway.responses import error_response, request_id_of
 from wharfcart.observability.logs import RequestContext, request_context
@@ -53,31 +53,31 @@
             MOTD=False,
             TOUCHUP=False,  # rewrites classes, which several nodes in a process share
         )
-        self.app.register_middleware(self._begin, "request")
-        self.app.register_middleware(self._count, "response")
-        self.app.exception(Exception)(self._failed)
+        self.app.register_middleware(self._on_request, "request")
+        self.app.register_middleware(self._on_response, "response")
+        self.app.exception(Exception)(self._on_exception)
         self.add_routes(OnlineHandlers(context).routes())
         self.add_routes(BatchHandlers(context).routes())
         self.add_routes(
             [
-                Route(self._health, "/healthz", "GET"),
-                Route(self._readiness, "/readyz", "GET"),
-                Route(self._metrics, "/metrics", "GET"),
+                HttpRoute(self._health, "/healthz", "GET"),
+                HttpRoute(self._readiness, "/readyz", "GET"),
+                HttpRoute(self._metrics, "/metrics", "GET"),
             ]
         )
 
-    def add_routes(self, routes: Iterable[Route]) -> None:
+    def add_routes(self, routes: Iterable[HttpRoute]) -> None:
         """Add handlers, each counted as a request in progress until its answer is whole."""
         for route in routes:
             self.app.add_route(
-                self._counted(route.handler),
+                self._track_in_progress(route.handler),
                 route.path,
                 methods=[route.method],
-                stream=route.streams_in,
+                stream=route.streams_body,
                 name=f"{route.method}-{route.path}".translate(_ROUTE_NAME_TABLE),
             )
 
-    def _counted(
+    def _track_in_progress(
         self, handler: Callable[..., Awaitable[HTTPResponse | None]]
     ) -> Callable[..., Coroutine[Any, Any, HTTPResponse | None]]:
         @wraps(handler)
@@ -117,7 +117,7 @@
 
     # ---- every request ----
 
-    async def _begin(self, request: Request) -> HTTPResponse | None:
+    async def _on_request(self, request: Request) -> HTTPResponse | None:
         request.ctx.request_id = new_request_id()
         if request.path in UNAUTHENTICATED_PATHS:
             return None
@@ -133,7 +133,7 @@
             if not hmac.compare_digest(digest_of(key), self._admin_key_sha256):
                 raise ServingError("bad_admin_key", "the admin key is absent or wrong", 401)
             return
-        if not self._context.ready():
+        if not self._context.is_ready():
             raise ServingError(
                 "not_ready",
                 "the node does not know the configuration yet",
@@ -150,13 +150,13 @@
             )
         )
 
-    async def _count(self, request: Request, response: BaseHTTPResponse) -> None:
+    async def _on_response(self, request: Request, response: BaseHTTPResponse) -> None:
         kind = request.path.split("/")[2] if request.path.startswith("/v1/") else "other"
         self._context.metrics.requests.labels(kind, str(response.status)).inc()
         if self.draining:
             response.headers["Connection"] = "close"
 
-    async def _failed(self, request: Request, error: Exception) -> HTTPResponse:
+    async def _on_exception(self, request: Request, error: Exception) -> HTTPResponse:
         request_id = request_id_of(request)
         if isinstance(error, FindingsError):
             refusal = ServingError("findings", "the document has findings", 422)
@@ -177,7 +177,7 @@
         return text("ok\n")
 
     async def _readiness(self, request: Request) -> HTTPResponse:
-        ready = self._context.ready() and not self.draining
+        ready = self._context.is_ready() and not self.draining
         return text("ready\n" if ready else "not ready\n", 200 if ready else 503)
 
     async def _metrics(self, request: Request) -> HTTPResponse:
--- a/src/wharfcart/gateway/batches.py
+++ b/src/wharfcart/gateway/batches.py
@@ -15,7 +15,7 @@
 from wharfcart.cluster.messages_pb2 import JobView
 from wharfcart.configuration.schema import Tenant
 from wharfcart.errors import Finding, ServingError
-from wharfcart.gateway.interface import GatewayContext, Route
+from wharfcart.gateway.interface import GatewayContext, HttpRoute
 from wharfcart.gateway.online import idempotency_key, parse_json
 from wharfcart.gateway.responses import (
     bad_request,
@@ -40,17 +40,17 @@
     def __init__(self, context: GatewayContext) -> None:
         self._context = context
 
-    def routes(self) -> list[Route]:
+    def routes(self) -> list[HttpRoute]:
         """Return the handlers and where they belong."""
         return [
-            Route(self.upload, "/v1/files", "POST", streams_in=True),
-            Route(self.get_file, "/v1/files/<file_id>", "GET"),
-            Route(self.content, "/v1/files/<file_id>/content", "GET"),
-            Route(self.create, "/v1/batches", "POST"),
-            Route(self.list, "/v1/batches", "GET"),
-            Route(self.get, "/v1/batches/<job_id>", "GET"),
-            Route(self.cancel, "/v1/batches/<job_id>/cancel", "POST"),
-            Route(self.results, "/v1/batches/<job_id>/results", "GET"),
+            HttpRoute(self.upload, "/v1/files", "POST", streams_body=True),
+            HttpRoute(self.get_file, "/v1/files/<file_id>", "GET"),
+            HttpRoute(self.content, "/v1/files/<file_id>/content", "GET"),
+            HttpRoute(self.create, "/v1/batches", "POST"),
+            HttpRoute(self.list, "/v1/batches", "GET"),
+            HttpRoute(self.get, "/v1/batches/<job_id>", "GET"),
+            HttpRoute(self.cancel, "/v1/batches/<job_id>/cancel", "POST"),
+            HttpRoute(self.results, "/v1/batches/<job_id>/results", "GET"),
         ]
 
     # ---- files ----
@@ -58,7 +58,7 @@
     async def upload(self, request: Request) -> HTTPResponse:
         """Take a JSONL file, as a multipart form or as the body itself."""
         assert isinstance(request.stream, Http)
-        request.stream.request_max_size = self._context.most_file_bytes
+        request.stream.request_max_size = self._context.max_file_bytes
         tenant: Tenant = request.ctx.tenant
         writer = self._context.jobs.new_file(tenant.name)
         try:
@@ -76,7 +76,7 @@
             async for chunk in _body_chunks(request):
                 await writer.write(chunk)
             return "upload.jsonl"
-        form = _FormReader(options.get(b"boundary"))
+        form = _MultipartFileReader(options.get(b"boundary"))
         async for chunk in _body_chunks(request):
             await writer.write(form.feed(chunk))
         await writer.write(form.finish())
@@ -86,7 +86,7 @@
         """Return a file's description."""
         tenant: Tenant = request.ctx.tenant
         if file_id.startswith((OUTPUT_PREFIX, ERRORS_PREFIX)):
-            view = await self._context.jobs.find(tenant.name, _job_of(file_id))
+            view = await self._context.jobs.find(tenant.name, _job_id_of(file_id))
             return json(
                 {
                     "id": file_id,
@@ -104,7 +104,7 @@
         tenant: Tenant = request.ctx.tenant
         jobs = self._context.jobs
         if file_id.startswith((OUTPUT_PREFIX, ERRORS_PREFIX)):
-            view = await jobs.find(tenant.name, _job_of(file_id))
+            view = await jobs.find(tenant.name, _job_id_of(file_id))
             lines = jobs.results(view, completed=file_id.startswith(OUTPUT_PREFIX))
         else:
             lines = jobs.file_lines(await jobs.find_file(tenant.name, file_id))
@@ -144,7 +144,7 @@
     async def list(self, request: Request) -> HTTPResponse:
         """List the tenant's jobs, newest first."""
         tenant: Tenant = request.ctx.tenant
-        most = _integer(request, "limit", 20, 1, MAX_LISTED_JOBS)
+        most = _integer_argument(request, "limit", 20, 1, MAX_LISTED_JOBS)
         views = await self._context.jobs.list(tenant.name, MAX_LISTED_JOBS)
         after = request.args.get("after")
         if after is not None:
@@ -166,14 +166,14 @@
         """Stream results so far, in input order, by a range of rows."""
         tenant: Tenant = request.ctx.tenant
         view = await self._context.jobs.find(tenant.name, job_id)
-        first = _integer(request, "first", 0, 0, view.total)
-        most = _integer(request, "limit", int(view.total), 0, int(view.total))
+        first = _integer_argument(request, "first", 0, 0, view.total)
+        most = _integer_argument(request, "limit", int(view.total), 0, int(view.total))
         lines = self._context.jobs.results(view, None, first, first + most)
         await self._send_lines(request, lines)
         return None
 
 
-class _FormReader:
+class _MultipartFileReader:
     """Takes the ``file`` part out of a multipart form while it arrives."""
 
     def __init__(self, boundary: bytes | None) -> None:
@@ -181,9 +181,9 @@
             raise bad_request("multipart form without a boundary")
         self.filename = "upload.jsonl"
         self._data = bytearray()
-        self._seen_file = False
+        self._has_file = False
         self._in_file = False
-        self._header = b""
+        self._header_name = b""
         self._disposition = b""
         self._parser = MultipartParser(
             boundary,
@@ -215,7 +215,7 @@
         ServingError
             If it had no part named ``file``.
         """
-        if not self._seen_file:
+        if not self._has_file:
             raise bad_request("the form has no part named 'file'")
         return bytes(self._data)
 
@@ -224,17 +224,17 @@
         self._disposition = b""
 
     def _header_field(self, data: bytes, start: int, end: int) -> None:
-        self._header = data[start:end].lower()
+        self._header_name = data[start:end].lower()
 
     def _header_value(self, data: bytes, start: int, end: int) -> None:
-        if self._header == b"content-disposition":
+        if self._header_name == b"content-disposition":
             self._disposition += data[start:end]
 
     def _headers_finished(self) -> None:
         _, options = parse_options_header(self._disposition)
         self._in_file = options.get(b"name") == b"file"
         if self._in_file:
-            self._seen_file = True
+            self._has_file = True
             name = options.get(b"filename", b"upload.jsonl")
             self.filename = name.decode("utf-8", "replace")[:200]
 
@@ -253,25 +253,25 @@
         yield chunk
 
 
-def _job_of(file_id: str) -> str:
+def _job_id_of(file_id: str) -> str:
     return file_id.removeprefix(OUTPUT_PREFIX).removeprefix(ERRORS_PREFIX)
 
 
-def _list_object(views: list[JobView], most: int) -> dict[str, Any]:
-    shown = views[:most]
+def _list_object(views: list[JobView], limit: int) -> dict[str, Any]:
+    shown = views[:limit]
     return {
         "object": "list",
         "data": [batch_object(view) for view in shown],
         "first_id": shown[0].job_id if shown else None,
         "last_id": shown[-1].job_id if shown else None,
-        "has_more": len(views) > most,
+        "has_more": len(views) > limit,
     }
 
 
-def _integer(request: Request, name: str, default: int, least: int, most: int) -> int:
+def _integer_argument(request: Request, name: str, default: int, minimum: int, maximum: int) -> int:
     text = request.args.get(name)
     if text is None:
         return default
-    if not text.isdigit() or not least <= int(text) <= most:
-        raise bad_request(f"{name} must be a number from {least} to {most}")
+    if not text.isdigit() or not minimum <= int(text) <= maximum:
+        raise bad_request(f"{name} must be a number from {minimum} to {maximum}")
     return int(text)
--- a/src/wharfcart/gateway/ingress.py
+++ b/src/wharfcart/gateway/ingress.py
@@ -13,7 +13,7 @@
 from wharfcart.clock import monotonic
 from wharfcart.configuration.api_keys import short_digest_of
 from wharfcart.configuration.serving import Route, RouteKind, ServedTenant, ServingConfiguration
-from wharfcart.gateway.answers import plain_answer
+from wharfcart.gateway.answers import plain_response
 from wharfcart.gateway.callers import CallerRefusedError, caller_tenant
 from wharfcart.gateway.traffic_shares import TrafficSplitter
 from wharfcart.observability.decisions import DecisionLog, Event
@@ -65,7 +65,7 @@
         self.answer: HTTPResponse | None = None
 
     async def send_whole(self, status: int, headers: list[tuple[str, str]], body: bytes) -> None:
-        self.answer = plain_answer(status, headers, body)
+        self.answer = plain_response(status, headers, body)
 
     async def start(self, status: int, headers: list[tuple[str, str]]) -> None:
         # Sanic adds its own content type unless one is given.
@@ -206,7 +206,7 @@
         return app
 
     async def _readiness(self, _request: Request) -> HTTPResponse:
-        return plain_answer(200 if self.ready else 503)
+        return plain_response(200 if self.ready else 503)
 
     async def _job_calls(self, request: Request, job_id: str = "") -> HTTPResponse | None:
         return await self._counted(request, self._handle_job_call(request))
@@ -327,7 +327,7 @@
             key=short_digest_of(exchanges.api_key(request.headers.items())),
         )
         headers = [(names.RETRY_AFTER, f"{RETRY_AFTER_UNCONFIGURED_S:g}")] if status == 503 else []
-        return plain_answer(status, headers)
+        return plain_response(status, headers)
 
 
 def _host_of(request: Request) -> str:
--- a/src/wharfcart/gateway/interface.py
+++ b/src/wharfcart/gateway/interface.py
@@ -22,12 +22,12 @@
     requests: KeyedRequests
     jobs: BatchApiService
     metrics: Metrics
-    ready: Callable[[], bool]
-    most_file_bytes: int
+    is_ready: Callable[[], bool]
+    max_file_bytes: int
 
 
 @dataclass(frozen=True)
-class Route:
+class HttpRoute:
     """One handler and where it belongs.
 
     ``streams_in``: the handler reads the body itself, as it arrives.
@@ -36,4 +36,4 @@
     handler: Callable[..., Awaitable[HTTPResponse | None]]
     path: str
     method: str
-    streams_in: bool = False
+    streams_body: bool = False
--- a/src/wharfcart/gateway/job_calls.py
+++ b/src/wharfcart/gateway/job_calls.py
@@ -23,7 +23,7 @@
 )
 from wharfcart.configuration.residence import ANYWHERE, Residence, residence_to_message
 from wharfcart.configuration.serving import Route, ServingConfiguration
-from wharfcart.gateway.answers import plain_answer
+from wharfcart.gateway.answers import plain_response
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.observability.serving_metrics import ServingMetrics
 from wharfcart.platform import batch_calls, names
@@ -107,7 +107,7 @@
             return self._refused(job_id, "submit", 429, "too many tokens wait")
         if answer.job_answer.status == TAKEN:
             return self._refused(job_id, "submit", 409, "the id is in use")
-        return plain_answer(202 if answer.job_answer.status == DONE else 503)
+        return plain_response(202 if answer.job_answer.status == DONE else 503)
 
     async def handle(self, request: Request, tenant: str) -> HTTPResponse:
         """Answer a tenant's call on a job; another tenant's job does not exist for it."""
@@ -121,7 +121,7 @@
         elif request.method == "GET":
             job_id = path.removeprefix(names.ITEM_BODY_PATH)
             return await self._read_body(request, job_id, tenant)
-        return plain_answer(405)
+        return plain_response(405)
 
     async def _read(self, request: Request, job_id: str, tenant: str) -> HTTPResponse:
         first = _whole_number(request.args.get("after"))
@@ -140,7 +140,7 @@
         page = answer.result_page
         if page.status == NOT_FOUND:
             return self._refused(job_id, "read", 404, "no such job")
-        return plain_answer(
+        return plain_response(
             200, [JSON_CONTENT_TYPE], batch_calls.result_page(page.total, first, page.results)
         )
 
@@ -160,7 +160,7 @@
             return self._refused(job_id, "read_body", 503, answer.cause)
         if answer.item_body.status == NOT_FOUND:
             return self._refused(job_id, "read_body", 404, "no such job or item")
-        return plain_answer(
+        return plain_response(
             200, [("content-type", "application/octet-stream")], answer.item_body.body
         )
 
@@ -178,7 +178,7 @@
             return self._refused(job_id, "end", status, answer.cause)
         if answer.job_answer.status == NOT_FOUND:
             return self._refused(job_id, "end", 404, "no such job")
-        return plain_answer(200)
+        return plain_response(200)
 
     def _moved(self, route: Route, tenant: str, residence: Residence) -> bool:
         """Whether earlier submissions of a job may have gone to another group."""
@@ -205,7 +205,7 @@
         )
         retry_after_s = RETRY_AFTER_BY_STATUS_S.get(status)
         retry = [] if retry_after_s is None else [(names.RETRY_AFTER, f"{retry_after_s:g}")]
-        return plain_answer(status, retry)
+        return plain_response(status, retry)
 
 
 def _host_of(request: Request) -> str:
--- a/src/wharfcart/gateway/online.py
+++ b/src/wharfcart/gateway/online.py
@@ -23,7 +23,7 @@
 from wharfcart.configuration.services import Service
 from wharfcart.errors import Outcome, ServingError
 from wharfcart.gateway.idempotency import KeyedRequest, request_digest
-from wharfcart.gateway.interface import GatewayContext, Route
+from wharfcart.gateway.interface import GatewayContext, HttpRoute
 from wharfcart.gateway.responses import (
     OUTCOME_HEADER,
     REQUEST_ID_HEADER,
@@ -48,17 +48,17 @@
     def __init__(self, context: GatewayContext) -> None:
         self._context = context
 
-    def routes(self) -> list[Route]:
+    def routes(self) -> list[HttpRoute]:
         """Return the handlers and where they belong."""
         return [
-            Route(self.chat, CHAT_PATH, "POST"),
-            Route(self.completion, COMPLETIONS_PATH, "POST"),
-            Route(self.models, "/v1/models", "GET"),
+            HttpRoute(self.chat, CHAT_PATH, "POST"),
+            HttpRoute(self.completion, COMPLETIONS_PATH, "POST"),
+            HttpRoute(self.models, "/v1/models", "GET"),
             *(
-                Route(self.application, "/v1/services/<service>/<path:path>", method)
+                HttpRoute(self.application, "/v1/services/<service>/<path:path>", method)
                 for method in APPLICATION_METHODS
             ),
-            Route(self.look_up, "/v1/requests/<key>", "GET"),
+            HttpRoute(self.look_up, "/v1/requests/<key>", "GET"),
         ]
 
     async def models(self, request: Request) -> HTTPResponse:
