--- a/src/wharfcart/gateway/ingress.py
+++ b/src/wharfcart/gateway/ingress.py
@@ -50,40 +50,40 @@
         self._had_request = False
         super().connection_made(transport)  # type: ignore[no-untyped-call]
 
-    def take_first(self) -> bool:
+    def claim_first_request(self) -> bool:
         """Whether this is asked for the first time."""
         first, self._had_request = not self._had_request, True
         return first
 
 
-class _SanicSink:
+class _SanicAnswerSink:
     """Answers on the connection that a request came on."""
 
     def __init__(self, request: Request) -> None:
         self._request = request
-        self._response: Any = None
-        self.answer: HTTPResponse | None = None
+        self._stream: Any = None
+        self.response: HTTPResponse | None = None
 
     async def send_whole(self, status: int, headers: list[tuple[str, str]], body: bytes) -> None:
-        self.answer = plain_response(status, headers, body)
+        self.response = plain_response(status, headers, body)
 
     async def start(self, status: int, headers: list[tuple[str, str]]) -> None:
         # Sanic adds its own content type unless one is given.
-        self._response = await self._request.respond(
+        self._stream = await self._request.respond(
             response=HTTPResponse(status=status, headers=Header(headers), content_type=None)
         )
 
     async def send_part(self, data: bytes) -> None:
-        await self._response.send(data)
+        await self._stream.send(data)
 
     async def finish(self) -> HTTPResponse | None:
         """Return the whole answer, or end the one begun."""
-        if self._response is not None:
-            await self._response.eof()
+        if self._stream is not None:
+            await self._stream.eof()
             return None
-        return self.answer
+        return self.response
 
-    def cut(self) -> None:
+    def abort_connection(self) -> None:
         """Break the connection off, so that a begun answer does not look whole."""
         transport: Any = self._request.transport
         if transport is not None:
@@ -105,14 +105,14 @@
     def __init__(
         self,
         configuration: Callable[[], ServingConfiguration | None],
-        age_s: Callable[[], float],
+        configuration_age_s: Callable[[], float],
         forwarder: Forwarder,
         submit: BatchHandler,
         job_call: JobCallHandler,
         log: DecisionLog,
     ) -> None:
         self._configuration = configuration
-        self._age_s = age_s
+        self._configuration_age_s = configuration_age_s
         self._forwarder = forwarder
         self._submit = submit
         self._job_call = job_call
@@ -132,7 +132,10 @@
         return self._in_progress
 
     async def start(
-        self, front: Endpoint, readiness: Endpoint, listening_since: float | None = None
+        self,
+        callers_endpoint: Endpoint,
+        readiness_endpoint: Endpoint,
+        listening_since: float | None = None,
     ) -> None:
         """Serve on both; a socket listens already, at an address listening begins now.
 
@@ -141,7 +144,7 @@
             readiness: where readiness is asked for.
             listening_since: monotonic time since which a socket has listened.
         """
-        for endpoint in (front, readiness):
+        for endpoint in (callers_endpoint, readiness_endpoint):
             server: Any = await self._create_server(endpoint)
             if server is None:
                 raise OSError(f"can't listen on {endpoint}")
@@ -196,38 +199,38 @@
         )
         app.add_route(self._readiness, names.READINESS_PATH, methods=["GET"])
         app.add_route(
-            self._job_calls, f"{names.JOB_PATH}<job_id:path>", methods=METHODS, name="job"
+            self._on_job_call, f"{names.JOB_PATH}<job_id:path>", methods=METHODS, name="job"
         )
         app.add_route(
-            self._job_calls, f"{names.ITEM_BODY_PATH}<job_id:path>", methods=METHODS, name="item"
+            self._on_job_call, f"{names.ITEM_BODY_PATH}<job_id:path>", methods=METHODS, name="item"
         )
-        app.add_route(self._request, "/", methods=METHODS, name="root")
-        app.add_route(self._request, "/<path:path>", methods=METHODS, name="any")
+        app.add_route(self._on_request, "/", methods=METHODS, name="root")
+        app.add_route(self._on_request, "/<path:path>", methods=METHODS, name="any")
         return app
 
     async def _readiness(self, _request: Request) -> HTTPResponse:
         return plain_response(200 if self.ready else 503)
 
-    async def _job_calls(self, request: Request, job_id: str = "") -> HTTPResponse | None:
-        return await self._counted(request, self._handle_job_call(request))
+    async def _on_job_call(self, request: Request, job_id: str = "") -> HTTPResponse | None:
+        return await self._track_in_progress(request, self._handle_job_call(request))
 
-    async def _request(self, request: Request, path: str = "") -> HTTPResponse | None:
-        return await self._counted(request, self._handle(request))
+    async def _on_request(self, request: Request, path: str = "") -> HTTPResponse | None:
+        return await self._track_in_progress(request, self._handle(request))
 
-    async def _counted(
-        self, request: Request, work: Awaitable[HTTPResponse | None]
+    async def _track_in_progress(
+        self, request: Request, response: Awaitable[HTTPResponse | None]
     ) -> HTTPResponse | None:
         self._in_progress += 1
         try:
-            return await work
+            return await response
         finally:
             self._in_progress -= 1
             if self.draining:
-                _end_with_answer(request)
+                _close_after_response(request)
 
     async def _handle(self, request: Request) -> HTTPResponse | None:
         if self.draining:
-            _end_with_answer(request)
+            _close_after_response(request)
         configuration = self._configuration()
         if configuration is None:
             return self._refuse(request, 503, "no_configuration")
@@ -236,12 +239,12 @@
         if route is None:
             return self._refuse(request, 404, f"no_route_in_version_{configuration.version}")
         try:
-            tenant = self._tenant_of(request, configuration, route.public)
+            tenant = self._authenticate(request, configuration, route.public)
         except CallerRefusedError as error:
             return self._refuse(request, error.status, error.cause)
         if route.kind is RouteKind.BATCH:
-            return await self._submit(request, route, _name_of(tenant))
-        return await self._pass_on(request, target, route, tenant, configuration)
+            return await self._submit(request, route, _tenant_name(tenant))
+        return await self._forward(request, target, route, tenant, configuration)
 
     async def _handle_job_call(self, request: Request) -> HTTPResponse:
         configuration = self._configuration()
@@ -249,12 +252,12 @@
             return self._refuse(request, 503, "no_configuration")
         public = configuration.has_public_jobs(_host_of(request))
         try:
-            tenant = self._tenant_of(request, configuration, public)
+            tenant = self._authenticate(request, configuration, public)
         except CallerRefusedError as error:
             return self._refuse(request, error.status, error.cause)
-        return await self._job_call(request, _name_of(tenant))
+        return await self._job_call(request, _tenant_name(tenant))
 
-    def _tenant_of(
+    def _authenticate(
         self, request: Request, configuration: ServingConfiguration, public: bool
     ) -> ServedTenant | None:
         """Return the tenant that calls.
@@ -265,9 +268,9 @@
         if configuration.tenants is None:
             return None
         key = exchanges.api_key(request.headers.items())
-        return authenticate(configuration, key, public, self._age_s())
+        return authenticate(configuration, key, public, self._configuration_age_s())
 
-    async def _pass_on(
+    async def _forward(
         self,
         request: Request,
         target: str,
@@ -290,14 +293,14 @@
             received_at=self._received_at(request),
             tenant=tenant,
         )
-        sink = _SanicSink(request)
+        sink = _SanicAnswerSink(request)
         try:
             await self._forwarder.forward(caller_request, sink)
         except AnswerTruncatedError:
-            sink.cut()
+            sink.abort_connection()
             return None
         if self.draining:
-            _end_with_answer(request)
+            _close_after_response(request)
         return await sink.finish()
 
     def _received_at(self, request: Request) -> float:
@@ -311,7 +314,7 @@
         if self._listening_since is None or not isinstance(connection, _Connection):
             return monotonic()
         waited = (
-            connection.take_first()
+            connection.claim_first_request()
             and connection.accepted_at < self._serving_since + BACKLOG_ACCEPT_S
         )
         return self._listening_since if waited else monotonic()
@@ -334,11 +337,11 @@
     return (request.headers.get("host") or "").partition(":")[0]
 
 
-def _name_of(tenant: ServedTenant | None) -> str:
+def _tenant_name(tenant: ServedTenant | None) -> str:
     return "" if tenant is None else tenant.name
 
 
-def _end_with_answer(request: Request) -> None:
+def _close_after_response(request: Request) -> None:
     """Have the caller read in the answer that the connection ends with it."""
     stream: Any = request.stream
     if stream is not None:
--- a/src/wharfcart/gateway/job_calls.py
+++ b/src/wharfcart/gateway/job_calls.py
@@ -27,7 +27,7 @@
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.observability.serving_metrics import ServingMetrics
 from wharfcart.platform import batch_calls, names
-from wharfcart.storage.job_client import OUTSIDE_RESIDENCE as OUTSIDE_CAUSE
+from wharfcart.storage.job_client import OUTSIDE_RESIDENCE as OUTSIDE_RESIDENCE_CAUSE
 from wharfcart.storage.job_client import JobCallFailure, JobClient
 from wharfcart.storage.job_move_tracker import JobMoveTracker
 
@@ -44,7 +44,7 @@
 JSON_CONTENT_TYPE = ("content-type", "application/json")
 
 
-class JobCalls:
+class JobCallHandlers:
     """Translates callers' batch calls into calls on job groups.
 
     Args:
@@ -65,7 +65,7 @@
         self._log = log
         self._configuration = configuration
         self._metrics = metrics
-        self._moves = JobMoveTracker()
+        self._move_tracker = JobMoveTracker()
 
     async def submit(self, request: Request, route: Route, tenant: str) -> HTTPResponse:
         """Take a tenant's batch job into keeping."""
@@ -73,9 +73,9 @@
         try:
             items = batch_calls.items_from(request.body)
         except batch_calls.BadSubmissionError as error:
-            return self._refused(job_id, "submit", 400, f"malformed: {error}")
+            return self._refuse(job_id, "submit", 400, f"malformed: {error}")
         if not job_id:
-            return self._refused(job_id, "submit", 400, "no id")
+            return self._refuse(job_id, "submit", 400, "no id")
         configuration = self._configuration()
         residence = route.residence
         if configuration is not None:
@@ -92,21 +92,23 @@
             tenant=tenant,
             residence=residence_to_message(residence),
         )
-        frame = Frame(submit_job=SubmitJob(job=job, moved=self._moved(route, tenant, residence)))
+        frame = Frame(
+            submit_job=SubmitJob(job=job, moved=self._may_have_moved(route, tenant, residence))
+        )
         answer = await self._client.call(
             job_id, frame, "job_answer", SUBMIT_TIMEOUT_S, SUBMIT_ATTEMPT_TIMEOUT_S, residence
         )
         if isinstance(answer, JobCallFailure):
             status = 504 if answer.may_have_executed else 503
-            return self._refused(job_id, "submit", status, answer.cause, residence)
+            return self._refuse(job_id, "submit", status, answer.cause, residence)
         if answer.job_answer.status == OUTSIDE_RESIDENCE:
-            return self._refused(job_id, "submit", 503, GROUP_OUTSIDE_CAUSE, residence)
+            return self._refuse(job_id, "submit", 503, GROUP_OUTSIDE_CAUSE, residence)
         if answer.job_answer.status == MAYBE_ELSEWHERE:
-            return self._refused(job_id, "submit", 503, "another group may have it", residence)
+            return self._refuse(job_id, "submit", 503, "another group may have it", residence)
         if answer.job_answer.status == REFUSED:
-            return self._refused(job_id, "submit", 429, "too many tokens wait")
+            return self._refuse(job_id, "submit", 429, "too many tokens wait")
         if answer.job_answer.status == TAKEN:
-            return self._refused(job_id, "submit", 409, "the id is in use")
+            return self._refuse(job_id, "submit", 409, "the id is in use")
         return plain_response(202 if answer.job_answer.status == DONE else 503)
 
     async def handle(self, request: Request, tenant: str) -> HTTPResponse:
@@ -115,7 +117,7 @@
         if path.startswith(names.JOB_PATH):
             job_id = path.removeprefix(names.JOB_PATH)
             if request.method == "DELETE":
-                return await self._end(request, job_id, tenant)
+                return await self._delete(request, job_id, tenant)
             if request.method == "GET":
                 return await self._read(request, job_id, tenant)
         elif request.method == "GET":
@@ -124,8 +126,8 @@
         return plain_response(405)
 
     async def _read(self, request: Request, job_id: str, tenant: str) -> HTTPResponse:
-        first = _whole_number(request.args.get("after"))
-        wait_s = min(MAX_LONG_POLL_S, _whole_number(request.headers.get(names.WAIT_MS)) / 1000)
+        first = _parse_count(request.args.get("after"))
+        wait_s = min(MAX_LONG_POLL_S, _parse_count(request.headers.get(names.WAIT_MS)) / 1000)
         message = ReadResults(job_id=job_id, after=first, wait_ms=int(wait_s * 1000), tenant=tenant)
         answer = await self._client.find(
             job_id,
@@ -136,10 +138,10 @@
             self._residences(request, tenant),
         )
         if isinstance(answer, JobCallFailure):
-            return self._refused(job_id, "read", 503, answer.cause)
+            return self._refuse(job_id, "read", 503, answer.cause)
         page = answer.result_page
         if page.status == NOT_FOUND:
-            return self._refused(job_id, "read", 404, "no such job")
+            return self._refuse(job_id, "read", 404, "no such job")
         return plain_response(
             200, [JSON_CONTENT_TYPE], batch_calls.result_page(page.total, first, page.results)
         )
@@ -157,14 +159,14 @@
             self._residences(request, tenant),
         )
         if isinstance(answer, JobCallFailure):
-            return self._refused(job_id, "read_body", 503, answer.cause)
+            return self._refuse(job_id, "read_body", 503, answer.cause)
         if answer.item_body.status == NOT_FOUND:
-            return self._refused(job_id, "read_body", 404, "no such job or item")
+            return self._refuse(job_id, "read_body", 404, "no such job or item")
         return plain_response(
             200, [("content-type", "application/octet-stream")], answer.item_body.body
         )
 
-    async def _end(self, request: Request, job_id: str, tenant: str) -> HTTPResponse:
+    async def _delete(self, request: Request, job_id: str, tenant: str) -> HTTPResponse:
         answer = await self._client.find(
             job_id,
             Frame(end_job=EndJob(job_id=job_id, tenant=tenant)),
@@ -175,15 +177,15 @@
         )
         if isinstance(answer, JobCallFailure):
             status = 504 if answer.may_have_executed else 503
-            return self._refused(job_id, "end", status, answer.cause)
+            return self._refuse(job_id, "end", status, answer.cause)
         if answer.job_answer.status == NOT_FOUND:
-            return self._refused(job_id, "end", 404, "no such job")
+            return self._refuse(job_id, "end", 404, "no such job")
         return plain_response(200)
 
-    def _moved(self, route: Route, tenant: str, residence: Residence) -> bool:
+    def _may_have_moved(self, route: Route, tenant: str, residence: Residence) -> bool:
         """Whether earlier submissions of a job may have gone to another group."""
         groups = self._client.eligible_groups(residence)
-        return self._moves.has_moved_recently((route.name, tenant), groups, monotonic())
+        return self._move_tracker.has_moved_recently((route.name, tenant), groups, monotonic())
 
     def _residences(self, request: Request, tenant: str) -> frozenset[Residence]:
         """Return where the data of a tenant's jobs of the host that is called may be."""
@@ -192,13 +194,13 @@
             return frozenset()
         return configuration.job_residences(_host_of(request), tenant)
 
-    def _refused(
+    def _refuse(
         self, job_id: str, call: str, status: int, cause: str, residence: Residence = ANYWHERE
     ) -> HTTPResponse:
         regions: dict[str, object] = {}
         if residence.regions is not None:
             regions["regions"] = sorted(residence.regions)
-        if cause in (OUTSIDE_CAUSE, GROUP_OUTSIDE_CAUSE):
+        if cause in (OUTSIDE_RESIDENCE_CAUSE, GROUP_OUTSIDE_CAUSE):
             self._metrics.outside_residence.add("job")
         self._log.write(
             Event.REQUEST_REFUSED, request=job_id, call=call, status=status, cause=cause, **regions
@@ -212,5 +214,5 @@
     return (request.headers.get("host") or "").partition(":")[0]
 
 
-def _whole_number(text: str | None) -> int:
+def _parse_count(text: str | None) -> int:
     return int(text) if text is not None and text.isdigit() else 0
--- a/src/wharfcart/gateway/traffic_shares.py
+++ b/src/wharfcart/gateway/traffic_shares.py
@@ -13,15 +13,15 @@
     """Gives each part of a split its share, within one or two requests over any stretch."""
 
     def __init__(self) -> None:
-        self._positions: dict[str, float] = {}
+        self._position_by_route: dict[str, float] = {}
 
     def service_for(self, route: Route) -> str:
         """Return the service that the next request of a route goes to."""
         if len(route.shares) == 1:
             return route.shares[0].service
-        position = self._positions.get(route.name)
+        position = self._position_by_route.get(route.name)
         position = random() if position is None else (position + GOLDEN_RATIO_CONJUGATE) % 1.0
-        self._positions[route.name] = position
+        self._position_by_route[route.name] = position
         left = position * sum(share.weight for share in route.shares)
         for share in route.shares:
             left -= share.weight
--- a/src/wharfcart/node/gateway_process.py
+++ b/src/wharfcart/node/gateway_process.py
@@ -8,7 +8,7 @@
 from wharfcart.cluster.messages_pb2 import Frame, PermitAnswer
 from wharfcart.cluster.transport import Responder
 from wharfcart.gateway.ingress import Endpoint, Ingress
-from wharfcart.gateway.job_calls import JobCalls
+from wharfcart.gateway.job_calls import JobCallHandlers
 from wharfcart.node.early_listening import EarlySockets
 from wharfcart.node.serving_node import ServingNode
 from wharfcart.observability.decisions import DecisionLog, Event
@@ -87,7 +87,7 @@
             self._node.crash_detector,
         )
         self._node.suspension_watch.on_resumed = forwarder.deadlines.reschedule_all
-        jobs = JobCalls(
+        jobs = JobCallHandlers(
             JobClient(
                 self._node.transport,
                 lambda: self._node.group_count,
--- a/tests/gateway/test_job_calls_residence.py
+++ b/tests/gateway/test_job_calls_residence.py
@@ -29,7 +29,7 @@
     TenantIndex,
     TrafficShare,
 )
-from wharfcart.gateway.job_calls import JobCalls
+from wharfcart.gateway.job_calls import JobCallHandlers
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.observability.serving_metrics import ServingMetrics
 from wharfcart.platform import names
@@ -79,7 +79,7 @@
         self.metrics = ServingMetrics()
         tenants = TenantIndex([ServedTenant("t", residence=WEST)])
         configuration = ServingConfiguration(1, (ROUTE, OTHER, ONLINE), {}, tenants=tenants)
-        self.calls = JobCalls(self.client, self.log, lambda: configuration, self.metrics)
+        self.calls = JobCallHandlers(self.client, self.log, lambda: configuration, self.metrics)
 
     def submit(self) -> SimpleNamespace:
         body = json.dumps({"requests": []}).encode()
