--- a/src/wharfcart/admin/acceptance.py
+++ b/src/wharfcart/admin/acceptance.py
@@ -20,14 +20,14 @@
 from wharfcart.errors import Outcome, ServingError
 from wharfcart.platform.key_value import KeyValueStore, KeyValueUnavailableError
 
-ROOT = "wharfcart/configuration/"
-HEAD_KEY = ROOT + "head"
-PAGE_PREFIX = ROOT + "page/"
+KEY_ROOT = "wharfcart/configuration/"
+HEAD_KEY = KEY_ROOT + "head"
+PAGE_PREFIX = KEY_ROOT + "page/"
 PAGE_COUNT = 64
-MOST_CHANGE_BYTES = 1_000_000  # etcd refuses requests above 1.5 MB
-HISTORY_PREFIX = ROOT + "history/"
-SETTLE_TRIES = 4
-SETTLE_DELAY_S = 0.3
+MAX_CHANGE_BYTES = 1_000_000  # etcd refuses requests above 1.5 MB
+HISTORY_PREFIX = KEY_ROOT + "history/"
+MAX_RESOLVE_ATTEMPTS = 4
+RESOLVE_RETRY_DELAY_S = 0.3
 
 
 @dataclass(frozen=True)
@@ -119,30 +119,32 @@
                 return known
             head = await self.read_head()
             if head.revision != proposal.expected_revision:
-                raise await self._conflict(proposal)
+                raise await self._conflict_error(proposal)
         except KeyValueUnavailableError as error:
-            raise _unavailable(error, Outcome.NOT_RUN) from error
-        record = _record(proposal)
-        puts = _puts(proposal, record)
-        if sum(len(value) for value in puts.values()) > MOST_CHANGE_BYTES:
+            raise _unavailable_error(error, Outcome.NOT_RUN) from error
+        record = _change_record(proposal)
+        puts = _transaction_puts(proposal, record)
+        if sum(len(value) for value in puts.values()) > MAX_CHANGE_BYTES:
             raise ServingError("change_too_large", "split the change into several", 413)
         try:
             taken = await self._key_value.compare_and_put(HEAD_KEY, head.mod_revision, puts)
         except KeyValueUnavailableError as error:
             if not error.may_have_taken_effect:
-                raise _unavailable(error, Outcome.NOT_RUN) from error
-            return await self._settle(proposal, error)
+                raise _unavailable_error(error, Outcome.NOT_RUN) from error
+            return await self._resolve_outcome(proposal, error)
         if taken:
             return record
         try:
-            raise await self._conflict(proposal)
+            raise await self._conflict_error(proposal)
         except KeyValueUnavailableError as error:
-            raise _unavailable(error, Outcome.NOT_RUN) from error
+            raise _unavailable_error(error, Outcome.NOT_RUN) from error
 
-    async def _settle(self, proposal: Proposal, cause: KeyValueUnavailableError) -> ChangeRecord:
+    async def _resolve_outcome(
+        self, proposal: Proposal, cause: KeyValueUnavailableError
+    ) -> ChangeRecord:
         """Find out whether a change whose answer was lost took effect."""
-        for attempt in range(1, SETTLE_TRIES + 1):
-            await asyncio.sleep(SETTLE_DELAY_S * attempt)
+        for attempt in range(1, MAX_RESOLVE_ATTEMPTS + 1):
+            await asyncio.sleep(RESOLVE_RETRY_DELAY_S * attempt)
             try:
                 record = await self._find_operation(proposal)
                 head = await self.read_head()
@@ -150,10 +152,10 @@
                     return record
                 if head.revision != proposal.expected_revision:
                     # Another change took the revision: ours can no longer take effect.
-                    raise await self._conflict(proposal)
+                    raise await self._conflict_error(proposal)
             except KeyValueUnavailableError:
                 continue
-        raise _unavailable(cause, Outcome.UNKNOWN) from cause
+        raise _unavailable_error(cause, Outcome.UNKNOWN) from cause
 
     async def _find_operation(self, proposal: Proposal) -> ChangeRecord | None:
         for record in await self.read_history(proposal.expected_revision):
@@ -161,13 +163,13 @@
                 return record
         return None
 
-    async def _conflict(self, proposal: Proposal) -> RevisionConflictError:
+    async def _conflict_error(self, proposal: Proposal) -> RevisionConflictError:
         head = await self.read_head()
         records = await self.read_history(proposal.expected_revision)
         return RevisionConflictError(head.revision, records)
 
 
-def _record(proposal: Proposal) -> ChangeRecord:
+def _change_record(proposal: Proposal) -> ChangeRecord:
     return ChangeRecord(
         revision=proposal.expected_revision + 1,
         operation_id=proposal.operation_id,
@@ -178,7 +180,7 @@
     )
 
 
-def _puts(proposal: Proposal, record: ChangeRecord) -> dict[str, bytes]:
+def _transaction_puts(proposal: Proposal, record: ChangeRecord) -> dict[str, bytes]:
     puts = {
         HEAD_KEY: json.dumps(
             {"revision": record.revision, "operation_id": record.operation_id}
@@ -216,7 +218,7 @@
     return [
         Entry(
             key=key,
-            value=b"" if stored["value"] is None else _compact(stored["value"]),
+            value=b"" if stored["value"] is None else _compact_json(stored["value"]),
             deleted=stored["value"] is None,
             revision=stored["revision"],
         )
@@ -224,7 +226,7 @@
     ]
 
 
-def _compact(value: object) -> bytes:
+def _compact_json(value: object) -> bytes:
     return json.dumps(value, separators=(",", ":")).encode()
 
 
@@ -241,7 +243,7 @@
     return f"{HISTORY_PREFIX}{revision:012d}"
 
 
-def _unavailable(error: KeyValueUnavailableError, outcome: Outcome) -> ServingError:
+def _unavailable_error(error: KeyValueUnavailableError, outcome: Outcome) -> ServingError:
     return ServingError(
         "key_value_unavailable",
         f"the key-value service does not answer: {error}",
--- a/src/wharfcart/admin/handlers.py
+++ b/src/wharfcart/admin/handlers.py
@@ -37,9 +37,9 @@
 from wharfcart.gateway.responses import bad_request, error_body, validation_error
 from wharfcart.platform.key_value import KeyValueUnavailableError
 
-IN_FORCE_POLL_S = 0.05
+IN_FORCE_POLL_INTERVAL_S = 0.05
 IN_FORCE_TIMEOUT_S = 10.0
-MOST_HISTORY = 100
+MAX_HISTORY_RECORDS = 100
 
 _Body = TypeVar("_Body", bound=BaseModel)
 _Value = TypeVar("_Value")
@@ -106,8 +106,8 @@
     async def history(self, request: Request) -> HTTPResponse:
         """Return accepted changes, newest first."""
         since = int(request.args.get("since", "0"))
-        records = await _or_unavailable(self._store.read_history(since))
-        newest = sorted(records, key=lambda record: -record.revision)[:MOST_HISTORY]
+        records = await _await_store(self._store.read_history(since))
+        newest = sorted(records, key=lambda record: -record.revision)[:MAX_HISTORY_RECORDS]
         return json({"records": [record.model_dump(mode="json") for record in newest]})
 
     async def status(self, request: Request) -> HTTPResponse:
@@ -144,16 +144,16 @@
         wanted = _parse(ChangeRequest, request)
         await self._catch_up()
         plan = self._plan(wanted)
-        return await self._accept(request, plan, wanted)
+        return await self._propose(request, plan, wanted)
 
     async def rollback(self, request: Request) -> HTTPResponse:
         """Undo what came after a revision."""
         wanted = _parse(RollbackRequest, request)
         await self._catch_up()
-        records = await _or_unavailable(self._store.read_history(wanted.to_revision))
+        records = await _await_store(self._store.read_history(wanted.to_revision))
         plan = plan_rollback(self._context.configuration.live_values(), records)
-        self._check(plan, "rollback")
-        return await self._accept(request, plan, wanted)
+        self._raise_findings(plan, "rollback")
+        return await self._propose(request, plan, wanted)
 
     def _plan(self, wanted: ChangeRequest) -> ChangePlan:
         # A partial document may refer to what is in force already: references are checked below.
@@ -163,30 +163,30 @@
         entries = document_entries(parsed.unwrap())
         current = self._context.configuration.live_values()
         plan = plan_changes(current, entries, wanted.replace)
-        self._check(plan, wanted.file)
+        self._raise_findings(plan, wanted.file)
         return plan
 
-    def _check(self, plan: ChangePlan, file: str) -> None:
+    def _raise_findings(self, plan: ChangePlan, file: str) -> None:
         findings = check_result(self._context.configuration.live_values(), plan, file)
         if findings:
             raise FindingsError(findings)
 
     async def _catch_up(self) -> None:
         """Learn what was accepted elsewhere, so that the change is planned on the newest state."""
-        head = await _or_unavailable(self._store.read_head())
+        head = await _await_store(self._store.read_head())
         known = self._context.configuration.revision
         if head.revision > known:
-            entries = await _or_unavailable(self._store.read_entries(known))
-            self._context.take_entries(entries, head.revision)
+            entries = await _await_store(self._store.read_entries(known))
+            self._context.apply_entries(entries, head.revision)
 
-    async def _accept(
+    async def _propose(
         self, request: Request, plan: ChangePlan, wanted: ChangeRequest | RollbackRequest
     ) -> HTTPResponse:
         configuration = self._context.configuration
-        expected = _if_match(request)
+        expected = _if_match_revision(request)
         if expected is not None and expected < configuration.revision:
-            records = await _or_unavailable(self._store.read_history(expected))
-            return _conflict(RevisionConflictError(configuration.revision, records))
+            records = await _await_store(self._store.read_history(expected))
+            return _conflict_response(RevisionConflictError(configuration.revision, records))
         if not plan.changes:
             return json({"revision": configuration.revision, "changes": [], "in_force": True})
         proposal = Proposal(
@@ -200,8 +200,8 @@
         try:
             record = await self._store.propose(proposal)
         except RevisionConflictError as error:
-            return _conflict(error)
-        self._context.take_entries(record_entries(record), record.revision)
+            return _conflict_response(error)
+        self._context.apply_entries(record_entries(record), record.revision)
         lagging = await self._wait_in_force(record.revision) if wanted.wait else None
         return json(
             {
@@ -226,7 +226,7 @@
             ]
             if not lagging or monotonic() >= deadline:
                 return lagging
-            await asyncio.sleep(IN_FORCE_POLL_S)
+            await asyncio.sleep(IN_FORCE_POLL_INTERVAL_S)
 
 
 def _parse(model: type[_Body], request: Request) -> _Body:
@@ -236,7 +236,7 @@
         raise validation_error(error) from None
 
 
-def _if_match(request: Request) -> int | None:
+def _if_match_revision(request: Request) -> int | None:
     text = request.headers.get("If-Match")
     if text is None:
         return None
@@ -246,7 +246,7 @@
     return int(digits)
 
 
-def _conflict(conflict: RevisionConflictError) -> HTTPResponse:
+def _conflict_response(conflict: RevisionConflictError) -> HTTPResponse:
     error = ServingError("revision_conflict", str(conflict), 412)
     body = error_body(error)
     body["revision"] = conflict.revision
@@ -280,7 +280,7 @@
     return answer
 
 
-async def _or_unavailable(call: Awaitable[_Value]) -> _Value:
+async def _await_store(call: Awaitable[_Value]) -> _Value:
     try:
         return await call
     except KeyValueUnavailableError as error:
--- a/src/wharfcart/admin/interface.py
+++ b/src/wharfcart/admin/interface.py
@@ -22,7 +22,7 @@
     """Parts of a node that the operators' handlers use."""
 
     configuration: RevisionedMap
-    take_entries: Callable[[Iterable[Entry], int], None]
+    apply_entries: Callable[[Iterable[Entry], int], None]
     node_statuses: Callable[[], Awaitable[list[NodeStatus]]]
     recover_shard: Callable[[int], None]
     shard_replicas: Callable[[], dict[int, list[str]]]
--- a/src/wharfcart/node/node.py
+++ b/src/wharfcart/node/node.py
@@ -8,7 +8,7 @@
 
 import aiohttp
 
-from wharfcart.admin.acceptance import ROOT, ConfigurationStore
+from wharfcart.admin.acceptance import KEY_ROOT, ConfigurationStore
 from wharfcart.admin.handlers import AdminHandlers
 from wharfcart.admin.interface import AdminContext, NodeStatus
 from wharfcart.admission.limiter import Limiter
@@ -56,7 +56,7 @@
 from wharfcart.storage.journal_client import JournalClient
 from wharfcart.storage.journal_database import open_database
 
-PLACEMENT_KEY = ROOT + "placement"
+PLACEMENT_KEY = KEY_ROOT + "placement"
 PLACEMENT_CHECK_INTERVAL_S = 0.5
 STATUS_TIMEOUT_S = 2.0
 MAX_CONCURRENT_STATUS_CALLS = 32
