--- a/src/wharfcart/cli/batch.py
+++ b/src/wharfcart/cli/batch.py
@@ -10,14 +10,14 @@
 import typer
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn
 
-from wharfcart.cli.client import Server
+from wharfcart.cli.client import ApiClient
 from wharfcart.cli.options import KeyOption, OutputOption, ServerOption
-from wharfcart.cli.output import ExitCode, OutputFormat, fail, print_answer
+from wharfcart.cli.output import ExitCode, OutputFormat, fail, print_result
 
 app = typer.Typer(help="Batch jobs.", no_args_is_help=True)
 
-POLL_S = 0.5
-ENDED = ("completed", "cancelled", "failed", "expired")
+POLL_INTERVAL_S = 0.5
+FINAL_STATES = ("completed", "cancelled", "failed", "expired")
 JobArgument = Annotated[str, typer.Argument(help="Job id")]
 
 
@@ -34,7 +34,7 @@
     output: OutputOption = OutputFormat.TABLE,
 ) -> None:
     """Upload a file and create a job of it."""
-    client = Server(server, key)
+    client = ApiClient(server, key)
     uploaded = client.call(
         "POST", "/v1/files", data=file.read_bytes(), headers={"Content-Type": "application/jsonl"}
     )
@@ -55,7 +55,7 @@
     output: OutputOption = OutputFormat.TABLE,
 ) -> None:
     """Show a job."""
-    client = Server(server, key)
+    client = ApiClient(server, key)
     job = client.call("GET", f"/v1/batches/{job_id}")
     _print_job(_wait(client, job) if wait else job, output)
 
@@ -68,7 +68,7 @@
     output: OutputOption = OutputFormat.TABLE,
 ) -> None:
     """Cancel a job."""
-    _print_job(Server(server, key).call("POST", f"/v1/batches/{job_id}/cancel"), output)
+    _print_job(ApiClient(server, key).call("POST", f"/v1/batches/{job_id}/cancel"), output)
 
 
 @app.command()
@@ -85,7 +85,7 @@
         path += f"&limit={limit}"
 
     async def copy() -> None:
-        async for line in Server(server, key).lines(path):
+        async for line in ApiClient(server, key).lines(path):
             sys.stdout.buffer.write(line)
 
     try:
@@ -94,13 +94,13 @@
         fail(repr(error), ExitCode.UNREACHABLE)
 
 
-def _wait(client: Server, job: dict[str, Any]) -> dict[str, Any]:
+def _wait(client: ApiClient, job: dict[str, Any]) -> dict[str, Any]:
     columns = (TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn())
     with Progress(*columns, transient=True) as progress:
         counts = job["item_counts"]
         task = progress.add_task(job["id"], total=counts["total"])
-        while job["status"] not in ENDED:
-            time.sleep(POLL_S)
+        while job["status"] not in FINAL_STATES:
+            time.sleep(POLL_INTERVAL_S)
             job = client.call("GET", f"/v1/batches/{job['id']}")
             counts = job["item_counts"]
             ended = sum(counts[name] for name in ("completed", "failed", "unknown", "cancelled"))
@@ -111,4 +111,4 @@
 def _print_job(job: dict[str, Any], output: OutputFormat) -> None:
     counts = job["item_counts"]
     columns = ["job", "status", *counts]
-    print_answer(job, output, columns, [(job["id"], job["status"], *counts.values())])
+    print_result(job, output, columns, [(job["id"], job["status"], *counts.values())])
--- a/src/wharfcart/cli/client.py
+++ b/src/wharfcart/cli/client.py
@@ -11,12 +11,12 @@
 from wharfcart.errors import Finding
 
 CALL_TIMEOUT_S = 60.0
-STATUS_CONFLICT = 412
-FIRST_ERROR_STATUS = 400
+STATUS_PRECONDITION_FAILED = 412
+MIN_ERROR_STATUS = 400
 
 
 @dataclass(frozen=True)
-class Server:
+class ApiClient:
     """Where and as whom the commands call."""
 
     url: str
@@ -49,8 +49,8 @@
                 ) as response,
             ):
                 answer = await response.json(content_type=None)
-                if response.status >= FIRST_ERROR_STATUS:
-                    _fail_answer(response.status, answer)
+                if response.status >= MIN_ERROR_STATUS:
+                    _fail_response(response.status, answer)
                 return answer
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
             fail(f"{self.url}: {error!r}", ExitCode.UNREACHABLE)
@@ -61,8 +61,8 @@
             aiohttp.ClientSession() as session,
             session.get(self.url.rstrip("/") + path, headers=self._headers()) as response,
         ):
-            if response.status >= FIRST_ERROR_STATUS:
-                _fail_answer(response.status, await response.json(content_type=None))
+            if response.status >= MIN_ERROR_STATUS:
+                _fail_response(response.status, await response.json(content_type=None))
             async for line in response.content:
                 yield line
 
@@ -70,13 +70,13 @@
         return {"Authorization": f"Bearer {self.key}"}
 
 
-def _fail_answer(status: int, answer: Any) -> None:
+def _fail_response(status: int, answer: Any) -> None:
     error = answer.get("error", {}) if isinstance(answer, dict) else {}
     findings = error.get("findings")
     if findings:
         fail_findings(Finding(f["file"], f["place"], f["reason"]) for f in findings)
     message = f"{error.get('code', status)}: {error.get('message', answer)}"
-    if status == STATUS_CONFLICT:
+    if status == STATUS_PRECONDITION_FAILED:
         for record in answer.get("changed", []):
             keys = ", ".join(change["key"] for change in record["changes"])
             message += f"\n  revision {record['revision']} by {record['author']!r}: {keys}"
--- a/src/wharfcart/cli/config.py
+++ b/src/wharfcart/cli/config.py
@@ -6,16 +6,16 @@
 
 import typer
 
-from wharfcart.cli.client import Server
+from wharfcart.cli.client import ApiClient
 from wharfcart.cli.options import KeyOption, OutputOption, ServerOption
-from wharfcart.cli.output import ExitCode, OutputFormat, fail, or_fail, print_answer
+from wharfcart.cli.output import ExitCode, OutputFormat, fail, print_result, unwrap_or_fail
 from wharfcart.configuration.validation import load_document
 
 app = typer.Typer(help="Templates, deployments and tenants.", no_args_is_help=True)
 
 FileArgument = Annotated[Path, typer.Argument(help="YAML document", exists=True, dir_okay=False)]
 ReplaceOption = Annotated[bool, typer.Option(help="Delete what the document lacks.")]
-ROOT = "/admin/v1/configuration"
+API_ROOT = "/admin/v1/configuration"
 
 
 @app.command()
@@ -25,14 +25,14 @@
         text = file.read_text(encoding="utf-8")
     except UnicodeDecodeError:
         fail(f"{file}: not UTF-8", ExitCode.FINDINGS)
-    document = or_fail(load_document(text, str(file)))
+    document = unwrap_or_fail(load_document(text, str(file)))
     counts = {
         "tenants": len(document.tenants),
         "models": len(document.models),
         "templates": len(document.templates),
         "deployments": len(document.deployments),
     }
-    print_answer(counts, output)
+    print_result(counts, output)
 
 
 @app.command()
@@ -44,8 +44,8 @@
     output: OutputOption = OutputFormat.TABLE,
 ) -> None:
     """Show what applying a document would change."""
-    body = _body(file, replace)
-    answer = Server(server, key).call("POST", f"{ROOT}/plan", body)
+    body = _request_body(file, replace)
+    answer = ApiClient(server, key).call("POST", f"{API_ROOT}/plan", body)
     _print_changes(answer, output)
 
 
@@ -62,8 +62,8 @@
     output: OutputOption = OutputFormat.TABLE,
 ) -> None:
     """Apply a document."""
-    body = _body(file, replace) | {"author": author, "reason": reason, "wait": wait}
-    _change(Server(server, key), ROOT, body, revision, output)
+    body = _request_body(file, replace) | {"author": author, "reason": reason, "wait": wait}
+    _submit_change(ApiClient(server, key), API_ROOT, body, revision, output)
 
 
 @app.command()
@@ -78,15 +78,15 @@
 ) -> None:
     """Undo changes as one new revision."""
     body = {"to_revision": to_revision, "author": author, "reason": reason, "wait": wait}
-    _change(Server(server, key), f"{ROOT}/rollback", body, None, output)
+    _submit_change(ApiClient(server, key), f"{API_ROOT}/rollback", body, None, output)
 
 
 @app.command()
 def get(server: ServerOption, key: KeyOption, output: OutputOption = OutputFormat.TABLE) -> None:
     """Print the configuration in force."""
-    answer = Server(server, key).call("GET", ROOT)
+    answer = ApiClient(server, key).call("GET", API_ROOT)
     if output is OutputFormat.JSON:
-        print_answer(answer, output)
+        print_result(answer, output)
         return
     print(f"# revision {answer['revision']}")
     print(answer["document"], end="")
@@ -97,26 +97,26 @@
     server: ServerOption, key: KeyOption, output: OutputOption = OutputFormat.TABLE
 ) -> None:
     """Print accepted changes, newest first."""
-    answer = Server(server, key).call("GET", f"{ROOT}/history")
+    answer = ApiClient(server, key).call("GET", f"{API_ROOT}/history")
     rows = [
         (r["revision"], r["at"], r["author"], r["reason"], len(r["changes"]))
         for r in answer["records"]
     ]
-    print_answer(answer, output, ["revision", "at", "author", "reason", "changes"], rows)
+    print_result(answer, output, ["revision", "at", "author", "reason", "changes"], rows)
 
 
-def _body(file: Path, replace: bool) -> dict[str, Any]:
+def _request_body(file: Path, replace: bool) -> dict[str, Any]:
     document = file.read_text(encoding="utf-8")
     return {"document": document, "file": str(file), "replace": replace}
 
 
-def _change(
-    server: Server, path: str, body: dict[str, Any], revision: int | None, output: OutputFormat
+def _submit_change(
+    client: ApiClient, path: str, body: dict[str, Any], revision: int | None, output: OutputFormat
 ) -> None:
     # The same id on a repeated call is the same change, also when an answer was lost.
     body["operation_id"] = uuid.uuid4().hex
     headers = {"If-Match": f'"{revision}"'} if revision is not None else {}
-    answer = server.call("POST", path, body, headers)
+    answer = client.call("POST", path, body, headers)
     _print_changes(answer, output)
     if answer.get("lagging_nodes"):
         fail(f"accepted, but not yet in force on {answer['lagging_nodes']}", ExitCode.FAILED)
@@ -126,4 +126,4 @@
     rows = [(change["kind"], change["key"]) for change in answer["changes"]]
     if output is OutputFormat.TABLE:
         print(f"revision {answer['revision']}, {len(rows)} changes")
-    print_answer(answer, output, ["change", "entry"], rows)
+    print_result(answer, output, ["change", "entry"], rows)
--- a/src/wharfcart/cli/experiment.py
+++ b/src/wharfcart/cli/experiment.py
@@ -7,7 +7,7 @@
 import typer
 
 from wharfcart.cli.options import OutputOption
-from wharfcart.cli.output import OutputFormat, print_answer
+from wharfcart.cli.output import OutputFormat, print_result
 from wharfcart.experiments.example_fleets import Profile
 
 app = typer.Typer(help="Experiments over emulated fleets.", no_args_is_help=True)
@@ -53,15 +53,15 @@
     if name in (Experiment.WAVES, Experiment.LIMITS):
         play_all = run_waves if name is Experiment.WAVES else run_limits
         found = play_all(seed, output_folder)
-        print_answer(found, output, ["figure", "value"], found.items())
+        print_result(found, output, ["figure", "value"], found.items())
         return
     if name is not Experiment.SCALE:
         found = run_heaps(profile, Variant(name.value), seed, output_folder)
-        print_answer(found, output, ["figure", "value"], found.items())
+        print_result(found, output, ["figure", "value"], found.items())
         return
     sizes = [int(size) for size in nodes.split(",")]
     figures = run_scale(sizes, seed, output_folder)
     columns = list(figures["sizes"][0])
     rows = [tuple(f"{value:.4g}" for value in size.values()) for size in figures["sizes"]]
     transposed = [(name, *(row[i] for row in rows)) for i, name in enumerate(columns)]
-    print_answer(figures, output, ["figure", *(row[0] for row in rows)], transposed)
+    print_result(figures, output, ["figure", *(row[0] for row in rows)], transposed)
--- a/src/wharfcart/cli/journal.py
+++ b/src/wharfcart/cli/journal.py
@@ -4,9 +4,9 @@
 
 import typer
 
-from wharfcart.cli.client import Server
+from wharfcart.cli.client import ApiClient
 from wharfcart.cli.options import KeyOption, OutputOption, ServerOption
-from wharfcart.cli.output import ExitCode, OutputFormat, fail, print_answer
+from wharfcart.cli.output import ExitCode, OutputFormat, fail, print_result
 
 app = typer.Typer(help="The replicated journal.", no_args_is_help=True)
 
@@ -29,5 +29,5 @@
     """Have the surviving node (--server) go on alone with a shard; spares are then added."""
     if not other_disks_are_lost:
         fail("say --other-disks-are-lost if no other disk can come back", ExitCode.USAGE)
-    answer = Server(server, key).call("POST", f"/admin/v1/journal/{shard}/recover", {})
-    print_answer(answer, output)
+    answer = ApiClient(server, key).call("POST", f"/admin/v1/journal/{shard}/recover", {})
+    print_result(answer, output)
--- a/src/wharfcart/cli/main.py
+++ b/src/wharfcart/cli/main.py
@@ -6,9 +6,9 @@
 
 import wharfcart
 from wharfcart.cli import batch, config, experiment, explain, journal, processes, soak
-from wharfcart.cli.client import Server
+from wharfcart.cli.client import ApiClient
 from wharfcart.cli.options import KeyOption, OutputOption, ServerOption
-from wharfcart.cli.output import OutputFormat, print_answer
+from wharfcart.cli.output import OutputFormat, print_result
 
 app = typer.Typer(
     help="Online and batch inference on one shared fleet.",
@@ -32,7 +32,7 @@
 @app.command()
 def status(server: ServerOption, key: KeyOption, output: OutputOption = OutputFormat.TABLE) -> None:
     """Show every live node: revision in force, shards led, back ends owned."""
-    answer = Server(server, key).call("GET", "/admin/v1/status")
+    answer = ApiClient(server, key).call("GET", "/admin/v1/status")
     rows = [
         (
             node["node_id"],
@@ -47,7 +47,7 @@
         for node in answer["nodes"]
     ]
     columns = ["node", "zone", "stores", "answers", "revision", "leads", "online", "batch"]
-    print_answer(answer, output, columns, rows)
+    print_result(answer, output, columns, rows)
 
 
 @app.callback(invoke_without_command=True)
--- a/src/wharfcart/cli/output.py
+++ b/src/wharfcart/cli/output.py
@@ -35,15 +35,15 @@
     JSON = "json"
 
 
-def print_answer(
-    answer: Any, output: OutputFormat, columns: list[str] | None = None, rows: Any = None
+def print_result(
+    result: Any, output: OutputFormat, columns: list[str] | None = None, rows: Any = None
 ) -> None:
     """Print an answer: as JSON, or its rows as a table."""
     if output is OutputFormat.JSON:
-        print(json.dumps(answer, indent=2))
+        print(json.dumps(result, indent=2))
         return
     if columns is None or rows is None:
-        for key, value in answer.items():
+        for key, value in result.items():
             print(f"{key}: {value}")
         return
     table = Table(*columns)
@@ -59,7 +59,7 @@
     raise typer.Exit(int(code))
 
 
-def or_fail(result: Result[_Value, list[Finding]]) -> _Value:
+def unwrap_or_fail(result: Result[_Value, list[Finding]]) -> _Value:
     """Return a result's value; findings end the command."""
     if isinstance(result, Failure):
         fail_findings(result.failure())
--- a/src/wharfcart/cli/processes.py
+++ b/src/wharfcart/cli/processes.py
@@ -10,7 +10,7 @@
 import uvloop
 from pydantic import BaseModel
 
-from wharfcart.cli.output import ExitCode, or_fail
+from wharfcart.cli.output import ExitCode, unwrap_or_fail
 from wharfcart.emulator.fleet import EmulatedFleet
 from wharfcart.experiments.dev_fleet import DevFleet
 from wharfcart.experiments.example_fleets import Profile
@@ -34,7 +34,7 @@
 ) -> None:
     """Run one node until SIGTERM, then leave without cutting anything."""
     flags = {"listen": listen, "zone": zone, "data_folder": data_folder}
-    checked = _load(NodeSettings, settings, flags)
+    checked = _load_settings(NodeSettings, settings, flags)
     configure_logs(checked.log.level, checked.node_id)
     uvloop.run(_run_node(Node(checked)))
 
@@ -58,7 +58,7 @@
 
 def emulator(settings: SettingsOption) -> None:
     """Run stand-ins for the platform and the back ends."""
-    checked = _load(EmulatorSettings, settings, {})
+    checked = _load_settings(EmulatorSettings, settings, {})
     configure_logs(checked.log.level, "emulator")
     uvloop.run(_run_emulator(EmulatedFleet(checked)))
 
@@ -121,8 +121,8 @@
         await fleet.stop()
 
 
-def _load(model: type[SettingsModel], path: Path, flags: dict[str, Any]) -> SettingsModel:
-    return or_fail(load_settings(model, path, os.environ, flags))
+def _load_settings(model: type[SettingsModel], path: Path, flags: dict[str, Any]) -> SettingsModel:
+    return unwrap_or_fail(load_settings(model, path, os.environ, flags))
 
 
 def _stop_event() -> asyncio.Event:
--- a/src/wharfcart/cli/soak.py
+++ b/src/wharfcart/cli/soak.py
@@ -11,7 +11,7 @@
 from wharfcart.cli.output import ExitCode
 from wharfcart.soak.run import GATEWAYS, STORES, SoakRun, Verdict
 
-MOST_SEED = 10**9
+MAX_SEED = 10**9
 
 
 def soak(
@@ -28,18 +28,18 @@
 
     Prints a JSON line a seed. Exits with 1 if any promise was broken.
     """
-    chosen = seed or [random.randrange(MOST_SEED) for _ in range(seeds)]
+    chosen = seed or [random.randrange(MAX_SEED) for _ in range(seeds)]
     failed = False
     for number in chosen:
         typer.echo(f"seed {number}", err=True)
         run = SoakRun(number, load_s, keep, gateways=gateways, stores=stores)
         verdict = asyncio.run(run.play())
         failed = failed or bool(verdict.violations)
-        print(json.dumps(_as_line(verdict)), flush=True)
+        print(json.dumps(_summary(verdict)), flush=True)
     raise typer.Exit(int(ExitCode.FAILED if failed else ExitCode.OK))
 
 
-def _as_line(verdict: Verdict) -> dict[str, object]:
+def _summary(verdict: Verdict) -> dict[str, object]:
     return {
         "seed": verdict.seed,
         "passed": not verdict.violations,
--- a/src/wharfcart/fleet/reconciler.py
+++ b/src/wharfcart/fleet/reconciler.py
@@ -12,7 +12,7 @@
 from wharfcart.cluster.rendezvous import rendezvous_order
 
 REPORT_LAG_S = 10.0  # an order shows in the reports after this at the latest, drain included
-ORDER_TIMEOUT_S = 120.0
+COMMAND_TIMEOUT_S = 120.0
 
 
 @dataclass(frozen=True)
@@ -21,7 +21,7 @@
 
     name: str
     version: str
-    least_servers: int
+    min_servers: int
     adapters: tuple[str, ...]
 
 
@@ -44,24 +44,24 @@
 
     epoch: int
     _sequence: int = 0
-    _ordered_at: dict[tuple[str, EngineCommandKind, str], float] = field(default_factory=dict)
+    _sent_at: dict[tuple[str, EngineCommandKind, str], float] = field(default_factory=dict)
 
     def reconcile(
         self, models: list[TargetModel], engines: list[EngineStatus], now: float
     ) -> list[EngineCommand]:
         """Return the orders that bring the fleet one step closer to the target."""
         usable = {engine.backend_id: engine for engine in engines if not engine.leaving}
-        orders = self._model_orders(models, usable, now)
+        orders = self._model_commands(models, usable, now)
         changing = {order.backend_id for order in orders}
         by_name = {model.name: model for model in models}
         for engine in usable.values():
             if engine.backend_id not in changing and not engine.loading:
                 target = by_name.get(engine.model)
                 if target is not None:
-                    orders.extend(self._adapter_orders(target, engine, now))
+                    orders.extend(self._adapter_commands(target, engine, now))
         return orders
 
-    def _model_orders(
+    def _model_commands(
         self, models: list[TargetModel], engines: dict[str, EngineStatus], now: float
     ) -> list[EngineCommand]:
         assignment = assign_models(models, list(engines.values()))
@@ -74,17 +74,17 @@
                 e.loading and assignment.get(e.backend_id) == model.name for e in engines.values()
             ):
                 continue  # one server of a model at a time
-            order = self._next_model_order(model, engines, assignment, held, now)
+            order = self._next_model_command(model, engines, assignment, held, now)
             if order is not None:
                 orders.append(order)
         return orders
 
-    def _next_model_order(
+    def _next_model_command(
         self,
         model: TargetModel,
         engines: dict[str, EngineStatus],
         assignment: dict[str, str],
-        held: dict[str, int],
+        copies: dict[str, int],
         now: float,
     ) -> EngineCommand | None:
         for backend_id, name in sorted(assignment.items()):
@@ -92,18 +92,18 @@
             current = (engine.model, engine.version)
             if name != model.name or current == (model.name, model.version):
                 continue
-            leaves_last_copy = engine.model and held.get(engine.model, 0) <= 1
+            leaves_last_copy = engine.model and copies.get(engine.model, 0) <= 1
             wanted_elsewhere = engine.model in assignment.values()
             if leaves_last_copy and wanted_elsewhere and engine.model != model.name:
                 continue
-            order = self._order(
+            order = self._command(
                 backend_id, EngineCommandKind.LOAD_MODEL, model.name, model.version, now
             )
             if order is not None:
                 return order
         return None
 
-    def _adapter_orders(
+    def _adapter_commands(
         self, target: TargetModel, engine: EngineStatus, now: float
     ) -> list[EngineCommand]:
         missing = [name for name in target.adapters if name not in engine.adapters]
@@ -111,17 +111,18 @@
         wanted = [(EngineCommandKind.LOAD_ADAPTER, name) for name in missing[:1]]
         wanted.extend((EngineCommandKind.UNLOAD_ADAPTER, name) for name in surplus)
         orders = [
-            self._order(engine.backend_id, kind, name, target.version, now) for kind, name in wanted
+            self._command(engine.backend_id, kind, name, target.version, now)
+            for kind, name in wanted
         ]
         return [order for order in orders if order is not None]
 
-    def _order(
+    def _command(
         self, backend_id: str, kind: EngineCommandKind, name: str, version: str, now: float
     ) -> EngineCommand | None:
         key = (backend_id, kind, name)
-        if now - self._ordered_at.get(key, -ORDER_TIMEOUT_S) < REPORT_LAG_S:
+        if now - self._sent_at.get(key, -COMMAND_TIMEOUT_S) < REPORT_LAG_S:
             return None  # reports lag: give the last order time to show
-        self._ordered_at[key] = now
+        self._sent_at[key] = now
         self._sequence += 1
         return EngineCommand(backend_id, kind, name, version, self.epoch, self._sequence)
 
@@ -134,9 +135,9 @@
     """
     assignment: dict[str, str] = {}
     by_id = {engine.backend_id: engine for engine in engines}
-    total_least = sum(model.least_servers for model in models) or 1
+    total_least = sum(model.min_servers for model in models) or 1
     for model in sorted(models, key=lambda model: model.name):
-        wanted = max(model.least_servers, len(engines) * model.least_servers // total_least)
+        wanted = max(model.min_servers, len(engines) * model.min_servers // total_least)
         order = rendezvous_order(model.name, by_id)
         order.sort(key=lambda name: by_id[name].model != model.name)
         zones: dict[str, int] = {}
