--- a/tests/gateway/test_admin.py
+++ b/tests/gateway/test_admin.py
@@ -32,20 +32,20 @@
     return int(httpx.get(fleet.urls[1] + ROOT, headers=KEY).json()["revision"])
 
 
-def _value(fleet: DevFleet, url: str) -> Any:
+def _office_parameter(fleet: DevFleet, url: str) -> Any:
     key = {"Authorization": "Bearer dealer-09-key"}
     models = httpx.get(f"{url}/v1/models", headers=key).json()["data"]
     return next(m["parameters"]["office"] for m in models if m["id"] == "plates")
 
 
-def test_stale_revision_is_refused_with_what_changed(fleet: DevFleet) -> None:
+def test_stale_revision_is_refused_with_the_newer_changes(fleet: DevFleet) -> None:
     before = _revision(fleet)
     assert _apply(fleet, _deployment("first"), before).status_code == 200
     refused = _apply(fleet, _deployment("second"), before)
     assert refused.status_code == 412
     changed = refused.json()["changed"]
     assert changed[0]["changes"][0]["after"]["parameters"] == {"office": "first"}
-    assert _value(fleet, fleet.urls[2]) == "first"
+    assert _office_parameter(fleet, fleet.urls[2]) == "first"
 
 
 def test_findings_change_nothing(fleet: DevFleet) -> None:
@@ -60,12 +60,12 @@
 
 
 def test_rollback_is_a_new_revision(fleet: DevFleet) -> None:
-    before, old = _revision(fleet), _value(fleet, fleet.urls[0])
+    before, old = _revision(fleet), _office_parameter(fleet, fleet.urls[0])
     _apply(fleet, _deployment("to be undone"))
     body = {"to_revision": before, "author": "test", "wait": True}
     undone = httpx.post(f"{fleet.urls[1]}{ROOT}/rollback", json=body, headers=KEY, timeout=30)
     assert undone.json()["revision"] == before + 2
-    assert {_value(fleet, url) for url in fleet.urls} == {old}
+    assert {_office_parameter(fleet, url) for url in fleet.urls} == {old}
 
 
 def test_plan_changes_nothing(fleet: DevFleet) -> None:
@@ -105,7 +105,7 @@
     assert answer.status_code == 200
 
 
-def test_new_version_comes_in_without_cutting_a_stream(own_fleet: DevFleet) -> None:
+def test_new_version_is_loaded_without_interrupting_streams(own_fleet: DevFleet) -> None:
     model = {"name": "registry-8b", "version": "2", "least_servers": 6}
     fleet = own_fleet
     adapters = ["notices", "dossiers", "plates"]
@@ -130,7 +130,7 @@
     assert len(held) >= len(engines) - 1
 
 
-def test_engine_refuses_an_order_of_a_past_leader(fleet: DevFleet) -> None:
+def test_engine_refuses_a_command_of_an_earlier_epoch(fleet: DevFleet) -> None:
     engine = next(iter(fleet.emulator.engines.values()))
     url = f"http://{engine.address}/control/orders"
     order = {"order": "change_role", "name": "prefill", "epoch": 0, "sequence": 0}
--- a/tests/gateway/test_backend_faults.py
+++ b/tests/gateway/test_backend_faults.py
@@ -32,24 +32,24 @@
     return httpx.post(url, json={"vehicle": vehicle}, headers=headers, timeout=30)
 
 
-def _effects(fleet: DevFleet, vehicle: str) -> int:
+def _effect_count(fleet: DevFleet, vehicle: str) -> int:
     paths = [effect.path for effect in fleet.emulator.ledgers["registry"]]
     return paths.count(f"registrations/{vehicle}")
 
 
-def test_lost_answer_of_an_effect_is_settled_never_repeated(faulty: DevFleet) -> None:
+def test_outcome_of_a_lost_response_is_resolved_without_a_second_run(faulty: DevFleet) -> None:
     _set_applications(faulty, lost_answers=1)
     first = _register(faulty, "lost-1")
     assert first.status_code >= 500
     assert first.json()["outcome"] == "unknown"
-    assert _effects(faulty, "lost-1") == 1
+    assert _effect_count(faulty, "lost-1") == 1
     # The same key through another node: the back end tells what became of it.
     again = _register(faulty, "lost-1", node=1)
     assert again.status_code == 200
-    assert _effects(faulty, "lost-1") == 1
+    assert _effect_count(faulty, "lost-1") == 1
 
 
-def test_unknown_effect_becomes_definite_when_looked_up(faulty: DevFleet) -> None:
+def test_look_up_resolves_an_unknown_outcome(faulty: DevFleet) -> None:
     _set_applications(faulty, lost_answers=1)
     assert _register(faulty, "lost-2").json()["outcome"] == "unknown"
     _set_applications(faulty)
@@ -58,32 +58,32 @@
     assert json.loads(found["response"])["path"] == "registrations/lost-2"
 
 
-def test_refused_effect_is_not_run_and_may_be_sent_again(faulty: DevFleet) -> None:
+def test_refused_request_is_not_run_and_can_be_retried(faulty: DevFleet) -> None:
     _set_applications(faulty, refuse_part=1.0)
     refused = _register(faulty, "refused-1")
     assert refused.status_code == 503
     assert refused.json()["outcome"] == "not_run"
     assert "Retry-After" in refused.headers
-    assert _effects(faulty, "refused-1") == 0
+    assert _effect_count(faulty, "refused-1") == 0
     _set_applications(faulty)
     assert _register(faulty, "refused-1").status_code == 200
-    assert _effects(faulty, "refused-1") == 1
+    assert _effect_count(faulty, "refused-1") == 1
 
 
-def test_effect_whose_server_is_down_is_not_run(faulty: DevFleet) -> None:
+def test_outcome_during_an_outage_is_unknown_until_the_server_is_back(faulty: DevFleet) -> None:
     _set_applications(faulty, outage=True)
     answer = _register(faulty, "down-1")
     # The connection was made, so nobody can say that it did not run, until the server tells.
     assert answer.json()["outcome"] == "unknown"
-    assert _effects(faulty, "down-1") == 0
+    assert _effect_count(faulty, "down-1") == 0
     _set_applications(faulty)
     settled = httpx.get(f"{faulty.urls[0]}/v1/requests/down-1", headers=KEY).json()
     assert settled["state"] == "not_run"
     assert _register(faulty, "down-1").status_code == 200
-    assert _effects(faulty, "down-1") == 1
+    assert _effect_count(faulty, "down-1") == 1
 
 
-def test_effect_that_still_runs_is_not_settled_as_not_run(faulty: DevFleet) -> None:
+def test_running_request_is_not_reported_as_not_run(faulty: DevFleet) -> None:
     """A back end asked too early must not let an effect happen that was called not run."""
     server = next(iter(faulty.emulator.applications.values()))
     server._running.add("early")
@@ -93,7 +93,7 @@
     assert httpx.post(settle).json()["state"] == "not_run"
 
 
-def test_cut_stream_is_resumed_and_whole(faulty: DevFleet) -> None:
+def test_interrupted_stream_is_resumed_and_complete(faulty: DevFleet) -> None:
     for engine in faulty.emulator.engines.values():
         engine.switch.faults = Faults(cut_streams=1)
     body = {
@@ -109,7 +109,7 @@
     assert "data: [DONE]" in lines
 
 
-def test_repeatable_request_goes_to_another_server(faulty: DevFleet) -> None:
+def test_repeatable_request_is_retried_on_another_server(faulty: DevFleet) -> None:
     one = next(iter(faulty.emulator.applications.values()))
     one.switch.faults = Faults(refuse_part=1.0)
     for number in range(20):
@@ -117,7 +117,7 @@
         assert httpx.get(url, headers=KEY, timeout=30).status_code == 200
 
 
-def test_batch_effect_waits_out_an_outage_and_happens_once(faulty: DevFleet) -> None:
+def test_batch_item_runs_once_after_an_outage(faulty: DevFleet) -> None:
     _set_applications(faulty, outage=True)
     line = {
         "custom_id": "effect-1",
@@ -131,11 +131,11 @@
     body = {"input_file_id": uploaded["id"]}
     job = httpx.post(f"{root}/v1/batches", json=body, headers=KEY).json()
     assert job["status"] == "in_progress"
-    assert _effects(faulty, "batch-1") == 0
+    assert _effect_count(faulty, "batch-1") == 0
     _set_applications(faulty, lost_answers=1)
     deadline = time.monotonic() + 40
     while job["status"] != "completed" and time.monotonic() < deadline:
         time.sleep(0.1)
         job = httpx.get(f"{root}/v1/batches/{job['id']}", headers=KEY).json()
     assert job["item_counts"]["completed"] == 1
-    assert _effects(faulty, "batch-1") == 1
+    assert _effect_count(faulty, "batch-1") == 1
--- a/tests/gateway/test_bad_input.py
+++ b/tests/gateway/test_bad_input.py
@@ -58,7 +58,7 @@
     return _post(fleet, "/v1/files", content=data, headers={"Content-Type": "application/jsonl"})
 
 
-def test_bad_rows_are_all_named(fleet: DevFleet) -> None:
+def test_every_invalid_row_is_reported(fleet: DevFleet) -> None:
     good = json.dumps(GOOD_LINE)
     other = json.dumps(GOOD_LINE | {"custom_id": "b", "body": {"model": "nothing"}})
     twice = json.dumps(GOOD_LINE)
@@ -127,7 +127,7 @@
     assert json.loads(found["response"]) == first.json()
 
 
-def test_resent_stream_is_replayed_whole(fleet: DevFleet) -> None:
+def test_repeated_stream_is_replayed_completely(fleet: DevFleet) -> None:
     headers = {"Idempotency-Key": "stream-test"}
     body = {
         "model": "notices",
@@ -140,7 +140,7 @@
     assert again.text == first.text
 
 
-def test_vanished_client_leaves_nothing_running(fleet: DevFleet) -> None:
+def test_disconnected_client_cancels_its_request(fleet: DevFleet) -> None:
     host, port = fleet.urls[0].removeprefix("http://").split(":")
     body = json.dumps(
         {"model": "notices", "messages": [{"role": "user", "content": "gone"}], "stream": True}
@@ -153,18 +153,18 @@
         connection.sendall(head.encode() + body.encode())
         connection.recv(100)
     deadline = time.monotonic() + 10
-    while _anything_runs(fleet) and time.monotonic() < deadline:
+    while _is_busy(fleet) and time.monotonic() < deadline:
         time.sleep(0.01)
-    assert not _anything_runs(fleet)
+    assert not _is_busy(fleet)
 
 
-def _anything_runs(fleet: DevFleet) -> bool:
+def _is_busy(fleet: DevFleet) -> bool:
     engines = any(engine.core.busy for engine in fleet.emulator.engines.values())
     owned = [backend for node in fleet.nodes for backend in node.owner.backends.values()]
     return engines or any(backend.gate.online for backend in owned)
 
 
-def test_slow_clients_hold_nobody_up(fleet: DevFleet) -> None:
+def test_slow_clients_do_not_block_others(fleet: DevFleet) -> None:
     host, port = fleet.urls[0].removeprefix("http://").split(":")
     head = (
         "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
--- a/tests/gateway/test_ingress.py
+++ b/tests/gateway/test_ingress.py
@@ -14,7 +14,7 @@
 REQUEST = b"GET /look/x HTTP/1.1\r\nHost: h\r\nX-Request-Id: r\r\n\r\n"
 
 
-class Forwarder:
+class RecordingForwarder:
     """Answers at once and notes what came."""
 
     def __init__(self) -> None:
@@ -25,7 +25,7 @@
         await sink.send_whole(200, [], b"")
 
 
-def listening() -> socket.socket:
+def listening_socket() -> socket.socket:
     made = socket.socket()
     made.bind(("127.0.0.1", 0))
     made.listen()
@@ -38,16 +38,16 @@
     await reader.readuntil(b"\r\n\r\n")
 
 
-def test_a_request_that_waited_for_the_start_is_as_old_as_it_can_be() -> None:
+def test_request_waiting_for_the_start_gets_the_earliest_possible_receive_time() -> None:
     async def scenario() -> tuple[float, list[CallerRequest], float]:
         Sanic.test_mode = True
         route = Route("r", "h", "/look/", RouteKind.REPEATABLE, (TrafficShare("s", 1.0),), 5.0, 0.3)
         configuration = ServingConfiguration(1, (route,), {})
-        forwarder = Forwarder()
+        forwarder = RecordingForwarder()
         ingress = Ingress(
             lambda: configuration, lambda: 0.0, forwarder, None, None, DecisionLog("test")
         )
-        front, readiness = listening(), listening()
+        front, readiness = listening_socket(), listening_socket()
         opened_at = monotonic()
         reader, writer = await asyncio.open_connection(*front.getsockname())
         writer.write(REQUEST)
--- a/tests/gateway/test_job_calls_residence.py
+++ b/tests/gateway/test_job_calls_residence.py
@@ -52,7 +52,7 @@
         self.lines.append(fields)
 
 
-class Client:
+class FakeJobClient:
     """Stands in for the calls to groups."""
 
     def __init__(self, answer: Frame | JobCallFailure) -> None:
@@ -72,9 +72,9 @@
         return self.answer
 
 
-class Gateway:
+class JobCallsHarness:
     def __init__(self, answer: Frame | JobCallFailure) -> None:
-        self.client = Client(answer)
+        self.client = FakeJobClient(answer)
         self.log = RecordingLog()
         self.metrics = ServingMetrics()
         tenants = TenantIndex([ServedTenant("t", residence=WEST)])
@@ -91,21 +91,24 @@
     def read(self) -> SimpleNamespace:
         url = f"{names.JOB_PATH}j".encode()
         request = SimpleNamespace(
-            headers={"host": "h:80"}, raw_url=url, method="GET", args=SimpleNamespace(get=_nothing)
+            headers={"host": "h:80"},
+            raw_url=url,
+            method="GET",
+            args=SimpleNamespace(get=_no_argument),
         )
         return asyncio.run(self.calls.handle(request, "t"))
 
 
-def _nothing(_name: str) -> None:
+def _no_argument(_name: str) -> None:
     return None
 
 
-def answered(status: int) -> Frame:
+def answer_with(status: int) -> Frame:
     return Frame(job_answer=JobAnswer(status=status))
 
 
-def test_a_job_bears_what_its_route_and_tenant_allow_both() -> None:
-    gateway = Gateway(answered(DONE))
+def test_job_residence_is_the_intersection_of_route_and_tenant() -> None:
+    gateway = JobCallsHarness(answer_with(DONE))
     assert gateway.submit().status == 202
     frame, residence = gateway.client.sent[0]
     assert residence == WEST
@@ -113,10 +116,10 @@
 
 
 @pytest.mark.parametrize(
-    "answer", [JobCallFailure(False, "outside_residence"), answered(OUTSIDE_RESIDENCE)]
+    "answer", [JobCallFailure(False, "outside_residence"), answer_with(OUTSIDE_RESIDENCE)]
 )
-def test_a_job_without_a_group_in_its_regions_is_refused_and_counted(answer) -> None:
-    gateway = Gateway(answer)
+def test_job_without_a_group_in_its_residence_is_refused_and_counted(answer) -> None:
+    gateway = JobCallsHarness(answer)
     refused = gateway.submit()
     assert refused.status == 503
     assert names.RETRY_AFTER.lower() in {name.lower() for name in refused.headers}
@@ -124,21 +127,21 @@
     assert b'wharfcart_outside_residence_total{what="job"} 1.0' in gateway.metrics.render()
 
 
-def test_a_job_that_another_group_may_have_is_not_run_and_may_come_again() -> None:
-    gateway = Gateway(answered(MAYBE_ELSEWHERE))
+def test_job_that_another_group_may_have_is_refused_with_503() -> None:
+    gateway = JobCallsHarness(answer_with(MAYBE_ELSEWHERE))
     assert gateway.submit().status == 503
 
 
-def test_a_submission_tells_that_the_groups_became_others() -> None:
-    gateway = Gateway(answered(DONE))
+def test_submission_reports_a_change_of_eligible_groups() -> None:
+    gateway = JobCallsHarness(answer_with(DONE))
     gateway.submit()
     gateway.client.groups = (1,)
     gateway.submit()
     assert [frame.submit_job.moved for frame, _ in gateway.client.sent] == [False, True]
 
 
-def test_a_read_names_the_residences_of_the_hosts_batch_routes_and_its_tenant() -> None:
-    gateway = Gateway(Frame(result_page=ResultPage(status=NOT_FOUND)))
+def test_read_uses_the_residences_of_the_hosts_batch_routes_and_tenant() -> None:
+    gateway = JobCallsHarness(Frame(result_page=ResultPage(status=NOT_FOUND)))
     assert gateway.read().status == 404
     _, residences = gateway.client.sent[0]
     assert residences == {WEST}
--- a/tests/gateway/test_traffic_shares.py
+++ b/tests/gateway/test_traffic_shares.py
@@ -6,7 +6,7 @@
 from wharfcart.gateway.traffic_shares import TrafficSplitter
 
 
-def test_each_part_gets_its_share_over_any_stretch() -> None:
+def test_each_service_gets_its_share_in_every_window() -> None:
     shares = (TrafficShare("a", 90), TrafficShare("b", 10))
     route = Route("r", "h", "/", RouteKind.REPEATABLE, shares, 1.0, 0.1)
     splitter = TrafficSplitter()
