--- a/src/wharfcart/admin/handlers.py
+++ b/src/wharfcart/admin/handlers.py
@@ -15,7 +15,7 @@
 from sanic import Request
 from sanic.response import HTTPResponse, json
 
-from wharfcart.admin.acceptance import (
+from wharfcart.admin.configuration_store import (
     ConfigurationStore,
     Proposal,
     RevisionConflictError,
--- a/src/wharfcart/gateway/ingress.py
+++ b/src/wharfcart/gateway/ingress.py
@@ -13,8 +13,8 @@
 from wharfcart.clock import monotonic
 from wharfcart.configuration.api_keys import short_digest_of
 from wharfcart.configuration.serving import Route, RouteKind, ServedTenant, ServingConfiguration
-from wharfcart.gateway.answers import plain_response
-from wharfcart.gateway.callers import CallerRefusedError, authenticate
+from wharfcart.gateway.authentication import CallerRefusedError, authenticate
+from wharfcart.gateway.plain_responses import plain_response
 from wharfcart.gateway.traffic_shares import TrafficSplitter
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.platform import exchanges, names
--- a/src/wharfcart/gateway/job_calls.py
+++ b/src/wharfcart/gateway/job_calls.py
@@ -23,7 +23,7 @@
 )
 from wharfcart.configuration.residence import ANYWHERE, Residence, residence_to_message
 from wharfcart.configuration.serving import Route, ServingConfiguration
-from wharfcart.gateway.answers import plain_response
+from wharfcart.gateway.plain_responses import plain_response
 from wharfcart.observability.decisions import DecisionLog, Event
 from wharfcart.observability.serving_metrics import ServingMetrics
 from wharfcart.platform import batch_calls, names
--- a/src/wharfcart/node/node.py
+++ b/src/wharfcart/node/node.py
@@ -8,7 +8,7 @@
 
 import aiohttp
 
-from wharfcart.admin.acceptance import KEY_ROOT, ConfigurationStore
+from wharfcart.admin.configuration_store import KEY_ROOT, ConfigurationStore
 from wharfcart.admin.handlers import AdminHandlers
 from wharfcart.admin.interface import AdminContext, NodeStatus
 from wharfcart.admission.limiter import Limiter
--- a/src/wharfcart/node/propagation.py
+++ b/src/wharfcart/node/propagation.py
@@ -13,7 +13,7 @@
 from dataclasses import asdict, dataclass
 from typing import Any
 
-from wharfcart.admin.acceptance import ConfigurationStore
+from wharfcart.admin.configuration_store import ConfigurationStore
 from wharfcart.cluster.address import Address
 from wharfcart.cluster.gossip import GossipDriver
 from wharfcart.cluster.membership import PeerRevisions
--- a/tests/gateway/test_callers.py
+++ b/tests/gateway/test_authentication.py
@@ -4,7 +4,11 @@
 
 from wharfcart.configuration.api_keys import digest_of
 from wharfcart.configuration.serving import ServedTenant, ServingConfiguration, TenantIndex
-from wharfcart.gateway.callers import MAX_CONFIGURATION_AGE_S, CallerRefusedError, authenticate
+from wharfcart.gateway.authentication import (
+    MAX_CONFIGURATION_AGE_S,
+    CallerRefusedError,
+    authenticate,
+)
 
 TENANT = ServedTenant("t", (digest_of("k"),))
 
