--- a/src/wharfcart/soak/faults.py
+++ b/src/wharfcart/soak/faults.py
@@ -28,7 +28,7 @@
 FATAL_PAUSE_S = 0.3
 FATAL_PATIENCE_S = 4.0
 FATAL_PATH = "/chat/x"
-PROMISED_NOT_RUN = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 class Fault(ABC):
@@ -318,7 +318,7 @@
                     status, _, _ = await self.fleet.request(
                         gateway, FATAL_PATH, request_id, data=body
                     )
-            if status in PROMISED_NOT_RUN and self.fleet.has_run(request_id):
+            if status in NOT_RUN_STATUSES and self.fleet.has_run(request_id):
                 self.fleet.violations.append(f"{request_id}: refused with {status}, but ran")
             await asyncio.sleep(FATAL_PAUSE_S)
 
--- a/src/wharfcart/soak/run.py
+++ b/src/wharfcart/soak/run.py
@@ -13,11 +13,11 @@
 from wharfcart.soak.history import RequestKind
 from wharfcart.soak.plan import FaultKind, PlannedFault, draw_plan
 from wharfcart.soak.promises import (
-    EVACUATION_S,
-    ServedZone,
-    broken_promises,
-    ended_too_many,
-    sent_to_evacuated,
+    EVACUATION_DELAY_S,
+    ZoneBackend,
+    find_excessive_crashes,
+    find_runs_in_evacuated_zone,
+    find_violations,
 )
 from wharfcart.soak.workload import Workload
 
@@ -90,9 +90,9 @@
                 for planned in self.plan:
                     group.create_task(play_fault(self._fleet, planned))
             violations = self._fleet.violations + await self._recover()
-            violations += broken_promises(self._workload.history, self._fleet.all_servers)
+            violations += find_violations(self._workload.history, self._fleet.all_servers)
             violations += self._sent_to_evacuated()
-            violations += ended_too_many(self._fleet.ends_by_body, self._gateway_lives())
+            violations += find_excessive_crashes(self._fleet.ends_by_body, self._gateway_lives())
             kept = self._keep_logs(violations) if violations else None
         finally:
             await self._fleet.stop()
@@ -122,15 +122,15 @@
         """Return what was sent to emptied zones, but for nodes that could not know of the order."""
         began_at = self._workload.history.began_at
         excused = tuple(
-            (began_at + fault.at_s, began_at + fault.at_s + fault.for_s + EVACUATION_S)
+            (began_at + fault.at_s, began_at + fault.at_s + fault.for_s + EVACUATION_DELAY_S)
             for fault in self.plan
             if fault.kind in UNAWARE_KINDS
         )
         return [
             problem
             for server in self._fleet.all_servers
-            for problem in sent_to_evacuated(
-                ServedZone(server, self._fleet.zone_of(server), excused), self._fleet.evacuations
+            for problem in find_runs_in_evacuated_zone(
+                ZoneBackend(server, self._fleet.zone_of(server), excused), self._fleet.evacuations
             )
         ]
 
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -10,30 +10,32 @@
     RouteRecord,
 )
 from wharfcart.soak.promises import (
-    EVENTS,
-    ServedZone,
-    broken_promises,
-    ended_too_many,
-    sent_to_evacuated,
+    EVENTS_PER_STREAM,
+    ZoneBackend,
+    find_excessive_crashes,
+    find_runs_in_evacuated_zone,
+    find_violations,
 )
 from wharfcart.soak.tenants import HOT, HOT_PREFIX, STEADY, tenant_of
 
 
 def whole(request_id: str) -> bytes:
-    return b"".join(f"id: {n}\ndata: {request_id}-{n}\n\n".encode() for n in range(EVENTS))
+    return b"".join(
+        f"id: {n}\ndata: {request_id}-{n}\n\n".encode() for n in range(EVENTS_PER_STREAM)
+    )
 
 
 def text(item: str) -> str:
-    return "\n".join(f"{item}-{n}" for n in range(EVENTS))
+    return "\n".join(f"{item}-{n}" for n in range(EVENTS_PER_STREAM))
 
 
 def judged(
     runs: list[str], *requests: RequestRecord, jobs: tuple[JobRecord, ...] = ()
 ) -> list[str]:
-    server = ModelServer("i", EVENTS, 0.0)
+    server = ModelServer("i", EVENTS_PER_STREAM, 0.0)
     server.runs = [RunRecord(run, 0, 1000, tenant=tenant_of(run).name) for run in runs]
     history = History(requests=list(requests), jobs_by_id={job.job_id: job for job in jobs})
-    return broken_promises(history, [server])
+    return find_violations(history, [server])
 
 
 def request(kind: RequestKind, status: int | None, body: bytes = b"") -> RequestRecord:
@@ -94,7 +96,7 @@
 
 
 def test_a_request_that_ends_too_many_back_ends() -> None:
-    assert ended_too_many({b"fatal 0": 6, b"fatal 1": 7}, 3) == [
+    assert find_excessive_crashes({b"fatal 0": 6, b"fatal 1": 7}, 3) == [
         "fatal 1: 7 back ends ended while they ran it, 6 may"
     ]
 
@@ -110,12 +112,12 @@
 def test_an_item_that_ran_long_after_its_job_was_ended() -> None:
     job = finished_job()
     job.ended_at = 2.0
-    server = ModelServer("i", EVENTS, 0.0)
+    server = ModelServer("i", EVENTS_PER_STREAM, 0.0)
     history = History(began_at=100.0, jobs_by_id={"j": job})
     server.runs = [RunRecord("j-0", 0, 1000, at=104.0, tenant=STEADY.name)]
-    assert broken_promises(history, [server]) == []
+    assert find_violations(history, [server]) == []
     server.runs = [RunRecord("j-0", 0, 1000, at=106.0, tenant=STEADY.name)]
-    assert broken_promises(history, [server])
+    assert find_violations(history, [server])
 
 
 def test_a_result_that_changed() -> None:
@@ -135,13 +137,13 @@
 
 def test_a_route_that_went_back() -> None:
     history = History(routes=[RouteRecord("/added-0/", 1.0, denied_after_served=["0:17"])])
-    assert broken_promises(history, [])
+    assert find_violations(history, [])
 
 
 def judged_runs(*runs: RunRecord) -> list[str]:
-    server = ModelServer("i", EVENTS, 0.0)
+    server = ModelServer("i", EVENTS_PER_STREAM, 0.0)
     server.runs = list(runs)
-    return broken_promises(History(requests=[], jobs_by_id={}), [server])
+    return find_violations(History(requests=[], jobs_by_id={}), [server])
 
 
 def test_a_run_under_another_tenant_or_with_its_callers_key() -> None:
@@ -168,10 +170,10 @@
 
 
 def evacuated(ran_at: float, zone: str = "b", until: float | None = 30.0) -> list[str]:
-    server = ModelServer("i", EVENTS, 0.0)
+    server = ModelServer("i", EVENTS_PER_STREAM, 0.0)
     server.runs = [RunRecord("r", 0, 1000, ran_at)]
-    served = ServedZone(server, zone, excused=((20.0, 21.0),))
-    return sent_to_evacuated(served, [EvacuationRecord("b", 10.0, until)])
+    served = ZoneBackend(server, zone, excused_intervals=((20.0, 21.0),))
+    return find_runs_in_evacuated_zone(served, [EvacuationRecord("b", 10.0, until)])
 
 
 def test_what_runs_in_a_zone_that_was_to_be_emptied() -> None:
