--- a/src/wharfcart/soak/fleet.py
+++ b/src/wharfcart/soak/fleet.py
@@ -28,7 +28,7 @@
 from wharfcart.settings.base import split_endpoint
 from wharfcart.soak.history import EvacuationRecord
 from wharfcart.soak.hooks import sitecustomize as hooks
-from wharfcart.soak.tenants import soak_tenants, tenant_of
+from wharfcart.soak.tenants import tenant_documents, tenant_of
 from wharfcart.storage.group_record import group_record_from
 
 HOOKS_FOLDER = Path(hooks.__file__).parent
@@ -72,7 +72,7 @@
         self.violations: list[str] = []
         self._added_routes: dict[str, dict[str, t.Any]] = {}
         self.on_route_added: t.Callable[[str], None] = lambda path: None
-        self.tenants = soak_tenants()
+        self.tenants = tenant_documents()
         self.evacuations: list[EvacuationRecord] = []
         self._zones_by_server: dict[str, str] = {}
         self._fatal_bodies: set[bytes] = set()
@@ -191,8 +191,8 @@
 
     async def take_evacuation_back(self, record: EvacuationRecord) -> None:
         """Let servers of a zone get work again, unless another order for it still stands."""
-        record.until = monotonic()
-        if not any(one.zone == record.zone and one.until is None for one in self.evacuations):
+        record.ended_at = monotonic()
+        if not any(one.zone == record.zone and one.ended_at is None for one in self.evacuations):
             await self.store.remove(names.EVACUATE_PREFIX + record.zone)
 
     def zone_of(self, server: ModelServer) -> str:
--- a/src/wharfcart/soak/history.py
+++ b/src/wharfcart/soak/history.py
@@ -26,7 +26,7 @@
     kind: RequestKind
     gateway: int
     sent_at: float
-    ended_at: float = 0.0
+    finished_at: float = 0.0
     status: int | None = None
     body: bytes = b""
 
@@ -45,25 +45,25 @@
     """
 
     job_id: str
-    items: int
-    statuses: list[int | None] = field(default_factory=list)
+    item_count: int
+    submission_statuses: list[int | None] = field(default_factory=list)
     accepted_at: float | None = None
     results: dict[int, tuple[str, str, str]] = field(default_factory=dict)
     conflicts: list[str] = field(default_factory=list)
-    missing: list[float] = field(default_factory=list)
-    ended_at: float | None = None
-    readable_at_end: bool = False
+    denied_at: list[float] = field(default_factory=list)
+    cancelled_at: float | None = None
+    is_readable_at_end: bool = False
 
-    def read(self, position: int, result: tuple[str, str, str], reader: str) -> None:
+    def record_result(self, position: int, result: tuple[str, str, str], source: str) -> None:
         """Take one result that was read at a position."""
         known = self.results.setdefault(position, result)
         if known != result:
-            self.conflicts.append(f"position {position}: {known[:2]}, then {result[:2]} {reader}")
+            self.conflicts.append(f"position {position}: {known[:2]}, then {result[:2]} {source}")
 
     @property
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether every item has a result."""
-        return len(self.results) == self.items
+        return len(self.results) == self.item_count
 
 
 @dataclass
@@ -72,8 +72,8 @@
 
     path: str
     added_at: float
-    denied_after_served: list[str] = field(default_factory=list)
-    served_by: set[str] = field(default_factory=set)
+    regressed_processes: list[str] = field(default_factory=list)
+    serving_processes: set[str] = field(default_factory=set)
 
 
 @dataclass
@@ -86,19 +86,19 @@
     """
 
     zone: str
-    since: float
-    until: float | None = None
+    started_at: float
+    ended_at: float | None = None
 
 
 @dataclass
-class History:
+class SoakHistory:
     """All that callers saw.
 
     Attributes:
         began_at: monotonic time of the soak's second 0.
     """
 
-    began_at: float = 0.0
+    started_at: float = 0.0
     requests: list[RequestRecord] = field(default_factory=list)
     jobs_by_id: dict[str, JobRecord] = field(default_factory=dict)
     routes: list[RouteRecord] = field(default_factory=list)
--- a/src/wharfcart/soak/promises.py
+++ b/src/wharfcart/soak/promises.py
@@ -8,12 +8,17 @@
 from wharfcart.emulator.model_server import ModelServer, RunRecord
 from wharfcart.soak.history import (
     EvacuationRecord,
-    History,
     JobRecord,
     RequestKind,
     RequestRecord,
+    SoakHistory,
+)
+from wharfcart.soak.tenants import (
+    LIMITED_BURST_REQUESTS,
+    LIMITED_REQUESTS_PER_SECOND,
+    LIMITED_TENANT,
+    tenant_of,
 )
-from wharfcart.soak.tenants import HOT, HOT_BURST, HOT_PER_S, tenant_of
 from wharfcart.soak.workload import item_id
 
 EVENTS_PER_STREAM = 12
@@ -62,12 +67,13 @@
     for order in evacuations:
         if order.zone != backend.zone:
             continue
-        until = math.inf if order.until is None else order.until
+        until = math.inf if order.ended_at is None else order.ended_at
         found += [
             f"{run.request_id}: ran at {backend.server.instance_id}, whose zone {order.zone} was "
-            f"evacuated {run.at - order.since:.2f} s before"
+            f"evacuated {run.at - order.started_at:.2f} s before"
             for run in backend.server.runs
-            if order.since + EVACUATION_DELAY_S < run.at < until and not backend.is_excused(run.at)
+            if order.started_at + EVACUATION_DELAY_S < run.at < until
+            and not backend.is_excused(run.at)
         ]
     return found
 
@@ -89,7 +95,7 @@
     ]
 
 
-def find_violations(history: History, servers: list[ModelServer]) -> list[str]:
+def find_violations(history: SoakHistory, servers: list[ModelServer]) -> list[str]:
     """Return every promise that was broken, in words.
 
     Args:
@@ -104,10 +110,10 @@
     found += _check_tenants([run for server in servers for run in server.runs])
     for job in history.jobs_by_id.values():
         found += _check_job(job, runs)
-        found += _check_cancelled_job(job, history.began_at, last_runs)
+        found += _check_cancelled_job(job, history.started_at, last_runs)
     for route in history.routes:
         found += [
-            f"route {route.path} denied again by {life}" for life in route.denied_after_served
+            f"route {route.path} denied again by {life}" for life in route.regressed_processes
         ]
     return found
 
@@ -126,7 +132,7 @@
         yield f"{name}: denied a route that was always there"
     if record.status == 401:
         yield f"{name}: its key was denied"
-    if record.status == 429 and tenant_of(name) is not HOT:
+    if record.status == 429 and tenant_of(name) is not LIMITED_TENANT:
         yield f"{name}: refused under a limit that its tenant does not have"
 
 
@@ -137,13 +143,16 @@
             yield f"{run.request_id}: ran as a request of {run.tenant!r}, not of {owner.name}"
         if run.key:
             yield f"{run.request_id}: its caller's key was passed on"
-    hot = sorted(run.at for run in runs if tenant_of(run.request_id) is HOT)
+    hot = sorted(run.at for run in runs if tenant_of(run.request_id) is LIMITED_TENANT)
     busiest = max((sum(at - LIMIT_WINDOW_S < one <= at for one in hot) for at in hot), default=0)
     most = (
-        HOT_PER_S * LIMIT_WINDOW_S + HOT_BURST
+        LIMITED_REQUESTS_PER_SECOND * LIMIT_WINDOW_S + LIMITED_BURST_REQUESTS
     ) * LIMIT_OVERSHOOT_FACTOR + LIMIT_OVERSHOOT_REQUESTS
     if busiest > most:
-        yield f"{busiest} requests of {HOT.name} ran within {LIMIT_WINDOW_S} s, {most:g} allowed"
+        yield (
+            f"{busiest} requests of {LIMITED_TENANT.name} ran within {LIMIT_WINDOW_S} s, "
+            f"{most:g} allowed"
+        )
 
 
 def _expected_body(record: RequestRecord) -> bytes:
@@ -158,38 +167,40 @@
 def _check_job(job: JobRecord, runs: Counter[str]) -> Iterator[str]:
     name = job.job_id
     yield from (f"{name}: {conflict}" for conflict in job.conflicts)
-    items = [item_id(job, number) for number in range(job.items)]
+    items = [item_id(job, number) for number in range(job.item_count)]
     if job.accepted_at is None:
-        refused = bool(job.statuses) and all(status in NOT_RUN_STATUSES for status in job.statuses)
+        refused = bool(job.submission_statuses) and all(
+            status in NOT_RUN_STATUSES for status in job.submission_statuses
+        )
         if refused and any(runs[item] for item in items):
             yield f"{name}: refused every time, but ran"
         return
-    late = [at for at in job.missing if at > job.accepted_at + JOB_VISIBILITY_DELAY_S]
+    late = [at for at in job.denied_at if at > job.accepted_at + JOB_VISIBILITY_DELAY_S]
     if late:
         yield f"{name}: accepted at {job.accepted_at:.2f} s, denied at {late[0]:.2f} s"
-    if not job.readable_at_end:
+    if not job.is_readable_at_end:
         yield f"{name}: can't be read at the end"
     listed = Counter(result[0] for result in job.results.values())
     yield from (f"{name}: {item} is listed twice" for item, times in listed.items() if times > 1)
     yield from (f"{name}: {item} is not its item" for item in listed if item not in items)
-    if job.ended_at is None:
+    if job.cancelled_at is None:
         yield from (f"{name}: {item} has no result" for item in items if item not in listed)
     for item, state, text in job.results.values():
         if state == "succeeded" and text != _expected_text(item):
             yield f"{name}: text of {item} is not whole: {text[:60]!r}"
-        if state != "succeeded" and job.ended_at is None:
+        if state != "succeeded" and job.cancelled_at is None:
             yield f"{name}: {item} was given up"
 
 
 def _check_cancelled_job(
     job: JobRecord, started_at: float, last_run_at: dict[str, float]
 ) -> Iterator[str]:
-    if job.ended_at is None:
+    if job.cancelled_at is None:
         return
-    for number in range(job.items):
+    for number in range(job.item_count):
         ran_at = last_run_at.get(item_id(job, number), started_at) - started_at
-        if ran_at > job.ended_at + CANCELLATION_DELAY_S:
-            yield f"{job.job_id}: ended at {job.ended_at:.2f} s, an item ran at {ran_at:.2f} s"
+        if ran_at > job.cancelled_at + CANCELLATION_DELAY_S:
+            yield f"{job.job_id}: ended at {job.cancelled_at:.2f} s, an item ran at {ran_at:.2f} s"
 
 
 def _expected_text(item: str) -> str:
--- a/src/wharfcart/soak/run.py
+++ b/src/wharfcart/soak/run.py
@@ -19,7 +19,7 @@
     find_runs_in_evacuated_zone,
     find_violations,
 )
-from wharfcart.soak.workload import Workload
+from wharfcart.soak.workload import SoakWorkload
 
 GATEWAYS = 3
 STORES = 3
@@ -77,8 +77,8 @@
         self._keep = keep
         self.plan = draw_plan(seed, load_s, gateways, stores) if plan is None else plan
         self._fleet = SoakFleet(seed, gateways, stores)
-        self._workload = Workload(self._fleet, seed)
-        self._fleet.on_route_added = self._workload.route_added
+        self._workload = SoakWorkload(self._fleet, seed)
+        self._fleet.on_route_added = self._workload.track_added_route
 
     async def play(self) -> Verdict:
         """Play the run to its end and judge it."""
@@ -120,7 +120,7 @@
 
     def _sent_to_evacuated(self) -> list[str]:
         """Return what was sent to emptied zones, but for nodes that could not know of the order."""
-        began_at = self._workload.history.began_at
+        began_at = self._workload.history.started_at
         excused = tuple(
             (began_at + fault.at_s, began_at + fault.at_s + fault.for_s + EVACUATION_DELAY_S)
             for fault in self.plan
@@ -148,7 +148,7 @@
                 await self._workload.read_page(job, gateway, 0)
                 for gateway in range(len(self._fleet.gateways))
             ]
-            job.readable_at_end = all(status == 200 for status in reads)
+            job.is_readable_at_end = all(status == 200 for status in reads)
         return found
 
     async def _every_gateway_serves(self) -> bool:
@@ -168,11 +168,11 @@
         open_jobs = [
             job
             for job in self._workload.history.jobs_by_id.values()
-            if job.accepted_at is not None and job.ended_at is None and not job.complete
+            if job.accepted_at is not None and job.cancelled_at is None and not job.is_complete
         ]
         for number, job in enumerate(open_jobs):
             await self._workload.read_page(job, number % len(self._fleet.gateways), 0)
-        return all(job.complete for job in open_jobs)
+        return all(job.is_complete for job in open_jobs)
 
     async def _within(self, seconds: float, condition: t.Callable[[], t.Awaitable[bool]]) -> bool:
         until = monotonic() + seconds
--- a/src/wharfcart/soak/tenants.py
+++ b/src/wharfcart/soak/tenants.py
@@ -12,22 +12,27 @@
     key: str
 
 
-STEADY = SoakTenant("steady", "key-of-steady")
-HOT = SoakTenant("hot", "key-of-hot")
+UNLIMITED_TENANT = SoakTenant("steady", "key-of-steady")
+LIMITED_TENANT = SoakTenant("hot", "key-of-hot")
 # Requests of the hot tenant begin so; no others do.
-HOT_PREFIX = "hot-"
-HOT_PER_S = 4.0
-HOT_BURST = 4.0
+LIMITED_REQUEST_PREFIX = "hot-"
+LIMITED_REQUESTS_PER_SECOND = 4.0
+LIMITED_BURST_REQUESTS = 4.0
 
 
-def soak_tenants() -> list[dict[str, Any]]:
+def tenant_documents() -> list[dict[str, Any]]:
     """Return both as the operator writes them."""
     return [
-        example_tenant(STEADY.name, STEADY.key),
-        example_tenant(HOT.name, HOT.key, ratePerS=HOT_PER_S, burst=HOT_BURST),
+        example_tenant(UNLIMITED_TENANT.name, UNLIMITED_TENANT.key),
+        example_tenant(
+            LIMITED_TENANT.name,
+            LIMITED_TENANT.key,
+            ratePerS=LIMITED_REQUESTS_PER_SECOND,
+            burst=LIMITED_BURST_REQUESTS,
+        ),
     ]
 
 
 def tenant_of(request_id: str) -> SoakTenant:
     """Return whose request an id is."""
-    return HOT if request_id.startswith(HOT_PREFIX) else STEADY
+    return LIMITED_TENANT if request_id.startswith(LIMITED_REQUEST_PREFIX) else UNLIMITED_TENANT
--- a/src/wharfcart/soak/workload.py
+++ b/src/wharfcart/soak/workload.py
@@ -12,29 +12,29 @@
 from wharfcart.experiments.serving_fleet import STREAM_SERVICE
 from wharfcart.platform import names
 from wharfcart.soak.fleet import SoakFleet
-from wharfcart.soak.history import History, JobRecord, RequestKind, RequestRecord, RouteRecord
-from wharfcart.soak.tenants import HOT_PREFIX
+from wharfcart.soak.history import JobRecord, RequestKind, RequestRecord, RouteRecord, SoakHistory
+from wharfcart.soak.tenants import LIMITED_REQUEST_PREFIX
 
 DEADLINE_MS = 3000
 # A caller's connection is given up so long after its deadline.
-CALLER_MARGIN_S = 1.5
-REQUEST_PAUSE_S = 0.12
-HOT_PAUSE_S = 0.06
-JOB_PAUSE_S = 1.0
-MOST_ITEMS = 8
-READ_PAUSE_S = 0.4
-SUBMIT_PAUSE_S = 0.3
-MOST_SUBMISSIONS = 25
-END_CHANCE = 0.15
-MOST_ENDS = 25
-PROBE_PAUSE_S = 0.3
-
-
-class Workload:
+CALLER_TIMEOUT_MARGIN_S = 1.5
+REQUEST_INTERVAL_S = 0.12
+LIMITED_REQUEST_INTERVAL_S = 0.06
+JOB_INTERVAL_S = 1.0
+MAX_ITEMS_PER_JOB = 8
+READ_INTERVAL_S = 0.4
+RETRY_INTERVAL_S = 0.3
+MAX_SUBMIT_ATTEMPTS = 25
+CANCEL_PROBABILITY = 0.15
+MAX_CANCEL_ATTEMPTS = 25
+PROBE_INTERVAL_S = 0.3
+
+
+class SoakWorkload:
     """Callers of one soak."""
 
     def __init__(self, fleet: SoakFleet, seed: int) -> None:
-        self.history = History()
+        self.history = SoakHistory()
         self._fleet = fleet
         self._rng = random.Random(f"{seed} load")
         self._job_tasks: set[asyncio.Task[None]] = set()
@@ -42,106 +42,110 @@
     @property
     def now(self) -> float:
         """Seconds of the soak."""
-        return monotonic() - self.history.began_at
+        return monotonic() - self.history.started_at
 
     async def run(self, load_s: float) -> None:
         """Load the fleet for a while; returns once every caller has its answer."""
-        self.history.began_at = monotonic()
+        self.history.started_at = monotonic()
         async with asyncio.TaskGroup() as group:
             for kind in RequestKind:
-                group.create_task(self._requests(kind, load_s))
-            group.create_task(self._hot_tenant(load_s))
-            group.create_task(self._jobs(load_s))
+                group.create_task(self._send_requests(kind, load_s))
+            group.create_task(self._send_limited_requests(load_s))
+            group.create_task(self._run_jobs(load_s))
             group.create_task(self._probe_routes(load_s))
         await asyncio.gather(*self._job_tasks)
 
-    def route_added(self, path: str) -> None:
+    def track_added_route(self, path: str) -> None:
         """Begin to probe a route whose configuration was just acknowledged."""
         self.history.routes.append(RouteRecord(path, self.now))
 
     # -- requests ------------------------------------------------------
 
-    async def _requests(self, kind: RequestKind, load_s: float) -> None:
+    async def _send_requests(self, kind: RequestKind, load_s: float) -> None:
         number = 0
         async with asyncio.TaskGroup() as group:
             while self.now < load_s:
                 number += 1
                 gateway = self._rng.randrange(len(self._fleet.gateways))
                 group.create_task(self.request(f"{kind.value}-{number}", kind, gateway))
-                await asyncio.sleep(REQUEST_PAUSE_S * self._rng.uniform(0.5, 1.5))
+                await asyncio.sleep(REQUEST_INTERVAL_S * self._rng.uniform(0.5, 1.5))
 
-    async def _hot_tenant(self, load_s: float) -> None:
+    async def _send_limited_requests(self, load_s: float) -> None:
         """Send several times what the tenant may."""
         number = 0
         async with asyncio.TaskGroup() as group:
             while self.now < load_s:
                 number += 1
-                request_id = f"{HOT_PREFIX}{number}"
+                request_id = f"{LIMITED_REQUEST_PREFIX}{number}"
                 kind = RequestKind.REPEATABLE
-                group.create_task(self.request(request_id, kind, self._gateway()))
-                await asyncio.sleep(HOT_PAUSE_S)
+                group.create_task(self.request(request_id, kind, self._random_gateway()))
+                await asyncio.sleep(LIMITED_REQUEST_INTERVAL_S)
 
     async def request(self, request_id: str, kind: RequestKind, gateway: int) -> RequestRecord:
         """Send one request and record how it ends."""
         record = RequestRecord(request_id, kind, gateway, self.now)
         self.history.requests.append(record)
         try:
-            async with asyncio.timeout(DEADLINE_MS / 1000 + CALLER_MARGIN_S):
+            async with asyncio.timeout(DEADLINE_MS / 1000 + CALLER_TIMEOUT_MARGIN_S):
                 record.status, record.body, _ = await self._fleet.request(
                     gateway, f"/{kind.value}/x", request_id, DEADLINE_MS
                 )
         except (aiohttp.ClientError, TimeoutError, OSError):
             record.status = None
-        record.ended_at = self.now
+        record.finished_at = self.now
         return record
 
     # -- batch jobs ----------------------------------------------------
 
-    async def _jobs(self, load_s: float) -> None:
+    async def _run_jobs(self, load_s: float) -> None:
         number = 0
         while self.now < load_s:
             number += 1
-            job = JobRecord(f"job-{number}", self._rng.randint(1, MOST_ITEMS))
+            job = JobRecord(f"job-{number}", self._rng.randint(1, MAX_ITEMS_PER_JOB))
             self.history.jobs_by_id[job.job_id] = job
-            ends = self._rng.random() < END_CHANCE
-            self._job_tasks.add(asyncio.create_task(self._follow(job, ends, load_s)))
-            await asyncio.sleep(JOB_PAUSE_S * self._rng.uniform(0.5, 1.5))
+            ends = self._rng.random() < CANCEL_PROBABILITY
+            self._job_tasks.add(asyncio.create_task(self._run_job(job, ends, load_s)))
+            await asyncio.sleep(JOB_INTERVAL_S * self._rng.uniform(0.5, 1.5))
 
-    async def _follow(self, job: JobRecord, ends: bool, load_s: float) -> None:
+    async def _run_job(self, job: JobRecord, cancels: bool, load_s: float) -> None:
         await self._submit(job)
         if job.accepted_at is None:
             return
         ends_at = self.now + self._rng.uniform(0.1, 2.0)
-        while not job.complete and self.now < load_s:
-            await self.read_page(job, self._gateway(), self._rng.choice([0, len(job.results)]))
-            if ends and self.now > ends_at:
-                await self._end(job)
+        while not job.is_complete and self.now < load_s:
+            await self.read_page(
+                job, self._random_gateway(), self._rng.choice([0, len(job.results)])
+            )
+            if cancels and self.now > ends_at:
+                await self._cancel(job)
                 return
-            await asyncio.sleep(READ_PAUSE_S)
+            await asyncio.sleep(READ_INTERVAL_S)
 
     async def _submit(self, job: JobRecord) -> None:
-        body = _submission(job)
-        for _ in range(MOST_SUBMISSIONS):
-            status = await self._call(self._gateway(), "POST", f"/jobs/{job.job_id}", job, body)
-            job.statuses.append(status)
+        body = _submission_body(job)
+        for _ in range(MAX_SUBMIT_ATTEMPTS):
+            status = await self._call(
+                self._random_gateway(), "POST", f"/jobs/{job.job_id}", job, body
+            )
+            job.submission_statuses.append(status)
             if status == 202:
                 job.accepted_at = self.now
                 return
-            await asyncio.sleep(SUBMIT_PAUSE_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
 
-    async def _end(self, job: JobRecord) -> None:
-        for _ in range(MOST_ENDS):
+    async def _cancel(self, job: JobRecord) -> None:
+        for _ in range(MAX_CANCEL_ATTEMPTS):
             path = names.JOB_PATH + job.job_id
-            if await self._call(self._gateway(), "DELETE", path, job) == 200:
-                job.ended_at = self.now
+            if await self._call(self._random_gateway(), "DELETE", path, job) == 200:
+                job.cancelled_at = self.now
                 return
-            await asyncio.sleep(SUBMIT_PAUSE_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
 
     async def _call(
         self, gateway: int, method: str, path: str, job: JobRecord, body: bytes | None = None
     ) -> int | None:
         try:
-            async with asyncio.timeout(DEADLINE_MS / 1000 + CALLER_MARGIN_S):
+            async with asyncio.timeout(DEADLINE_MS / 1000 + CALLER_TIMEOUT_MARGIN_S):
                 status, _, _ = await self._fleet.request(
                     gateway, path, job.job_id, method=method, data=body
                 )
@@ -158,15 +162,15 @@
         except (aiohttp.ClientError, TimeoutError, OSError):
             return None
         if status in (404, 410):
-            job.missing.append(self.now)
+            job.denied_at.append(self.now)
         if status != 200:
             return status
         page = json.loads(body)
-        if page["total"] != job.items:
-            job.conflicts.append(f"total {page['total']}, not {job.items}")
+        if page["total"] != job.item_count:
+            job.conflicts.append(f"total {page['total']}, not {job.item_count}")
         for offset, result in enumerate(page["results"]):
             entry = (result["id"], result["state"], result["message"])
-            job.read(after + offset, entry, f"at gateway {gateway}")
+            job.record_result(after + offset, entry, f"at gateway {gateway}")
         return status
 
     # -- routes --------------------------------------------------------
@@ -176,7 +180,7 @@
             for route in list(self.history.routes):
                 for gateway in range(len(self._fleet.gateways)):
                     await self.probe(route, gateway)
-            await asyncio.sleep(PROBE_PAUSE_S)
+            await asyncio.sleep(PROBE_INTERVAL_S)
 
     async def probe(self, route: RouteRecord, gateway: int) -> int | None:
         """Ask one gateway for a route that was added; returns the status."""
@@ -189,13 +193,13 @@
                 )
         except (aiohttp.ClientError, TimeoutError, OSError):
             return None
-        if status == 404 and life in route.served_by:
-            route.denied_after_served.append(life)
+        if status == 404 and life in route.serving_processes:
+            route.regressed_processes.append(life)
         if status == 200:
-            route.served_by.add(life)
+            route.serving_processes.add(life)
         return status
 
-    def _gateway(self) -> int:
+    def _random_gateway(self) -> int:
         return self._rng.randrange(len(self._fleet.gateways))
 
 
@@ -204,7 +208,7 @@
     return f"{job.job_id}-{number}"
 
 
-def _submission(job: JobRecord) -> bytes:
+def _submission_body(job: JobRecord) -> bytes:
     requests: list[dict[str, t.Any]] = [
         {
             "id": item_id(job, number),
@@ -213,6 +217,6 @@
             "body": base64.b64encode(f"body {number}".encode()).decode(),
             "tokens": 10,
         }
-        for number in range(job.items)
+        for number in range(job.item_count)
     ]
     return json.dumps({"requests": requests}).encode()
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -3,11 +3,11 @@
 from wharfcart.emulator.model_server import ModelServer, RunRecord
 from wharfcart.soak.history import (
     EvacuationRecord,
-    History,
     JobRecord,
     RequestKind,
     RequestRecord,
     RouteRecord,
+    SoakHistory,
 )
 from wharfcart.soak.promises import (
     EVENTS_PER_STREAM,
@@ -16,7 +16,12 @@
     find_runs_in_evacuated_zone,
     find_violations,
 )
-from wharfcart.soak.tenants import HOT, HOT_PREFIX, STEADY, tenant_of
+from wharfcart.soak.tenants import (
+    LIMITED_REQUEST_PREFIX,
+    LIMITED_TENANT,
+    UNLIMITED_TENANT,
+    tenant_of,
+)
 
 
 def whole(request_id: str) -> bytes:
@@ -34,7 +39,7 @@
 ) -> list[str]:
     server = ModelServer("i", EVENTS_PER_STREAM, 0.0)
     server.runs = [RunRecord(run, 0, 1000, tenant=tenant_of(run).name) for run in runs]
-    history = History(requests=list(requests), jobs_by_id={job.job_id: job for job in jobs})
+    history = SoakHistory(requests=list(requests), jobs_by_id={job.job_id: job for job in jobs})
     return find_violations(history, [server])
 
 
@@ -43,9 +48,9 @@
 
 
 def finished_job() -> JobRecord:
-    job = JobRecord("j", 2, [202], accepted_at=1.0, readable_at_end=True)
-    job.read(0, ("j-1", "succeeded", text("j-1")), "")
-    job.read(1, ("j-0", "succeeded", text("j-0")), "")
+    job = JobRecord("j", 2, [202], accepted_at=1.0, is_readable_at_end=True)
+    job.record_result(0, ("j-1", "succeeded", text("j-1")), "")
+    job.record_result(1, ("j-0", "succeeded", text("j-0")), "")
     return job
 
 
@@ -88,10 +93,10 @@
 
 def test_a_job_that_is_lost() -> None:
     job = finished_job()
-    job.readable_at_end = False
+    job.is_readable_at_end = False
     assert judged([], jobs=(job,))
     job = finished_job()
-    job.missing = [3.0]
+    job.denied_at = [3.0]
     assert judged([], jobs=(job,))
 
 
@@ -105,57 +110,60 @@
     job = finished_job()
     del job.results[1]
     assert judged([], jobs=(job,))
-    job.ended_at = 2.0
+    job.cancelled_at = 2.0
     assert judged([], jobs=(job,)) == []
 
 
 def test_an_item_that_ran_long_after_its_job_was_ended() -> None:
     job = finished_job()
-    job.ended_at = 2.0
+    job.cancelled_at = 2.0
     server = ModelServer("i", EVENTS_PER_STREAM, 0.0)
-    history = History(began_at=100.0, jobs_by_id={"j": job})
-    server.runs = [RunRecord("j-0", 0, 1000, at=104.0, tenant=STEADY.name)]
+    history = SoakHistory(started_at=100.0, jobs_by_id={"j": job})
+    server.runs = [RunRecord("j-0", 0, 1000, at=104.0, tenant=UNLIMITED_TENANT.name)]
     assert find_violations(history, [server]) == []
-    server.runs = [RunRecord("j-0", 0, 1000, at=106.0, tenant=STEADY.name)]
+    server.runs = [RunRecord("j-0", 0, 1000, at=106.0, tenant=UNLIMITED_TENANT.name)]
     assert find_violations(history, [server])
 
 
 def test_a_result_that_changed() -> None:
     job = finished_job()
-    job.read(1, ("j-0", "succeeded", text("j-0")[:-1]), "at gateway 1")
+    job.record_result(1, ("j-0", "succeeded", text("j-0")[:-1]), "at gateway 1")
     assert judged([], jobs=(job,))
 
 
 def test_an_item_listed_twice_or_not_whole() -> None:
     job = finished_job()
-    job.read(2, ("j-0", "succeeded", text("j-0")), "")
+    job.record_result(2, ("j-0", "succeeded", text("j-0")), "")
     assert judged([], jobs=(job,))
-    job = JobRecord("j", 1, [202], accepted_at=1.0, readable_at_end=True)
-    job.read(0, ("j-0", "succeeded", text("j-0")[:-1]), "")
+    job = JobRecord("j", 1, [202], accepted_at=1.0, is_readable_at_end=True)
+    job.record_result(0, ("j-0", "succeeded", text("j-0")[:-1]), "")
     assert judged([], jobs=(job,))
 
 
 def test_a_route_that_went_back() -> None:
-    history = History(routes=[RouteRecord("/added-0/", 1.0, denied_after_served=["0:17"])])
+    history = SoakHistory(routes=[RouteRecord("/added-0/", 1.0, regressed_processes=["0:17"])])
     assert find_violations(history, [])
 
 
 def judged_runs(*runs: RunRecord) -> list[str]:
     server = ModelServer("i", EVENTS_PER_STREAM, 0.0)
     server.runs = list(runs)
-    return find_violations(History(requests=[], jobs_by_id={}), [server])
+    return find_violations(SoakHistory(requests=[], jobs_by_id={}), [server])
 
 
 def test_a_run_under_another_tenant_or_with_its_callers_key() -> None:
-    assert judged_runs(RunRecord("r", 0, 1000, tenant=HOT.name))
+    assert judged_runs(RunRecord("r", 0, 1000, tenant=LIMITED_TENANT.name))
     assert judged_runs(RunRecord("r", 0, 1000, tenant=""))
-    assert judged_runs(RunRecord("r", 0, 1000, tenant=STEADY.name, key="Bearer k"))
-    assert judged_runs(RunRecord("r", 0, 1000, tenant=STEADY.name)) == []
+    assert judged_runs(RunRecord("r", 0, 1000, tenant=UNLIMITED_TENANT.name, key="Bearer k"))
+    assert judged_runs(RunRecord("r", 0, 1000, tenant=UNLIMITED_TENANT.name)) == []
 
 
 def test_more_runs_of_a_tenant_than_its_limit_allows() -> None:
     def hot(count: int, gap_s: float) -> list[RunRecord]:
-        return [RunRecord(f"{HOT_PREFIX}{n}", 0, 1000, n * gap_s, HOT.name) for n in range(count)]
+        return [
+            RunRecord(f"{LIMITED_REQUEST_PREFIX}{n}", 0, 1000, n * gap_s, LIMITED_TENANT.name)
+            for n in range(count)
+        ]
 
     assert judged_runs(*hot(46, 0.1)) == []
     assert judged_runs(*hot(47, 0.1))
@@ -165,7 +173,7 @@
 def test_a_limit_or_a_key_that_is_wrongly_denied() -> None:
     assert judged([], request(RequestKind.REPEATABLE, 401))
     assert judged([], request(RequestKind.REPEATABLE, 429))
-    limited = RequestRecord(f"{HOT_PREFIX}1", RequestKind.REPEATABLE, 0, 0.0, 0.1, 429)
+    limited = RequestRecord(f"{LIMITED_REQUEST_PREFIX}1", RequestKind.REPEATABLE, 0, 0.0, 0.1, 429)
     assert judged([], limited) == []
 
 
