--- a/src/wharfcart/soak/plan.py
+++ b/src/wharfcart/soak/plan.py
@@ -17,8 +17,8 @@
     TERMINATE = "terminate"
     WIPE_DISK = "wipe_disk"
     KILL_ALL = "kill_all"
-    LEADER_CUT_AND_WIPED = "leader_cut_and_wiped"
-    LINK_SILENT = "link_silent"
+    PARTITIONED_LEADER_WIPED = "leader_cut_and_wiped"
+    LINK_STALLED = "link_silent"
     LINK_ONE_WAY = "link_one_way"
     LINK_DELAYED = "link_delayed"
     LINK_RESET = "link_reset"
@@ -28,18 +28,18 @@
     CLOCK_STEP = "clock_step"
     STORE_DOWN = "store_down"
     STORE_SLOW = "store_slow"
-    STORE_LOSES_ANSWERS = "store_loses_answers"
-    STORE_FORGETS = "store_forgets"
+    STORE_LOSES_RESPONSES = "store_loses_answers"
+    STORE_COMPACTED = "store_forgets"
     STORE_REFUSES_NODE = "store_refuses_node"
-    STORE_SILENT_TO_NODE = "store_silent_to_node"
-    SERVER_LINK_SILENT = "server_link_silent"
+    STORE_UNRESPONSIVE_TO_NODE = "store_silent_to_node"
+    SERVER_LINK_STALLED = "server_link_silent"
     SERVER_LINK_RESET = "server_link_reset"
-    SERVER_LOSES_ANSWERS = "server_loses_answers"
+    SERVER_LOSES_RESPONSES = "server_loses_answers"
     SERVER_CUTS_STREAMS = "server_cuts_streams"
     SERVER_REPLACED = "server_replaced"
-    CONFIGURATION = "configuration"
+    ROUTE_ADDED = "configuration"
     ZONE_EVACUATED = "zone_evacuated"
-    FATAL_REQUEST = "fatal_request"
+    POISON_REQUEST = "fatal_request"
 
 
 STORAGE_FAULTS = (
@@ -47,9 +47,9 @@
     FaultKind.FREEZE,
     FaultKind.TERMINATE,
     FaultKind.WIPE_DISK,
-    FaultKind.LEADER_CUT_AND_WIPED,
-    FaultKind.LEADER_CUT_AND_WIPED,
-    FaultKind.LINK_SILENT,
+    FaultKind.PARTITIONED_LEADER_WIPED,
+    FaultKind.PARTITIONED_LEADER_WIPED,
+    FaultKind.LINK_STALLED,
     FaultKind.LINK_ONE_WAY,
     FaultKind.LINK_DELAYED,
     FaultKind.LINK_RESET,
@@ -64,32 +64,32 @@
     FaultKind.TERMINATE,
     FaultKind.CLOCK_STEP,
     FaultKind.STORE_REFUSES_NODE,
-    FaultKind.STORE_SILENT_TO_NODE,
+    FaultKind.STORE_UNRESPONSIVE_TO_NODE,
 )
 FLEET_FAULTS = (
     FaultKind.STORE_DOWN,
     FaultKind.STORE_SLOW,
-    FaultKind.STORE_LOSES_ANSWERS,
-    FaultKind.STORE_FORGETS,
-    FaultKind.SERVER_LINK_SILENT,
+    FaultKind.STORE_LOSES_RESPONSES,
+    FaultKind.STORE_COMPACTED,
+    FaultKind.SERVER_LINK_STALLED,
     FaultKind.SERVER_LINK_RESET,
-    FaultKind.SERVER_LOSES_ANSWERS,
+    FaultKind.SERVER_LOSES_RESPONSES,
     FaultKind.SERVER_CUTS_STREAMS,
     FaultKind.SERVER_REPLACED,
-    FaultKind.CONFIGURATION,
-    FaultKind.CONFIGURATION,
+    FaultKind.ROUTE_ADDED,
+    FaultKind.ROUTE_ADDED,
     FaultKind.ZONE_EVACUATED,
     FaultKind.ZONE_EVACUATED,
 )
 
 # A storage node that was in trouble has caught up after this time.
-CATCH_UP_S = 5.0
-SHORTEST_S = 0.5
-LONGEST_S = 5.0
+REPLICA_CATCH_UP_S = 5.0
+MIN_FAULT_S = 0.5
+MAX_FAULT_S = 5.0
 # The chance that everything is killed at once in the middle of a run.
-KILL_ALL_CHANCE = 0.25
+KILL_ALL_PROBABILITY = 0.25
 # Requests that end their back ends, and how long their callers repeat them.
-MOST_FATAL_REQUESTS = 2
+MAX_POISON_REQUESTS = 2
 
 
 @dataclass(frozen=True)
@@ -103,18 +103,21 @@
         on_storage: whether ``target`` is a storage node rather than a gateway.
     """
 
-    at_s: float
-    for_s: float
+    start_s: float
+    duration_s: float
     kind: FaultKind
-    target: int
+    target_index: int
     on_storage: bool = False
 
     def __str__(self) -> str:
         where = "storage" if self.on_storage else "other"
-        return f"{self.at_s:.2f} s {self.kind.value} {where} {self.target} for {self.for_s:.2f} s"
+        return (
+            f"{self.start_s:.2f} s {self.kind.value} {where} {self.target_index} "
+            f"for {self.duration_s:.2f} s"
+        )
 
 
-def draw_plan(seed: int, load_s: float, gateways: int, stores: int) -> list[PlannedFault]:
+def generate_plan(seed: int, load_s: float, gateways: int, stores: int) -> list[PlannedFault]:
     """Draw the faults of one run.
 
     Args:
@@ -127,38 +130,40 @@
         The faults in the order in which they begin.
     """
     rng = random.Random(seed)
-    faults = _draw_storage_faults(rng, load_s, stores)
+    faults = _generate_storage_faults(rng, load_s, stores)
     for kinds in (GATEWAY_FAULTS, FLEET_FAULTS):
         for _ in range(max(1, int(load_s / 5))):
-            for_s = rng.uniform(SHORTEST_S, LONGEST_S)
+            for_s = rng.uniform(MIN_FAULT_S, MAX_FAULT_S)
             at_s = rng.uniform(0, load_s - for_s)
             faults.append(PlannedFault(at_s, for_s, rng.choice(kinds), rng.randrange(gateways)))
-    if rng.random() < KILL_ALL_CHANCE:
+    if rng.random() < KILL_ALL_PROBABILITY:
         faults = [fault for fault in faults if not fault.on_storage]
         at_s = rng.uniform(load_s / 4, load_s / 2)
-        faults.append(PlannedFault(at_s, SHORTEST_S, FaultKind.KILL_ALL, 0))
-    faults += _draw_fatal_requests(random.Random(f"{seed} fatal"), load_s, gateways)
-    return sorted(faults, key=lambda fault: fault.at_s)
+        faults.append(PlannedFault(at_s, MIN_FAULT_S, FaultKind.KILL_ALL, 0))
+    faults += _generate_poison_requests(random.Random(f"{seed} fatal"), load_s, gateways)
+    return sorted(faults, key=lambda fault: fault.start_s)
 
 
-def _draw_fatal_requests(rng: random.Random, load_s: float, gateways: int) -> list[PlannedFault]:
+def _generate_poison_requests(
+    rng: random.Random, load_s: float, gateways: int
+) -> list[PlannedFault]:
     """Draw callers that repeat such a request beside everything else, at any gateway."""
     drawn = []
-    for _ in range(rng.randint(0, MOST_FATAL_REQUESTS)):
-        for_s = rng.uniform(SHORTEST_S, load_s / 2)
+    for _ in range(rng.randint(0, MAX_POISON_REQUESTS)):
+        for_s = rng.uniform(MIN_FAULT_S, load_s / 2)
         at_s = rng.uniform(0, load_s - for_s)
         target = rng.randrange(gateways)
-        drawn.append(PlannedFault(at_s, for_s, FaultKind.FATAL_REQUEST, target))
+        drawn.append(PlannedFault(at_s, for_s, FaultKind.POISON_REQUEST, target))
     return drawn
 
 
-def _draw_storage_faults(rng: random.Random, load_s: float, stores: int) -> list[PlannedFault]:
+def _generate_storage_faults(rng: random.Random, load_s: float, stores: int) -> list[PlannedFault]:
     faults: list[PlannedFault] = []
     at_s = rng.uniform(0, 3.0)
     while True:
-        for_s = rng.uniform(SHORTEST_S, LONGEST_S)
+        for_s = rng.uniform(MIN_FAULT_S, MAX_FAULT_S)
         if at_s + for_s > load_s:
             return faults
         kind = rng.choice(STORAGE_FAULTS)
         faults.append(PlannedFault(at_s, for_s, kind, rng.randrange(stores), on_storage=True))
-        at_s += for_s + CATCH_UP_S + rng.uniform(0, 2.0)
+        at_s += for_s + REPLICA_CATCH_UP_S + rng.uniform(0, 2.0)
--- a/src/wharfcart/soak/run.py
+++ b/src/wharfcart/soak/run.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 from time import monotonic
 
-from wharfcart.soak.faults import play_fault
+from wharfcart.soak.faults import inject_fault
 from wharfcart.soak.fleet import SoakFleet
 from wharfcart.soak.history import RequestKind
-from wharfcart.soak.plan import FaultKind, PlannedFault, draw_plan
+from wharfcart.soak.plan import FaultKind, PlannedFault, generate_plan
 from wharfcart.soak.promises import (
     EVACUATION_DELAY_S,
     ZoneBackend,
@@ -75,7 +75,7 @@
         self.seed = seed
         self.load_s = load_s
         self._keep = keep
-        self.plan = draw_plan(seed, load_s, gateways, stores) if plan is None else plan
+        self.plan = generate_plan(seed, load_s, gateways, stores) if plan is None else plan
         self._fleet = SoakFleet(seed, gateways, stores)
         self._workload = SoakWorkload(self._fleet, seed)
         self._fleet.on_route_added = self._workload.track_added_route
@@ -88,7 +88,7 @@
             async with asyncio.TaskGroup() as group:
                 group.create_task(self._workload.run(self.load_s))
                 for planned in self.plan:
-                    group.create_task(play_fault(self._fleet, planned))
+                    group.create_task(inject_fault(self._fleet, planned))
             violations = self._fleet.violations + await self._recover()
             violations += find_violations(self._workload.history, self._fleet.all_servers)
             violations += self._sent_to_evacuated()
@@ -122,7 +122,10 @@
         """Return what was sent to emptied zones, but for nodes that could not know of the order."""
         began_at = self._workload.history.started_at
         excused = tuple(
-            (began_at + fault.at_s, began_at + fault.at_s + fault.for_s + EVACUATION_DELAY_S)
+            (
+                began_at + fault.start_s,
+                began_at + fault.start_s + fault.duration_s + EVACUATION_DELAY_S,
+            )
             for fault in self.plan
             if fault.kind in UNAWARE_KINDS
         )
--- a/tests/soak/test_faults.py
+++ b/tests/soak/test_faults.py
@@ -39,10 +39,10 @@
     async def scenario() -> None:
         stop = TerminateFault(fleet, planned)  # type: ignore[arg-type]
         kill = KillFault(fleet, planned)  # type: ignore[arg-type]
-        await stop.begin()
-        await kill.begin()
-        await kill.end()
-        await asyncio.wait_for(stop.end(), 5.0)
+        await stop.inject()
+        await kill.inject()
+        await kill.recover()
+        await asyncio.wait_for(stop.recover(), 5.0)
 
     try:
         asyncio.run(scenario())
