--- a/src/wharfcart/cli/soak.py
+++ b/src/wharfcart/cli/soak.py
@@ -33,7 +33,7 @@
     for number in chosen:
         typer.echo(f"seed {number}", err=True)
         run = SoakRun(number, load_s, keep, gateways=gateways, stores=stores)
-        verdict = asyncio.run(run.play())
+        verdict = asyncio.run(run.execute())
         failed = failed or bool(verdict.violations)
         print(json.dumps(_as_line(verdict)), flush=True)
     raise typer.Exit(int(ExitCode.FAILED if failed else ExitCode.OK))
@@ -45,9 +45,9 @@
         "passed": not verdict.violations,
         "violations": verdict.violations[:20],
         "faults": len(verdict.plan),
-        "requests": verdict.requests,
-        "answered": verdict.answered,
-        "jobs": verdict.jobs,
-        "seconds": verdict.seconds,
-        "logs": None if verdict.kept is None else str(verdict.kept),
+        "requests": verdict.request_count,
+        "answered": verdict.success_count,
+        "jobs": verdict.job_count,
+        "seconds": verdict.duration_s,
+        "logs": None if verdict.logs_folder is None else str(verdict.logs_folder),
     }
--- a/src/wharfcart/soak/faults.py
+++ b/src/wharfcart/soak/faults.py
@@ -61,7 +61,7 @@
 
     async def recover(self) -> None:
         """Undo it."""
-        self.fleet.revive(self.node)
+        self.fleet.restart(self.node)
 
 
 class FreezeFault(Fault):
@@ -96,7 +96,7 @@
             self._process.kill()
             self._process.wait()
         if self.node.process is self._process:
-            self.fleet.revive(self.node)
+            self.fleet.restart(self.node)
 
 
 class WipeFault(KillFault):
@@ -104,7 +104,7 @@
 
     async def inject(self) -> None:
         """Strike."""
-        self.fleet.wipe(self.node)
+        self.fleet.kill_and_wipe(self.node)
 
 
 class PartitionedLeaderWipeFault(Fault):
@@ -117,14 +117,14 @@
         """Strike."""
         self._leader = self.fleet.leader() or self.node
         for node in self._followers():
-            await self.fleet.set_link(self.fleet.proxies_by_node[node.node_id], silent=True)
+            await self.fleet.set_link_faults(self.fleet.proxies_by_node[node.node_id], silent=True)
 
     async def recover(self) -> None:
         """Undo it."""
-        self.fleet.wipe(self._leader)
+        self.fleet.kill_and_wipe(self._leader)
         for node in self._followers():
-            await self.fleet.set_link(self.fleet.proxies_by_node[node.node_id])
-        self.fleet.revive(self._leader)
+            await self.fleet.set_link_faults(self.fleet.proxies_by_node[node.node_id])
+        self.fleet.restart(self._leader)
 
     def _followers(self) -> list[ServingNodeProcess]:
         return [node for node in self.fleet.stores if node is not self._leader]
@@ -141,7 +141,7 @@
     async def recover(self) -> None:
         """Undo it."""
         for node in (*self.fleet.gateways, *self.fleet.stores):
-            self.fleet.revive(node)
+            self.fleet.restart(node)
 
 
 class LinkFault(Fault):
@@ -157,11 +157,11 @@
     async def inject(self) -> None:
         """Strike."""
         proxy = self.fleet.proxies_by_node[self.node.node_id]
-        await self.fleet.set_link(proxy, **self.faults_by_kind[self.planned.kind])
+        await self.fleet.set_link_faults(proxy, **self.faults_by_kind[self.planned.kind])
 
     async def recover(self) -> None:
         """Undo it."""
-        await self.fleet.set_link(self.fleet.proxies_by_node[self.node.node_id])
+        await self.fleet.set_link_faults(self.fleet.proxies_by_node[self.node.node_id])
 
 
 class DiskFault(Fault):
@@ -175,11 +175,11 @@
 
     async def inject(self) -> None:
         """Strike."""
-        self.fleet.control(self.node, disk=self.modes_by_kind[self.planned.kind])
+        self.fleet.set_hook_faults(self.node, disk=self.modes_by_kind[self.planned.kind])
 
     async def recover(self) -> None:
         """Undo it."""
-        self.fleet.control(self.node, disk="")
+        self.fleet.set_hook_faults(self.node, disk="")
 
 
 class ClockStepFault(Fault):
@@ -188,11 +188,11 @@
     async def inject(self) -> None:
         """Strike."""
         step_s = CLOCK_STEP_S if self.planned.target_index % 2 else -CLOCK_STEP_S
-        self.fleet.control(self.node, clock_step_s=step_s)
+        self.fleet.set_hook_faults(self.node, clock_step_s=step_s)
 
     async def recover(self) -> None:
         """Undo it."""
-        self.fleet.control(self.node, clock_step_s=0.0)
+        self.fleet.set_hook_faults(self.node, clock_step_s=0.0)
 
 
 class MetadataStoreFault(Fault):
@@ -242,13 +242,13 @@
         ]
         self._proxy = self.fleet.proxies_by_server[server.instance_id]
         if self.planned.kind is FaultKind.SERVER_LINK_STALLED:
-            await self.fleet.set_link(self._proxy, silent=True)
+            await self.fleet.set_link_faults(self._proxy, silent=True)
         else:
-            await self.fleet.set_link(self._proxy, broken_connections=MAX_RESET_CONNECTIONS)
+            await self.fleet.set_link_faults(self._proxy, broken_connections=MAX_RESET_CONNECTIONS)
 
     async def recover(self) -> None:
         """Undo it."""
-        await self.fleet.set_link(self._proxy)
+        await self.fleet.set_link_faults(self._proxy)
 
 
 class ServerResponseFault(Fault):
@@ -290,11 +290,11 @@
 
     async def inject(self) -> None:
         """Strike."""
-        self._record = await self.fleet.evacuate(self.planned.target_index)
+        self._record = await self.fleet.evacuate_zone(self.planned.target_index)
 
     async def recover(self) -> None:
         """Undo it."""
-        await self.fleet.take_evacuation_back(self._record)
+        await self.fleet.end_evacuation(self._record)
 
 
 class PoisonRequestFault(Fault):
@@ -310,7 +310,7 @@
         await asyncio.wait((self._task,))
 
     async def _repeat(self) -> None:
-        body = self.fleet.add_fatal_request()
+        body = self.fleet.add_poison_request()
         for number in itertools.count(self.planned.target_index):
             request_id = f"{body.decode().replace(' ', '-')}-{number}"
             gateway = number % len(self.fleet.gateways)
--- a/src/wharfcart/soak/fleet.py
+++ b/src/wharfcart/soak/fleet.py
@@ -33,21 +33,21 @@
 
 HOOKS_FOLDER = Path(hooks.__file__).parent
 # A back end that a request has ended has a successor so soon.
-BACK_AFTER_S = 0.6
+RESTART_DELAY_S = 0.6
 # Where its entry has lapsed meanwhile, it comes later by this.
-LAPSED_FOR_S = 0.5
+ENTRY_ABSENCE_S = 0.5
 
 
-class Return(Enum):
+class RestartMode(Enum):
     """How a back end that a request has ended comes back; what ran there is gone each time."""
 
     NEW_ID = "new_id"
-    OLD_ID_IN_PLACE = "old_id_in_place"
-    OLD_ID_AFTER_LAPSE = "old_id_after_lapse"
+    SAME_ID = "old_id_in_place"
+    SAME_ID_AFTER_REMOVAL = "old_id_after_lapse"
 
 
 # One after the other, so that each run that ends a few back ends has all of them.
-RETURNS = tuple(Return)
+RESTART_MODES = tuple(RestartMode)
 
 
 class SoakFleet(ServingFleet):
@@ -67,16 +67,16 @@
         self._address_by_server: dict[str, str] = {}
         self._advertised_by_node: dict[str, str] = {}
         self.retired_servers: list[ModelServer] = []
-        self._next_server = 100
-        self._returned = 0
+        self._next_server_number = 100
+        self._restart_count = 0
         self.violations: list[str] = []
         self._added_routes: dict[str, dict[str, t.Any]] = {}
         self.on_route_added: t.Callable[[str], None] = lambda path: None
         self.tenants = tenant_documents()
         self.evacuations: list[EvacuationRecord] = []
         self._zones_by_server: dict[str, str] = {}
-        self._fatal_bodies: set[bytes] = set()
-        self.ends_by_body: Counter[bytes] = Counter()
+        self._poison_bodies: set[bytes] = set()
+        self.crashes_by_body: Counter[bytes] = Counter()
         self._replacements = BackgroundTasks()
 
     async def request(
@@ -97,7 +97,7 @@
             proxy = FaultProxy(split_endpoint(advertised), target, self._seed)
             self.proxies_by_node[node.node_id] = proxy
             await proxy.start()
-            self.control(node, clock_step_s=0.0, disk="")
+            self.set_hook_faults(node, clock_step_s=0.0, disk="")
         await super().start()
 
     async def stop(self) -> None:
@@ -123,7 +123,7 @@
 
     # -- faults --------------------------------------------------------
 
-    def control(self, node: ServingNodeProcess, **values: t.Any) -> None:
+    def set_hook_faults(self, node: ServingNodeProcess, **values: t.Any) -> None:
         """Change what the hooks of one process do."""
         path = self._control_file(node)
         known = json.loads(path.read_text()) if path.exists() else {}
@@ -131,17 +131,17 @@
         fresh.write_text(json.dumps(known | values))
         fresh.replace(path)
 
-    def wipe(self, node: ServingNodeProcess) -> None:
+    def kill_and_wipe(self, node: ServingNodeProcess) -> None:
         """Kill a storage node and lose its disk."""
         self.signal(node, signal.SIGKILL)
         shutil.rmtree(node.data_folder, ignore_errors=True)
 
-    def revive(self, node: ServingNodeProcess) -> None:
+    def restart(self, node: ServingNodeProcess) -> None:
         """Start a process again that has ended."""
         if node.process is not None and node.process.poll() is not None:
             self.start_node(node)
 
-    async def set_link(self, proxy: FaultProxy, **faults: t.Any) -> None:
+    async def set_link_faults(self, proxy: FaultProxy, **faults: t.Any) -> None:
         """Switch the faults of one link."""
         proxy.set_faults(ProxyFaults(**faults))
 
@@ -157,11 +157,11 @@
                 return node
         return None
 
-    async def replace_server(self, number: int) -> None:
+    async def replace_server(self, server_index: int) -> None:
         """Let one back end drain and leave, and another come."""
-        old = self.stream_servers[number % len(self.stream_servers)]
-        new = ModelServer(f"i-lm-{self._next_server}", 12, 0.02)
-        self._next_server += 1
+        old = self.stream_servers[server_index % len(self.stream_servers)]
+        new = ModelServer(f"i-lm-{self._next_server_number}", 12, 0.02)
+        self._next_server_number += 1
         await new.server.start("127.0.0.1", 0)
         await self._add_server_proxy(new)
         await self.announce(new, STREAM_SERVICE)
@@ -175,21 +175,21 @@
             run.request_id == request_id for server in self.all_servers for run in server.runs
         )
 
-    def add_fatal_request(self) -> bytes:
+    def add_poison_request(self) -> bytes:
         """Return the body of one more request that ends the back ends that run it."""
-        body = f"fatal {len(self._fatal_bodies)}".encode()
-        self._fatal_bodies.add(body)
+        body = f"fatal {len(self._poison_bodies)}".encode()
+        self._poison_bodies.add(body)
         return body
 
-    async def evacuate(self, number: int) -> EvacuationRecord:
+    async def evacuate_zone(self, zone_index: int) -> EvacuationRecord:
         """Ask that nothing new goes to the servers of a zone, as the operator does."""
-        zone = ZONES[number % len(ZONES)]
+        zone = ZONES[zone_index % len(ZONES)]
         await self.store.put(names.EVACUATE_PREFIX + zone, {})
         record = EvacuationRecord(zone, monotonic())
         self.evacuations.append(record)
         return record
 
-    async def take_evacuation_back(self, record: EvacuationRecord) -> None:
+    async def end_evacuation(self, record: EvacuationRecord) -> None:
         """Let servers of a zone get work again, unless another order for it still stands."""
         record.ended_at = monotonic()
         if not any(one.zone == record.zone and one.ended_at is None for one in self.evacuations):
@@ -220,36 +220,36 @@
         """Write a back end's entry, once its proxy stands."""
         if server.instance_id not in self._address_by_server:
             await self._add_server_proxy(server)
-            server.fatal_bodies = self._fatal_bodies
-            server.on_end = self._note_end
+            server.fatal_bodies = self._poison_bodies
+            server.on_end = self._on_server_crash
         await super().announce(server, service, state)
 
     # -- inner ---------------------------------------------------------
 
-    def _note_end(self, server: ModelServer, body: bytes) -> None:
+    def _on_server_crash(self, server: ModelServer, body: bytes) -> None:
         """Take a back end that a request has ended off the net; another one comes."""
-        self.ends_by_body[body] += 1
-        self._replacements.spawn(self._replace_ended(server))
+        self.crashes_by_body[body] += 1
+        self._replacements.spawn(self._restart_crashed(server))
 
-    async def _replace_ended(self, old: ModelServer) -> None:
+    async def _restart_crashed(self, old: ModelServer) -> None:
         await self.proxies_by_server[old.instance_id].stop()
         streams = old in self.stream_servers
         servers = self.stream_servers if streams else self.plain_servers
         if old not in servers:
             return  # it was draining: its successor has come already
-        await asyncio.sleep(BACK_AFTER_S)
-        manner = RETURNS[self._returned % len(RETURNS)]
-        self._returned += 1
-        if manner is Return.NEW_ID:
-            instance_id = f"i-after-end-{self._next_server}"
-            self._next_server += 1
+        await asyncio.sleep(RESTART_DELAY_S)
+        manner = RESTART_MODES[self._restart_count % len(RESTART_MODES)]
+        self._restart_count += 1
+        if manner is RestartMode.NEW_ID:
+            instance_id = f"i-after-end-{self._next_server_number}"
+            self._next_server_number += 1
         else:
             instance_id = old.instance_id
             del self._address_by_server[instance_id]
-        if manner is not Return.OLD_ID_IN_PLACE:
+        if manner is not RestartMode.SAME_ID:
             await self.store.remove(names.SERVER_PREFIX + old.instance_id)
-        if manner is Return.OLD_ID_AFTER_LAPSE:
-            await asyncio.sleep(LAPSED_FOR_S)
+        if manner is RestartMode.SAME_ID_AFTER_REMOVAL:
+            await asyncio.sleep(ENTRY_ABSENCE_S)
         events, event_s = (12, 0.02) if streams else (0, 0.02)
         new = ModelServer(instance_id, events, event_s)
         await new.server.start("127.0.0.1", 0)
--- a/src/wharfcart/soak/hooks/sitecustomize.py
+++ b/src/wharfcart/soak/hooks/sitecustomize.py
@@ -13,28 +13,28 @@
 from typing import Any
 
 CONTROL_VARIABLE = "SOAK_CONTROL"
-REREAD_S = 0.05
-SLOW_WRITE_S = 0.25
-HANG_POLL_S = 0.02
-WRITES = ("insert", "update", "delete", "begin", "commit", "create")
+RELOAD_INTERVAL_S = 0.05
+SLOW_WRITE_DELAY_S = 0.25
+HANG_POLL_INTERVAL_S = 0.02
+WRITE_STATEMENTS = ("insert", "update", "delete", "begin", "commit", "create")
 
 _wall_clock = time.time
 _connect = sqlite3.connect
 
 
-class _Control:
+class _ControlFile:
     """The control file, read anew at most every :data:`REREAD_S`."""
 
     def __init__(self, path: str) -> None:
         self._path = path
-        self._read_at = -1e9
+        self._loaded_at = -1e9
         self._values: dict[str, Any] = {}
 
     def get(self, name: str, default: Any) -> Any:
         """Return one value of the file."""
         now = time.monotonic()
-        if now - self._read_at > REREAD_S:
-            self._read_at = now
+        if now - self._loaded_at > RELOAD_INTERVAL_S:
+            self._loaded_at = now
             try:
                 with open(self._path, encoding="utf-8") as file:
                     self._values = json.load(file)
@@ -48,21 +48,21 @@
 
     def execute(self, statement: str, *parameters: Any) -> sqlite3.Cursor:
         """Execute a statement, or fail."""
-        if statement.lstrip().lower().startswith(WRITES):
-            _disk_fault()
+        if statement.lstrip().lower().startswith(WRITE_STATEMENTS):
+            _apply_disk_fault()
         return super().execute(statement, *parameters)
 
     def executemany(self, statement: str, *parameters: Any) -> sqlite3.Cursor:
         """Execute a statement with many rows, or fail."""
-        _disk_fault()
+        _apply_disk_fault()
         return super().executemany(statement, *parameters)
 
 
-def _disk_fault() -> None:
+def _apply_disk_fault() -> None:
     while _control.get("disk", "") == "hang":
-        time.sleep(HANG_POLL_S)
+        time.sleep(HANG_POLL_INTERVAL_S)
     if _control.get("disk", "") == "slow":
-        time.sleep(SLOW_WRITE_S)
+        time.sleep(SLOW_WRITE_DELAY_S)
     if _control.get("disk", "") == "full":
         raise sqlite3.OperationalError("database or disk is full")
 
@@ -74,6 +74,6 @@
 
 
 if CONTROL_VARIABLE in os.environ:
-    _control = _Control(os.environ[CONTROL_VARIABLE])
+    _control = _ControlFile(os.environ[CONTROL_VARIABLE])
     time.time = lambda: _wall_clock() + _control.get("clock_step_s", 0.0)
     setattr(sqlite3, "connect", _faulty_connect)  # noqa: B010 - mypy refuses the overloads
--- a/src/wharfcart/soak/run.py
+++ b/src/wharfcart/soak/run.py
@@ -24,12 +24,12 @@
 GATEWAYS = 3
 STORES = 3
 # The fleet has so long after the last fault to serve as before and to finish every job.
-RECOVERY_S = 12.0
-FINISH_S = 18.0
+RECOVERY_TIMEOUT_S = 12.0
+JOB_COMPLETION_TIMEOUT_S = 18.0
 CALM_REQUESTS = 6
-POLL_S = 0.2
+POLL_INTERVAL_S = 0.2
 # A node that stands still, or that can read no order since the store is away, sends as before.
-UNAWARE_KINDS = frozenset({FaultKind.FREEZE, FaultKind.STORE_DOWN})
+EVACUATION_EXCUSE_KINDS = frozenset({FaultKind.FREEZE, FaultKind.STORE_DOWN})
 
 
 @dataclass(frozen=True)
@@ -44,11 +44,11 @@
     seed: int
     plan: list[PlannedFault]
     violations: list[str]
-    requests: int
-    answered: int
-    jobs: int
-    seconds: float
-    kept: Path | None = None
+    request_count: int
+    success_count: int
+    job_count: int
+    duration_s: float
+    logs_folder: Path | None = None
 
 
 class SoakRun:
@@ -67,20 +67,20 @@
         self,
         seed: int,
         load_s: float,
-        keep: Path,
+        failures_folder: Path,
         plan: list[PlannedFault] | None = None,
         gateways: int = GATEWAYS,
         stores: int = STORES,
     ) -> None:
         self.seed = seed
         self.load_s = load_s
-        self._keep = keep
+        self._failures_folder = failures_folder
         self.plan = generate_plan(seed, load_s, gateways, stores) if plan is None else plan
         self._fleet = SoakFleet(seed, gateways, stores)
         self._workload = SoakWorkload(self._fleet, seed)
         self._fleet.on_route_added = self._workload.track_added_route
 
-    async def play(self) -> Verdict:
+    async def execute(self) -> Verdict:
         """Play the run to its end and judge it."""
         began_at = monotonic()
         try:
@@ -89,11 +89,13 @@
                 group.create_task(self._workload.run(self.load_s))
                 for planned in self.plan:
                     group.create_task(inject_fault(self._fleet, planned))
-            violations = self._fleet.violations + await self._recover()
+            violations = self._fleet.violations + await self._wait_for_recovery()
             violations += find_violations(self._workload.history, self._fleet.all_servers)
-            violations += self._sent_to_evacuated()
-            violations += find_excessive_crashes(self._fleet.ends_by_body, self._gateway_lives())
-            kept = self._keep_logs(violations) if violations else None
+            violations += self._find_runs_in_evacuated_zones()
+            violations += find_excessive_crashes(
+                self._fleet.crashes_by_body, self._gateway_process_count()
+            )
+            kept = self._save_logs(violations) if violations else None
         finally:
             await self._fleet.stop()
         history = self._workload.history
@@ -109,7 +111,7 @@
             kept,
         )
 
-    def _gateway_lives(self) -> int:
+    def _gateway_process_count(self) -> int:
         """Return how many processes of gateways the plan has run."""
         kills = sum(
             fault.kind in (FaultKind.KILL, FaultKind.TERMINATE) and not fault.on_storage
@@ -118,7 +120,7 @@
         all_kills = sum(fault.kind is FaultKind.KILL_ALL for fault in self.plan)
         return len(self._fleet.gateways) * (1 + all_kills) + kills
 
-    def _sent_to_evacuated(self) -> list[str]:
+    def _find_runs_in_evacuated_zones(self) -> list[str]:
         """Return what was sent to emptied zones, but for nodes that could not know of the order."""
         began_at = self._workload.history.started_at
         excused = tuple(
@@ -127,7 +129,7 @@
                 began_at + fault.start_s + fault.duration_s + EVACUATION_DELAY_S,
             )
             for fault in self.plan
-            if fault.kind in UNAWARE_KINDS
+            if fault.kind in EVACUATION_EXCUSE_KINDS
         )
         return [
             problem
@@ -137,13 +139,15 @@
             )
         ]
 
-    async def _recover(self) -> list[str]:
+    async def _wait_for_recovery(self) -> list[str]:
         """Wait until the fleet is well again; returns what was not in time."""
         found = []
-        if not await self._within(RECOVERY_S, self._every_gateway_serves):
-            found.append(f"no gateway or not each serves {RECOVERY_S} s after the last fault")
-        if not await self._within(FINISH_S, self._every_job_is_done):
-            found.append(f"jobs are not done {FINISH_S} s after the recovery")
+        if not await self._poll(RECOVERY_TIMEOUT_S, self._all_gateways_serve):
+            found.append(
+                f"no gateway or not each serves {RECOVERY_TIMEOUT_S} s after the last fault"
+            )
+        if not await self._poll(JOB_COMPLETION_TIMEOUT_S, self._all_jobs_complete):
+            found.append(f"jobs are not done {JOB_COMPLETION_TIMEOUT_S} s after the recovery")
         for job in self._workload.history.jobs_by_id.values():
             if job.accepted_at is None:
                 continue
@@ -154,7 +158,7 @@
             job.is_readable_at_end = all(status == 200 for status in reads)
         return found
 
-    async def _every_gateway_serves(self) -> bool:
+    async def _all_gateways_serve(self) -> bool:
         number = int(monotonic() * 1000)
         for gateway in range(len(self._fleet.gateways)):
             for attempt, kind in enumerate(RequestKind):
@@ -167,7 +171,7 @@
                     return False
         return True
 
-    async def _every_job_is_done(self) -> bool:
+    async def _all_jobs_complete(self) -> bool:
         open_jobs = [
             job
             for job in self._workload.history.jobs_by_id.values()
@@ -177,16 +181,16 @@
             await self._workload.read_page(job, number % len(self._fleet.gateways), 0)
         return all(job.is_complete for job in open_jobs)
 
-    async def _within(self, seconds: float, condition: t.Callable[[], t.Awaitable[bool]]) -> bool:
-        until = monotonic() + seconds
+    async def _poll(self, timeout_s: float, condition: t.Callable[[], t.Awaitable[bool]]) -> bool:
+        until = monotonic() + timeout_s
         while monotonic() < until:
             if await condition():
                 return True
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return False
 
-    def _keep_logs(self, violations: list[str]) -> Path:
-        folder = self._keep / f"seed-{self.seed}"
+    def _save_logs(self, violations: list[str]) -> Path:
+        folder = self._failures_folder / f"seed-{self.seed}"
         folder.mkdir(parents=True, exist_ok=True)
         for node in (*self._fleet.gateways, *self._fleet.stores):
             if node.output.exists():
--- a/tests/soak/test_faults.py
+++ b/tests/soak/test_faults.py
@@ -27,7 +27,7 @@
         node.process.send_signal(number)
         node.process.wait(10)
 
-    def revive(self, node: ServingNodeProcess) -> None:
+    def restart(self, node: ServingNodeProcess) -> None:
         node.process = subprocess.Popen(SLEEPER)
 
 
