--- a/src/wharfcart/emulator/application_server.py
+++ b/src/wharfcart/emulator/application_server.py
@@ -16,7 +16,7 @@
 from wharfcart.emulator.web_server import WebServer
 
 MEAN_SERVICE_S = 0.004
-MOST_AT_ONCE = 64
+MAX_CONCURRENT_REQUESTS = 64
 
 
 @dataclass(frozen=True)
@@ -41,17 +41,17 @@
         self.switch = FaultSwitch(seed)
         self._speed = speed
         self._random = random.Random(seed)
-        self._slots = asyncio.Semaphore(MOST_AT_ONCE)
-        self._answers: dict[str, dict[str, object]] = {}
-        self._closed: set[str] = set()
-        self._running: set[str] = set()
+        self._slots = asyncio.Semaphore(MAX_CONCURRENT_REQUESTS)
+        self._responses_by_id: dict[str, dict[str, object]] = {}
+        self._closed_ids: set[str] = set()
+        self._running_ids: set[str] = set()
         app = web.Application(client_max_size=64 * 1024 * 1024)
         app.router.add_get("/status", self._status)
         app.router.add_get("/ledger", self._ledger)
-        app.router.add_post("/effects/{id}/settle", self._settle)
+        app.router.add_post("/effects/{id}/settle", self._resolve_outcome)
         self.switch.add_routes(app)
         app.router.add_get("/{path:.*}", self._look_up)
-        app.router.add_post("/{path:.*}", self._act)
+        app.router.add_post("/{path:.*}", self._apply_effect)
         self.server = WebServer(app)
 
     @property
@@ -67,7 +67,7 @@
         """Stop at once."""
         await self.server.stop()
 
-    async def _work(self) -> None:
+    async def _simulate_work(self) -> None:
         async with self._slots:
             seconds = MEAN_SERVICE_S * self._random.lognormvariate(0.0, 0.3)
             await asyncio.sleep(seconds * self.switch.faults.slow_factor / self._speed)
@@ -76,25 +76,25 @@
         refused = await self.switch.before(request)
         if refused is not None:
             return refused
-        await self._work()
+        await self._simulate_work()
         path = request.match_info["path"]
         answer: dict[str, object] = {"path": path, "status": "ok", "server": self.server_id}
-        return _answer(request, answer)
+        return _json_response(request, answer)
 
-    async def _act(self, request: web.Request) -> web.Response:
+    async def _apply_effect(self, request: web.Request) -> web.Response:
         refused = await self.switch.before(request)
         if refused is not None:
             return refused
         body = await request.read()
         request_id = request.headers.get("X-Request-Id", "")
-        if request_id in self._closed:
+        if request_id in self._closed_ids:
             headers = {"X-Outcome": "not_run", "X-Request-Id": request_id}
             return web.json_response({"error": "closed"}, status=409, headers=headers)
-        self._running.add(request_id)
+        self._running_ids.add(request_id)
         try:
-            await self._work()
+            await self._simulate_work()
         finally:
-            self._running.discard(request_id)
+            self._running_ids.discard(request_id)
         path = request.match_info["path"]
         digest = hashlib.sha256(body).hexdigest()
         business_key = request.headers.get("X-Business-Key", digest)
@@ -104,20 +104,20 @@
             "receipt": digest[:16],
             "request_id": request_id,
         }
-        self._answers[request_id] = answer
+        self._responses_by_id[request_id] = answer
         self.switch.after(request)
-        return _answer(request, answer)
+        return _json_response(request, answer)
 
-    async def _settle(self, request: web.Request) -> web.Response:
+    async def _resolve_outcome(self, request: web.Request) -> web.Response:
         refused = await self.switch.before(request)
         if refused is not None:
             return refused
         request_id = request.match_info["id"]
-        answer = self._answers.get(request_id)
-        if request_id in self._running:
+        answer = self._responses_by_id.get(request_id)
+        if request_id in self._running_ids:
             return web.json_response({"state": "running"})
         if answer is None:
-            self._closed.add(request_id)
+            self._closed_ids.add(request_id)
             return web.json_response({"state": "not_run"})
         return web.json_response({"state": "completed", "response": answer})
 
@@ -131,6 +131,6 @@
         return web.json_response([effect.__dict__ for effect in self.ledger])
 
 
-def _answer(request: web.Request, answer: dict[str, object]) -> web.Response:
+def _json_response(request: web.Request, body: dict[str, object]) -> web.Response:
     request_id = request.headers.get("X-Request-Id", "")
-    return web.json_response(answer, headers={"X-Request-Id": request_id})
+    return web.json_response(body, headers={"X-Request-Id": request_id})
--- a/src/wharfcart/emulator/engine_core.py
+++ b/src/wharfcart/emulator/engine_core.py
@@ -24,11 +24,11 @@
     sequence_step_s: float = 0.00008
     prefill_token_s: float = 0.00006
     step_token_budget: int = 512
-    most_sequences: int = 64
-    most_waiting: int = 512
+    max_sequences: int = 64
+    max_waiting: int = 512
     cache_blocks: int = 8192
-    tokens_a_word: float = 1.3
-    resume_is_free: bool = False  # an oracle's engine keeps what a stopped request had computed
+    tokens_per_word: float = 1.3
+    keeps_kv_cache: bool = False  # an oracle's engine keeps what a stopped request had computed
 
 
 class StreamState(StrEnum):
@@ -48,13 +48,13 @@
     target: str
     prompt: str
     question: str  # the part of the prompt that the answer is made from
-    most_tokens: int
+    max_tokens: int
     priority: int
-    arrival: int = 0
+    arrival_number: int = 0
     state: StreamState = StreamState.WAITING
     prompt_tokens: int = 0
-    prefilled: int = 0
-    prefill_goal: int = 0
+    prefilled_tokens: int = 0
+    prefill_target_tokens: int = 0
     cached_tokens: int = 0
     tokens: list[str] = field(default_factory=list)
     finished_at: float = 0.0
@@ -65,30 +65,30 @@
     """One engine step: how long it takes and the requests that gain a token at its end."""
 
     seconds: float
-    gained: list[EngineRequest]
+    token_receivers: list[EngineRequest]
 
 
-def answer_tokens(question: str, most_tokens: int) -> list[str]:
+def answer_tokens(question: str, max_tokens: int) -> list[str]:
     """Return the answer to a question: a function of it, so that a checker can recompute it."""
     digest = xxhash.xxh3_64_hexdigest(question.encode())
-    count = min(most_tokens, 8 + int(digest[:2], 16) % 25)
+    count = min(max_tokens, 8 + int(digest[:2], 16) % 25)
     return [f"{digest[:8]}-{position}" for position in range(count)]
 
 
-def answer_text(question: str, most_tokens: int) -> str:
+def answer_text(question: str, max_tokens: int) -> str:
     """Return the whole answer as text."""
-    return " ".join(answer_tokens(question, most_tokens))
+    return " ".join(answer_tokens(question, max_tokens))
 
 
 class PrefixCache:
     """Least-recently-used cache of prompt blocks; a block's hash covers all before it."""
 
-    def __init__(self, most_blocks: int) -> None:
-        self._most_blocks = most_blocks
+    def __init__(self, max_blocks: int) -> None:
+        self._max_blocks = max_blocks
         self._blocks: OrderedDict[str, None] = OrderedDict()
         self.events: list[tuple[str, str]] = []  # ("stored" | "removed", block hash)
 
-    def hashes(self, target: str, prompt: str) -> list[str]:
+    def block_hashes(self, target: str, prompt: str) -> list[str]:
         """Return the hashes of the prompt's whole blocks."""
         words = prompt.split()
         hashes: list[str] = []
@@ -99,7 +99,7 @@
             hashes.append(running.hexdigest())
         return hashes
 
-    def hit_blocks(self, hashes: list[str]) -> int:
+    def count_hits(self, hashes: list[str]) -> int:
         """Return how many leading blocks are held."""
         hits = 0
         for block in hashes:
@@ -116,11 +116,11 @@
                 self.events.append(("stored", block))
             self._blocks[block] = None
             self._blocks.move_to_end(block)
-        while len(self._blocks) > self._most_blocks:
+        while len(self._blocks) > self._max_blocks:
             removed, _ = self._blocks.popitem(last=False)
             self.events.append(("removed", removed))
 
-    def contents(self) -> list[str]:
+    def cached_hashes(self) -> list[str]:
         """Return all held block hashes, longest unused first."""
         return list(self._blocks)
 
@@ -135,26 +135,26 @@
         self.preemptions = 0
         self.prompt_tokens = 0
         self.hit_tokens = 0
-        self._active: dict[str, EngineRequest] = {}
-        self._arrivals = 0
+        self._active_requests: dict[str, EngineRequest] = {}
+        self._arrival_count = 0
 
     # ---- requests ----
 
     def submit(self, request: EngineRequest) -> bool:
         """Queue a request; False when the engine is full or knows the id already."""
-        waiting = sum(r.state is StreamState.WAITING for r in self._active.values())
-        if waiting >= self.model.most_waiting or request.request_id in self.requests:
+        waiting = sum(r.state is StreamState.WAITING for r in self._active_requests.values())
+        if waiting >= self.model.max_waiting or request.request_id in self.requests:
             return False
-        self._arrivals += 1
-        request.arrival = self._arrivals
-        request.prompt_tokens = int(len(request.prompt.split()) * self.model.tokens_a_word) + 4
+        self._arrival_count += 1
+        request.arrival_number = self._arrival_count
+        request.prompt_tokens = int(len(request.prompt.split()) * self.model.tokens_per_word) + 4
         self.requests[request.request_id] = request
-        self._queue(request)
+        self._enqueue(request)
         return True
 
     def cancel(self, request_id: str) -> bool:
         """Stop a request; its tokens stay for a resume."""
-        request = self._active.pop(request_id, None)
+        request = self._active_requests.pop(request_id, None)
         if request is None:
             return False
         request.state = StreamState.PAUSED
@@ -164,54 +164,54 @@
         """Continue a request that was cancelled; return it, or None if it is not known."""
         request = self.requests.get(request_id)
         if request is not None and request.state is StreamState.PAUSED:
-            self._queue(request)
+            self._enqueue(request)
         return request
 
-    def forget(self, finished_before: float) -> None:
+    def remove_finished(self, finished_before: float) -> None:
         """Drop finished requests."""
         for request_id, request in list(self.requests.items()):
             if request.state is StreamState.FINISHED and request.finished_at < finished_before:
                 del self.requests[request_id]
 
     @property
-    def running(self) -> int:
+    def running_count(self) -> int:
         """Number of running requests."""
-        return sum(r.state is StreamState.RUNNING for r in self._active.values())
+        return sum(r.state is StreamState.RUNNING for r in self._active_requests.values())
 
     @property
-    def waiting(self) -> int:
+    def waiting_count(self) -> int:
         """Number of waiting requests."""
-        return len(self._active) - self.running
+        return len(self._active_requests) - self.running_count
 
     @property
-    def busy(self) -> bool:
+    def is_busy(self) -> bool:
         """Whether a step has something to do."""
-        return bool(self._active)
+        return bool(self._active_requests)
 
-    def _queue(self, request: EngineRequest) -> None:
+    def _enqueue(self, request: EngineRequest) -> None:
         request.state = StreamState.WAITING
-        request.prefilled = 0
-        self._active[request.request_id] = request
+        request.prefilled_tokens = 0
+        self._active_requests[request.request_id] = request
 
     # ---- steps ----
 
     def begin_step(self) -> StepResult:
         """Decide one iteration; :meth:`finish_step` ends it after its time."""
         self._admit()
-        running = self._ordered(StreamState.RUNNING)
-        decoding = [r for r in running if r.prefilled >= r.prefill_goal]
+        running = self._sorted_requests(StreamState.RUNNING)
+        decoding = [r for r in running if r.prefilled_tokens >= r.prefill_target_tokens]
         budget = max(0, self.model.step_token_budget - len(decoding))
         gained = list(decoding)
         prefill_tokens = 0
         for request in running:
-            missing = request.prefill_goal - request.prefilled
+            missing = request.prefill_target_tokens - request.prefilled_tokens
             chunk = min(missing, budget)
             if chunk <= 0:
                 continue
             budget -= chunk
             prefill_tokens += chunk
-            request.prefilled += chunk
-            if request.prefilled >= request.prefill_goal:
+            request.prefilled_tokens += chunk
+            if request.prefilled_tokens >= request.prefill_target_tokens:
                 gained.append(request)
         seconds = (
             self.model.base_step_s
@@ -222,53 +222,53 @@
 
     def finish_step(self, step: StepResult, now: float) -> None:
         """Give the step's requests their token, but for those cancelled meanwhile."""
-        for request in step.gained:
+        for request in step.token_receivers:
             if request.state is StreamState.RUNNING:
-                self._gain_token(request, now)
+                self._append_token(request, now)
 
     def _admit(self) -> None:
-        waiting = self._ordered(StreamState.WAITING)
-        running = self._ordered(StreamState.RUNNING)
+        waiting = self._sorted_requests(StreamState.WAITING)
+        running = self._sorted_requests(StreamState.RUNNING)
         for request in waiting:
-            if len(running) >= self.model.most_sequences:
+            if len(running) >= self.model.max_sequences:
                 victim = running[-1]
                 if victim.priority <= request.priority:
                     return
                 running.pop()
                 self.preemptions += 1
-                self._queue(victim)
+                self._enqueue(victim)
             self._start(request)
             running.append(request)
-            running.sort(key=_order)
+            running.sort(key=_scheduling_key)
 
     def _start(self, request: EngineRequest) -> None:
         request.state = StreamState.RUNNING
-        hashes = self.cache.hashes(request.target, request.prompt)
-        hit = int(self.cache.hit_blocks(hashes) * BLOCK_TOKENS * self.model.tokens_a_word)
+        hashes = self.cache.block_hashes(request.target, request.prompt)
+        hit = int(self.cache.count_hits(hashes) * BLOCK_TOKENS * self.model.tokens_per_word)
         request.cached_tokens = min(hit, request.prompt_tokens - 1)
-        held = self.model.resume_is_free and bool(request.tokens)
-        request.prefilled = (
+        held = self.model.keeps_kv_cache and bool(request.tokens)
+        request.prefilled_tokens = (
             request.prompt_tokens + len(request.tokens) if held else request.cached_tokens
         )
         # Tokens generated before are part of the prompt now (recompute preemption).
-        request.prefill_goal = request.prompt_tokens + len(request.tokens)
+        request.prefill_target_tokens = request.prompt_tokens + len(request.tokens)
         self.prompt_tokens += request.prompt_tokens
         self.hit_tokens += request.cached_tokens
 
-    def _gain_token(self, request: EngineRequest, at: float) -> None:
-        answer = answer_tokens(request.question, request.most_tokens)
+    def _append_token(self, request: EngineRequest, at: float) -> None:
+        answer = answer_tokens(request.question, request.max_tokens)
         if not request.tokens:
-            self.cache.store(self.cache.hashes(request.target, request.prompt))
+            self.cache.store(self.cache.block_hashes(request.target, request.prompt))
         request.tokens.append(answer[len(request.tokens)])
         if len(request.tokens) == len(answer):
             request.state = StreamState.FINISHED
             request.finished_at = at
-            self._active.pop(request.request_id, None)
+            self._active_requests.pop(request.request_id, None)
 
-    def _ordered(self, state: StreamState) -> list[EngineRequest]:
-        found = [request for request in self._active.values() if request.state is state]
-        return sorted(found, key=_order)
+    def _sorted_requests(self, state: StreamState) -> list[EngineRequest]:
+        found = [request for request in self._active_requests.values() if request.state is state]
+        return sorted(found, key=_scheduling_key)
 
 
-def _order(request: EngineRequest) -> tuple[int, int]:
-    return (request.priority, request.arrival)
+def _scheduling_key(request: EngineRequest) -> tuple[int, int]:
+    return (request.priority, request.arrival_number)
--- a/src/wharfcart/emulator/fleet.py
+++ b/src/wharfcart/emulator/fleet.py
@@ -82,8 +82,8 @@
             seed,
         )
         if models:
-            engine.loaded.model, engine.loaded.version = models[0], "1"
-            engine.loaded.adapters = set(models[1:])
+            engine.loaded_model.model_name, engine.loaded_model.version = models[0], "1"
+            engine.loaded_model.adapters = set(models[1:])
         await engine.start(self._settings.listen_host, self._port())
         self.engines[engine_id] = engine
         machine = Machine(engine_id, "engine", "", zone, engine.address)
--- a/src/wharfcart/experiments/simulated_serving.py
+++ b/src/wharfcart/experiments/simulated_serving.py
@@ -130,7 +130,7 @@
         self._router.put_backend(backend, 0.0)
         gate = BackendGate(name, GateCapacity(ONLINE_SLOTS, BATCH_SLOTS), self._policy)
         free = self.mode is Mode.ORACLE
-        return _Engine(name, EngineCore(EngineModel(resume_is_free=free)), gate)
+        return _Engine(name, EngineCore(EngineModel(keeps_kv_cache=free)), gate)
 
     def run(self) -> Outcome:
         """Run the workload."""
@@ -244,7 +244,7 @@
         self._wake(engine)
 
     def _wake(self, engine: _Engine) -> None:
-        if not engine.stepping and engine.core.busy:
+        if not engine.stepping and engine.core.is_busy:
             engine.stepping = True
             self._step(engine)
 
@@ -255,7 +255,7 @@
 
     def _stepped(self, engine: _Engine, step: StepResult) -> None:
         engine.core.finish_step(step, self.now)
-        for request in step.gained:
+        for request in step.token_receivers:
             if request.state in (StreamState.RUNNING, StreamState.FINISHED):
                 self._gained(engine, request)
         engine.stepping = False
--- a/tests/gateway/test_admin.py
+++ b/tests/gateway/test_admin.py
@@ -119,14 +119,14 @@
     }
     deadline = time.monotonic() + 40
     number = 0
-    while all(engine.loaded.version != "2" for engine in engines):
+    while all(engine.loaded_model.version != "2" for engine in engines):
         assert time.monotonic() < deadline
         url = f"{fleet.urls[number % 3]}/v1/chat/completions"
         key = {"Authorization": "Bearer dealer-10-key"}
         answer = httpx.post(url, json=body, headers=key, timeout=30)
         assert answer.text.endswith("data: [DONE]\n\n")
         number += 1
-    held = [engine for engine in engines if engine.loaded.model == "registry-8b"]
+    held = [engine for engine in engines if engine.loaded_model.model_name == "registry-8b"]
     assert len(held) >= len(engines) - 1
 
 
@@ -135,4 +135,4 @@
     url = f"http://{engine.address}/control/orders"
     order = {"order": "change_role", "name": "prefill", "epoch": 0, "sequence": 0}
     assert httpx.post(url, json=order).status_code == 409
-    assert engine.loaded.role == "mixed"
+    assert engine.loaded_model.role == "mixed"
--- a/tests/gateway/test_backend_faults.py
+++ b/tests/gateway/test_backend_faults.py
@@ -86,10 +86,10 @@
 def test_effect_that_still_runs_is_not_settled_as_not_run(faulty: DevFleet) -> None:
     """A back end asked too early must not let an effect happen that was called not run."""
     server = next(iter(faulty.emulator.applications.values()))
-    server._running.add("early")
+    server._running_ids.add("early")
     settle = f"http://{server.address}/effects/early/settle"
     assert httpx.post(settle).json()["state"] == "running"
-    server._running.discard("early")
+    server._running_ids.discard("early")
     assert httpx.post(settle).json()["state"] == "not_run"
 
 
--- a/tests/gateway/test_bad_input.py
+++ b/tests/gateway/test_bad_input.py
@@ -159,7 +159,7 @@
 
 
 def _anything_runs(fleet: DevFleet) -> bool:
-    engines = any(engine.core.busy for engine in fleet.emulator.engines.values())
+    engines = any(engine.core.is_busy for engine in fleet.emulator.engines.values())
     owned = [backend for node in fleet.nodes for backend in node.owner.backends.values()]
     return engines or any(backend.gate.online for backend in owned)
 
