--- a/src/wharfcart/emulator/application_server.py
+++ b/src/wharfcart/emulator/application_server.py
@@ -73,7 +73,7 @@
             await asyncio.sleep(seconds * self.switch.faults.slow_factor / self._speed)
 
     async def _look_up(self, request: web.Request) -> web.Response:
-        refused = await self.switch.before(request)
+        refused = await self.switch.apply_before(request)
         if refused is not None:
             return refused
         await self._simulate_work()
@@ -82,7 +82,7 @@
         return _json_response(request, answer)
 
     async def _apply_effect(self, request: web.Request) -> web.Response:
-        refused = await self.switch.before(request)
+        refused = await self.switch.apply_before(request)
         if refused is not None:
             return refused
         body = await request.read()
@@ -105,11 +105,11 @@
             "request_id": request_id,
         }
         self._responses_by_id[request_id] = answer
-        self.switch.after(request)
+        self.switch.apply_after(request)
         return _json_response(request, answer)
 
     async def _resolve_outcome(self, request: web.Request) -> web.Response:
-        refused = await self.switch.before(request)
+        refused = await self.switch.apply_before(request)
         if refused is not None:
             return refused
         request_id = request.match_info["id"]
@@ -122,7 +122,7 @@
         return web.json_response({"state": "completed", "response": answer})
 
     async def _status(self, request: web.Request) -> web.Response:
-        refused = await self.switch.before(request)
+        refused = await self.switch.apply_before(request)
         if refused is not None:
             return refused
         return web.json_response({"id": self.server_id, "application": self.application})
--- a/src/wharfcart/emulator/engine_server.py
+++ b/src/wharfcart/emulator/engine_server.py
@@ -133,7 +133,7 @@
         return await self._infer(request, chat=False)
 
     async def _infer(self, request: web.Request, chat: bool) -> web.StreamResponse:
-        refused = await self.switch.before(request)
+        refused = await self.switch.apply_before(request)
         if refused is not None:
             return refused
         body = await request.json()
@@ -153,7 +153,7 @@
         if not self.core.submit(work):
             return _not_run_response(503, "engine is full or knows the request")
         self._work_available.set()
-        self.switch.after(request)
+        self.switch.apply_after(request)
         if body.get("stream"):
             return await self._stream(request, work, 0, chat)
         return await self._complete_response(work, chat)
@@ -189,7 +189,7 @@
             headers={"Content-Type": "text/event-stream", "X-Request-Id": work.request_id}
         )
         await response.prepare(request)
-        cut_at = first_position + 3 if self.switch.take_stream_cut() else -1
+        cut_at = first_position + 3 if self.switch.consume_stream_cut() else -1
         async for position in self._token_positions(work, first_position):
             if position == cut_at:
                 drop_connection(request)
@@ -229,7 +229,7 @@
             self.core.cancel(work.request_id)
 
     async def _resume(self, request: web.Request) -> web.StreamResponse:
-        refused = await self.switch.before(request)
+        refused = await self.switch.apply_before(request)
         if refused is not None:
             return refused
         work = self.core.resume(request.match_info["id"])
@@ -261,7 +261,7 @@
         return web.json_response(old[-1] if old else {"running": 0, "waiting": 0})
 
     async def _status(self, request: web.Request) -> web.Response:
-        refused = await self.switch.before(request)
+        refused = await self.switch.apply_before(request)
         if refused is not None:
             return refused
         loaded = self.loaded_model
@@ -292,7 +292,7 @@
     # ---- control ----
 
     async def _on_command(self, request: web.Request) -> web.Response:
-        refused = await self.switch.before(request)
+        refused = await self.switch.apply_before(request)
         if refused is not None:
             return refused
         order = await request.json()
@@ -311,7 +311,7 @@
             self.loaded_model.role = name
         else:
             return web.json_response({"error": "unknown order"}, status=400)
-        self.switch.after(request)
+        self.switch.apply_after(request)
         return web.json_response({"accepted": True}, status=202)
 
     async def _load_model(self, name: str, version: str, fencing_token: tuple[int, int]) -> None:
--- a/src/wharfcart/emulator/fault_proxy.py
+++ b/src/wharfcart/emulator/fault_proxy.py
@@ -15,7 +15,7 @@
 from wharfcart.settings.base import split_endpoint
 from wharfcart.settings.schema import ProxySettings
 
-CHUNK_BYTES = 64 * 1024
+READ_BUFFER_BYTES = 64 * 1024
 Endpoint = tuple[str, int]
 
 
@@ -42,42 +42,44 @@
         self._target = target
         self._random = random.Random(seed)
         self._server: asyncio.Server | None = None
-        self._datagrams: asyncio.DatagramTransport | None = None
+        self._datagram_transport: asyncio.DatagramTransport | None = None
         self._writers: set[asyncio.StreamWriter] = set()
-        self._towards_open = asyncio.Event()
-        self._back_open = asyncio.Event()
-        self._towards_open.set()
-        self._back_open.set()
+        self._forward_open = asyncio.Event()
+        self._reverse_open = asyncio.Event()
+        self._forward_open.set()
+        self._reverse_open.set()
 
     async def start(self) -> None:
         """Listen for TCP and UDP."""
-        self._server = await asyncio.start_server(self._connected, *self._listen)
+        self._server = await asyncio.start_server(self._on_connection, *self._listen)
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
-            lambda: _Inbound(self), local_addr=self._listen
+            lambda: _ForwardProtocol(self), local_addr=self._listen
         )
-        self._datagrams = transport
+        self._datagram_transport = transport
 
     async def stop(self) -> None:
         """Close everything."""
         if self._server is not None:
             self._server.close()
-        if self._datagrams is not None:
-            self._datagrams.close()
+        if self._datagram_transport is not None:
+            self._datagram_transport.close()
         for writer in list(self._writers):
             writer.close()
 
     def set_faults(self, faults: ProxyFaults) -> None:
         """Switch faults."""
         self.faults = faults
-        _set_event(self._towards_open, not (faults.cut or faults.silent))
-        _set_event(self._back_open, not (faults.cut or faults.silent or faults.one_way))
+        _set_event(self._forward_open, not (faults.cut or faults.silent))
+        _set_event(self._reverse_open, not (faults.cut or faults.silent or faults.one_way))
         for writer in list(self._writers)[: faults.broken_connections]:
             writer.transport.abort()
 
     # ---- TCP ----
 
-    async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _on_connection(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         if self.faults.cut:
             writer.transport.abort()
             return
@@ -90,8 +92,8 @@
         self._writers.update(pair)
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._copy(reader, upstream_writer, self._towards_open))
-                group.create_task(self._copy(upstream_reader, writer, self._back_open))
+                group.create_task(self._copy(reader, upstream_writer, self._forward_open))
+                group.create_task(self._copy(upstream_reader, writer, self._reverse_open))
         except* OSError:
             pass
         finally:
@@ -100,12 +102,12 @@
                 each.close()
 
     async def _copy(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, passable: asyncio.Event
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, link_open: asyncio.Event
     ) -> None:
-        while data := await reader.read(CHUNK_BYTES):
-            await passable.wait()  # a cut link holds bytes back; nothing is told to the ends
+        while data := await reader.read(READ_BUFFER_BYTES):
+            await link_open.wait()  # a cut link holds bytes back; nothing is told to the ends
             if self.faults.delay_seconds:
-                await asyncio.sleep(self.delay())
+                await asyncio.sleep(self.random_delay_s())
             writer.write(data)
             await writer.drain()
         # One end closed: so does the other.
@@ -113,24 +115,26 @@
 
     # ---- UDP ----
 
-    def delay(self) -> float:
+    def random_delay_s(self) -> float:
         """Draw a delay."""
         return self.faults.delay_seconds * (0.5 + self._random.random())
 
-    def forward(self, transport: asyncio.DatagramTransport, data: bytes, to: Endpoint) -> None:
+    def forward_datagram(
+        self, transport: asyncio.DatagramTransport, data: bytes, destination: Endpoint
+    ) -> None:
         """Send a datagram on, as the faults allow."""
         if self.faults.cut or self._random.random() < self.faults.datagram_loss:
             return
         copies = 2 if self._random.random() < self.faults.datagram_repeat else 1
         loop = asyncio.get_running_loop()
         for _ in range(copies):
-            loop.call_later(self.delay(), _send, transport, data, to)
+            loop.call_later(self.random_delay_s(), _send_datagram, transport, data, destination)
 
-    async def upstream(self, client: Endpoint) -> asyncio.DatagramTransport:
+    async def open_upstream(self, client: Endpoint) -> asyncio.DatagramTransport:
         """Return a socket towards the target whose answers go back to ``client``."""
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
-            lambda: _Outbound(self, client), local_addr=(self._listen[0], 0)
+            lambda: _ReverseProtocol(self, client), local_addr=(self._listen[0], 0)
         )
         return transport
 
@@ -140,9 +144,9 @@
         return self._target
 
     @property
-    def datagrams(self) -> asyncio.DatagramTransport | None:
+    def datagram_transport(self) -> asyncio.DatagramTransport | None:
         """Socket that peers send to."""
-        return self._datagrams
+        return self._datagram_transport
 
 
 def _set_event(event: asyncio.Event, value: bool) -> None:
@@ -152,33 +156,35 @@
         event.clear()
 
 
-def _send(transport: asyncio.DatagramTransport, data: bytes, to: Endpoint) -> None:
+def _send_datagram(
+    transport: asyncio.DatagramTransport, data: bytes, destination: Endpoint
+) -> None:
     if not transport.is_closing():
-        transport.sendto(data, to)
+        transport.sendto(data, destination)
 
 
-class _Inbound(asyncio.DatagramProtocol):
+class _ForwardProtocol(asyncio.DatagramProtocol):
     """From peers to the node, each peer by a socket of its own."""
 
     def __init__(self, proxy: FaultProxy) -> None:
         self._proxy = proxy
-        self._upstream: dict[Endpoint, asyncio.Task[asyncio.DatagramTransport]] = {}
+        self._upstream_by_peer: dict[Endpoint, asyncio.Task[asyncio.DatagramTransport]] = {}
 
     def datagram_received(self, data: bytes, addr: Endpoint) -> None:
         loop = asyncio.get_running_loop()
-        if addr not in self._upstream:
-            self._upstream[addr] = loop.create_task(self._proxy.upstream(addr))
-        self._upstream[addr].add_done_callback(
-            lambda done: self._proxy.forward(done.result(), data, self._proxy.target)
+        if addr not in self._upstream_by_peer:
+            self._upstream_by_peer[addr] = loop.create_task(self._proxy.open_upstream(addr))
+        self._upstream_by_peer[addr].add_done_callback(
+            lambda done: self._proxy.forward_datagram(done.result(), data, self._proxy.target)
         )
 
     def connection_lost(self, exc: Exception | None) -> None:
-        for task in self._upstream.values():
+        for task in self._upstream_by_peer.values():
             if task.done():
                 task.result().close()
 
 
-class _Outbound(asyncio.DatagramProtocol):
+class _ReverseProtocol(asyncio.DatagramProtocol):
     """Answers of the node back to one peer."""
 
     def __init__(self, proxy: FaultProxy, client: Endpoint) -> None:
@@ -186,8 +192,8 @@
         self._client = client
 
     def datagram_received(self, data: bytes, addr: Endpoint) -> None:
-        if self._proxy.datagrams is not None:
-            self._proxy.forward(self._proxy.datagrams, data, self._client)
+        if self._proxy.datagram_transport is not None:
+            self._proxy.forward_datagram(self._proxy.datagram_transport, data, self._client)
 
 
 class ProxyGroup:
@@ -201,7 +207,7 @@
             for number, entry in enumerate(settings)
         }
         app = web.Application()
-        app.router.add_post("/control/proxies/{name}", self._change)
+        app.router.add_post("/control/proxies/{name}", self._set_faults)
         self.server = WebServer(app)
 
     async def start(self, host: str, port: int) -> None:
@@ -216,7 +222,7 @@
         for proxy in self.proxies.values():
             await proxy.stop()
 
-    async def _change(self, request: web.Request) -> web.Response:
+    async def _set_faults(self, request: web.Request) -> web.Response:
         proxy = self.proxies.get(request.match_info["name"])
         if proxy is None:
             return web.json_response({"error": "no such proxy"}, status=404)
--- a/src/wharfcart/emulator/faults.py
+++ b/src/wharfcart/emulator/faults.py
@@ -41,7 +41,7 @@
         app.router.add_get("/control/faults", self._get)
         app.router.add_post("/control/faults", self._post)
 
-    async def before(self, request: web.Request) -> web.Response | None:
+    async def apply_before(self, request: web.Request) -> web.Response | None:
         """Apply faults that strike before the effect; a response ends the call."""
         faults = self.faults
         if faults.outage:
@@ -53,16 +53,16 @@
             return web.json_response({"error": "refused"}, status=503, headers=headers)
         return None
 
-    def after(self, request: web.Request, writes: bool = False) -> None:
+    def apply_after(self, request: web.Request, is_write: bool = False) -> None:
         """Apply faults that strike after the effect."""
-        if writes and self.faults.lost_writes > 0:
+        if is_write and self.faults.lost_writes > 0:
             self.faults.lost_writes -= 1
             drop_connection(request)
         if self.faults.lost_answers > 0:
             self.faults.lost_answers -= 1
             drop_connection(request)
 
-    def take_stream_cut(self) -> bool:
+    def consume_stream_cut(self) -> bool:
         """Whether this stream is to be cut halfway."""
         if self.faults.cut_streams > 0:
             self.faults.cut_streams -= 1
--- a/src/wharfcart/emulator/fleet.py
+++ b/src/wharfcart/emulator/fleet.py
@@ -48,8 +48,8 @@
     async def start(self) -> None:
         """Start everything."""
         for server in (self.key_value, self.machine_list, self.weight_store):
-            await server.server.start(self._settings.listen_host, self._port())
-        await self.proxies.start(self._settings.listen_host, self._port())
+            await server.server.start(self._settings.listen_host, self._allocate_port())
+        await self.proxies.start(self._settings.listen_host, self._allocate_port())
         seed = self._settings.seed
         for group in self._settings.engines:
             for _ in range(group.count):
@@ -84,21 +84,21 @@
         if models:
             engine.loaded_model.model_name, engine.loaded_model.version = models[0], "1"
             engine.loaded_model.adapters = set(models[1:])
-        await engine.start(self._settings.listen_host, self._port())
+        await engine.start(self._settings.listen_host, self._allocate_port())
         self.engines[engine_id] = engine
         machine = Machine(engine_id, "engine", "", zone, engine.address)
-        self.machine_list.put(machine, at_once=True)
+        self.machine_list.put(machine, visible_at_once=True)
 
     async def _start_application(self, zone: str, name: str, seed: int) -> None:
         server_id = f"{name}-{len(self.applications) + 1}"
         ledger = self.ledgers.setdefault(name, [])
         server = ApplicationServer(server_id, name, ledger, self._settings.speed, seed)
-        await server.start(self._settings.listen_host, self._port())
+        await server.start(self._settings.listen_host, self._allocate_port())
         self.applications[server_id] = server
         machine = Machine(server_id, "application", name, zone, server.address)
-        self.machine_list.put(machine, at_once=True)
+        self.machine_list.put(machine, visible_at_once=True)
 
-    def _port(self) -> int:
+    def _allocate_port(self) -> int:
         if self._next_port == 0:
             return 0
         port = self._next_port
--- a/src/wharfcart/emulator/key_value_server.py
+++ b/src/wharfcart/emulator/key_value_server.py
@@ -58,16 +58,16 @@
             ("lease/keepalive", self._keep_alive),
             ("lease/revoke", self._revoke),
         ):
-            app.router.add_post(f"/v3/{name}", self._limited(handler))
+            app.router.add_post(f"/v3/{name}", self._rate_limited(handler))
         app.router.add_post("/v3/watch", self._watch)
         app.router.add_get("/control/calls", self._calls)
         self.switch.add_routes(app)
         self.server = WebServer(app)
 
-    def _limited(self, handler: Callable[[Any], dict[str, object]]) -> Handler:
+    def _rate_limited(self, handler: Callable[[Any], dict[str, object]]) -> Handler:
         async def limited(request: web.Request) -> web.Response:
             self.calls += 1
-            refused = await self.switch.before(request)
+            refused = await self.switch.apply_before(request)
             if refused is not None:
                 return refused
             if not self._bucket.take(1.0, asyncio.get_running_loop().time()):
@@ -76,7 +76,7 @@
             answer = handler(await request.json())
             async with self._changed:
                 self._changed.notify_all()
-            self.switch.after(request, writes=request.path.endswith("/txn"))
+            self.switch.apply_after(request, is_write=request.path.endswith("/txn"))
             return web.json_response(answer)
 
         return limited
@@ -88,23 +88,23 @@
 
     def _range(self, body: dict[str, str]) -> dict[str, object]:
         start = base64.b64decode(body["key"])
-        keys = self._select(start, base64.b64decode(body.get("range_end", "")))
+        keys = self._keys_in_range(start, base64.b64decode(body.get("range_end", "")))
         least = int(body.get("min_mod_revision", 0))
         found = [key for key in keys if self._store.values[key].mod_revision >= least]
         limit = int(body.get("limit", 0)) or len(found)
         return {
             "header": self._header(),
-            "kvs": [self._describe(key) for key in found[:limit]],
+            "kvs": [self._encode_value(key) for key in found[:limit]],
             "count": str(len(found)),
             "more": len(found) > limit,
         }
 
-    def _select(self, start: bytes, end: bytes) -> list[bytes]:
+    def _keys_in_range(self, start: bytes, end: bytes) -> list[bytes]:
         if not end:
             return [start] if start in self._store.values else []
         return sorted(key for key in self._store.values if start <= key < end or end == b"\0")
 
-    def _describe(self, key: bytes) -> dict[str, str]:
+    def _encode_value(self, key: bytes) -> dict[str, str]:
         value = self._store.values[key]
         return {
             "key": base64.b64encode(key).decode(),
@@ -124,7 +124,7 @@
         succeeded = all(self._compare(compare) for compare in body.get("compare", []))
         operations = body.get("success" if succeeded else "failure", [])
         self._store.revision += 1
-        responses = [self._operate(operation) for operation in operations]
+        responses = [self._apply_operation(operation) for operation in operations]
         if not any(name != "response_range" for response in responses for name in response):
             self._store.revision -= 1
         return {"header": self._header(), "succeeded": succeeded, "responses": responses}
@@ -147,7 +147,7 @@
         result = str(compare.get("result", "EQUAL"))
         return {"EQUAL": actual == wanted, "NOT_EQUAL": actual != wanted}[result]
 
-    def _operate(self, operation: dict[str, object]) -> dict[str, object]:
+    def _apply_operation(self, operation: dict[str, object]) -> dict[str, object]:
         name, body = next(iter(operation.items()))
         assert isinstance(body, dict)
         if name == "request_put":
@@ -157,7 +157,7 @@
         if name == "request_delete_range":
             key = base64.b64decode(body["key"])
             end = base64.b64decode(body.get("range_end", ""))
-            doomed = self._select(key, end)
+            doomed = self._keys_in_range(key, end)
             for each in doomed:
                 del self._store.values[each]
                 self._store.history.append((self._store.revision, "DELETE", each, None))
@@ -213,7 +213,7 @@
     # ---- watch ----
 
     async def _watch(self, request: web.Request) -> web.StreamResponse:
-        refused = await self.switch.before(request)
+        refused = await self.switch.apply_before(request)
         if refused is not None:
             return refused
         create = (await request.json())["create_request"]
@@ -224,7 +224,7 @@
         await response.prepare(request)
         while True:
             events = [
-                self._event(kind, key, value)
+                self._encode_event(kind, key, value)
                 for revision, kind, key, value in self._store.history
                 if revision > seen and (key == start or start <= key < end)
             ]
@@ -235,7 +235,7 @@
             async with self._changed:
                 await self._changed.wait()
 
-    def _event(self, kind: str, key: bytes, value: _Value | None) -> dict[str, object]:
+    def _encode_event(self, kind: str, key: bytes, value: _Value | None) -> dict[str, object]:
         pair = {"key": base64.b64encode(key).decode()}
         if value is not None:
             pair["value"] = base64.b64encode(value.value).decode()
--- a/src/wharfcart/emulator/metadata_store.py
+++ b/src/wharfcart/emulator/metadata_store.py
@@ -17,8 +17,8 @@
 from wharfcart.emulator.web_server import WebServer
 from wharfcart.platform import names
 
-MOST_KEYS_A_PAGE = 500
-MOST_HISTORY = 10_000
+MAX_KEYS_PER_PAGE = 500
+MAX_HISTORY_CHANGES = 10_000
 
 
 @dataclass
@@ -27,7 +27,7 @@
 
     value: bytes
     revision: int
-    made: int
+    create_revision: int
 
 
 @dataclass
@@ -37,24 +37,24 @@
     revision: int = 1
     items: dict[str, StoredItem] = field(default_factory=dict)
     history: list[tuple[int, str, bytes | None]] = field(default_factory=list)
-    forgotten_up_to: int = 0
+    compacted_revision: int = 0
 
     def write(self, puts: dict[str, bytes], removes: list[str]) -> int:
         """Write and remove keys at one new revision."""
         self.revision += 1
         for key, value in puts.items():
-            made = self.items[key].made if key in self.items else self.revision
+            made = self.items[key].create_revision if key in self.items else self.revision
             self.items[key] = StoredItem(value, self.revision, made)
             self.history.append((self.revision, key, value))
         for key in removes:
             if self.items.pop(key, None) is not None:
                 self.history.append((self.revision, key, None))
-        del self.history[:-MOST_HISTORY]
+        del self.history[:-MAX_HISTORY_CHANGES]
         return self.revision
 
-    def forget_history(self) -> None:
+    def compact_history(self) -> None:
         """Drop the history, so that every watch must begin anew."""
-        self.forgotten_up_to = self.revision
+        self.compacted_revision = self.revision
         self.history.clear()
 
 
@@ -73,19 +73,19 @@
     def __init__(self, seed: int = 1) -> None:
         self.switch = FaultSwitch(seed)
         self.state = StoreState()
-        self.calls = 0
-        self.refused: set[str] = set()
-        self.silent: set[str] = set()
+        self.call_count = 0
+        self.refused_node_ids: set[str] = set()
+        self.unanswered_node_ids: set[str] = set()
         self._changed = asyncio.Condition()
         self._servers: list[WebServer] = []
-        self._listed_at: dict[str, float] = {}
+        self._last_list_at: dict[str, float] = {}
 
-    async def endpoint(self, node_id: str) -> str:
+    async def open_endpoint(self, node_id: str) -> str:
         """Open an address for one node and return it."""
         app = web.Application()
         app[NODE_KEY] = node_id
-        app.router.add_get(names.READ_KEY, self._key)
-        app.router.add_get(names.READ_RANGE, self._range)
+        app.router.add_get(names.READ_KEY, self._read_key)
+        app.router.add_get(names.READ_RANGE, self._read_range)
         app.router.add_get(names.WATCH, self._watch)
         app.router.add_post(names.TRANSACTION, self._transaction)
         server = WebServer(app)
@@ -112,58 +112,58 @@
         async with self._changed:
             self._changed.notify_all()
 
-    async def _refused(self, request: web.Request) -> web.Response | None:
-        self.calls += 1
+    async def _apply_faults(self, request: web.Request) -> web.Response | None:
+        self.call_count += 1
         node_id = request.app[NODE_KEY]
-        if node_id in self.silent:
+        if node_id in self.unanswered_node_ids:
             await asyncio.sleep(3600)
-        if node_id in self.refused:
+        if node_id in self.refused_node_ids:
             return web.json_response({"error": "refused"}, status=503)
-        return await self.switch.before(request)
+        return await self.switch.apply_before(request)
 
-    async def _key(self, request: web.Request) -> web.Response:
-        refused = await self._refused(request)
+    async def _read_key(self, request: web.Request) -> web.Response:
+        refused = await self._apply_faults(request)
         if refused is not None:
             return refused
         key = request.query["key"]
         item = self.state.items.get(key)
         if item is None:
             return web.json_response({"at": self.state.revision}, status=404)
-        return web.json_response(_item(key, item) | {"at": self.state.revision})
+        return web.json_response(_encode_item(key, item) | {"at": self.state.revision})
 
-    def listed_s_ago(self, node_id: str) -> float:
+    def seconds_since_list(self, node_id: str) -> float:
         """Return the seconds since a node last listed the keys; infinite if it never did."""
-        listed_at = self._listed_at.get(node_id, -math.inf)
+        listed_at = self._last_list_at.get(node_id, -math.inf)
         return asyncio.get_running_loop().time() - listed_at
 
-    async def _range(self, request: web.Request) -> web.Response:
-        self._listed_at[request.app[NODE_KEY]] = asyncio.get_running_loop().time()
-        refused = await self._refused(request)
+    async def _read_range(self, request: web.Request) -> web.Response:
+        self._last_list_at[request.app[NODE_KEY]] = asyncio.get_running_loop().time()
+        refused = await self._apply_faults(request)
         if refused is not None:
             return refused
         prefix = request.query.get("pathPrefix", "")
         after = request.query.get("after", "")
         keys = sorted(key for key in self.state.items if key.startswith(prefix) and key > after)
-        page = keys[:MOST_KEYS_A_PAGE]
+        page = keys[:MAX_KEYS_PER_PAGE]
         return web.json_response(
             {
-                "requests": [_item(key, self.state.items[key]) for key in page],
+                "requests": [_encode_item(key, self.state.items[key]) for key in page],
                 "more": len(keys) > len(page),
                 "at": self.state.revision,
             }
         )
 
     async def _watch(self, request: web.Request) -> web.Response:
-        refused = await self._refused(request)
+        refused = await self._apply_faults(request)
         if refused is not None:
             return refused
         after = int(request.query["after"])
         until = asyncio.get_running_loop().time() + int(request.query["waitMs"]) / 1000
         while True:
-            if after < self.state.forgotten_up_to:
+            if after < self.state.compacted_revision:
                 return web.json_response({"at": self.state.revision}, status=410)
             events = [
-                _event(change)
+                _encode_event(change)
                 for change in self.state.history
                 if change[0] > after and change[1].startswith(request.query["pathPrefix"])
             ]
@@ -180,7 +180,7 @@
             return
 
     async def _transaction(self, request: web.Request) -> web.Response:
-        refused = await self._refused(request)
+        refused = await self._apply_faults(request)
         if refused is not None:
             return refused
         body = await request.json()
@@ -191,21 +191,21 @@
         puts = {entry["key"]: base64.b64decode(entry["value"]) for entry in body["put"]}
         revision = self.state.write(puts, body["remove"])
         await self._notify()
-        self.switch.after(request, writes=True)
+        self.switch.apply_after(request, is_write=True)
         return web.json_response({"revision": revision})
 
 
-def _item(key: str, item: StoredItem) -> dict[str, Any]:
+def _encode_item(key: str, item: StoredItem) -> dict[str, Any]:
     return {
         "key": key,
         "value": base64.b64encode(item.value).decode(),
         "revision": item.revision,
-        "made": item.made,
+        "made": item.create_revision,
         "lease": 0,
     }
 
 
-def _event(change: tuple[int, str, bytes | None]) -> dict[str, Any]:
+def _encode_event(change: tuple[int, str, bytes | None]) -> dict[str, Any]:
     revision, key, value = change
     if value is None:
         return {"key": key, "revision": revision, "gone": True}
--- a/src/wharfcart/emulator/model_server.py
+++ b/src/wharfcart/emulator/model_server.py
@@ -167,7 +167,7 @@
         if not self._events:
             await asyncio.sleep(self._event_s)
             self.finished[request_id] += 1
-            self.switch.after(request)
+            self.switch.apply_after(request)
             return web.Response(body=f"answer to {request_id}", headers=self._head(request_id))
         return await self._stream(request, request_id, first, body)
 
@@ -177,7 +177,7 @@
         response = web.StreamResponse(
             headers=self._head(request_id) | {"Content-Type": STREAM_TYPE}
         )
-        cut_after = (first + self._events) // 2 if self.switch.take_stream_cut() else None
+        cut_after = (first + self._events) // 2 if self.switch.consume_stream_cut() else None
         await response.prepare(request)
         for number in range(first, self._events):
             await asyncio.sleep(self._event_s)
@@ -196,7 +196,7 @@
         await asyncio.sleep(self._event_s)
         if not self.has_ended:
             self.has_ended = True
-            self.server.abort()
+            self.server.crash()
             self.on_end(self, body)
         raise ConnectionResetError("the server has ended")
 
--- a/src/wharfcart/emulator/operator_documents.py
+++ b/src/wharfcart/emulator/operator_documents.py
@@ -8,7 +8,7 @@
     host: str,
     stream_service: str,
     plain_service: str,
-    added: dict[str, dict[str, Any]],
+    added_routes: dict[str, dict[str, Any]],
     tenants: list[dict[str, Any]] | None = None,
 ) -> dict[str, Any]:
     """Return a configuration with a route of each kind.
@@ -33,7 +33,7 @@
         "version": version,
         "routes": [
             common | {"name": name, "pathPrefix": f"/{name}/"} | fields
-            for name, fields in (routes | added).items()
+            for name, fields in (routes | added_routes).items()
         ],
         "services": [
             {"name": stream_service, "maxConnections": 100, "engine": {"slots": 8}},
@@ -44,11 +44,11 @@
     return document if tenants is None else document | {"tenants": tenants}
 
 
-def example_tenant(name: str, *keys: str, **more: Any) -> dict[str, Any]:
+def example_tenant(name: str, *keys: str, **fields: Any) -> dict[str, Any]:
     """Return a tenant with its keys; further fields are its priority and its limit."""
-    return {"name": name, "apiKeys": list(keys)} | more
+    return {"name": name, "apiKeys": list(keys)} | fields
 
 
-def repeatable_route(service: str) -> dict[str, Any]:
+def repeatable_route_fields(service: str) -> dict[str, Any]:
     """Return the fields of a further route that may be repeated."""
     return {"kind": "safe", "timeoutMs": 2000, "backend": service, "maxAttempts": 2}
--- a/src/wharfcart/emulator/platform_servers.py
+++ b/src/wharfcart/emulator/platform_servers.py
@@ -11,7 +11,7 @@
 
 MODEL_BYTES = 16e9
 ADAPTER_BYTES = 60e6
-STORE_BYTES_A_SECOND = 40e9
+STORE_BYTES_PER_SECOND = 40e9
 
 
 @dataclass(frozen=True)
@@ -32,35 +32,35 @@
     def __init__(self, lag_seconds: float, seed: int) -> None:
         self.switch = FaultSwitch(seed)
         self.machines: dict[str, Machine] = {}
-        self._lag = lag_seconds
+        self._lag_s = lag_seconds
         self._versions: list[tuple[float, list[Machine]]] = []
         app = web.Application()
         app.router.add_get("/targets", self._targets)
-        app.router.add_post("/control/machines/{id}", self._change)
+        app.router.add_post("/control/machines/{id}", self._set_machine_state)
         self.switch.add_routes(app)
         self.server = WebServer(app)
 
-    def put(self, machine: Machine, at_once: bool = False) -> None:
+    def put(self, machine: Machine, visible_at_once: bool = False) -> None:
         """Add or change a machine; seen after the lag."""
         self.machines[machine.machine_id] = machine
-        self._record(at_once)
+        self._record_version(visible_at_once)
 
     def remove(self, machine_id: str) -> None:
         """Drop a machine; seen after the lag."""
         self.machines.pop(machine_id, None)
-        self._record(False)
+        self._record_version(False)
 
-    def _record(self, at_once: bool) -> None:
+    def _record_version(self, at_once: bool) -> None:
         now = asyncio.get_running_loop().time()
-        at = now - self._lag if at_once else now
+        at = now - self._lag_s if at_once else now
         self._versions.append((at, list(self.machines.values())))
         del self._versions[:-1000]
 
     async def _targets(self, request: web.Request) -> web.Response:
-        refused = await self.switch.before(request)
+        refused = await self.switch.apply_before(request)
         if refused is not None:
             return refused
-        horizon = asyncio.get_running_loop().time() - self._lag
+        horizon = asyncio.get_running_loop().time() - self._lag_s
         seen = [machines for at, machines in self._versions if at <= horizon]
         groups = [
             {
@@ -77,7 +77,7 @@
         ]
         return web.json_response(groups)
 
-    async def _change(self, request: web.Request) -> web.Response:
+    async def _set_machine_state(self, request: web.Request) -> web.Response:
         body = await request.json()
         machine = self.machines.get(request.match_info["id"])
         if machine is None:
@@ -100,13 +100,13 @@
         self.server = WebServer(app)
 
     async def _weights(self, request: web.Request) -> web.Response:
-        refused = await self.switch.before(request)
+        refused = await self.switch.apply_before(request)
         if refused is not None:
             return refused
         adapter = request.match_info["name"].startswith("adapter-")
         size = ADAPTER_BYTES if adapter else MODEL_BYTES
         now = asyncio.get_running_loop().time()
         # One queue for all readers: the store's rate is shared.
-        self._free_at = max(self._free_at, now) + size / STORE_BYTES_A_SECOND / self._speed()
+        self._free_at = max(self._free_at, now) + size / STORE_BYTES_PER_SECOND / self._speed()
         await asyncio.sleep(self._free_at - now)
         return web.json_response({"bytes": size})
--- a/src/wharfcart/emulator/web_server.py
+++ b/src/wharfcart/emulator/web_server.py
@@ -28,7 +28,7 @@
         """Close."""
         await self._runner.cleanup()
 
-    def abort(self) -> None:
+    def crash(self) -> None:
         """End as a process that dies: every connection is reset, and none comes up any more."""
         for site in list(self._runner.sites):
             listener = getattr(site, "_server", None)
--- a/src/wharfcart/experiments/serving_fleet.py
+++ b/src/wharfcart/experiments/serving_fleet.py
@@ -145,7 +145,7 @@
         if f"{GROUP_PREFIX}0" not in self.store.state.items:
             return False
         # A gateway that still lists the keys has found no peer to follow yet.
-        if any(self.store.listed_s_ago(node.node_id) < LISTING_S for node in self.gateways):
+        if any(self.store.seconds_since_list(node.node_id) < LISTING_S for node in self.gateways):
             return False
         return all([await self.is_ready(node) for node in self.gateways])
 
@@ -239,7 +239,7 @@
         lines = [
             f'node_id = "{node.node_id}"',
             f'zone = "{ZONES[number % len(ZONES)]}"',
-            f'coordination = "{await self.store.endpoint(node.node_id)}"',
+            f'coordination = "{await self.store.open_endpoint(node.node_id)}"',
             f'cluster_listen = "{node.cluster_listen}"',
             *self.settings_of(node),
             f"seeds = [{seeds}]",
--- a/src/wharfcart/soak/faults.py
+++ b/src/wharfcart/soak/faults.py
@@ -207,7 +207,7 @@
     async def inject(self) -> None:
         """Strike."""
         if self.planned.kind is FaultKind.STORE_COMPACTED:
-            self.fleet.store.state.forget_history()
+            self.fleet.store.state.compact_history()
             return
         self.fleet.store.switch.faults = Faults(**self.faults_by_kind[self.planned.kind])
 
@@ -229,7 +229,9 @@
 
     def _affected_node_ids(self) -> set[str]:
         refuses = self.planned.kind is FaultKind.STORE_REFUSES_NODE
-        return self.fleet.store.refused if refuses else self.fleet.store.silent
+        return (
+            self.fleet.store.refused_node_ids if refuses else self.fleet.store.unanswered_node_ids
+        )
 
 
 class ServerLinkFault(Fault):
--- a/src/wharfcart/soak/fleet.py
+++ b/src/wharfcart/soak/fleet.py
@@ -13,7 +13,7 @@
 
 from wharfcart.emulator.fault_proxy import FaultProxy, ProxyFaults
 from wharfcart.emulator.model_server import ModelServer
-from wharfcart.emulator.operator_documents import repeatable_route
+from wharfcart.emulator.operator_documents import repeatable_route_fields
 from wharfcart.experiments.dev_fleet import free_endpoint
 from wharfcart.experiments.serving_fleet import (
     PLAIN_SERVICE,
@@ -203,7 +203,7 @@
     async def add_route(self) -> None:
         """Write a configuration with one more route, as the operator does."""
         name = f"added-{len(self._added_routes)}"
-        self._added_routes[name] = repeatable_route(PLAIN_SERVICE)
+        self._added_routes[name] = repeatable_route_fields(PLAIN_SERVICE)
         await self.put_configuration(self.configuration(**self._added_routes))
         self.on_route_added(f"/{name}/")
 
--- a/tests/integration/test_fatal_requests.py
+++ b/tests/integration/test_fatal_requests.py
@@ -211,7 +211,7 @@
 
 def test_a_gateway_that_the_coordination_service_refuses_tells_the_others_all_the_same() -> None:
     async def scenario(fleet: FragileFleet) -> None:
-        fleet.store.refused.add("gateway-0")
+        fleet.store.refused_node_ids.add("gateway-0")
 
         def both_ends_are_shared() -> bool:
             items = fleet.store.state.items
--- a/tests/integration/test_serving_fleet.py
+++ b/tests/integration/test_serving_fleet.py
@@ -116,8 +116,8 @@
 
 def test_a_gateway_that_the_store_refuses_learns_from_its_peer() -> None:
     async def scenario(fleet: ServingFleet) -> None:
-        fleet.store.refused.add("gateway-0")
-        fleet.store.silent.add("gateway-0")
+        fleet.store.refused_node_ids.add("gateway-0")
+        fleet.store.unanswered_node_ids.add("gateway-0")
         added = {"kind": "safe", "timeoutMs": 2000, "backend": PLAIN_SERVICE, "maxAttempts": 1}
         await fleet.put_configuration(fleet.configuration(fresh=added))
 
@@ -134,7 +134,7 @@
     async def scenario(fleet: ServingFleet) -> None:
         gateway = fleet.gateways[0]
         fleet.signal(gateway, signal.SIGKILL)
-        fleet.store.silent.add("gateway-0")
+        fleet.store.unanswered_node_ids.add("gateway-0")
         fleet.start_node(gateway)
         await fleet.until(lambda: fleet.is_ready(gateway), 8.0)
         status, _, _ = await fleet.request(0, "/look/x", "r")
