--- a/src/wharfcart/emulator/model_server.py
+++ b/src/wharfcart/emulator/model_server.py
@@ -16,11 +16,11 @@
 from wharfcart.platform import names
 
 STATUS_WRONG_INSTANCE = 421
-STATUS_FELL_OVER = 500
-STREAM_TYPE = "text/event-stream"
+STATUS_OVERLOADED = 500
+STREAM_CONTENT_TYPE = "text/event-stream"
 # A cold server fails above so many requests in a second: its rate times this, and some more.
-BORNE_TIMES = 1.5
-BORNE_MORE = 5.0
+COLD_RATE_FACTOR = 1.5
+COLD_BURST_REQUESTS = 5.0
 
 
 @dataclass(frozen=True)
@@ -37,9 +37,9 @@
     request_id: str
     first_event: int
     deadline_ms: int
-    at: float = 0.0
+    run_at: float = 0.0
     tenant: str = ""
-    key: str = ""
+    api_key: str = ""
 
 
 class ModelServer:
@@ -60,39 +60,44 @@
     """
 
     def __init__(
-        self, instance_id: str, events: int, event_s: float, slots: int = 8, queue: int = 8
+        self,
+        instance_id: str,
+        event_count: int,
+        event_interval_s: float,
+        slot_count: int = 8,
+        queue_size: int = 8,
     ) -> None:
         self.instance_id = instance_id
-        self.born_ms = round(time() * 1000)
+        self.started_at_ms = round(time() * 1000)
         self.runs: list[RunRecord] = []
-        self.finished: Counter[str] = Counter()
-        self.abandoned: Counter[str] = Counter()
-        self.failing_ids: dict[str, int] = {}
-        self.fails_with: int | None = None  # status of every answer
-        self.silent = False
-        self.fatal_bodies: set[bytes] = set()
-        self.events_before_end = 0
-        self.on_end: Callable[[ModelServer, bytes], None] = lambda _server, _body: None
-        self.has_ended = False
-        self.overruns = 0
+        self.finished_by_id: Counter[str] = Counter()
+        self.abandoned_by_id: Counter[str] = Counter()
+        self.failure_status_by_id: dict[str, int] = {}
+        self.failure_status: int | None = None  # status of every answer
+        self.is_unresponsive = False
+        self.poison_bodies: set[bytes] = set()
+        self.events_before_crash = 0
+        self.on_crash: Callable[[ModelServer, bytes], None] = lambda _server, _body: None
+        self.has_crashed = False
+        self.overload_count = 0
         self._cold_until = 0.0
-        self._cold_per_s = 0.0
+        self._cold_requests_per_second = 0.0
         self._arrivals: deque[float] = deque()  # of the last second, while it is cold
         self.switch = FaultSwitch(1)
-        self._events = events
-        self._event_s = event_s
-        self._slots = asyncio.Semaphore(slots)
-        self._slot_count = slots
-        self._queue = queue
-        self._present = 0
+        self._event_count = event_count
+        self._event_interval_s = event_interval_s
+        self._slots = asyncio.Semaphore(slot_count)
+        self._slot_count = slot_count
+        self._queue_size = queue_size
+        self._request_count = 0
         app = web.Application()
         app.router.add_route("*", "/{path:.*}", self._handle)
         self.server = WebServer(app)
 
-    def turn_cold(self, seconds: float, per_s: float) -> None:
+    def turn_cold(self, duration_s: float, requests_per_second: float) -> None:
         """Be cold for a while, and bear only so many requests a second."""
-        self._cold_until = monotonic() + seconds
-        self._cold_per_s = per_s
+        self._cold_until = monotonic() + duration_s
+        self._cold_requests_per_second = requests_per_second
         self._arrivals.clear()
 
     @property
@@ -100,7 +105,7 @@
         """How much longer it is cold, in milliseconds; 0 if it is not."""
         return max(0, round((self._cold_until - monotonic()) * 1000))
 
-    def entry(self, service: str, zone: str, state: str = "ready") -> dict[str, object]:
+    def backend_entry(self, service: str, zone: str, state: str = "ready") -> dict[str, object]:
         """Return what this server writes into the metadata store."""
         return {
             "backend": service,
@@ -111,38 +116,40 @@
             "state": state,
             "warmupLeftMs": self.cold_ms,
             "sequence": 1,
-            "born": self.born_ms,
+            "born": self.started_at_ms,
         }
 
     async def _handle(self, request: web.Request) -> web.StreamResponse:
         if request.path == names.REPORT_PATH:
-            running = min(self._present, self._slot_count)
-            waiting = self._present - running
+            running = min(self._request_count, self._slot_count)
+            waiting = self._request_count - running
             report = {"activeRequests": running, "queuedRequests": waiting}
             return web.json_response(report, headers={names.COLD_MS: str(self.cold_ms)})
         request_id = request.headers.get(names.REQUEST_ID, "")
         wanted = request.headers.get(names.EXPECT_INSTANCE, self.instance_id)
         if wanted != self.instance_id:
-            return self._not_run(STATUS_WRONG_INSTANCE, request_id)
-        if self._falls_over():
-            self.overruns += 1
-            return web.Response(status=STATUS_FELL_OVER, headers=self._head(request_id))
-        if self._present >= self._slot_count + self._queue:
-            return self._not_run(503, request_id)
+            return self._not_run_response(STATUS_WRONG_INSTANCE, request_id)
+        if self._is_overloaded():
+            self.overload_count += 1
+            return web.Response(
+                status=STATUS_OVERLOADED, headers=self._response_headers(request_id)
+            )
+        if self._request_count >= self._slot_count + self._queue_size:
+            return self._not_run_response(503, request_id)
         body = await request.read()
-        if self.silent:
+        if self.is_unresponsive:
             await asyncio.sleep(3600)
-        self._present += 1
+        self._request_count += 1
         try:
             async with self._slots:
                 return await self._run(request, request_id, body)
         except asyncio.CancelledError:
-            self.abandoned[request_id] += 1
+            self.abandoned_by_id[request_id] += 1
             raise
         finally:
-            self._present -= 1
+            self._request_count -= 1
 
-    def _falls_over(self) -> bool:
+    def _is_overloaded(self) -> bool:
         """Count a request that arrives; tell whether it is more than a cold server bears."""
         now = monotonic()
         if now >= self._cold_until:
@@ -150,7 +157,10 @@
         self._arrivals.append(now)
         while now - self._arrivals[0] >= 1.0:
             self._arrivals.popleft()
-        return len(self._arrivals) > BORNE_TIMES * self._cold_per_s + BORNE_MORE
+        return (
+            len(self._arrivals)
+            > COLD_RATE_FACTOR * self._cold_requests_per_second + COLD_BURST_REQUESTS
+        )
 
     async def _run(self, request: web.Request, request_id: str, body: bytes) -> web.StreamResponse:
         first = int(request.headers.get(names.LAST_EVENT_ID, "-1")) + 1
@@ -158,55 +168,62 @@
         tenant = request.headers.get(names.TENANT, "")
         key = request.headers.get(names.AUTHORIZATION, "")
         self.runs.append(RunRecord(request_id, first, deadline_ms, monotonic(), tenant, key))
-        if body in self.fatal_bodies and not self.events_before_end:
-            await self._end(body)
-        if self.fails_with is not None:
-            return web.Response(status=self.fails_with, headers=self._head(request_id))
-        if request_id in self.failing_ids:
-            return web.Response(status=self.failing_ids[request_id], headers=self._head(request_id))
-        if not self._events:
-            await asyncio.sleep(self._event_s)
-            self.finished[request_id] += 1
+        if body in self.poison_bodies and not self.events_before_crash:
+            await self._crash(body)
+        if self.failure_status is not None:
+            return web.Response(
+                status=self.failure_status, headers=self._response_headers(request_id)
+            )
+        if request_id in self.failure_status_by_id:
+            return web.Response(
+                status=self.failure_status_by_id[request_id],
+                headers=self._response_headers(request_id),
+            )
+        if not self._event_count:
+            await asyncio.sleep(self._event_interval_s)
+            self.finished_by_id[request_id] += 1
             self.switch.apply_after(request)
-            return web.Response(body=f"answer to {request_id}", headers=self._head(request_id))
+            return web.Response(
+                body=f"answer to {request_id}", headers=self._response_headers(request_id)
+            )
         return await self._stream(request, request_id, first, body)
 
     async def _stream(
         self, request: web.Request, request_id: str, first: int, body: bytes
     ) -> web.StreamResponse:
         response = web.StreamResponse(
-            headers=self._head(request_id) | {"Content-Type": STREAM_TYPE}
+            headers=self._response_headers(request_id) | {"Content-Type": STREAM_CONTENT_TYPE}
         )
-        cut_after = (first + self._events) // 2 if self.switch.consume_stream_cut() else None
+        cut_after = (first + self._event_count) // 2 if self.switch.consume_stream_cut() else None
         await response.prepare(request)
-        for number in range(first, self._events):
-            await asyncio.sleep(self._event_s)
-            if body in self.fatal_bodies and number == first + self.events_before_end:
-                await self._end(body)
+        for number in range(first, self._event_count):
+            await asyncio.sleep(self._event_interval_s)
+            if body in self.poison_bodies and number == first + self.events_before_crash:
+                await self._crash(body)
             if number == cut_after:
                 await response.write(f"id: {number}\ndata: half an ev".encode())
                 drop_connection(request)
             await response.write(f"id: {number}\ndata: {request_id}-{number}\n\n".encode())
         await response.write_eof()
-        self.finished[request_id] += 1
+        self.finished_by_id[request_id] += 1
         return response
 
-    async def _end(self, body: bytes) -> None:
+    async def _crash(self, body: bytes) -> None:
         """End as a process does that a request has crashed."""
-        await asyncio.sleep(self._event_s)
-        if not self.has_ended:
-            self.has_ended = True
+        await asyncio.sleep(self._event_interval_s)
+        if not self.has_crashed:
+            self.has_crashed = True
             self.server.crash()
-            self.on_end(self, body)
+            self.on_crash(self, body)
         raise ConnectionResetError("the server has ended")
 
-    def _head(self, request_id: str) -> dict[str, str]:
+    def _response_headers(self, request_id: str) -> dict[str, str]:
         return {
             names.REQUEST_ID: request_id,
             names.RESPONSE_STAMP: f"stamp-{self.instance_id}",
-            names.SERVER_LOAD: f"{self._present},0,{self._slot_count}",
+            names.SERVER_LOAD: f"{self._request_count},0,{self._slot_count}",
         }
 
-    def _not_run(self, status: int, request_id: str) -> web.Response:
+    def _not_run_response(self, status: int, request_id: str) -> web.Response:
         headers = {names.NOT_RUN: "1", names.REQUEST_ID: request_id}
         return web.Response(status=status, headers=headers)
--- a/src/wharfcart/experiments/serving_fleet.py
+++ b/src/wharfcart/experiments/serving_fleet.py
@@ -174,7 +174,7 @@
     async def announce(self, server: ModelServer, service: str, state: str = "ready") -> None:
         """Write a server's entry."""
         key = names.SERVER_PREFIX + server.instance_id
-        entry = server.entry(service, self.zone_of(server), state)
+        entry = server.backend_entry(service, self.zone_of(server), state)
         entry |= {"address": self.address_of(server)}
         await self.store.put(key, entry)
 
--- a/src/wharfcart/soak/fleet.py
+++ b/src/wharfcart/soak/fleet.py
@@ -220,8 +220,8 @@
         """Write a back end's entry, once its proxy stands."""
         if server.instance_id not in self._address_by_server:
             await self._add_server_proxy(server)
-            server.fatal_bodies = self._poison_bodies
-            server.on_end = self._on_server_crash
+            server.poison_bodies = self._poison_bodies
+            server.on_crash = self._on_server_crash
         await super().announce(server, service, state)
 
     # -- inner ---------------------------------------------------------
--- a/src/wharfcart/soak/promises.py
+++ b/src/wharfcart/soak/promises.py
@@ -70,10 +70,10 @@
         until = math.inf if order.ended_at is None else order.ended_at
         found += [
             f"{run.request_id}: ran at {backend.server.instance_id}, whose zone {order.zone} was "
-            f"evacuated {run.at - order.started_at:.2f} s before"
+            f"evacuated {run.run_at - order.started_at:.2f} s before"
             for run in backend.server.runs
-            if order.started_at + EVACUATION_DELAY_S < run.at < until
-            and not backend.is_excused(run.at)
+            if order.started_at + EVACUATION_DELAY_S < run.run_at < until
+            and not backend.is_excused(run.run_at)
         ]
     return found
 
@@ -105,7 +105,7 @@
     runs = Counter(run.request_id for server in servers for run in server.runs)
     last_runs: dict[str, float] = {}
     for run in (run for server in servers for run in server.runs):
-        last_runs[run.request_id] = max(run.at, last_runs.get(run.request_id, 0.0))
+        last_runs[run.request_id] = max(run.run_at, last_runs.get(run.request_id, 0.0))
     found = [problem for record in history.requests for problem in _check_request(record, runs)]
     found += _check_tenants([run for server in servers for run in server.runs])
     for job in history.jobs_by_id.values():
@@ -141,9 +141,9 @@
         owner = tenant_of(run.request_id)
         if run.tenant != owner.name:
             yield f"{run.request_id}: ran as a request of {run.tenant!r}, not of {owner.name}"
-        if run.key:
+        if run.api_key:
             yield f"{run.request_id}: its caller's key was passed on"
-    hot = sorted(run.at for run in runs if tenant_of(run.request_id) is LIMITED_TENANT)
+    hot = sorted(run.run_at for run in runs if tenant_of(run.request_id) is LIMITED_TENANT)
     busiest = max((sum(at - LIMIT_WINDOW_S < one <= at for one in hot) for at in hot), default=0)
     most = (
         LIMITED_REQUESTS_PER_SECOND * LIMIT_WINDOW_S + LIMITED_BURST_REQUESTS
--- a/tests/integration/test_fatal_requests.py
+++ b/tests/integration/test_fatal_requests.py
@@ -93,9 +93,9 @@
         return outcomes
 
     def _make_fragile(self, server: ModelServer) -> None:
-        server.fatal_bodies = {FATAL}
-        server.events_before_end = self._events_before_end
-        server.on_end = self._note_end
+        server.poison_bodies = {FATAL}
+        server.events_before_crash = self._events_before_end
+        server.on_crash = self._note_end
 
     def _note_end(self, server: ModelServer, _body: bytes) -> None:
         self.ended.append(server.instance_id)
--- a/tests/integration/test_operations.py
+++ b/tests/integration/test_operations.py
@@ -54,7 +54,7 @@
 def test_an_item_that_was_given_up() -> None:
     async def scenario(fleet: ServingFleet) -> None:
         for server in fleet.stream_servers:
-            server.failing_ids = {"job1-1": 500}
+            server.failure_status_by_id = {"job1-1": 500}
         assert await submit(fleet, "job1", 2) == 202
         await all_results(fleet, "job1", 2)
         text = await explained(fleet, "job1-1")
--- a/tests/integration/test_residence.py
+++ b/tests/integration/test_residence.py
@@ -35,7 +35,7 @@
     async def announce(self, server: ModelServer, service: str, state: str = "ready") -> None:
         """Write a server's entry; a server's number tells its zone."""
         zone = "abc"[int(server.instance_id[-1])]
-        entry = server.entry(service, zone, state) | {"address": self.address_of(server)}
+        entry = server.backend_entry(service, zone, state) | {"address": self.address_of(server)}
         await self.store.put(names.SERVER_PREFIX + server.instance_id, entry)
 
     async def bind(self) -> None:
--- a/tests/integration/test_serving_fleet.py
+++ b/tests/integration/test_serving_fleet.py
@@ -222,7 +222,7 @@
     """Bench: look-ups that went to a dark server waited until their deadline."""
 
     async def scenario(fleet: ServingFleet) -> None:
-        fleet.plain_servers[0].silent = True
+        fleet.plain_servers[0].is_unresponsive = True
         loop = asyncio.get_running_loop()
         for number in range(6):
             began = loop.time()
@@ -236,7 +236,7 @@
 def test_a_stream_whose_server_falls_silent_goes_on_elsewhere() -> None:
     async def scenario(fleet: ServingFleet) -> None:
         for server in fleet.stream_servers[:2]:
-            server.silent = True
+            server.is_unresponsive = True
         for number in range(3):
             status, body, _ = await fleet.request(0, "/read/x", f"r{number}")
             assert (status, body) == (200, whole_stream(f"r{number}"))
@@ -247,7 +247,7 @@
 def test_the_routes_time_is_over_at_once_and_for_the_server_too() -> None:
     async def scenario(fleet: ServingFleet) -> None:
         for server in fleet.plain_servers:
-            server.silent = True
+            server.is_unresponsive = True
         loop = asyncio.get_running_loop()
         began = loop.time()
         status, _, _ = await fleet.request(0, "/charge/x", "r1", deadline_ms=8000)
@@ -263,7 +263,7 @@
         await fleet.until(lambda: any(server.runs for server in fleet.stream_servers), 3.0)
         request.cancel()
         await fleet.until(
-            lambda: any(server.abandoned["r1"] for server in fleet.stream_servers), 0.5
+            lambda: any(server.abandoned_by_id["r1"] for server in fleet.stream_servers), 0.5
         )
 
     play(scenario, event_s=0.2)
@@ -369,7 +369,7 @@
 def test_items_that_can_not_be_done_are_listed_as_dead() -> None:
     async def scenario(fleet: ServingFleet) -> None:
         for server in fleet.stream_servers:
-            server.failing_ids = {"job1-0": 422, "job1-1": 500}
+            server.failure_status_by_id = {"job1-0": 422, "job1-1": 500}
         assert await submit(fleet, "job1", 3) == 202
         states = {result["id"]: result["state"] for result in await all_results(fleet, "job1", 3)}
         assert states == {
@@ -414,7 +414,7 @@
     """Trial 5e9fa130, tulegen-grown trouble-1: its health was good, its answers were all 500."""
 
     async def scenario(fleet: ServingFleet) -> None:
-        fleet.stream_servers[0].fails_with = 500
+        fleet.stream_servers[0].failure_status = 500
         failed = 0
         for number in range(60):
             status, _, _ = await fleet.request(number % 2, "/chat/x", f"r{number}")
@@ -506,7 +506,7 @@
         ]
         assert {run.tenant for run in runs_of_items} == {"t"}
         keys = {
-            run.key
+            run.api_key
             for server in (*fleet.stream_servers, *fleet.plain_servers)
             for run in server.runs
         }
--- a/tests/routing/test_changes_during_connect.py
+++ b/tests/routing/test_changes_during_connect.py
@@ -298,7 +298,7 @@
         assert (await bench.forward()).status == 200
         assert not len(bench.crash_detector.poison_requests)
         bench.crash_detector.poison_requests.record_crash(FINGERPRINT, "gone-1", 1.0, time())
-        bench.servers["a"].fails_with = 422
+        bench.servers["a"].failure_status = 422
         assert await bench.run_item("a") is RunOutcome.UNPROCESSABLE
         assert not len(bench.crash_detector.poison_requests)
 
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_promises.py
@@ -119,9 +119,9 @@
     job.cancelled_at = 2.0
     server = ModelServer("i", EVENTS_PER_STREAM, 0.0)
     history = SoakHistory(started_at=100.0, jobs_by_id={"j": job})
-    server.runs = [RunRecord("j-0", 0, 1000, at=104.0, tenant=UNLIMITED_TENANT.name)]
+    server.runs = [RunRecord("j-0", 0, 1000, run_at=104.0, tenant=UNLIMITED_TENANT.name)]
     assert find_violations(history, [server]) == []
-    server.runs = [RunRecord("j-0", 0, 1000, at=106.0, tenant=UNLIMITED_TENANT.name)]
+    server.runs = [RunRecord("j-0", 0, 1000, run_at=106.0, tenant=UNLIMITED_TENANT.name)]
     assert find_violations(history, [server])
 
 
@@ -154,7 +154,7 @@
 def test_a_run_under_another_tenant_or_with_its_callers_key() -> None:
     assert judged_runs(RunRecord("r", 0, 1000, tenant=LIMITED_TENANT.name))
     assert judged_runs(RunRecord("r", 0, 1000, tenant=""))
-    assert judged_runs(RunRecord("r", 0, 1000, tenant=UNLIMITED_TENANT.name, key="Bearer k"))
+    assert judged_runs(RunRecord("r", 0, 1000, tenant=UNLIMITED_TENANT.name, api_key="Bearer k"))
     assert judged_runs(RunRecord("r", 0, 1000, tenant=UNLIMITED_TENANT.name)) == []
 
 
