--- a/tests/emulator/test_model_server.py
+++ b/tests/emulator/test_model_server.py
@@ -8,7 +8,7 @@
 from wharfcart.platform import names
 
 
-def test_a_cold_server_tells_it_and_fails_above_what_it_bears() -> None:
+def test_cold_server_reports_it_and_fails_above_its_capacity() -> None:
     async def scenario() -> None:
         server = ModelServer("i", 0, 0.0, slot_count=100)
         await server.server.start("127.0.0.1", 0)
--- a/tests/soak/test_faults.py
+++ b/tests/soak/test_faults.py
@@ -9,10 +9,10 @@
 from wharfcart.soak.faults import KillFault, TerminateFault
 from wharfcart.soak.plan import FaultKind, PlannedFault
 
-SLEEPER = [sys.executable, "-c", "import time; time.sleep(60)"]
+SLEEP_COMMAND = [sys.executable, "-c", "import time; time.sleep(60)"]
 
 
-class OneProcessFleet:
+class SingleProcessFleet:
     """Just enough of a fleet: one process that can be signalled and started again."""
 
     def __init__(self) -> None:
@@ -20,7 +20,7 @@
         node = ServingNodeProcess("gateway", "gateway-0", Path(), Path(), "", "", "")
         self.gateways = [node]
         self.stores: list[ServingNodeProcess] = []
-        node.process = subprocess.Popen(SLEEPER)
+        node.process = subprocess.Popen(SLEEP_COMMAND)
 
     def signal(self, node: ServingNodeProcess, number: int) -> None:
         assert node.process is not None
@@ -28,12 +28,12 @@
         node.process.wait(10)
 
     def restart(self, node: ServingNodeProcess) -> None:
-        node.process = subprocess.Popen(SLEEPER)
+        node.process = subprocess.Popen(SLEEP_COMMAND)
 
 
-def test_a_stop_waits_for_the_process_that_it_asked_not_for_the_one_after() -> None:
+def test_terminate_waits_for_the_signalled_process_not_its_replacement() -> None:
     """A run of the soak broke off: a kill had put another process in its place."""
-    fleet = OneProcessFleet()
+    fleet = SingleProcessFleet()
     planned = PlannedFault(0.0, 0.0, FaultKind.TERMINATE, 0)
 
     async def scenario() -> None:
