--- a/src/wharfcart/soak/run.py
+++ b/src/wharfcart/soak/run.py
@@ -11,14 +11,14 @@
 from wharfcart.soak.faults import inject_fault
 from wharfcart.soak.fleet import SoakFleet
 from wharfcart.soak.history import RequestKind
-from wharfcart.soak.plan import FaultKind, PlannedFault, generate_plan
-from wharfcart.soak.promises import (
+from wharfcart.soak.invariants import (
     EVACUATION_DELAY_S,
     ZoneBackend,
     find_excessive_crashes,
     find_runs_in_evacuated_zone,
     find_violations,
 )
+from wharfcart.soak.plan import FaultKind, PlannedFault, generate_plan
 from wharfcart.soak.workload import SoakWorkload
 
 GATEWAYS = 3
--- a/tests/soak/test_promises.py
+++ b/tests/soak/test_invariants.py
@@ -9,7 +9,7 @@
     RouteRecord,
     SoakHistory,
 )
-from wharfcart.soak.promises import (
+from wharfcart.soak.invariants import (
     EVENTS_PER_STREAM,
     ZoneBackend,
     find_excessive_crashes,
