--- a/src/wharfcart/experiments/capacity.py
+++ b/src/wharfcart/experiments/capacity.py
@@ -10,10 +10,10 @@
 from pathlib import Path
 from typing import Any
 
-FIGURES = Path("docs/figures")
-PAGE = Path("docs/CAPACITY.md")
-BEGIN = "<!-- table: computed, do not edit -->"
-END = "<!-- end of table -->"
+FIGURES_FOLDER = Path("docs/figures")
+PAGE_PATH = Path("docs/CAPACITY.md")
+TABLE_BEGIN = "<!-- table: computed, do not edit -->"
+TABLE_END = "<!-- end of table -->"
 
 NODES = 410
 SERVERS = 1100
@@ -23,21 +23,21 @@
 REQUESTS_PER_SECOND = 1000
 TOKENS_PER_SECOND = 370_000
 BATCH_ITEMS_PER_DAY = 1.3e9
-LARGEST_JOB = 690_000
+MAX_JOB_ITEMS = 690_000
 CHANGES_PER_DAY = 3300
-SECONDS_A_DAY = 86_400
-ITEMS_A_LEASE = 64
+SECONDS_PER_DAY = 86_400
+ITEMS_PER_LEASE = 64
 HEADER_BYTES = 40
-OPEN_PART = 1 / 3  # of a day's items in open jobs at once: deadlines of eight hours
-HEARTBEAT_S = 0.25
-POLLS_PER_SECOND_AND_SERVER = 1.0
+OPEN_ITEMS_SHARE = 1 / 3  # of a day's items in open jobs at once: deadlines of eight hours
+HEARTBEAT_INTERVAL_S = 0.25
+POLLS_PER_SECOND_PER_SERVER = 1.0
 CPU_LIMIT_PERCENT = 1.9
 MEMORY_LIMIT_MB = 128
-BYTES_LIMIT = 2000
+BYTES_PER_SECOND_LIMIT = 2000
 
 
 @dataclass(frozen=True)
-class Row:
+class CapacityRow:
     """One role's figure at the size."""
 
     role: str
@@ -61,7 +61,7 @@
     return {path.stem: json.loads(path.read_text()) for path in sorted(folder.glob("*.json"))}
 
 
-def compute_rows(figures: dict[str, Any]) -> list[Row]:
+def compute_rows(figures: dict[str, Any]) -> list[CapacityRow]:
     """Work every role out at the size."""
     return [
         *_membership(figures),
@@ -75,7 +75,7 @@
     ]
 
 
-def _membership(figures: dict[str, Any]) -> list[Row]:
+def _membership(figures: dict[str, Any]) -> list[CapacityRow]:
     slopes = {slope["figure"]: slope for slope in figures["scale"]["slopes"]}
 
     def at_size(name: str) -> float:
@@ -89,16 +89,16 @@
 
     largest = figures["scale"]["sizes"][-1]
     return [
-        Row(
+        CapacityRow(
             "membership",
             "bytes sent",
             formula("bytes_per_second"),
             at_size("bytes_per_second"),
             "B/s",
-            BYTES_LIMIT,
+            BYTES_PER_SECOND_LIMIT,
             "run hollow, 50 to 410",
         ),
-        Row(
+        CapacityRow(
             "membership",
             "messages",
             formula("messages_per_second"),
@@ -107,7 +107,7 @@
             None,
             "run hollow, 50 to 410",
         ),
-        Row(
+        CapacityRow(
             "membership",
             "processor",
             formula("cpu_percent"),
@@ -116,7 +116,7 @@
             CPU_LIMIT_PERCENT,
             "run hollow, 50 to 410",
         ),
-        Row(
+        CapacityRow(
             "membership",
             "memory",
             formula("memory_bytes"),
@@ -125,7 +125,7 @@
             MEMORY_LIMIT_MB,
             "run hollow; extension memory not counted",
         ),
-        Row(
+        CapacityRow(
             "membership",
             "one node lost, known to 99 in 100",
             "measured at 410",
@@ -134,7 +134,7 @@
             6.0,
             "run hollow",
         ),
-        Row(
+        CapacityRow(
             "membership",
             "rack lost, known to 99 in 100",
             "measured at 410",
@@ -143,7 +143,7 @@
             6.0,
             "run hollow",
         ),
-        Row(
+        CapacityRow(
             "membership",
             "false removals in an hour, 1 % loss",
             "measured at 410",
@@ -155,14 +155,14 @@
     ]
 
 
-def _caller_edge(figures: dict[str, Any]) -> list[Row]:
+def _caller_edge(figures: dict[str, Any]) -> list[CapacityRow]:
     gateway = figures["gateway"]
     requests = REQUESTS_PER_SECOND / NODES
     tokens = TOKENS_PER_SECOND / NODES
     per_request = gateway["gateway_cpu_microseconds_per_request"]
     per_token = gateway["cpu_microseconds_per_streamed_token_all_nodes"]
     return [
-        Row(
+        CapacityRow(
             "caller edge",
             "processor for requests",
             f"{requests:.2f}/s x {per_request} us",
@@ -171,7 +171,7 @@
             None,
             "reckoned from a measured slope",
         ),
-        Row(
+        CapacityRow(
             "caller edge and owner",
             "processor for tokens",
             f"{tokens:.0f}/s x {per_token} us",
@@ -183,22 +183,22 @@
     ]
 
 
-def _owner(figures: dict[str, Any]) -> list[Row]:
+def _owner(figures: dict[str, Any]) -> list[CapacityRow]:
     slopes = figures["slopes"]
     servers = SERVERS / NODES
     poll_bytes = slopes["lease_poll_bytes"] + HEADER_BYTES
-    polls = servers * POLLS_PER_SECOND_AND_SERVER
+    polls = servers * POLLS_PER_SECOND_PER_SERVER
     return [
-        Row(
+        CapacityRow(
             "owner",
             "lease polls sent",
             f"{servers:.1f} servers x 1/s x {poll_bytes} B",
             polls * poll_bytes,
             "B/s",
-            BYTES_LIMIT,
+            BYTES_PER_SECOND_LIMIT,
             "reckoned from encoded messages",
         ),
-        Row(
+        CapacityRow(
             "owner",
             "choice of a back end",
             "measured with 1,100 servers",
@@ -207,7 +207,7 @@
             None,
             "measured",
         ),
-        Row(
+        CapacityRow(
             "owner",
             "routing state",
             "measured with 1,100 servers",
@@ -219,18 +219,18 @@
     ]
 
 
-def _journal(figures: dict[str, Any]) -> list[Row]:
+def _journal(figures: dict[str, Any]) -> list[CapacityRow]:
     journal, slopes = figures["journal"], figures["slopes"]
-    items = BATCH_ITEMS_PER_DAY / SECONDS_A_DAY
+    items = BATCH_ITEMS_PER_DAY / SECONDS_PER_DAY
     per_node = items * REPLICAS / STORAGE_NODES
     cpu = journal["cpu_microseconds_per_item_three_replicas"] / REPLICAS
     disk = journal["disk_bytes_per_item_and_replica"]
     led = SHARDS / STORAGE_NODES
-    beats = led * (REPLICAS - 1) / HEARTBEAT_S
+    beats = led * (REPLICAS - 1) / HEARTBEAT_INTERVAL_S
     beat = slopes["heartbeat_bytes"] + HEADER_BYTES
     answer = slopes["heartbeat_answer_bytes"] + HEADER_BYTES
     return [
-        Row(
+        CapacityRow(
             "journal replica",
             "processor for items",
             f"{per_node:.0f}/s x {cpu:.1f} us",
@@ -239,29 +239,29 @@
             None,
             "reckoned from a measured slope",
         ),
-        Row(
+        CapacityRow(
             "journal replica",
             "disk written a day",
             f"{per_node:.0f}/s x {disk} B",
-            per_node * disk * SECONDS_A_DAY / 1e9,
+            per_node * disk * SECONDS_PER_DAY / 1e9,
             "GB a disk",
             None,
             "reckoned from a measured slope",
         ),
-        Row(
+        CapacityRow(
             "journal leader",
             "heartbeats and answers, idle",
             f"{beats:.0f}/s x ({beat} + {answer}) B",
             beats * (beat + answer),
             "B/s",
-            BYTES_LIMIT,
+            BYTES_PER_SECOND_LIMIT,
             "reckoned from encoded messages",
         ),
-        Row(
+        CapacityRow(
             "journal leader",
             "memory of the largest job",
-            f"{LARGEST_JOB:,} x {slopes['scheduler_memory_bytes_per_item']:.2f} B",
-            LARGEST_JOB * slopes["scheduler_memory_bytes_per_item"] / 1e6,
+            f"{MAX_JOB_ITEMS:,} x {slopes['scheduler_memory_bytes_per_item']:.2f} B",
+            MAX_JOB_ITEMS * slopes["scheduler_memory_bytes_per_item"] / 1e6,
             "MB",
             MEMORY_LIMIT_MB,
             "measured",
@@ -269,15 +269,15 @@
     ]
 
 
-def _scheduler(figures: dict[str, Any]) -> list[Row]:
+def _scheduler(figures: dict[str, Any]) -> list[CapacityRow]:
     slopes = figures["slopes"]
-    items = BATCH_ITEMS_PER_DAY / SECONDS_A_DAY
-    leases = items / ITEMS_A_LEASE / SHARDS
+    items = BATCH_ITEMS_PER_DAY / SECONDS_PER_DAY
+    leases = items / ITEMS_PER_LEASE / SHARDS
     seconds = slopes["scheduler_choose_seconds"]
     per_item = slopes["scheduler_memory_bytes_per_item"]
-    held = BATCH_ITEMS_PER_DAY * OPEN_PART * per_item / STORAGE_NODES * REPLICAS
+    held = BATCH_ITEMS_PER_DAY * OPEN_ITEMS_SHARE * per_item / STORAGE_NODES * REPLICAS
     return [
-        Row(
+        CapacityRow(
             "batch scheduler",
             "processor",
             f"{leases:.1f} leases/s x {seconds * 1e6:.0f} us",
@@ -286,7 +286,7 @@
             CPU_LIMIT_PERCENT,
             "reckoned, 94 jobs a shard measured",
         ),
-        Row(
+        CapacityRow(
             "batch scheduler",
             "memory of open items",
             f"1.3e9 / 3 x {per_item:.2f} B x 3 / 30",
@@ -298,13 +298,13 @@
     ]
 
 
-def _configuration(figures: dict[str, Any]) -> list[Row]:
+def _configuration(figures: dict[str, Any]) -> list[CapacityRow]:
     slopes, largest = figures["slopes"], figures["scale"]["sizes"][-1]
-    changes = CHANGES_PER_DAY / SECONDS_A_DAY
+    changes = CHANGES_PER_DAY / SECONDS_PER_DAY
     burst_rate = 50 / 70
     per_change = (largest["burst_bytes_per_second"] - largest["bytes_per_second"]) / burst_rate
     return [
-        Row(
+        CapacityRow(
             "configuration reader",
             "key-value calls, whole fleet",
             "2 readers x 1 / 2.5 s",
@@ -313,7 +313,7 @@
             1.0,
             "reckoned",
         ),
-        Row(
+        CapacityRow(
             "configuration",
             "in force everywhere, at most",
             "measured at 410, 50 a minute",
@@ -322,16 +322,16 @@
             7.0,
             "run hollow",
         ),
-        Row(
+        CapacityRow(
             "configuration",
             "bytes sent for changes",
             f"{changes:.3f}/s x {per_change:.0f} B",
             changes * per_change,
             "B/s",
-            BYTES_LIMIT,
+            BYTES_PER_SECOND_LIMIT,
             "reckoned from a measured slope",
         ),
-        Row(
+        CapacityRow(
             "configuration",
             "state",
             f"{slopes['configuration_entries']:,} entries",
@@ -343,11 +343,11 @@
     ]
 
 
-def _whole_node(figures: dict[str, Any]) -> list[Row]:
+def _whole_node(figures: dict[str, Any]) -> list[CapacityRow]:
     gateway = figures["gateway"]
     idle = max(gateway["idle_megabytes"].values())
     return [
-        Row(
+        CapacityRow(
             "whole node",
             "memory, idle, small fleet",
             "resident, measured",
@@ -356,7 +356,7 @@
             MEMORY_LIMIT_MB,
             "measured, 4 real nodes",
         ),
-        Row(
+        CapacityRow(
             "whole node",
             "processor, idle, 3 back ends a node",
             "measured",
@@ -368,13 +368,13 @@
     ]
 
 
-def _serving(figures: dict[str, Any]) -> list[Row]:
+def _serving(figures: dict[str, Any]) -> list[CapacityRow]:
     """Gateways and storage nodes: the busiest process of a sweep, carried on to the size."""
     serving = figures["serving"]
 
-    def row(role: str, key: str, name: str, unit: str, limit: float | None = None) -> Row:
-        value, power = _carried_on(serving["machines"], serving[key])
-        return Row(
+    def row(role: str, key: str, name: str, unit: str, limit: float | None = None) -> CapacityRow:
+        value, power = _extrapolate(serving["machines"], serving[key])
+        return CapacityRow(
             role,
             name,
             f"busiest at {serving['machines'][-1]} machines x size^{power:.2f}",
@@ -395,14 +395,14 @@
     ]
 
 
-def _carried_on(sizes: list[int], values: list[float]) -> tuple[float, float]:
+def _extrapolate(sizes: list[int], values: list[float]) -> tuple[float, float]:
     """Return the value at the size by the power of the last two sizes, and that power."""
     growth = log(values[-1] / values[-2]) / log(sizes[-1] / sizes[-2])
     power = min(2.0, max(0.0, growth))
     return values[-1] * (NODES / sizes[-1]) ** power, power
 
 
-def render_table(rows: list[Row]) -> str:
+def render_table(rows: list[CapacityRow]) -> str:
     """Return the page's table."""
     lines = [
         "| role | figure | formula | at the size | limit | verdict | basis |",
@@ -420,15 +420,17 @@
 
 def replace_table(page: str, table: str) -> str:
     """Return the page with its table replaced."""
-    before, rest = page.split(BEGIN)
-    _, after = rest.split(END)
-    return f"{before}{BEGIN}\n{table}\n{END}{after}"
+    before, rest = page.split(TABLE_BEGIN)
+    _, after = rest.split(TABLE_END)
+    return f"{before}{TABLE_BEGIN}\n{table}\n{TABLE_END}{after}"
 
 
 def main() -> None:
     """Write the table anew."""
-    table = render_table(compute_rows(load_figures(FIGURES)))
-    PAGE.write_text(replace_table(PAGE.read_text(encoding="utf-8"), table), encoding="utf-8")
+    table = render_table(compute_rows(load_figures(FIGURES_FOLDER)))
+    PAGE_PATH.write_text(
+        replace_table(PAGE_PATH.read_text(encoding="utf-8"), table), encoding="utf-8"
+    )
 
 
 if __name__ == "__main__":
