--- a/src/wharfcart/experiments/cold_shares.py
+++ b/src/wharfcart/experiments/cold_shares.py
@@ -28,18 +28,18 @@
 SIZES = (10, 60, 200, 410)
 RATES = (4.0, 19.0)
 BACKENDS = tuple(f"i{n}" for n in range(20))
-SECONDS = 20.0
+DURATION_S = 20.0
 STEP_S = 0.01
-DEMAND_OF_RATE = 1.2
-CUT_OFF = (4.0, 14.0)
+DEMAND_FACTOR = 1.2
+CUT_OFF_INTERVAL_S = (4.0, 14.0)
 CUT_OFF_SHARE = 1 / 3
-NOBODY_GRANTS = (8.0, 9.0)
-TWO_GRANT = (9.0, 9.5)
+NO_GRANTER_INTERVAL_S = (8.0, 9.0)
+TWO_GRANTERS_INTERVAL_S = (9.0, 9.5)
 # A granting node has a request wait for so long.
-WAITS_S = 0.25
+GRANT_WAIT_TIMEOUT_S = 0.25
 
 
-class Way(StrEnum):
+class RateStrategy(StrEnum):
     """How the rate is kept by gateways that choose by themselves."""
 
     PRODUCT = "product"
@@ -48,7 +48,7 @@
 
 
 @dataclass
-class Outcome:
+class ColdBackendResult:
     """What came of one play.
 
     Attributes:
@@ -58,34 +58,34 @@
         needless: those among them that some back end would have borne, at its plain rate.
     """
 
-    worst_over: float = -1e9
-    asked: int = 0
+    max_excess: float = -1e9
+    requested: int = 0
     refused: int = 0
-    needless: int = 0
+    avoidable_refusals: int = 0
 
 
-class ColdModel:
+class ColdBackendSimulation:
     """One play."""
 
-    def __init__(self, way: Way, gateways: int, rate: float, seed: int) -> None:
-        self._way = way
-        self._limit = ColdLimit(rate, SECONDS)
+    def __init__(self, strategy: RateStrategy, gateways: int, rate: float, seed: int) -> None:
+        self._strategy = strategy
+        self._limit = ColdLimit(rate, DURATION_S)
         self._rng = Random(seed)
         names = [f"g{n}" for n in range(gateways)]
         self._shares = [LocalColdShares(name, lambda: gateways) for name in names]
         self._buckets = [ColdBuckets(LOCAL_MAX_TOKENS) for _ in names]
         self._granters = [ColdBuckets(), ColdBuckets()]
         self._arrivals: dict[str, deque[float]] = {name: deque() for name in BACKENDS}
-        self.outcome = Outcome()
+        self.outcome = ColdBackendResult()
 
-    def play(self) -> Outcome:
+    def run(self) -> ColdBackendResult:
         """Play all seconds."""
-        demand = DEMAND_OF_RATE * self._limit.requests_per_s * len(BACKENDS) * STEP_S
+        demand = DEMAND_FACTOR * self._limit.requests_per_s * len(BACKENDS) * STEP_S
         waiting: deque[tuple[float, int]] = deque()
-        for step in range(round(SECONDS / STEP_S)):
+        for step in range(round(DURATION_S / STEP_S)):
             now = step * STEP_S
             coming = int(demand) + (self._rng.random() < demand % 1)
-            self.outcome.asked += coming
+            self.outcome.requested += coming
             new = [(now, self._rng.randrange(len(self._shares))) for _ in range(coming)]
             waiting.extend(new)
             self._serve(waiting, now)
@@ -95,62 +95,71 @@
         for _ in range(len(waiting)):
             came, gateway = waiting.popleft()
             granter = self._granter_of(gateway, now)
-            chosen = self._own(gateway, now) if granter is None else self._granted(granter, now)
+            chosen = (
+                self._choose_locally(gateway, now)
+                if granter is None
+                else self._choose_granted(granter, now)
+            )
             if chosen is not None:
                 self._send(chosen, now)
-            elif granter is None or now - came >= WAITS_S:
+            elif granter is None or now - came >= GRANT_WAIT_TIMEOUT_S:
                 self._refuse(now)
             else:
                 waiting.append((came, gateway))
 
     def _granter_of(self, gateway: int, now: float) -> int | None:
         """Return which node a gateway asks; None if it reaches none."""
-        cut_off = gateway < len(self._shares) * CUT_OFF_SHARE and CUT_OFF[0] <= now < CUT_OFF[1]
-        if cut_off or NOBODY_GRANTS[0] <= now < NOBODY_GRANTS[1]:
+        cut_off = (
+            gateway < len(self._shares) * CUT_OFF_SHARE
+            and CUT_OFF_INTERVAL_S[0] <= now < CUT_OFF_INTERVAL_S[1]
+        )
+        if cut_off or NO_GRANTER_INTERVAL_S[0] <= now < NO_GRANTER_INTERVAL_S[1]:
             return None
-        if now < NOBODY_GRANTS[0]:
+        if now < NO_GRANTER_INTERVAL_S[0]:
             return 0
-        return gateway % 2 if now < TWO_GRANT[1] else 1
+        return gateway % 2 if now < TWO_GRANTERS_INTERVAL_S[1] else 1
 
-    def _granted(self, granter: int, now: float) -> str | None:
-        surely = granter == 1 or now < NOBODY_GRANTS[0]
+    def _choose_granted(self, granter: int, now: float) -> str | None:
+        surely = granter == 1 or now < NO_GRANTER_INTERVAL_S[0]
         per_s = granted_rate(self._limit, surely)
         buckets = self._granters[granter]
         allowed = [name for name in BACKENDS if buckets.allows(name, per_s, now)]
-        return self._drawn(allowed, buckets)
+        return self._spend_at_random(allowed, buckets)
 
-    def _own(self, gateway: int, now: float) -> str | None:
-        if self._way is Way.FREE:
+    def _choose_locally(self, gateway: int, now: float) -> str | None:
+        if self._strategy is RateStrategy.FREE:
             return self._rng.choice(BACKENDS)
-        if self._way is Way.PRODUCT:
+        if self._strategy is RateStrategy.PRODUCT:
             shares = self._shares[gateway]
             allowed = [name for name in BACKENDS if shares.allows(name, self._limit, now)]
-            return self._drawn(allowed, shares)
+            return self._spend_at_random(allowed, shares)
         per_s = self._limit.requests_per_s * LOCAL_CHOICE_SHARE / len(self._shares)
         buckets = self._buckets[gateway]
         allowed = [name for name in BACKENDS if buckets.allows(name, per_s, now)]
-        return self._drawn(allowed, buckets)
+        return self._spend_at_random(allowed, buckets)
 
-    def _drawn(self, allowed: list[str], kept: ColdBuckets | LocalColdShares) -> str | None:
+    def _spend_at_random(
+        self, allowed: list[str], buckets: ColdBuckets | LocalColdShares
+    ) -> str | None:
         if not allowed:
             return None
         chosen = self._rng.choice(allowed)
-        kept.spend(chosen)
+        buckets.spend(chosen)
         return chosen
 
     def _send(self, name: str, now: float) -> None:
         arrivals = self._arrivals[name]
         arrivals.append(now)
-        over = self._last_second(name, now) - (1.5 * self._limit.requests_per_s + 5)
-        self.outcome.worst_over = max(self.outcome.worst_over, over)
+        over = self._requests_in_last_second(name, now) - (1.5 * self._limit.requests_per_s + 5)
+        self.outcome.max_excess = max(self.outcome.max_excess, over)
 
     def _refuse(self, now: float) -> None:
         self.outcome.refused += 1
-        least = min(self._last_second(name, now) for name in BACKENDS)
+        least = min(self._requests_in_last_second(name, now) for name in BACKENDS)
         if least + 1 <= self._limit.requests_per_s:
-            self.outcome.needless += 1
+            self.outcome.avoidable_refusals += 1
 
-    def _last_second(self, name: str, now: float) -> int:
+    def _requests_in_last_second(self, name: str, now: float) -> int:
         arrivals = self._arrivals[name]
         while arrivals and now - arrivals[0] >= 1.0:
             arrivals.popleft()
@@ -160,17 +169,17 @@
 def main() -> None:
     """Write figures of all ways and sizes."""
     for rate in RATES:
-        for way in Way:
+        for way in RateStrategy:
             for gateways in SIZES:
-                outcome = ColdModel(way, gateways, rate, seed=1).play()
+                outcome = ColdBackendSimulation(way, gateways, rate, seed=1).run()
                 line = {
                     "rate": rate,
                     "way": way.value,
                     "gateways": gateways,
-                    "worst_over_bound": outcome.worst_over,
-                    "asked": outcome.asked,
-                    "refused_share": round(outcome.refused / outcome.asked, 3),
-                    "needless_share": round(outcome.needless / outcome.asked, 3),
+                    "worst_over_bound": outcome.max_excess,
+                    "asked": outcome.requested,
+                    "refused_share": round(outcome.refused / outcome.requested, 3),
+                    "needless_share": round(outcome.avoidable_refusals / outcome.requested, 3),
                 }
                 print(json.dumps(line))
 
--- a/src/wharfcart/experiments/limits.py
+++ b/src/wharfcart/experiments/limits.py
@@ -30,11 +30,11 @@
 )
 from wharfcart.configuration.serving import RequestLimit
 
-PICTURE_S = 0.25
-SIZES = (10, 60, 200, 410)
+SNAPSHOT_INTERVAL_S = 0.25
+GATEWAY_COUNTS = (10, 60, 200, 410)
 
 
-class Way(StrEnum):
+class LimitStrategy(StrEnum):
     """How limits are kept."""
 
     PERMITS = "permits"
@@ -48,54 +48,54 @@
 
     gateways: int
     tenants: int = 72
-    largest_limit: float = 100.0
-    least_limit: float = 5.0
-    usual_share: float = 0.62  # of its limit that a tenant sends on average
-    seconds: float = 60.0
-    low: float = 0.39
-    high: float = 1.91
+    max_limit: float = 100.0
+    min_limit: float = 5.0
+    mean_load_share: float = 0.62  # of its limit that a tenant sends on average
+    duration_s: float = 60.0
+    low_factor: float = 0.39
+    high_factor: float = 1.91
     low_s: float = 3.6
     high_s: float = 2.4
-    hot: tuple[float, float, float] = (20.0, 28.0, 5.0)  # from, until, times its usual
-    home_lost: tuple[float, float] = (40.0, 40.7)
+    hot_tenant: tuple[float, float, float] = (20.0, 28.0, 5.0)  # from, until, times its usual
+    coordinator_outage: tuple[float, float] = (40.0, 40.7)
 
     def limit_of(self, tenant: str) -> RequestLimit:
         """Return a tenant's limit: a few are large, most are small."""
         rank = int(tenant[1:]) + 1
-        per_s = max(self.least_limit, round(self.largest_limit / rank**0.8))
+        per_s = max(self.min_limit, round(self.max_limit / rank**0.8))
         return RequestLimit(per_s, per_s)
 
-    def rate_at(self, at: float) -> float:
+    def load_factor_at(self, at: float) -> float:
         """Return what the waves make of a rate at a time."""
-        return self.low if at % (self.low_s + self.high_s) < self.low_s else self.high
+        return self.low_factor if at % (self.low_s + self.high_s) < self.low_s else self.high_factor
 
-    def home_is_lost(self, at: float) -> bool:
+    def is_coordinator_down(self, at: float) -> bool:
         """Whether nobody keeps the limits at a time."""
-        return self.home_lost[0] <= at < self.home_lost[1]
+        return self.coordinator_outage[0] <= at < self.coordinator_outage[1]
 
 
 Arrival = tuple[float, str, int]  # at, tenant, gateway
 
 
-def draw_arrivals(load: LimitLoad, seed: int) -> list[Arrival]:
+def generate_arrivals(load: LimitLoad, seed: int) -> list[Arrival]:
     """Draw what comes: each client of a tenant stays with its gateway."""
     rng = Random(seed)
     arrivals: list[Arrival] = []
     for number in range(load.tenants):
         tenant = f"t{number}"
-        usual = load.limit_of(tenant).requests_per_s * load.usual_share
+        usual = load.limit_of(tenant).requests_per_s * load.mean_load_share
         clients = [rng.randrange(load.gateways) for _ in range(max(2, round(usual / 2)))]
-        most = usual * load.high * (load.hot[2] if number == 0 else 1.0)
+        most = usual * load.high_factor * (load.hot_tenant[2] if number == 0 else 1.0)
         at = 0.0
-        while (at := at + rng.expovariate(most)) < load.seconds:
-            hot = number == 0 and load.hot[0] <= at < load.hot[1]
-            rate = usual * load.rate_at(at) * (load.hot[2] if hot else 1.0)
+        while (at := at + rng.expovariate(most)) < load.duration_s:
+            hot = number == 0 and load.hot_tenant[0] <= at < load.hot_tenant[1]
+            rate = usual * load.load_factor_at(at) * (load.hot_tenant[2] if hot else 1.0)
             if rng.random() < rate / most:
                 arrivals.append((at, tenant, rng.choice(clients)))
     return sorted(arrivals)
 
 
-class LimitKeeper(ABC):
+class TenantLimiter(ABC):
     """Keeps limits over all gateways one way, and counts what that costs.
 
     Attributes:
@@ -109,48 +109,48 @@
         self.round_trips = 0
 
     @abstractmethod
-    def permits(self, arrival: Arrival) -> bool:
+    def is_permitted(self, arrival: Arrival) -> bool:
         """Whether a request is sent."""
 
 
-class Permits(LimitKeeper):
+class PermitLimiter(TenantLimiter):
     """The product's way; the home knows nothing after it was lost."""
 
     def __init__(self, load: LimitLoad) -> None:
         super().__init__(load)
         self._sends = [SendHistory() for _ in range(load.gateways)]
         self._usage: dict[str, int] = {}
-        self._heard_at = 0.0
-        self._next_picture = 0.0
-        self._home = self._new_home(0.0)
+        self._last_contact_at = 0.0
+        self._next_snapshot_at = 0.0
+        self._coordinator = self._new_coordinator(0.0)
 
-    def permits(self, arrival: Arrival) -> bool:
+    def is_permitted(self, arrival: Arrival) -> bool:
         """Ask the home, or keep the gateway's pace."""
         at, tenant, gateway = arrival
         sends = self._sends[gateway]
-        if self.load.home_is_lost(at):
+        if self.load.is_coordinator_down(at):
             limit = self.load.limit_of(tenant)
             usage = self._usage.get(tenant, 0)
-            permitted = sends.may_send_disconnected(tenant, limit, self._heard_at, usage, at)
+            permitted = sends.may_send_disconnected(tenant, limit, self._last_contact_at, usage, at)
         else:
-            self._tell(at)
-            permitted = self._home.acquire(str(gateway), tenant, at) == 0.0
+            self._sync_with_coordinator(at)
+            permitted = self._coordinator.acquire(str(gateway), tenant, at) == 0.0
         if permitted:
             sends.record(tenant, at)
         return permitted
 
-    def _tell(self, at: float) -> None:
-        if self._heard_at < self.load.home_lost[0] <= at:
-            self._home = self._new_home(at)
-        if at >= self._next_picture:
-            self._usage = self._home.usage_by_tenant(at)
-            self._next_picture = at + PICTURE_S
-        self._heard_at = at
+    def _sync_with_coordinator(self, at: float) -> None:
+        if self._last_contact_at < self.load.coordinator_outage[0] <= at:
+            self._coordinator = self._new_coordinator(at)
+        if at >= self._next_snapshot_at:
+            self._usage = self._coordinator.usage_by_tenant(at)
+            self._next_snapshot_at = at + SNAPSHOT_INTERVAL_S
+        self._last_contact_at = at
 
-    def _new_home(self, at: float) -> TenantLimitCoordinator:
+    def _new_coordinator(self, at: float) -> TenantLimitCoordinator:
         home = TenantLimitCoordinator(self.load.limit_of, at)
         usage = [TenantUsage(tenant, count) for tenant, count in self._usage.items()]
-        age_s = at - self._heard_at
+        age_s = at - self._last_contact_at
         for gateway, sends in enumerate(self._sends):
             home.holder_connected(
                 str(gateway), sends.recent(at), usage, age_s, self.load.gateways, at
@@ -158,33 +158,35 @@
         return home
 
 
-class Leases(LimitKeeper):
+class LeaseLimiter(TenantLimiter):
     """Tokens taken in batches; a new home begins with full buckets, as the older path's does."""
 
     def __init__(self, load: LimitLoad) -> None:
         super().__init__(load)
-        self._home = BucketCoordinator()
-        self._taken: defaultdict[tuple[int, str], GrantedTokens] = defaultdict(GrantedTokens)
-        self._lost = False
+        self._coordinator = BucketCoordinator()
+        self._granted: defaultdict[tuple[int, str], GrantedTokens] = defaultdict(GrantedTokens)
+        self._coordinator_lost = False
 
-    def permits(self, arrival: Arrival) -> bool:
+    def is_permitted(self, arrival: Arrival) -> bool:
         """Spend a token that the gateway has, or take some."""
         at, tenant, gateway = arrival
         limit = self.load.limit_of(tenant)
-        taken = self._taken[gateway, tenant]
+        taken = self._granted[gateway, tenant]
         if taken.spend(at):
             return True
-        if self.load.home_is_lost(at):
-            self._lost = True
+        if self.load.is_coordinator_down(at):
+            self._coordinator_lost = True
             return taken.spend_fallback(limit.requests_per_s, limit.burst, self.load.gateways, at)
-        if self._lost:
-            self._home, self._lost = BucketCoordinator(), False
+        if self._coordinator_lost:
+            self._coordinator, self._coordinator_lost = BucketCoordinator(), False
         if at < taken.refused_until:
             return False
         self.messages += 2
         self.round_trips += 1
         wanted = grant_size(limit.requests_per_s, limit.burst)
-        granted, seconds = self._home.take(tenant, wanted, limit.requests_per_s, limit.burst, at)
+        granted, seconds = self._coordinator.take(
+            tenant, wanted, limit.requests_per_s, limit.burst, at
+        )
         if granted < 1.0:
             taken.refused_until = at + seconds
             return False
@@ -192,22 +194,22 @@
         return taken.spend(at)
 
 
-class Shares(LimitKeeper):
+class ShareLimiter(TenantLimiter):
     """Parts of each limit that follow what was asked in the last second."""
 
     def __init__(self, load: LimitLoad) -> None:
         super().__init__(load)
-        self._asked: defaultdict[str, deque[tuple[float, int]]] = defaultdict(deque)
+        self._recent_requests: defaultdict[str, deque[tuple[float, int]]] = defaultdict(deque)
         self._buckets: dict[tuple[int, str], TokenBucket] = {}
-        self._divide_at = 0.0
+        self._next_redistribution_at = 0.0
 
-    def permits(self, arrival: Arrival) -> bool:
+    def is_permitted(self, arrival: Arrival) -> bool:
         """Spend from the gateway's own bucket."""
         at, tenant, gateway = arrival
-        if at >= self._divide_at and not self.load.home_is_lost(at):
-            self._divide(at)
-            self._divide_at = at + PICTURE_S
-        self._asked[tenant].append((at, gateway))
+        if at >= self._next_redistribution_at and not self.load.is_coordinator_down(at):
+            self._redistribute(at)
+            self._next_redistribution_at = at + SNAPSHOT_INTERVAL_S
+        self._recent_requests[tenant].append((at, gateway))
         limit = self.load.limit_of(tenant)
         even = 1.0 / self.load.gateways
         bucket = self._buckets.setdefault(
@@ -215,9 +217,9 @@
         )
         return bucket.take(1.0, at) >= 1.0
 
-    def _divide(self, at: float) -> None:
+    def _redistribute(self, at: float) -> None:
         self.messages += 2 * self.load.gateways
-        for tenant, asked in self._asked.items():
+        for tenant, asked in self._recent_requests.items():
             while asked and asked[0][0] < at - 1.0:
                 asked.popleft()
             limit = self.load.limit_of(tenant)
@@ -235,15 +237,15 @@
                 bucket.tokens = min(bucket.tokens, bucket.burst)
 
 
-KEEPERS: dict[Way, type[LimitKeeper]] = {
-    Way.PERMITS: Permits,
-    Way.LEASES: Leases,
-    Way.SHARES: Shares,
+LIMITERS: dict[LimitStrategy, type[TenantLimiter]] = {
+    LimitStrategy.PERMITS: PermitLimiter,
+    LimitStrategy.LEASES: LeaseLimiter,
+    LimitStrategy.SHARES: ShareLimiter,
 }
 
 
 @dataclass
-class LimitOutcome:
+class LimitResult:
     """What a way came to.
 
     Attributes:
@@ -252,18 +254,18 @@
         hot_share: of the hot tenant's limit that it had while it was hot.
     """
 
-    worst_window: float = 0.0
-    refused_wrongly: float = 0.0
-    hot_share: float = 0.0
+    max_window_share: float = 0.0
+    wrongly_refused_share: float = 0.0
+    hot_tenant_share: float = 0.0
     messages_per_s: float = 0.0
     round_trips: float = 0.0
     sent_by_tenant: dict[str, list[float]] = field(default_factory=dict)
 
 
-def play(way: Way, load: LimitLoad, arrivals: list[Arrival]) -> LimitOutcome:
+def simulate(strategy: LimitStrategy, load: LimitLoad, arrivals: list[Arrival]) -> LimitResult:
     """Play one way; the arrivals are in order."""
-    keeper = KEEPERS[way](load)
-    outcome = LimitOutcome(sent_by_tenant=defaultdict(list))
+    keeper = LIMITERS[strategy](load)
+    outcome = LimitResult(sent_by_tenant=defaultdict(list))
     single: dict[str, TokenBucket] = {}
     passed = wrongly = 0
     for arrival in arrivals:
@@ -273,26 +275,26 @@
             tenant, TokenBucket(limit.requests_per_s, limit.burst, limit.burst, at)
         )
         would_pass = bucket.take(1.0, at) >= 1.0
-        sent = keeper.permits(arrival)
+        sent = keeper.is_permitted(arrival)
         passed += would_pass
         wrongly += would_pass and not sent
         if sent:
             outcome.sent_by_tenant[tenant].append(at)
-    outcome.refused_wrongly = wrongly / max(1, passed)
-    outcome.messages_per_s = keeper.messages / load.seconds
+    outcome.wrongly_refused_share = wrongly / max(1, passed)
+    outcome.messages_per_s = keeper.messages / load.duration_s
     outcome.round_trips = keeper.round_trips / max(1, len(arrivals))
-    outcome.worst_window = max(
-        _busiest(times)
+    outcome.max_window_share = max(
+        _max_requests_in_window(times)
         / (load.limit_of(tenant).requests_per_s * WINDOW_S + load.limit_of(tenant).burst)
         for tenant, times in outcome.sent_by_tenant.items()
     )
-    begun, until, _ = load.hot
+    begun, until, _ = load.hot_tenant
     hot = sum(begun + 1.0 <= at < until for at in outcome.sent_by_tenant["t0"])
-    outcome.hot_share = hot / (load.limit_of("t0").requests_per_s * (until - begun - 1.0))
+    outcome.hot_tenant_share = hot / (load.limit_of("t0").requests_per_s * (until - begun - 1.0))
     return outcome
 
 
-def _busiest(times: list[float]) -> int:
+def _max_requests_in_window(times: list[float]) -> int:
     most = first = 0
     for last, at in enumerate(times):
         while times[first] <= at - WINDOW_S:
@@ -301,19 +303,19 @@
     return most
 
 
-def run_limits(seed: int, output: Path, sizes: tuple[int, ...] = SIZES) -> dict[str, Any]:
+def run_limits(seed: int, output: Path, sizes: tuple[int, ...] = GATEWAY_COUNTS) -> dict[str, Any]:
     """Play every way at every size; write the figures."""
     output.mkdir(parents=True, exist_ok=True)
     figures: dict[str, Any] = {"experiment": "limits", "seed": seed}
     for gateways in sizes:
         load = LimitLoad(gateways)
-        arrivals = draw_arrivals(load, seed)
-        for way in Way:
-            outcome = play(way, load, arrivals)
+        arrivals = generate_arrivals(load, seed)
+        for way in LimitStrategy:
+            outcome = simulate(way, load, arrivals)
             name = f"{way}_{gateways}"
-            figures[f"{name}_worst_window"] = round(outcome.worst_window, 3)
-            figures[f"{name}_refused_wrongly"] = round(outcome.refused_wrongly, 5)
-            figures[f"{name}_hot_share"] = round(outcome.hot_share, 3)
+            figures[f"{name}_worst_window"] = round(outcome.max_window_share, 3)
+            figures[f"{name}_refused_wrongly"] = round(outcome.wrongly_refused_share, 5)
+            figures[f"{name}_hot_share"] = round(outcome.hot_tenant_share, 3)
             figures[f"{name}_messages_per_s"] = round(outcome.messages_per_s, 1)
             figures[f"{name}_round_trips"] = round(outcome.round_trips, 3)
     (output / "limits.json").write_text(json.dumps(figures, indent=2) + "\n", encoding="utf-8")
