--- a/src/wharfcart/experiments/simulated_slots.py
+++ b/src/wharfcart/experiments/simulated_slots.py
@@ -55,13 +55,13 @@
 SERVICE = "writing"
 HOST = "batch.example"
 ZONE = "a"
-LEADER = Address("10.0.0.1", 7000)
-ONE_WAY_S = 0.001
+LEADER_ADDRESS = Address("10.0.0.1", 7000)
+ONE_WAY_DELAY_S = 0.001
 # Of a model server: time to the first token, tokens read a second, time between two events.
-FIRST_TOKEN_S = 0.03
-READ_TOKENS_A_SECOND = 51_200
-EVENT_S = 0.018
-CLOCK_USERS = (
+FIRST_TOKEN_DELAY_S = 0.03
+PREFILL_TOKENS_PER_SECOND = 51_200
+EVENT_INTERVAL_S = 0.018
+VIRTUAL_CLOCK_MODULES = (
     "wharfcart.routing.placement",
     "wharfcart.slots.fleet_load",
     "wharfcart.slots.granted_placement",
@@ -74,7 +74,7 @@
 )
 
 
-class SlotServer:
+class SimulatedModelServer:
     """A model server: so many requests run, the others wait in the order in which they came."""
 
     def __init__(self, slots: int) -> None:
@@ -83,18 +83,18 @@
     async def run(self, prompt_tokens: int, events: int, on_event: Callable[[], None]) -> None:
         """Run a request; cancelled, it frees its slot at once."""
         async with self._slots:
-            await asyncio.sleep(FIRST_TOKEN_S + prompt_tokens / READ_TOKENS_A_SECOND)
+            await asyncio.sleep(FIRST_TOKEN_DELAY_S + prompt_tokens / PREFILL_TOKENS_PER_SECOND)
             on_event()
             for _ in range(events - 1):
-                await asyncio.sleep(EVENT_S)
+                await asyncio.sleep(EVENT_INTERVAL_S)
                 on_event()
 
 
-class ServerItemRunner:
+class SimulatedItemRunner:
     """Runs batch items at the servers, each one from where it was cut."""
 
-    def __init__(self, choice: BackendSelector, servers: dict[str, SlotServer]) -> None:
-        self._choice = choice
+    def __init__(self, selector: BackendSelector, servers: dict[str, SimulatedModelServer]) -> None:
+        self._selector = selector
         self._servers = servers
         self.events_by_item: dict[str, int] = {}
 
@@ -106,18 +106,18 @@
         prompt_tokens = send.item.tokens + 5 * len(text.texts)
 
         def on_event() -> None:
-            self._choice.record_first_byte(send.state, send.send_id)
+            self._selector.record_first_byte(send.state, send.send_id)
             text.add_event(len(text.texts), "")
 
         try:
             await server.run(prompt_tokens, left, on_event)
         finally:
-            self._choice.record_finished(send.state, send.send_id)
+            self._selector.record_finished(send.state, send.send_id)
         return RunOutcome.SUCCEEDED
 
 
 @dataclass
-class JobRecords:
+class LeadershipStub:
     """Stands in for a job group's leadership: results count at once."""
 
     due_at: dict[str, float] = field(default_factory=dict)
@@ -151,7 +151,7 @@
         async def answer(frame: Frame) -> None:
             answers.put_nowait(frame)
 
-        await asyncio.sleep(ONE_WAY_S)
+        await asyncio.sleep(ONE_WAY_DELAY_S)
         if frame.WhichOneof("body") == "slot_request":
             work = self._service.serve_request(frame.slot_request, answer)
         else:
@@ -160,7 +160,7 @@
         try:
             while True:
                 found = await answers.get()
-                await asyncio.sleep(ONE_WAY_S)
+                await asyncio.sleep(ONE_WAY_DELAY_S)
                 yield found
         finally:
             serving.cancel()
@@ -168,24 +168,24 @@
     def send(self, _address: Address, frame: Frame, _traffic: TrafficClass) -> None:
         """Tell what happens within a session."""
         loop = asyncio.get_running_loop()
-        loop.call_later(ONE_WAY_S, self._service.handle_events, frame.slot_events)
+        loop.call_later(ONE_WAY_DELAY_S, self._service.handle_events, frame.slot_events)
 
     def round_trip_s(self, _address: Address) -> float:
         """Return the time of a message there and back."""
-        return 2 * ONE_WAY_S
+        return 2 * ONE_WAY_DELAY_S
 
     def drop(self, _address: Address, _traffic: TrafficClass) -> None:
         """Do nothing: connections are not simulated."""
 
 
-class OwnChoicePlacement(GrantedPlacement):
+class LocalChoicePlacement(GrantedPlacement):
     """A gateway that asks for no slot, but tells which ones it takes."""
 
     def _steps(self, request: PlacementRequest) -> list[RequestStep]:
         return []
 
 
-class _KeepingRoom(GroupBackends):
+class _NonPreemptingBackends(GroupBackends):
     """Items stay where they are until they are done."""
 
     def preemption_order(self, state: InstanceState, now: float) -> list[TakenSlot]:
@@ -193,14 +193,16 @@
         return []
 
 
-class _KeepingGranter(SlotGranter):
+class _NonPreemptingGranter(SlotGranter):
     def new_backends(self) -> GroupBackends:
-        return _KeepingRoom(self.selector, self.owns, self.is_leadership_confirmed, self._ledger)
+        return _NonPreemptingBackends(
+            self.selector, self.owns, self.is_leadership_confirmed, self._ledger
+        )
 
 
-class _KeepingService(SlotService):
+class _NonPreemptingService(SlotService):
     def new_granter(self) -> SlotGranter:
-        return _KeepingGranter(self._selector, self._owns)
+        return _NonPreemptingGranter(self._selector, self._owns)
 
 
 class SlotFleet:
@@ -213,24 +215,30 @@
     """
 
     def __init__(
-        self, seed: int, gateways: int, servers: int, slots: int, grants: bool, yields: bool
+        self,
+        seed: int,
+        gateways: int,
+        servers: int,
+        slots: int,
+        uses_grants: bool,
+        preempts_items: bool,
     ) -> None:
         self._rng = Random(seed)
-        self._servers = {f"server-{n}": SlotServer(slots) for n in range(servers)}
+        self._servers = {f"server-{n}": SimulatedModelServer(slots) for n in range(servers)}
         self._instances = [
             BackendInstance(name, SERVICE, "10.0.1.1", 1, ZONE, slots, True)
             for name in self._servers
         ]
         self._metrics = ServingMetrics()
         self._log = DecisionLog("experiment")
-        self.records = JobRecords()
-        self._leader_choice = self._choice()
-        self._runner = ServerItemRunner(self._leader_choice, self._servers)
-        self._grants = grants
-        kind = SlotService if yields else _KeepingService
+        self.leadership = LeadershipStub()
+        self._leader_selector = self._make_selector()
+        self._runner = SimulatedItemRunner(self._leader_selector, self._servers)
+        self._uses_grants = uses_grants
+        kind = SlotService if preempts_items else _NonPreemptingService
         self._service = kind(
             0,
-            self._leader_choice,
+            self._leader_selector,
             lambda _instance: True,
             lambda _zone: Distance.SAME_ZONE,
             self._log,
@@ -243,7 +251,7 @@
 
     def start(self) -> list[asyncio.Task[None]]:
         """Begin to grant and to hold sessions; returns the tasks that do."""
-        sessions = self._sessions("leader", self._leader_choice, self._item_slots)
+        sessions = self._make_sessions("leader", self._leader_selector, self._item_slots)
         self._item_slots.begin(sessions)
         self._service.begin(1)
         self._execution.start()
@@ -251,7 +259,7 @@
         tasks = [asyncio.create_task(held.run()) for held in running]
         return [*tasks, asyncio.create_task(self._service.run())]
 
-    async def ask(
+    async def send_request(
         self, request_id: str, prompt_tokens: int, events: int, objective_s: float
     ) -> float | None:
         """Play one online request; return the time to its first event, None if it was refused."""
@@ -284,14 +292,19 @@
                 placement.first_byte_received("online", virtual_monotonic() - sent_at)
                 first_s.append(virtual_monotonic() - began_at)
 
-        await asyncio.sleep(ONE_WAY_S)
+        await asyncio.sleep(ONE_WAY_DELAY_S)
         await self._servers[state.instance.instance_id].run(prompt_tokens, events, on_event)
         choice.record_finished(state, use)
         placement.send_finished(placed, SendResult.BACKEND_OK)
         return first_s[0]
 
     def submit(
-        self, job_id: str, prompt_tokens: int, events: list[int], due_s: float, age_s: float = 0.0
+        self,
+        job_id: str,
+        prompt_tokens: int,
+        events: list[int],
+        deadline_s: float,
+        age_s: float = 0.0,
     ) -> None:
         """Accept a batch job whose items give so many events each, or take up one of some age."""
         items = [
@@ -299,21 +312,21 @@
         ]
         for item, count in zip(items, events, strict=True):
             self._runner.events_by_item[item.item_id] = count
-            self.records.due_at[item.item_id] = virtual_monotonic() + due_s - age_s
+            self.leadership.due_at[item.item_id] = virtual_monotonic() + deadline_s - age_s
         job = RequestJob(
             job_id=job_id,
             host=HOST,
             path=f"/jobs/{job_id}",
             accepted_ms=int((time() - age_s) * 1000),
-            objective_s=due_s,
-            give_up_after_s=10 * due_s,
+            objective_s=deadline_s,
+            give_up_after_s=10 * deadline_s,
             items=items,
         )
         record = SimpleNamespace(job=job, results=[], ended=False, is_complete=False)
-        self.records.jobs[job_id] = record
+        self.leadership.jobs[job_id] = record
         self._execution.job_accepted(job)
 
-    def _choice(self) -> BackendSelector:
+    def _make_selector(self) -> BackendSelector:
         choice = BackendSelector(ZONE, Random(self._rng.random()))
         for instance in self._instances:
             choice.put(instance)
@@ -322,7 +335,7 @@
     def _make_execution(self) -> JobExecution:
         group = SimpleNamespace(
             partial_texts=PartialTexts(),
-            leadership=self.records,
+            leadership=self.leadership,
             replicas_behind=0,
             is_confirmed_since_resume=True,
             wake_sessions=lambda: None,
@@ -334,7 +347,7 @@
         return JobExecution(
             cast(JobGroup, group),
             cast(ItemRunner, self._runner),
-            self._leader_choice,
+            self._leader_selector,
             lambda: configuration,
             self._item_slots,
             3600.0,
@@ -344,9 +357,9 @@
         )
 
     def _make_gateway(self, number: int) -> tuple[BackendSelector, GrantedPlacement, SlotSessions]:
-        choice = self._choice()
-        sessions = self._sessions(f"gateway-{number}", choice, FleetLoad(choice))
-        kind = GrantedPlacement if self._grants else OwnChoicePlacement
+        choice = self._make_selector()
+        sessions = self._make_sessions(f"gateway-{number}", choice, FleetLoad(choice))
+        kind = GrantedPlacement if self._uses_grants else LocalChoicePlacement
         placement = kind(
             choice,
             sessions,
@@ -357,16 +370,16 @@
         )
         return choice, placement, sessions
 
-    def _sessions(
-        self, holder: str, choice: BackendSelector, taker: SlotUpdateListener
+    def _make_sessions(
+        self, holder: str, selector: BackendSelector, listener: SlotUpdateListener
     ) -> SlotSessions:
         return SlotSessions(
             HolderId(holder),
-            choice,
+            selector,
             self._transport,
             lambda: 1,
-            lambda _group: LEADER,
+            lambda _group: LEADER_ADDRESS,
             lambda _instance_id: 0,
-            taker,
+            listener,
             self._log,
         )
--- a/src/wharfcart/experiments/waves.py
+++ b/src/wharfcart/experiments/waves.py
@@ -16,19 +16,19 @@
 from random import Random
 from typing import Any
 
-from wharfcart.experiments.simulated_slots import CLOCK_USERS, SlotFleet
+from wharfcart.experiments.simulated_slots import VIRTUAL_CLOCK_MODULES, SlotFleet
 from wharfcart.experiments.virtual_time import run_virtually, virtual_clock
 
 WARM_UP_S = 2.0
 
 
-class Policy(StrEnum):
+class WavePolicy(StrEnum):
     """What decides."""
 
     GRANTS = "grants"
-    OWN_CHOICE = "own_choice"
-    NO_YIELDING = "no_yielding"
-    ONLINE_ALONE = "online_alone"
+    LOCAL_CHOICE = "own_choice"
+    NO_PREEMPTION = "no_yielding"
+    ONLINE_ONLY = "online_alone"
 
 
 @dataclass(frozen=True)
@@ -40,33 +40,33 @@
             lost what they had done: as after a power loss of all machines.
     """
 
-    seconds: float = 40.0
-    online_rate: float = 28.0
-    low: float = 0.38
-    high: float = 1.84
+    duration_s: float = 40.0
+    online_requests_per_s: float = 28.0
+    low_factor: float = 0.38
+    high_factor: float = 1.84
     low_s: float = 3.8
     high_s: float = 2.8
     online_prompt_tokens: int = 250
     online_events: int = 39
     objective_s: float = 0.3
-    job_rate: float = 0.34
+    jobs_per_s: float = 0.34
     job_items: int = 10
     item_prompt_tokens: int = 350
     item_events: int = 268
-    job_due_s: float = 18.0
+    job_deadline_s: float = 18.0
     gateways: int = 6
     servers: int = 6
     slots: int = 8
-    old_jobs: int = 0
+    backlog_jobs: int = 0
 
     def rate_at(self, at: float) -> float:
         """Return the online requests a second at a time."""
         low = at % (self.low_s + self.high_s) < self.low_s
-        return self.online_rate * (self.low if low else self.high)
+        return self.online_requests_per_s * (self.low_factor if low else self.high_factor)
 
 
 @dataclass
-class WaveOutcome:
+class WaveResult:
     """What a policy gave.
 
     Attributes:
@@ -78,7 +78,7 @@
     items: int = 0
     items_in_time: int = 0
 
-    def online_in_time(self, objective_s: float) -> float:
+    def online_in_time_share(self, objective_s: float) -> float:
         """Return the share of online requests that began in time."""
         in_time = sum(first is not None and first <= objective_s for _, first in self.first_events)
         return in_time / max(1, len(self.first_events))
@@ -92,7 +92,7 @@
     jobs: list[tuple[float, list[int]]]  # at, events of each item; before 0: old ones
 
 
-def draw_arrivals(load: WaveLoad, seed: int) -> Arrivals:
+def generate_arrivals(load: WaveLoad, seed: int) -> Arrivals:
     """Draw the arrivals of a run."""
     rng = Random(seed)
 
@@ -101,58 +101,64 @@
 
     online: list[tuple[float, int]] = []
     at = 0.0
-    while (at := at + rng.expovariate(load.online_rate * load.high)) < load.seconds:
-        if rng.random() < load.rate_at(at) / (load.online_rate * load.high):
+    while (
+        at := at + rng.expovariate(load.online_requests_per_s * load.high_factor)
+    ) < load.duration_s:
+        if rng.random() < load.rate_at(at) / (load.online_requests_per_s * load.high_factor):
             online.append((at, size(load.online_events)))
     jobs: list[tuple[float, list[int]]] = []
     jobs += [
         (
-            -load.job_due_s * n / load.old_jobs,
+            -load.job_deadline_s * n / load.backlog_jobs,
             [size(load.item_events) for _ in range(load.job_items)],
         )
-        for n in range(load.old_jobs)
+        for n in range(load.backlog_jobs)
     ]
     at = 0.0
-    while (at := at + rng.expovariate(load.job_rate)) < load.seconds:
+    while (at := at + rng.expovariate(load.jobs_per_s)) < load.duration_s:
         jobs.append((at, [size(load.item_events) for _ in range(size(load.job_items))]))
     return Arrivals(online, jobs)
 
 
-def play(policy: Policy, load: WaveLoad, seed: int) -> WaveOutcome:
+def simulate(policy: WavePolicy, load: WaveLoad, seed: int) -> WaveResult:
     """Play a policy in virtual time."""
-    arrivals = draw_arrivals(load, seed)
-    with virtual_clock(CLOCK_USERS):
-        return run_virtually(_play(policy, load, arrivals, seed))
+    arrivals = generate_arrivals(load, seed)
+    with virtual_clock(VIRTUAL_CLOCK_MODULES):
+        return run_virtually(_run_fleet(policy, load, arrivals, seed))
 
 
-async def _play(policy: Policy, load: WaveLoad, arrivals: Arrivals, seed: int) -> WaveOutcome:
-    grants = policy in (Policy.GRANTS, Policy.ONLINE_ALONE)
-    yields = policy is not Policy.NO_YIELDING
+async def _run_fleet(
+    policy: WavePolicy, load: WaveLoad, arrivals: Arrivals, seed: int
+) -> WaveResult:
+    grants = policy in (WavePolicy.GRANTS, WavePolicy.ONLINE_ONLY)
+    yields = policy is not WavePolicy.NO_PREEMPTION
     fleet = SlotFleet(seed, load.gateways, load.servers, load.slots, grants, yields)
-    outcome = WaveOutcome()
+    outcome = WaveResult()
     background = fleet.start()
 
     async def ask(number: int, at: float, events: int) -> None:
         await asyncio.sleep(WARM_UP_S + at)
-        first_s = await fleet.ask(f"r{number}", load.online_prompt_tokens, events, load.objective_s)
+        first_s = await fleet.send_request(
+            f"r{number}", load.online_prompt_tokens, events, load.objective_s
+        )
         outcome.first_events.append((at, first_s))
 
     async def submit(number: int, at: float, events: list[int]) -> None:
         await asyncio.sleep(WARM_UP_S + max(0.0, at))
         age_s = max(0.0, -at)
-        fleet.submit(f"j{number}", load.item_prompt_tokens, events, load.job_due_s, age_s)
+        fleet.submit(f"j{number}", load.item_prompt_tokens, events, load.job_deadline_s, age_s)
 
     asked = [asyncio.create_task(ask(n, *one)) for n, one in enumerate(arrivals.online)]
-    if policy is not Policy.ONLINE_ALONE:
+    if policy is not WavePolicy.ONLINE_ONLY:
         asked += [asyncio.create_task(submit(n, *one)) for n, one in enumerate(arrivals.jobs)]
     await asyncio.gather(*asked)
-    await asyncio.sleep(load.job_due_s)
+    await asyncio.sleep(load.job_deadline_s)
     for task in background:
         task.cancel()
-    done_at = fleet.records.done_at
-    outcome.items = len(fleet.records.due_at)
+    done_at = fleet.leadership.done_at
+    outcome.items = len(fleet.leadership.due_at)
     outcome.items_in_time = sum(
-        done_at.get(item, float("inf")) <= due for item, due in fleet.records.due_at.items()
+        done_at.get(item, float("inf")) <= due for item, due in fleet.leadership.due_at.items()
     )
     return outcome
 
@@ -161,26 +167,30 @@
     """Play every policy on the same arrivals; write figures and a plot."""
     load = load or WaveLoad()
     output.mkdir(parents=True, exist_ok=True)
-    outcomes = {policy: play(policy, load, seed) for policy in Policy}
+    outcomes = {policy: simulate(policy, load, seed) for policy in WavePolicy}
     figures: dict[str, Any] = {"experiment": "waves", "seed": seed}
     for policy, outcome in outcomes.items():
-        figures[f"{policy}_online_in_time"] = round(outcome.online_in_time(load.objective_s), 4)
+        figures[f"{policy}_online_in_time"] = round(
+            outcome.online_in_time_share(load.objective_s), 4
+        )
         figures[f"{policy}_items_in_time"] = f"{outcome.items_in_time} of {outcome.items}"
     (output / "waves.json").write_text(json.dumps(figures, indent=2) + "\n", encoding="utf-8")
     _plot(outcomes, load, output / "waves.png")
     return figures
 
 
-def _plot(outcomes: dict[Policy, WaveOutcome], load: WaveLoad, path: Path) -> None:
+def _plot(outcomes: dict[WavePolicy, WaveResult], load: WaveLoad, path: Path) -> None:
     import matplotlib
 
     matplotlib.use("Agg")
     import matplotlib.pyplot as plt
 
     figure, axes = plt.subplots(figsize=(9, 4))
-    seconds = range(int(load.seconds))
+    seconds = range(int(load.duration_s))
     for policy, outcome in outcomes.items():
-        axes.plot(seconds, [_share(outcome, load, at) for at in seconds], label=policy.value)
+        axes.plot(
+            seconds, [_in_time_share_at(outcome, load, at) for at in seconds], label=policy.value
+        )
     axes.set_xlabel("second")
     axes.set_ylabel("online requests in time")
     axes.set_ylim(0, 1.05)
@@ -190,7 +200,7 @@
     plt.close(figure)
 
 
-def _share(outcome: WaveOutcome, load: WaveLoad, second: int) -> float:
+def _in_time_share_at(outcome: WaveResult, load: WaveLoad, second: int) -> float:
     def came_then(at: float) -> bool:
         return second <= at < second + 1
 
--- a/tests/experiments/test_waves.py
+++ b/tests/experiments/test_waves.py
@@ -1,53 +1,53 @@
 """Experiment waves: the product's decisions in virtual time."""
 
-from wharfcart.experiments.waves import Policy, WaveLoad, draw_arrivals, play
+from wharfcart.experiments.waves import Policy, WaveLoad, generate_arrivals, simulate
 
-LOAD = WaveLoad(seconds=14.0)
+LOAD = WaveLoad(duration_s=14.0)
 
 
 def test_the_same_seed_gives_the_same_run() -> None:
-    assert draw_arrivals(LOAD, 3) == draw_arrivals(LOAD, 3)
-    load = WaveLoad(seconds=8.0, job_due_s=5.0)
-    first, second = (play(Policy.GRANTS, load, 3) for _ in range(2))
+    assert generate_arrivals(LOAD, 3) == generate_arrivals(LOAD, 3)
+    load = WaveLoad(duration_s=8.0, job_deadline_s=5.0)
+    first, second = (simulate(Policy.GRANTS, load, 3) for _ in range(2))
     assert sorted(first.first_events) == sorted(second.first_events)
 
 
 def test_online_requests_begin_in_time_beside_batch_and_items_are_done() -> None:
-    outcome = play(Policy.GRANTS, LOAD, 3)
-    assert outcome.online_in_time(LOAD.objective_s) > 0.97
+    outcome = simulate(Policy.GRANTS, LOAD, 3)
+    assert outcome.online_in_time_share(LOAD.objective_s) > 0.97
     assert outcome.items > 10
     assert outcome.items_in_time == outcome.items
 
 
 def test_items_that_stay_make_online_requests_late() -> None:
-    outcome = play(Policy.NO_YIELDING, LOAD, 3)
-    assert outcome.online_in_time(LOAD.objective_s) < 0.9
+    outcome = simulate(Policy.NO_YIELDING, LOAD, 3)
+    assert outcome.online_in_time_share(LOAD.objective_s) < 0.9
 
 
 def test_in_overload_those_are_served_in_time_that_can_be() -> None:
-    load = WaveLoad(seconds=8.0, job_due_s=6.0, servers=4)
+    load = WaveLoad(duration_s=8.0, job_deadline_s=6.0, servers=4)
     capacity = load.servers * load.slots / (load.online_events * 0.018 + 0.04)
-    overload = load.online_rate * load.high / capacity
+    overload = load.online_requests_per_s * load.high_factor / capacity
     assert overload > 1
-    outcome = play(Policy.GRANTS, load, 2)
-    assert outcome.online_in_time(load.objective_s) > 0.8 / overload
+    outcome = simulate(Policy.GRANTS, load, 2)
+    assert outcome.online_in_time_share(load.objective_s) > 0.8 / overload
 
 
 def test_where_more_items_come_than_fit_slots_go_to_those_that_can_be_in_time() -> None:
     """Items wait ever longer; run until each is nearly late, they all came late, one by one."""
-    load = WaveLoad(seconds=24.0, job_rate=1.3)
-    outcome = play(Policy.GRANTS, load, 1)
+    load = WaveLoad(duration_s=24.0, jobs_per_s=1.3)
+    outcome = simulate(Policy.GRANTS, load, 1)
     # 0.43 where items start that are rather late than not.
     assert outcome.items_in_time > 0.55 * outcome.items
-    assert outcome.online_in_time(load.objective_s) > 0.97
+    assert outcome.online_in_time_share(load.objective_s) > 0.97
 
 
 def test_old_jobs_after_a_loss_of_power_do_not_make_the_later_ones_late() -> None:
-    load = WaveLoad(seconds=10.0, servers=10, old_jobs=8)
-    outcome = play(Policy.GRANTS, load, 1)
+    load = WaveLoad(duration_s=10.0, servers=10, backlog_jobs=8)
+    outcome = simulate(Policy.GRANTS, load, 1)
     too_old = sum(due_s < 5.0 for due_s in _due_of_old(load)) * 1.3 * load.job_items
     assert outcome.items - outcome.items_in_time <= too_old
 
 
 def _due_of_old(load: WaveLoad) -> list[float]:
-    return [load.job_due_s * (1 - n / load.old_jobs) for n in range(load.old_jobs)]
+    return [load.job_deadline_s * (1 - n / load.backlog_jobs) for n in range(load.backlog_jobs)]
--- a/tests/slots/network.py
+++ b/tests/slots/network.py
@@ -13,7 +13,7 @@
 from wharfcart.cluster.transport import PeerUnreachableError, TrafficClass, Transport
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.serving import RequestLimit
-from wharfcart.experiments.simulated_slots import CLOCK_USERS
+from wharfcart.experiments.simulated_slots import VIRTUAL_CLOCK_MODULES
 from wharfcart.experiments.virtual_time import run_virtually, virtual_clock
 from wharfcart.observability.decisions import DecisionLog
 from wharfcart.observability.serving_metrics import ServingMetrics
@@ -293,5 +293,5 @@
         for task in [*fleet.tasks, *(holder.task for holder in fleet.holders.values())]:
             task.cancel()
 
-    with virtual_clock(CLOCK_USERS):
+    with virtual_clock(VIRTUAL_CLOCK_MODULES):
         run_virtually(run())
