--- a/src/wharfcart/cli/experiment.py
+++ b/src/wharfcart/cli/experiment.py
@@ -45,7 +45,7 @@
 ) -> None:
     """Run an experiment and write its figures."""
     # Imported here: numpy and matplotlib would cost every node tens of megabytes.
-    from wharfcart.experiments.heaps import Variant, run_heaps
+    from wharfcart.experiments.heaps import Variant, run_batch_interference
     from wharfcart.experiments.limits import run_limits
     from wharfcart.experiments.scale import run_scale
     from wharfcart.experiments.waves import run_waves
@@ -56,7 +56,7 @@
         print_answer(found, output, ["figure", "value"], found.items())
         return
     if name is not Experiment.SCALE:
-        found = run_heaps(profile, Variant(name.value), seed, output_folder)
+        found = run_batch_interference(profile, Variant(name.value), seed, output_folder)
         print_answer(found, output, ["figure", "value"], found.items())
         return
     sizes = [int(size) for size in nodes.split(",")]
--- a/src/wharfcart/experiments/heaps.py
+++ b/src/wharfcart/experiments/heaps.py
@@ -10,16 +10,16 @@
 from wharfcart.configuration.schema import PreemptionPolicy
 from wharfcart.experiments.example_fleets import Profile
 from wharfcart.experiments.simulated_serving import (
-    Arrival,
-    Mode,
-    Outcome,
+    OnlineArrival,
+    ServingMode,
+    ServingResult,
+    ServingWorkload,
     SimulatedServing,
-    Workload,
 )
 
-SECONDS = 300.0
+DURATION_S = 300.0
 WARM_UP_S = 20.0
-HEAP_EVERY_S = 10.0
+JOB_INTERVAL_S = 10.0
 
 
 @dataclass(frozen=True)
@@ -30,7 +30,7 @@
     policy: PreemptionPolicy
     online_per_second: float
     online_prompt_words: int
-    heap_items: int
+    job_items: int
     batch_prompt_words: int
     tenants: int
 
@@ -50,12 +50,12 @@
     SLOW_BACKEND = "slow-backend"
 
 
-def make_workload(shape: FleetShape, variant: Variant, seed: int) -> Workload:
+def make_workload(shape: FleetShape, variant: Variant, seed: int) -> ServingWorkload:
     """Draw arrivals and heaps."""
     source = random.Random(seed)
-    arrivals: list[Arrival] = []
+    arrivals: list[OnlineArrival] = []
     at = 0.0
-    while at < SECONDS:
+    while at < DURATION_S:
         rate = shape.online_per_second
         if variant == Variant.BURSTS and 5.0 <= at % 15.0 < 7.0:
             rate *= 4
@@ -63,11 +63,12 @@
         tenant = f"tenant-{source.randrange(shape.tenants)}"
         if variant == Variant.FLOODING and source.random() < 0.5:
             tenant = "flooder"
-        arrivals.append(Arrival(at, tenant, _prompt(shape, tenant, source)))
+        arrivals.append(OnlineArrival(at, tenant, _prompt(shape, tenant, source)))
     heaps = [
-        (number * HEAP_EVERY_S, shape.heap_items) for number in range(int(SECONDS / HEAP_EVERY_S))
+        (number * JOB_INTERVAL_S, shape.job_items)
+        for number in range(int(DURATION_S / JOB_INTERVAL_S))
     ]
-    return Workload(arrivals, heaps, shape.batch_prompt_words, SECONDS, WARM_UP_S)
+    return ServingWorkload(arrivals, heaps, shape.batch_prompt_words, DURATION_S, WARM_UP_S)
 
 
 def _prompt(shape: FleetShape, tenant: str, source: random.Random) -> str:
@@ -78,7 +79,9 @@
     return f"{head} {own}"
 
 
-def run_heaps(profile: Profile, variant: Variant, seed: int, output: Path) -> dict[str, Any]:
+def run_batch_interference(
+    profile: Profile, variant: Variant, seed: int, output: Path
+) -> dict[str, Any]:
     """Run every mode on the same arrivals; write figures, a plot and an HTML report."""
     output.mkdir(parents=True, exist_ok=True)
     shape = SHAPES[profile]
@@ -86,50 +89,50 @@
     slow = 4.0 if variant == Variant.SLOW_BACKEND else 1.0
     outcomes = {
         mode: SimulatedServing(mode, workload, shape.engines, shape.policy, seed, slow).run()
-        for mode in Mode
+        for mode in ServingMode
     }
     figures = summarize(profile, variant, seed, outcomes)
     (output / "figures.json").write_text(json.dumps(figures, indent=2) + "\n", encoding="utf-8")
     plot_outcomes(outcomes, output / "latency.png", output / "timeline.png")
-    (output / "report.html").write_text(_report(figures), encoding="utf-8")
+    (output / "report.html").write_text(_render_html(figures), encoding="utf-8")
     return figures
 
 
 def summarize(
-    profile: Profile, variant: Variant, seed: int, outcomes: dict[Mode, Outcome]
+    profile: Profile, variant: Variant, seed: int, outcomes: dict[ServingMode, ServingResult]
 ) -> dict[str, Any]:
     """Return the figures of a run."""
-    alone, ours = outcomes[Mode.ONLINE_ALONE], outcomes[Mode.WHARFCART]
-    oracle = outcomes[Mode.ORACLE]
+    alone, ours = outcomes[ServingMode.ONLINE_ONLY], outcomes[ServingMode.WHARFCART]
+    oracle = outcomes[ServingMode.ORACLE]
     figures: dict[str, Any] = {
         "experiment": variant.value,
         "profile": profile.value,
         "seed": seed,
-        "online_p99_ratio": _ratio(ours, alone, 99),
-        "online_p50_ratio": _ratio(ours, alone, 50),
+        "online_p99_ratio": _first_token_ratio(ours, alone, 99),
+        "online_p50_ratio": _first_token_ratio(ours, alone, 50),
         "batch_throughput_ratio": round(ours.items_completed / max(1, oracle.items_completed), 4),
         "prefix_hit_ratio": round(ours.hit_tokens / max(1, ours.prompt_tokens), 4),
         "fairness_max_min_ratio": _fairness(ours),
-        "batch_stopped": ours.batch_stopped,
+        "batch_stopped": ours.batch_preempted,
     }
     for mode, outcome in outcomes.items():
         figures[f"{mode.value}_items_per_second"] = round(
-            outcome.items_completed / (SECONDS - WARM_UP_S), 1
+            outcome.items_completed / (DURATION_S - WARM_UP_S), 1
         )
-        figures[f"{mode.value}_first_token_p50_ms"] = _milliseconds(outcome, 50)
-        figures[f"{mode.value}_first_token_p99_ms"] = _milliseconds(outcome, 99)
+        figures[f"{mode.value}_first_token_p50_ms"] = _first_token_ms(outcome, 50)
+        figures[f"{mode.value}_first_token_p99_ms"] = _first_token_ms(outcome, 99)
     return figures
 
 
-def _milliseconds(outcome: Outcome, percent: float) -> float:
+def _first_token_ms(outcome: ServingResult, percent: float) -> float:
     return round(float(outcome.first_token.get_value_at_percentile(percent)) / 1000, 2)
 
 
-def _ratio(one: Outcome, other: Outcome, percent: float) -> float:
-    return round(_milliseconds(one, percent) / _milliseconds(other, percent), 4)
+def _first_token_ratio(one: ServingResult, other: ServingResult, percent: float) -> float:
+    return round(_first_token_ms(one, percent) / _first_token_ms(other, percent), 4)
 
 
-def _fairness(outcome: Outcome) -> float:
+def _fairness(outcome: ServingResult) -> float:
     """Ratio of the worst to the best tenant's mean time to first token, the flooder left out."""
     means = [
         histogram.get_mean_value()
@@ -139,7 +142,9 @@
     return round(max(means) / min(means), 3) if means else 1.0
 
 
-def plot_outcomes(outcomes: dict[Mode, Outcome], latency: Path, timeline: Path) -> None:
+def plot_outcomes(
+    outcomes: dict[ServingMode, ServingResult], latency: Path, timeline: Path
+) -> None:
     """Plot latency distributions, and slack and batch over time."""
     import matplotlib
 
@@ -149,7 +154,7 @@
     percents = [1, 5, 10, 25, 50, 75, 90, 95, 99, 99.5, 99.9]
     chart, axis = pyplot.subplots(figsize=(8, 4.5))
     for mode, outcome in outcomes.items():
-        values = [_milliseconds(outcome, percent) for percent in percents]
+        values = [_first_token_ms(outcome, percent) for percent in percents]
         axis.plot([str(percent) for percent in percents], values, marker=".", label=mode.value)
     axis.set(xlabel="percentile", ylabel="time to first token, ms", yscale="log")
     axis.legend()
@@ -157,7 +162,7 @@
     chart.savefig(latency, dpi=120)
     pyplot.close(chart)
     chart, axis = pyplot.subplots(figsize=(8, 3.5))
-    points = outcomes[Mode.WHARFCART].timeline
+    points = outcomes[ServingMode.WHARFCART].timeline
     axis.plot([p[0] for p in points], [p[1] for p in points], label="online in flight")
     axis.plot([p[0] for p in points], [p[2] for p in points], label="batch in flight", alpha=0.6)
     axis.set(xlabel="seconds", ylabel="requests on all engines")
@@ -167,7 +172,7 @@
     pyplot.close(chart)
 
 
-def _report(figures: dict[str, Any]) -> str:
+def _render_html(figures: dict[str, Any]) -> str:
     rows = "".join(f"<tr><td>{key}</td><td>{value}</td></tr>" for key, value in figures.items())
     return (
         "<!doctype html><meta charset='utf-8'><title>wharfcart experiment</title>"
