--- a/src/wharfcart/experiments/hollow_fleet.py
+++ b/src/wharfcart/experiments/hollow_fleet.py
@@ -36,8 +36,8 @@
 REGION_DELAY_S = 0.015
 UDP_HEADER_BYTES = 28
 TCP_HEADER_BYTES = 44
-SEEDS = 5
-JOIN_SPREAD_S = 5.0
+SEED_NODES = 5
+JOIN_WINDOW_S = 5.0
 
 
 @dataclass
@@ -60,7 +60,7 @@
 class StateChange:
     """A member as some observer saw it change."""
 
-    at: float
+    observed_at: float
     observer: str
     member: str
     state: int
@@ -77,15 +77,15 @@
         self.now = 0.0
         self.nodes: list[HollowNode] = []
         self.changes: list[StateChange] = []
-        self.in_force: dict[int, dict[str, float]] = {}
-        self.cut_regions: set[frozenset[str]] = set()
+        self.applied_at: dict[int, dict[str, float]] = {}
+        self.partitioned_regions: set[frozenset[str]] = set()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._sequence = 0
         self._by_address: dict[Address, HollowNode] = {}
         for number in range(count):
             self._add_node(number, zones, regions)
         for node in self.nodes:
-            self.later(self.random.uniform(0, JOIN_SPREAD_S), lambda n=node: self._start(n))  # type: ignore[misc]
+            self.call_later(self.random.uniform(0, JOIN_WINDOW_S), lambda n=node: self._start(n))  # type: ignore[misc]
 
     def _add_node(self, number: int, zones: int, regions: int) -> None:
         zone = number % zones
@@ -98,7 +98,7 @@
             state=ALIVE,
             zone=f"zone-{zone}",
         )
-        seeds = [Address("10.0.0." + str(seed), 8500) for seed in range(SEEDS)]
+        seeds = [Address("10.0.0." + str(seed), 8500) for seed in range(SEED_NODES)]
         membership = Membership(member, seeds, random.Random(self.random.random()))
         node = HollowNode(member.node_id, member.zone, f"region-{zone % regions}", membership)
         self.nodes.append(node)
@@ -106,10 +106,10 @@
 
     # ---- time ----
 
-    def later(self, delay: float, work: Callable[[], None]) -> None:
+    def call_later(self, delay: float, callback: Callable[[], None]) -> None:
         """Run ``work`` after a delay of simulated time."""
         self._sequence += 1
-        heapq.heappush(self._events, (self.now + delay, self._sequence, work))
+        heapq.heappush(self._events, (self.now + delay, self._sequence, callback))
 
     def run(self, seconds: float) -> None:
         """Advance simulated time."""
@@ -120,21 +120,21 @@
         self.now = end
 
     def _start(self, node: HollowNode) -> None:
-        self._spend(node, lambda: node.membership.start(self.now))
+        self._run_core(node, lambda: node.membership.start(self.now))
         self._tick(node)
 
     def _tick(self, node: HollowNode) -> None:
         if node.up:
-            self._spend(node, lambda: node.membership.tick(self.now))
+            self._run_core(node, lambda: node.membership.tick(self.now))
         wait = max(TICK_S, node.membership.next_deadline(self.now) - self.now)
-        self.later(min(1.0, wait), lambda: self._tick(node))
+        self.call_later(min(1.0, wait), lambda: self._tick(node))
 
     # ---- network ----
 
-    def _spend(self, node: HollowNode, work: Callable[[], list[MembershipAction]]) -> None:
+    def _run_core(self, node: HollowNode, run_core: Callable[[], list[MembershipAction]]) -> None:
         """Run a core, charge its processor time to the node, and carry its actions out."""
         begun = time.process_time()
-        actions = work()
+        actions = run_core()
         datagrams: list[tuple[Address, bytes]] = []
         for action in actions:
             if isinstance(action, SendGossip):
@@ -148,20 +148,20 @@
                 change = StateChange(self.now, node.name, member.node_id, member.state)
                 self.changes.append(change)
             elif isinstance(action, PeerRevisions):
-                self._heard(node, action)
+                self._handle_peer_revisions(node, action)
 
     def _send(self, node: HollowNode, address: Address, data: bytes) -> None:
         node.bytes_sent += len(data) + UDP_HEADER_BYTES
         node.messages_sent += 1
         target = self._by_address.get(address)
-        if target is None or self.random.random() < self.loss or self._cut(node, target):
+        if target is None or self.random.random() < self.loss or self._is_partitioned(node, target):
             return
         sender = Address(node.membership.local_member.host, node.membership.local_member.port)
-        self.later(self._delay(node, target), lambda: self._receive(target, data, sender))
+        self.call_later(self._delay(node, target), lambda: self._receive(target, data, sender))
 
     def _receive(self, node: HollowNode, data: bytes, sender: Address) -> None:
         if node.up:
-            self._spend(
+            self._run_core(
                 node, lambda: node.membership.receive(Gossip.FromString(data), sender, self.now)
             )
 
@@ -169,16 +169,16 @@
         base = ZONE_DELAY_S if one.region == other.region else REGION_DELAY_S
         return base * (0.5 + self.random.random())
 
-    def _cut(self, one: HollowNode, other: HollowNode) -> bool:
-        return frozenset((one.region, other.region)) in self.cut_regions
+    def _is_partitioned(self, one: HollowNode, other: HollowNode) -> bool:
+        return frozenset((one.region, other.region)) in self.partitioned_regions
 
     # ---- spreading ----
 
-    def _heard(self, node: HollowNode, peer: PeerRevisions) -> None:
+    def _handle_peer_revisions(self, node: HollowNode, peer: PeerRevisions) -> None:
         if peer.configuration_revision <= node.configuration.revision or node.pulling:
             return
-        source = next((n for n in (self._find(peer.node_id),) if n is not None and n.up), None)
-        if source is None or self._cut(node, source):
+        source = next((n for n in (self._find_node(peer.node_id),) if n is not None and n.up), None)
+        if source is None or self._is_partitioned(node, source):
             return
         node.pulling = True
         begun = time.process_time()
@@ -188,7 +188,7 @@
         node.bytes_sent += len(request) + TCP_HEADER_BYTES
         node.messages_sent += 1
         delay = self._delay(node, source)
-        self.later(delay, lambda: self._serve_pull(node, source, pull.since_revision))
+        self.call_later(delay, lambda: self._serve_pull(node, source, pull.since_revision))
 
     def _serve_pull(self, node: HollowNode, source: HollowNode, since: int) -> None:
         begun = time.process_time()
@@ -201,22 +201,22 @@
         source.cpu_seconds += time.process_time() - begun
         source.bytes_sent += len(data) + TCP_HEADER_BYTES
         source.messages_sent += 1
-        self.later(self._delay(source, node), lambda: self._take(node, data))
+        self.call_later(self._delay(source, node), lambda: self._receive_entries(node, data))
 
-    def _take(self, node: HollowNode, data: bytes) -> None:
+    def _receive_entries(self, node: HollowNode, data: bytes) -> None:
         node.pulling = False
         if node.up:
-            self._learn(node, Frame.FromString(data).entries)
+            self._apply_entries(node, Frame.FromString(data).entries)
 
-    def _learn(self, node: HollowNode, entries: Entries) -> None:
+    def _apply_entries(self, node: HollowNode, entries: Entries) -> None:
         node.configuration.merge(entries.entries, entries.revision)
         for revision in range(entries.revision, 0, -1):
-            seen = self.in_force.setdefault(revision, {})
+            seen = self.applied_at.setdefault(revision, {})
             if node.name in seen:
                 break
             seen[node.name] = self.now
         node.membership.configuration_revision = node.configuration.revision
-        self._spend(node, node.membership.announce_revision)
+        self._run_core(node, node.membership.announce_revision)
 
     def change_configuration(self, revision: int, value_bytes: int = 220) -> None:
         """Accept a change at one random live node."""
@@ -227,11 +227,11 @@
             revision=revision,
         )
         entries = Entries(namespace=CONFIGURATION, revision=revision, entries=[entry])
-        self._learn(node, entries)
+        self._apply_entries(node, entries)
 
     # ---- looking ----
 
-    def _find(self, name: str) -> HollowNode | None:
+    def _find_node(self, name: str) -> HollowNode | None:
         number = int(name.removeprefix("node-"))
         return self.nodes[number] if number < len(self.nodes) else None
 
@@ -241,24 +241,22 @@
             if node.name in names:
                 node.up = False
 
-    def detection_times(self, dead: set[str], killed_at: float) -> list[float]:
+    def detection_times(self, killed: set[str], killed_at: float) -> list[float]:
         """Return, for each observer and dead node, the seconds until the observer knew."""
         return sorted(
-            change.at - killed_at
+            change.observed_at - killed_at
             for change in self.changes
-            if change.member in dead
+            if change.member in killed
             and change.state == DEAD
-            and change.at >= killed_at
-            and change.observer not in dead
+            and change.observed_at >= killed_at
+            and change.observer not in killed
         )
 
-    def false_removals(self, really_dead: set[str]) -> int:
+    def false_removals(self, killed: set[str]) -> int:
         """Return how often a live node was declared dead."""
-        return sum(
-            change.state == DEAD and change.member not in really_dead for change in self.changes
-        )
+        return sum(change.state == DEAD and change.member not in killed for change in self.changes)
 
-    def reset_spending(self) -> None:
+    def reset_counters(self) -> None:
         """Begin a new measurement."""
         for node in self.nodes:
             node.bytes_sent = node.messages_sent = 0
--- a/src/wharfcart/experiments/scale.py
+++ b/src/wharfcart/experiments/scale.py
@@ -19,8 +19,8 @@
 WARM_UP_S = 180.0
 STEADY_S = 60.0
 RACK_NODES = 8
-DETECTION_S = 25.0
-CUT_S = 60.0
+DETECTION_WAIT_S = 25.0
+PARTITION_S = 60.0
 HEAL_S = 40.0
 BURST_CHANGES = 50
 BURST_S = 60.0
@@ -90,18 +90,18 @@
     fleet.run(WARM_UP_S)
     memory = tracemalloc.get_traced_memory()[0] / nodes
     tracemalloc.stop()
-    fleet.reset_spending()
+    fleet.reset_counters()
     fleet.run(STEADY_S)
-    steady = _spending(fleet, STEADY_S)
-    single_times, _ = _lose(fleet, {"node-7"})
+    steady = _resource_usage(fleet, STEADY_S)
+    single_times, _ = _kill_and_measure(fleet, {"node-7"})
     rack = {f"node-{number}" for number in range(nodes // 2, nodes // 2 + RACK_NODES)}
-    rack_times, rack_part = _lose(fleet, rack)
+    rack_times, rack_part = _kill_and_measure(fleet, rack)
     zone = {n.name for n in fleet.nodes if n.zone == "zone-3" and n.up}
-    zone_times, zone_part = _lose(fleet, zone)
+    zone_times, zone_part = _kill_and_measure(fleet, zone)
     lost = rack | zone | {"node-7"}
     false_removals = fleet.false_removals(lost)
-    burst = _burst(fleet)
-    inside, healed = _cut_region(fleet, lost)
+    burst = _measure_burst(fleet)
+    inside, healed = _measure_partition(fleet, lost)
     return SizeFigures(
         nodes,
         *steady,
@@ -119,7 +119,7 @@
     )
 
 
-def _spending(fleet: HollowFleet, seconds: float) -> tuple[float, float, float, float]:
+def _resource_usage(fleet: HollowFleet, seconds: float) -> tuple[float, float, float, float]:
     live = [node for node in fleet.nodes if node.up]
     count = len(live)
     return (
@@ -130,17 +130,17 @@
     )
 
 
-def _lose(fleet: HollowFleet, names: set[str]) -> tuple[list[float], float]:
+def _kill_and_measure(fleet: HollowFleet, names: set[str]) -> tuple[list[float], float]:
     killed_at = fleet.now
     fleet.kill(names)
-    fleet.run(DETECTION_S)
+    fleet.run(DETECTION_WAIT_S)
     times = fleet.detection_times(names, killed_at)
     observers = sum(node.up for node in fleet.nodes)
     return times, len(times) / (observers * len(names))
 
 
-def _burst(fleet: HollowFleet) -> tuple[float, float, int, float]:
-    fleet.reset_spending()
+def _measure_burst(fleet: HollowFleet) -> tuple[float, float, int, float]:
+    fleet.reset_counters()
     accepted: dict[int, float] = {}
     for revision in range(1, BURST_CHANGES + 1):
         accepted[revision] = fleet.now
@@ -150,19 +150,19 @@
     live = {node.name for node in fleet.nodes if node.up}
     times = [
         max(seen[name] for name in live) - accepted[revision]
-        for revision, seen in fleet.in_force.items()
+        for revision, seen in fleet.applied_at.items()
         if live <= seen.keys()
     ]
     spent = sum(node.bytes_sent for node in fleet.nodes if node.up) / len(live) / (BURST_S + 10)
     return max(times), _percentile(sorted(times), 50), len(times), spent
 
 
-def _cut_region(fleet: HollowFleet, lost: set[str]) -> tuple[int, float]:
+def _measure_partition(fleet: HollowFleet, lost: set[str]) -> tuple[int, float]:
     """Cut one region off and let it come back."""
     before = len(fleet.changes)
     regions = sorted({node.region for node in fleet.nodes})
-    fleet.cut_regions = {frozenset((regions[0], other)) for other in regions[1:]}
-    fleet.run(CUT_S)
+    fleet.partitioned_regions = {frozenset((regions[0], other)) for other in regions[1:]}
+    fleet.run(PARTITION_S)
     region_of = {node.name: node.region for node in fleet.nodes}
     inside = sum(
         change.state == 3
@@ -170,7 +170,7 @@
         and (region_of[change.observer] == regions[0]) == (region_of[change.member] == regions[0])
         for change in fleet.changes[before:]
     )
-    fleet.cut_regions = set()
+    fleet.partitioned_regions = set()
     fleet.run(HEAL_S)
     live = [node for node in fleet.nodes if node.up]
     known = sum(len(node.membership.live()) for node in live)
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -39,10 +39,10 @@
 
 def test_partitioned_regions_rejoin() -> None:
     fleet = _settled(42, 1)
-    fleet.cut_regions = {frozenset(("region-0", r)) for r in ("region-1", "region-2")}
+    fleet.partitioned_regions = {frozenset(("region-0", r)) for r in ("region-1", "region-2")}
     fleet.run(60.0)
     assert all(len(node.membership.live()) < 42 for node in fleet.nodes)
-    fleet.cut_regions = set()
+    fleet.partitioned_regions = set()
     fleet.run(60.0)
     assert {len(node.membership.live()) for node in fleet.nodes} == {42}
 
