--- a/src/wharfcart/experiments/job_group_simulation.py
+++ b/src/wharfcart/experiments/job_group_simulation.py
@@ -35,14 +35,14 @@
     SimulatedCoordination,
     SimulatedNode,
 )
-from wharfcart.experiments.virtual_time import run_virtually, virtual_clock, virtual_monotonic
+from wharfcart.experiments.virtual_time import run_in_virtual_time, virtual_clock, virtual_monotonic
 
-QUIET_S = 8.0
+SETTLE_S = 8.0
 # Replicas and the leadership move home one after the other, each after some quiet seconds.
-MOVES_S = 20.0
-FAR = Distance.OTHER_REGION
-BETWEEN_REGIONS_S = 0.02
-CLOCK_USERS = (
+REBALANCE_S = 20.0
+OTHER_REGION = Distance.OTHER_REGION
+CROSS_REGION_DELAY_S = 0.02
+VIRTUAL_CLOCK_MODULES = (
     "wharfcart.storage.layout_bootstrap",
     "wharfcart.storage.job_group",
     "wharfcart.storage.replica_session",
@@ -51,36 +51,36 @@
 )
 
 
-class BrokenPromiseError(AssertionError):
+class InvariantViolationError(AssertionError):
     """A promise did not hold."""
 
 
 @dataclass
-class KnownJob:
+class ObservedJob:
     """What clients were told of a job."""
 
     accepted: bool = False
     results: list[bytes] = field(default_factory=list)
-    end_asked: bool = False
-    ended_at_most: int | None = None
+    cancel_requested: bool = False
+    max_results_after_cancel: int | None = None
 
 
 class JobGroupSimulation:
     """One run."""
 
-    def __init__(self, seed: int, stores: int = 3, length_s: float = 60.0) -> None:
+    def __init__(self, seed: int, stores: int = 3, duration_s: float = 60.0) -> None:
         self.random = random.Random(seed)
         self.coordination = SimulatedCoordination(self.random)
         self.nodes = {number: SimulatedNode(self, number) for number in range(stores)}
-        self.length_s = length_s
+        self.duration_s = duration_s
         # A fleet without zones, unless a test says otherwise.
         self.topology = Topology()
         self.zones: dict[int, str] = {}
         self.zones_lost = 0
         # Where jobs that may come must stay.
         self.residences: frozenset[Residence] = frozenset()
-        self.cuts: set[tuple[int, int]] = set()
-        self.jobs: dict[str, KnownJob] = {}
+        self.cut_links: set[tuple[int, int]] = set()
+        self.jobs: dict[str, ObservedJob] = {}
         self.accepted = 0
         self.reads = 0
         self._healed = False  # for good: messages are lost no more
@@ -94,7 +94,7 @@
         BrokenPromiseError
         """
         with simulated_clock():
-            run_virtually(self._play())
+            run_in_virtual_time(self._run())
 
     def coordination_of(self, node: SimulatedNode) -> SimulatedCoordination:
         """Return the service as one node sees it."""
@@ -104,31 +104,31 @@
         """Return the zone of a node."""
         return self.zones.get(number, "")
 
-    async def travel(self, source: int, target: int) -> None:
+    async def transmit(self, source: int, target: int) -> None:
         """Take the time of one way; a cut or lost message never arrives."""
         await asyncio.sleep(self.random.uniform(0.0003, 0.004))
-        if self.topology.distance(self.zone_of(source), self.zone_of(target)) is FAR:
-            await asyncio.sleep(BETWEEN_REGIONS_S)
-        cut = (source, target) in self.cuts
+        if self.topology.distance(self.zone_of(source), self.zone_of(target)) is OTHER_REGION:
+            await asyncio.sleep(CROSS_REGION_DELAY_S)
+        cut = (source, target) in self.cut_links
         if cut or (self.random.random() < 0.001 and not self._healed):
             await asyncio.sleep(3600)
 
     # ---- the run ----
 
-    async def _play(self) -> None:
+    async def _run(self) -> None:
         for node in self.nodes.values():
             await node.start()
-        self.spawn(self.feed_mirrors())
+        self.spawn(self.sync_mirrors())
         self.spawn(self._append_results())
         for _ in range(3):
             self.spawn(self._client())
-        faults = asyncio.create_task(self._faults())
-        await asyncio.sleep(self.length_s)
+        faults = asyncio.create_task(self._inject_faults())
+        await asyncio.sleep(self.duration_s)
         faults.cancel()
         await self._heal()
         self._healed = True
-        await asyncio.sleep(QUIET_S + (MOVES_S if self.topology.region_by_zone else 0.0))
-        await self._check_everything()
+        await asyncio.sleep(SETTLE_S + (REBALANCE_S if self.topology.region_by_zone else 0.0))
+        await self._check_final_state()
         for task in self._background:
             if task.done() and not task.cancelled() and task.exception() is not None:
                 raise cast(BaseException, task.exception())
@@ -140,7 +140,7 @@
         """Run work beside everything else; its failure fails the run."""
         self._background.append(asyncio.create_task(work))
 
-    async def feed_mirrors(self) -> None:
+    async def sync_mirrors(self) -> None:
         """Carry the service's state to every mirror, with some lag."""
         while True:
             await asyncio.sleep(0.03)
@@ -183,11 +183,11 @@
             if choice < 0.25 or not self.jobs:
                 await self._submit(f"job-{len(self.jobs)}")
             elif choice < 0.3:
-                await self._end(self.random.choice(list(self.jobs)))
+                await self._cancel(self.random.choice(list(self.jobs)))
             else:
                 await self._read(self.random.choice(list(self.jobs)))
 
-    def _some_service(self) -> JobGroupService | None:
+    def _random_leading_service(self) -> JobGroupService | None:
         leading = [
             node.service
             for node in self.nodes.values()
@@ -196,9 +196,9 @@
         return self.random.choice(leading) if leading else None
 
     async def _submit(self, job_id: str) -> None:
-        known = self.jobs.setdefault(job_id, KnownJob())
+        known = self.jobs.setdefault(job_id, ObservedJob())
         items = [RequestItem(item_id=f"{job_id}-{n}") for n in range(self.random.randint(1, 8))]
-        service = self._some_service()
+        service = self._random_leading_service()
         if service is None:
             return
         job = RequestJob(job_id=job_id, items=items, accepted_ms=1)
@@ -208,7 +208,7 @@
             self.accepted += 1
 
     async def _read(self, job_id: str) -> None:
-        service = self._some_service()
+        service = self._random_leading_service()
         if service is None:
             return
         known = self.jobs[job_id]
@@ -219,83 +219,86 @@
         stale = virtual_monotonic() - asked_at > 0.5
         if page.status == NOT_FOUND:
             if accepted_before and not stale:
-                raise BrokenPromiseError(f"{job_id} was accepted and is denied")
+                raise InvariantViolationError(f"{job_id} was accepted and is denied")
             return
         if page.status == DONE:
             self._check_page(job_id, known, [result.text for result in page.results], seen_before)
 
     def _check_page(
-        self, job_id: str, known: KnownJob, texts: list[bytes], seen_before: int
+        self, job_id: str, known: ObservedJob, texts: list[bytes], seen_before: int
     ) -> None:
         self.reads += 1
         common = min(len(texts), len(known.results))
         if texts[:common] != known.results[:common]:
-            raise BrokenPromiseError(f"{job_id}: a position changed")
-        if known.ended_at_most is not None and len(texts) > known.ended_at_most:
-            raise BrokenPromiseError(f"{job_id}: grew after its end")
+            raise InvariantViolationError(f"{job_id}: a position changed")
+        if (
+            known.max_results_after_cancel is not None
+            and len(texts) > known.max_results_after_cancel
+        ):
+            raise InvariantViolationError(f"{job_id}: grew after its end")
         del seen_before
         if len(texts) > len(known.results):
             known.results = texts
 
-    async def _end(self, job_id: str) -> None:
-        service = self._some_service()
+    async def _cancel(self, job_id: str) -> None:
+        service = self._random_leading_service()
         if service is None:
             return
         known = self.jobs[job_id]
-        known.end_asked = True
+        known.cancel_requested = True
         answer = await service.cancel(EndJob(job_id=job_id))
         if answer.status == NOT_FOUND and known.accepted:
-            raise BrokenPromiseError(f"{job_id} was accepted and is denied at its end")
+            raise InvariantViolationError(f"{job_id} was accepted and is denied at its end")
 
     # ---- faults ----
 
-    async def _faults(self) -> None:
+    async def _inject_faults(self) -> None:
         strikes = [
-            self._kill,
-            self._kill_all,
+            self._kill_node,
+            self._kill_all_nodes,
             self._lose_disk,
-            self._cut_off,
-            self._one_way,
-            self._coordination_down,
-            self._answers_lost,
+            self._isolate_node,
+            self._cut_one_way,
+            self._fail_coordination,
+            self._lose_coordination_answers,
             self._fill_disk,
             self._slow_disk,
             self._refuse_node,
-            self._replace,
-            self._add,
-            self._retire,
+            self._replace_node,
+            self._add_node,
+            self._retire_node,
         ]
         while True:
             await asyncio.sleep(self.random.uniform(0.5, 4.0))
             await self.random.choice(strikes)()
 
-    def _any_node(self) -> SimulatedNode:
+    def _random_node(self) -> SimulatedNode:
         return self.random.choice(list(self.nodes.values()))
 
-    async def _kill(self) -> None:
-        node = self._any_node()
+    async def _kill_node(self) -> None:
+        node = self._random_node()
         node.kill()
         await asyncio.sleep(self.random.uniform(0.2, 3.0))
-        await self._start_again(node)
+        await self._restart_node(node)
 
-    async def _start_again(self, node: SimulatedNode) -> None:
+    async def _restart_node(self, node: SimulatedNode) -> None:
         if node.number in self.nodes and node.group is None:
             await node.start()
 
-    async def _kill_all(self) -> None:
+    async def _kill_all_nodes(self) -> None:
         for node in self.nodes.values():
             node.kill()
         await asyncio.sleep(self.random.uniform(0.2, 1.0))
         for node in list(self.nodes.values()):
-            await self._start_again(node)
+            await self._restart_node(node)
 
     async def _lose_disk(self) -> None:
         await self._settle()
-        node = self._any_node()
+        node = self._random_node()
         node.kill()
         node.lose_disk()
         await asyncio.sleep(self.random.uniform(0.1, 2.0))
-        await self._start_again(node)
+        await self._restart_node(node)
         await asyncio.sleep(5.0)
 
     async def _settle(self) -> None:
@@ -303,73 +306,73 @@
         await self._heal()
         await asyncio.sleep(5.0)
 
-    async def _cut_off(self) -> None:
-        lonely = self._any_node().number
+    async def _isolate_node(self) -> None:
+        lonely = self._random_node().number
         for other in self.nodes:
             if other != lonely:
-                self.cuts |= {(lonely, other), (other, lonely)}
+                self.cut_links |= {(lonely, other), (other, lonely)}
         await asyncio.sleep(self.random.uniform(1.0, 6.0))
-        self.cuts.clear()
+        self.cut_links.clear()
 
-    async def _one_way(self) -> None:
-        source, target = self._any_node().number, self._any_node().number
-        self.cuts.add((source, target))
+    async def _cut_one_way(self) -> None:
+        source, target = self._random_node().number, self._random_node().number
+        self.cut_links.add((source, target))
         await asyncio.sleep(self.random.uniform(1.0, 6.0))
-        self.cuts.clear()
+        self.cut_links.clear()
 
-    async def _coordination_down(self) -> None:
+    async def _fail_coordination(self) -> None:
         self.coordination.down = True
         if self.random.random() < 0.5:
-            await self._kill()
+            await self._kill_node()
         await asyncio.sleep(self.random.uniform(1.0, 6.0))
         self.coordination.down = False
 
-    async def _answers_lost(self) -> None:
-        self.coordination.lost_part = 0.5
+    async def _lose_coordination_answers(self) -> None:
+        self.coordination.lost_answer_share = 0.5
         if self.random.random() < 0.7:
-            await self._kill()
+            await self._kill_node()
         await asyncio.sleep(self.random.uniform(1.0, 6.0))
-        self.coordination.lost_part = 0.0
+        self.coordination.lost_answer_share = 0.0
 
     async def _fill_disk(self) -> None:
-        node = self._any_node()
+        node = self._random_node()
         node.disk.full = True
         await asyncio.sleep(self.random.uniform(1.0, 5.0))
         node.disk.full = False
 
     async def _slow_disk(self) -> None:
-        node = self._any_node()
-        node.disk.slow_s = self.random.uniform(0.05, 1.5)
+        node = self._random_node()
+        node.disk.delay_s = self.random.uniform(0.05, 1.5)
         await asyncio.sleep(self.random.uniform(1.0, 5.0))
-        node.disk.slow_s = 0.002
+        node.disk.delay_s = 0.002
 
     async def _refuse_node(self) -> None:
-        node = self._any_node()
+        node = self._random_node()
         node.refused = True
         await asyncio.sleep(self.random.uniform(1.0, 6.0))
         node.refused = False
 
-    async def _replace(self) -> None:
+    async def _replace_node(self) -> None:
         await self._settle()
-        gone = self._any_node()
+        gone = self._random_node()
         gone.kill()
         del self.nodes[gone.number]
         await asyncio.sleep(self.random.uniform(0.1, 2.0))
-        await self._add()
+        await self._add_node()
         await asyncio.sleep(5.0)
 
-    async def _add(self) -> None:
+    async def _add_node(self) -> None:
         if len(self.nodes) >= 5:
             return
         number = 100 + self.coordination.revision
         self.nodes[number] = SimulatedNode(self, number)
         await self.nodes[number].start()
 
-    async def _retire(self) -> None:
+    async def _retire_node(self) -> None:
         if len(self.nodes) <= 3:
             return
         await self._settle()
-        node = self._any_node()
+        node = self._random_node()
         self.coordination.put(f"{RETIRE_PREFIX}{node.number}", b"")
         for _ in range(40):
             await asyncio.sleep(0.25)
@@ -380,33 +383,35 @@
                 return
 
     async def _heal(self) -> None:
-        self.cuts.clear()
+        self.cut_links.clear()
         self.coordination.down = False
-        self.coordination.lost_part = 0.0
+        self.coordination.lost_answer_share = 0.0
         for node in list(self.nodes.values()):
             node.refused = False
             node.disk.full = False
-            node.disk.slow_s = 0.002
-            await self._start_again(node)
+            node.disk.delay_s = 0.002
+            await self._restart_node(node)
 
     # ---- the end ----
 
-    async def _check_everything(self) -> None:
-        service = self._some_service()
+    async def _check_final_state(self) -> None:
+        service = self._random_leading_service()
         if service is None:
-            raise BrokenPromiseError("no leader although everything is well")
+            raise InvariantViolationError("no leader although everything is well")
         for job_id, known in list(self.jobs.items()):
             if not known.accepted:
                 continue
             page = await service.read_results(ReadResults(job_id=job_id, after=0, wait_ms=0))
             if page.status != DONE:
-                raise BrokenPromiseError(f"{job_id} was accepted and can't be read: {page.status}")
+                raise InvariantViolationError(
+                    f"{job_id} was accepted and can't be read: {page.status}"
+                )
             texts = [result.text for result in page.results]
             self._check_page(job_id, known, texts, len(known.results))
             if len(texts) < len(known.results):
-                raise BrokenPromiseError(f"{job_id}: results are gone")
+                raise InvariantViolationError(f"{job_id}: results are gone")
 
 
 def simulated_clock() -> AbstractContextManager[None]:
     """Have the drivers read the virtual clock."""
-    return virtual_clock(CLOCK_USERS)
+    return virtual_clock(VIRTUAL_CLOCK_MODULES)
--- a/src/wharfcart/experiments/simulated_storage.py
+++ b/src/wharfcart/experiments/simulated_storage.py
@@ -56,49 +56,49 @@
     random: random.Random
     database: JobDatabase
     full: bool = False
-    slow_s: float = 0.002
+    delay_s: float = 0.002
     generation: int = 0
 
     async def promised_epoch(self, group: int) -> int:
         """Return the promised epoch."""
-        await self._wait()
+        await self._simulate_delay()
         return self.database.promised_epoch(group)
 
     async def promise_epoch(self, group: int, epoch: int) -> bool:
         """Promise an epoch."""
-        await self._wait(writes=True)
+        await self._simulate_delay(writes=True)
         return self.database.promise_epoch(group, epoch)
 
     async def save_partial_texts(
         self, group: int, parts: Sequence[PartialText], finished_item_ids: Collection[str]
     ) -> None:
         """Add events of items that still run."""
-        await self._wait(writes=True)
+        await self._simulate_delay(writes=True)
         self.database.save_partial_texts(group, parts, finished_item_ids)
 
     async def load_partial_texts(self, group: int) -> list[PartialText]:
         """Return the events of items of open jobs."""
-        await self._wait()
+        await self._simulate_delay()
         return self.database.load_partial_texts(group)
 
     async def job_states(self, group: int) -> list[JobState]:
         """Return the states."""
-        await self._wait()
+        await self._simulate_delay()
         return self.database.job_states(group)
 
     async def apply_updates(self, group: int, epoch: int, updates: Sequence[JobUpdate]) -> bool:
         """Write updates."""
-        await self._wait(writes=True)
+        await self._simulate_delay(writes=True)
         return self.database.apply_updates(group, epoch, updates)
 
     async def load_jobs(self, job_ids: Sequence[str]) -> list[JobUpdate]:
         """Return records."""
-        await self._wait()
+        await self._simulate_delay()
         return self.database.load_jobs(job_ids)
 
-    async def _wait(self, writes: bool = False) -> None:
+    async def _simulate_delay(self, writes: bool = False) -> None:
         generation = self.generation
-        await asyncio.sleep(self.slow_s * self.random.uniform(0.5, 2.0))
+        await asyncio.sleep(self.delay_s * self.random.uniform(0.5, 2.0))
         if generation != self.generation or (writes and self.full):
             raise DiskFailedError("simulated")
 
@@ -111,7 +111,7 @@
     entries: dict[str, KeyChange] = field(default_factory=dict)
     revision: int = 0
     down: bool = False
-    lost_part: float = 0.0
+    lost_answer_share: float = 0.0
 
     def put(self, key: str, value: bytes) -> None:
         """Write a key as the operator or a node's announcement does."""
@@ -120,13 +120,13 @@
 
     async def read(self, key: str) -> KeyChange | None:
         """Return a key."""
-        await self._call()
+        await self._simulate_call()
         return self.entries.get(key)
 
     async def commit(self, transaction: Transaction) -> int:
         """Carry out a transaction, perhaps late, perhaps without an answer."""
-        await self._call()
-        if self.random.random() < self.lost_part:
+        await self._simulate_call()
+        if self.random.random() < self.lost_answer_share:
             if self.random.random() < 0.5:
                 asyncio.get_running_loop().call_later(
                     self.random.uniform(0.5, 4.0), self._apply_late, transaction
@@ -136,7 +136,7 @@
             raise CoordinationUnavailableError("answer lost", True)
         return self._apply(transaction)
 
-    async def _call(self) -> None:
+    async def _simulate_call(self) -> None:
         await asyncio.sleep(self.random.uniform(0.001, 0.02))
         if self.down:
             raise CoordinationUnavailableError("down")
@@ -180,7 +180,7 @@
         self.service: JobGroupService | None = None
         self.refused = False
         self.resumed_at = -math.inf  # virtual time at which its machine was suspended last
-        self._founding: asyncio.Task[None] | None = None
+        self._bootstrap_task: asyncio.Task[None] | None = None
 
     @property
     def identity(self) -> str:
@@ -203,7 +203,7 @@
             COPIES,
             log,
             self.simulation.random,
-            self._spread_of,
+            self._placement_of,
             self._region_of,
             lambda: self.simulation.residences,
             lambda: self.resumed_at,
@@ -221,12 +221,12 @@
         founder = LayoutBootstrap(
             context, LAYOUT_KEY, lambda _group: GROUP_KEY, self._zones, self.simulation.topology
         )
-        self._founding = asyncio.create_task(founder.run())
+        self._bootstrap_task = asyncio.create_task(founder.run())
 
     def kill(self) -> None:
         """Kill the process; the disk stays as it is."""
-        if self._founding is not None:
-            self._founding.cancel()
+        if self._bootstrap_task is not None:
+            self._bootstrap_task.cancel()
         if self.group is not None:
             self.group.abort()
         self.group = None
@@ -237,7 +237,7 @@
         """Lose the disk; the next start finds an empty one."""
         self.disk = SimulatedDisk(self.simulation.random, new_database())
 
-    async def answer(self, frame: Frame) -> Frame | None:
+    async def handle_call(self, frame: Frame) -> Frame | None:
         """Answer a call of another node."""
         group = self.group
         if group is None:
@@ -266,7 +266,7 @@
     def _region_of(self, identity: str) -> RegionName | None:
         return self.simulation.topology.region(self._zones().get(identity, ""))
 
-    def _spread_of(self, group: int, layout: Layout | None) -> ReplicaPlacement:
+    def _placement_of(self, group: int, layout: Layout | None) -> ReplicaPlacement:
         entry = self.mirror.get(LAYOUT_KEY)
         if layout is None and entry is not None and entry.value is not None:
             layout = layout_from_bytes(entry.value)
@@ -292,20 +292,20 @@
 class RefusingCoordination(SimulatedCoordination):
     """The view of a node that the service may refuse."""
 
-    def __init__(self, whole: SimulatedCoordination, node: SimulatedNode) -> None:
-        super().__init__(whole.random)
-        self._whole = whole
+    def __init__(self, service: SimulatedCoordination, node: SimulatedNode) -> None:
+        super().__init__(service.random)
+        self._service = service
         self._node = node
 
     async def read(self, key: str) -> KeyChange | None:
         """Return a key unless refused."""
         self._check()
-        return await self._whole.read(key)
+        return await self._service.read(key)
 
     async def commit(self, transaction: Transaction) -> int:
         """Carry out a transaction unless refused."""
         self._check()
-        return await self._whole.commit(transaction)
+        return await self._service.commit(transaction)
 
     def _check(self) -> None:
         if self._node.refused:
@@ -324,12 +324,12 @@
     ) -> Frame:
         """Carry a call there and its answer back."""
         simulation = self._simulation
-        await simulation.travel(self._node.number, address.port)
+        await simulation.transmit(self._node.number, address.port)
         target = simulation.nodes.get(address.port)
         if target is None or target.group is None:
             raise PeerUnreachableError(address, sent=False)
-        answer = await target.answer(Frame.FromString(frame.SerializeToString()))
-        await simulation.travel(address.port, self._node.number)
+        answer = await target.handle_call(Frame.FromString(frame.SerializeToString()))
+        await simulation.transmit(address.port, self._node.number)
         if answer is None:
             raise PeerUnreachableError(address, sent=True)
         return answer
--- a/src/wharfcart/experiments/virtual_time.py
+++ b/src/wharfcart/experiments/virtual_time.py
@@ -10,7 +10,7 @@
 from typing import Any, TypeVar
 from unittest import mock
 
-Answer = TypeVar("Answer")
+Result = TypeVar("Answer")
 
 
 class _JumpingSelector(selectors.SelectSelector):
@@ -32,15 +32,15 @@
     """The event loop."""
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._virtual_selector = _JumpingSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
         """Return the virtual time in seconds."""
-        return self._jumping.now
+        return self._virtual_selector.now
 
 
-def run_virtually(work: Coroutine[Any, Any, Answer]) -> Answer:
+def run_in_virtual_time(work: Coroutine[Any, Any, Result]) -> Result:
     """Run a coroutine to its end in virtual time."""
     loop = VirtualTimeLoop()
     try:
--- a/src/wharfcart/experiments/waves.py
+++ b/src/wharfcart/experiments/waves.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from wharfcart.experiments.simulated_slots import VIRTUAL_CLOCK_MODULES, SlotFleet
-from wharfcart.experiments.virtual_time import run_virtually, virtual_clock
+from wharfcart.experiments.virtual_time import run_in_virtual_time, virtual_clock
 
 WARM_UP_S = 2.0
 
@@ -124,7 +124,7 @@
     """Play a policy in virtual time."""
     arrivals = generate_arrivals(load, seed)
     with virtual_clock(VIRTUAL_CLOCK_MODULES):
-        return run_virtually(_run_fleet(policy, load, arrivals, seed))
+        return run_in_virtual_time(_run_fleet(policy, load, arrivals, seed))
 
 
 async def _run_fleet(
--- a/tests/batch/test_runner.py
+++ b/tests/batch/test_runner.py
@@ -20,7 +20,7 @@
 from wharfcart.cluster.placement_map import PlacementMap
 from wharfcart.configuration.schema import PreemptionPolicy
 from wharfcart.configuration.services import Service
-from wharfcart.experiments.virtual_time import run_virtually
+from wharfcart.experiments.virtual_time import run_in_virtual_time
 from wharfcart.observability.metrics import Metrics
 from wharfcart.routing.owner import APPLICATION_CAPACITY, BackendOwner, OwnedBackend
 from wharfcart.routing.router import Backend, BackendKind
@@ -188,7 +188,7 @@
         assert not runner._running
         assert len(journal.proposed) == 1  # no results are committed
 
-    run_virtually(scenario())
+    run_in_virtual_time(scenario())
 
 
 async def _settle() -> None:
--- a/tests/cluster/test_mirror_sync.py
+++ b/tests/cluster/test_mirror_sync.py
@@ -12,7 +12,7 @@
 from wharfcart.cluster.mirror_sync import MirrorSync, PeerUpdates
 from wharfcart.cluster.peer_selection import Peer, PeerSelector
 from wharfcart.cluster.topology import RegionName, Topology
-from wharfcart.experiments.virtual_time import run_virtually, virtual_monotonic
+from wharfcart.experiments.virtual_time import run_in_virtual_time, virtual_monotonic
 from wharfcart.observability.decisions import DecisionLog
 
 
@@ -113,7 +113,7 @@
         fleet = Fleet()
         await fleet.run(lambda: scenario(fleet))
 
-    run_virtually(run())
+    run_in_virtual_time(run())
 
 
 def test_change_reaches_all_nodes_and_only_readers_call_the_service() -> None:
@@ -292,4 +292,4 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    run_virtually(scenario())
+    run_in_virtual_time(scenario())
--- a/tests/node/test_poison_evidence_sync.py
+++ b/tests/node/test_poison_evidence_sync.py
@@ -16,7 +16,7 @@
 )
 from wharfcart.cluster.messages_pb2 import BackendEnds
 from wharfcart.cluster.mirror import Mirror
-from wharfcart.experiments.virtual_time import run_virtually
+from wharfcart.experiments.virtual_time import run_in_virtual_time
 from wharfcart.node.fleet_keys import POISON_REQUEST_PREFIX
 from wharfcart.node.poison_evidence_sync import PoisonEvidenceSync, record_from, record_to_bytes
 
@@ -99,7 +99,7 @@
     async def run() -> None:
         await scenario(Service())
 
-    run_virtually(run())
+    run_in_virtual_time(run())
 
 
 def test_evidence_reaches_running_and_later_nodes() -> None:
--- a/tests/routing/test_deadlines.py
+++ b/tests/routing/test_deadlines.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from wharfcart.experiments.virtual_time import run_virtually
+from wharfcart.experiments.virtual_time import run_in_virtual_time
 from wharfcart.routing import deadlines
 from wharfcart.routing.deadlines import Deadlines
 
@@ -45,7 +45,7 @@
         limits.reschedule_all()
         return await request
 
-    assert run_virtually(scenario()) == pytest.approx(ends_after_s, abs=0.01)
+    assert run_in_virtual_time(scenario()) == pytest.approx(ends_after_s, abs=0.01)
 
 
 def test_finished_requests_are_removed(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -57,4 +57,4 @@
         await seconds_until_timeout(limits, clock.now() + 1.0)
         assert not limits._deadline_by_timeout
 
-    run_virtually(scenario())
+    run_in_virtual_time(scenario())
--- a/tests/slots/network.py
+++ b/tests/slots/network.py
@@ -14,7 +14,7 @@
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.serving import RequestLimit
 from wharfcart.experiments.simulated_slots import VIRTUAL_CLOCK_MODULES
-from wharfcart.experiments.virtual_time import run_virtually, virtual_clock
+from wharfcart.experiments.virtual_time import run_in_virtual_time, virtual_clock
 from wharfcart.observability.decisions import DecisionLog
 from wharfcart.observability.serving_metrics import ServingMetrics
 from wharfcart.routing.backend_selection import BackendSelector
@@ -294,4 +294,4 @@
             task.cancel()
 
     with virtual_clock(VIRTUAL_CLOCK_MODULES):
-        run_virtually(run())
+        run_in_virtual_time(run())
--- a/tests/storage/test_job_client.py
+++ b/tests/storage/test_job_client.py
@@ -9,7 +9,7 @@
 from wharfcart.cluster.address import Address
 from wharfcart.cluster.messages_pb2 import DONE, Frame, JobAnswer, SubmitJob
 from wharfcart.cluster.transport import PeerUnreachableError
-from wharfcart.experiments.virtual_time import run_virtually, virtual_monotonic
+from wharfcart.experiments.virtual_time import run_in_virtual_time, virtual_monotonic
 from wharfcart.storage.group_record import GroupRecord
 from wharfcart.storage.job_client import JobCallFailure, JobClient
 
@@ -73,7 +73,7 @@
         assert peers.calls == [ADDRESSES["a"], ADDRESSES["b"]]
         assert loop.time() - began_at < 1.0
 
-    run_virtually(scenario())
+    run_in_virtual_time(scenario())
 
 
 def test_a_timeout_leaves_the_outcome_unknown() -> None:
@@ -81,7 +81,7 @@
         answer = await Client(Peers("a")).submit(1.0, 0.4)
         assert answer == JobCallFailure(True, "timeout")
 
-    run_virtually(scenario())
+    run_in_virtual_time(scenario())
 
 
 def test_an_unreachable_leader_has_not_executed_the_call() -> None:
@@ -89,4 +89,4 @@
         answer = await Client(Peers(unreachable="a")).submit(1.0, 0.4)
         assert answer == JobCallFailure(False, "unreachable")
 
-    run_virtually(scenario())
+    run_in_virtual_time(scenario())
--- a/tests/storage/test_job_client_residence.py
+++ b/tests/storage/test_job_client_residence.py
@@ -20,7 +20,7 @@
 from wharfcart.cluster.topology import RegionName
 from wharfcart.cluster.transport import PeerUnreachableError
 from wharfcart.configuration.residence import ANYWHERE, Residence, residence_in
-from wharfcart.experiments.virtual_time import run_virtually, virtual_monotonic
+from wharfcart.experiments.virtual_time import run_in_virtual_time, virtual_monotonic
 from wharfcart.storage.group_record import GroupRecord
 from wharfcart.storage.job_client import JobCallFailure, JobClient
 from wharfcart.storage.job_residence import hash_to_group, pick_group
@@ -97,7 +97,7 @@
             assert isinstance(await leaders.submit(f"job-{n}", WEST), Frame)
         assert set(leaders.calls) == {("w1", 0), ("w2", 1)}
 
-    run_virtually(scenario())
+    run_in_virtual_time(scenario())
 
 
 def test_a_job_that_no_group_may_hold_is_refused_at_once_and_sent_nowhere() -> None:
@@ -109,7 +109,7 @@
         assert virtual_monotonic() == 0.0
         assert leaders.calls == []
 
-    run_virtually(scenario())
+    run_in_virtual_time(scenario())
 
 
 def test_a_job_is_not_sent_to_a_hinted_leader_outside_its_residence() -> None:
@@ -122,7 +122,7 @@
         assert refused == JobCallFailure(False, "outside_residence")
         assert {host[0] for host, _ in leaders.calls} == {"e"}
 
-    run_virtually(scenario())
+    run_in_virtual_time(scenario())
 
 
 def test_a_job_is_looked_up_in_the_group_its_id_hashes_to_for_each_residence() -> None:
@@ -135,7 +135,7 @@
         assert status(await leaders.read("a")) == DONE
         assert len(leaders.calls) == 1
 
-    run_virtually(scenario())
+    run_in_virtual_time(scenario())
 
 
 @pytest.mark.parametrize("having", [0, 1, 3])
@@ -145,7 +145,7 @@
         assert status(await leaders.read("a", EAST)) == DONE
         assert status(await leaders.read("a", residence_in(["south"]))) == DONE
 
-    run_virtually(scenario())
+    run_in_virtual_time(scenario())
 
 
 def test_not_found_requires_an_answer_of_every_group() -> None:
@@ -156,7 +156,7 @@
         leaders = GroupLeaders(unreachable=("w1",))
         assert isinstance(await leaders.read("a", EAST), JobCallFailure)
 
-    run_virtually(scenario())
+    run_in_virtual_time(scenario())
 
 
 def test_a_job_is_found_while_other_groups_are_unreachable() -> None:
@@ -164,4 +164,4 @@
         leaders = GroupLeaders(group_with_job=3, unreachable=("w1", "w2"))
         assert status(await leaders.read("a", EAST)) == DONE
 
-    run_virtually(scenario())
+    run_in_virtual_time(scenario())
--- a/tests/storage/test_job_group.py
+++ b/tests/storage/test_job_group.py
@@ -27,7 +27,7 @@
     LAYOUT_KEY,
     SimulatedNode,
 )
-from wharfcart.experiments.virtual_time import run_virtually
+from wharfcart.experiments.virtual_time import run_in_virtual_time
 from wharfcart.storage.group_record import GroupRecord, group_record_from
 from wharfcart.storage.job_group import TEXT_SAVE_INTERVAL_S
 from wharfcart.storage.layout import layout_from_bytes
@@ -54,7 +54,7 @@
     async def start(self) -> None:
         for node in self.nodes.values():
             await node.start()
-        self.simulation.spawn(self.simulation.feed_mirrors())
+        self.simulation.spawn(self.simulation.sync_mirrors())
         await self.until_led()
 
     @property
@@ -129,7 +129,7 @@
 
 def run_scenario(scenario) -> None:
     with simulated_clock():
-        run_virtually(scenario())
+        run_in_virtual_time(scenario())
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -209,7 +209,7 @@
         lonely = next(node for node in fleet.nodes.values() if node is not leader)
         for other in fleet.nodes:
             if other != lonely.number:
-                fleet.simulation.cuts |= {(lonely.number, other), (other, lonely.number)}
+                fleet.simulation.cut_links |= {(lonely.number, other), (other, lonely.number)}
         epoch = fleet.record.epoch
         await asyncio.sleep(8.0)
         assert fleet.record.epoch == epoch
@@ -226,7 +226,7 @@
         assert old is not None and old.group is not None
         for other in fleet.nodes:
             if other != old.number:
-                fleet.simulation.cuts |= {(old.number, other), (other, old.number)}
+                fleet.simulation.cut_links |= {(old.number, other), (other, old.number)}
         await asyncio.sleep(1.0)
         assert not old.group.is_recently_confirmed
         await fleet.until(lambda: fleet.leader not in (None, old), 4.0)
@@ -248,7 +248,7 @@
         await fleet.until(lambda: leader.group.is_confirmed_since_resume, 1.0)
         for other in fleet.nodes:
             if other != leader.number:
-                fleet.simulation.cuts |= {(leader.number, other), (other, leader.number)}
+                fleet.simulation.cut_links |= {(leader.number, other), (other, leader.number)}
         await asyncio.sleep(0.2)
         leader.resumed_at = asyncio.get_running_loop().time()
         await asyncio.sleep(4.0)
@@ -341,7 +341,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_guarantees_hold_under_random_faults(seed: int) -> None:
-    simulation = JobGroupSimulation(seed, length_s=40.0)
+    simulation = JobGroupSimulation(seed, duration_s=40.0)
     simulation.run()
     assert simulation.accepted > 10
     assert simulation.reads > 100
@@ -350,7 +350,7 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_guarantees_hold_under_random_faults_over_regions(seed: int) -> None:
     """Replicas that filled in from another region move home beside the faults, as does the lead."""
-    simulation = JobGroupSimulation(seed, stores=5, length_s=40.0)
+    simulation = JobGroupSimulation(seed, stores=5, duration_s=40.0)
     simulation.topology = TOPOLOGY
     simulation.zones = dict(enumerate(("w1", "e1", "w2", "e1", "w1", "w2", "e1")))
     simulation.run()
@@ -369,8 +369,8 @@
         assert leader is not None
         dark = leader.number
         others = [number for number in fleet.nodes if number != dark]
-        fleet.simulation.cuts |= {(dark, other) for other in others}
-        fleet.simulation.cuts |= {(other, dark) for other in others}
+        fleet.simulation.cut_links |= {(dark, other) for other in others}
+        fleet.simulation.cut_links |= {(other, dark) for other in others}
         await fleet.until(lambda: fleet.leader is not None and fleet.leader.number != dark, 2.0)
 
     run_scenario(scenario)
@@ -461,7 +461,7 @@
         fleet = Fleet(stores=5, zones=("w1", "w2", "w1", "e1", "e1"))
         for number, node in fleet.nodes.items():
             if number == 3:
-                fleet.simulation.spawn(fleet.simulation.feed_mirrors())
+                fleet.simulation.spawn(fleet.simulation.sync_mirrors())
                 await asyncio.sleep(0.8)
             await node.start()
         await fleet.until_led()
