--- a/benchmarks/journal_soak.py
+++ b/benchmarks/journal_soak.py
@@ -10,7 +10,7 @@
 PLANS = {
     "usual": FaultPlan(),
     "harsh": FaultPlan(crash_rate=0.5, pause_rate=0.4, partition_rate=0.4, disk_loss_rate=0.15),
-    "slow_disks": FaultPlan(crash_rate=0.8, slowest_write_s=0.4),
+    "slow_disks": FaultPlan(crash_rate=0.8, max_write_s=0.4),
 }
 
 
--- a/benchmarks/leader_failover.py
+++ b/benchmarks/leader_failover.py
@@ -9,7 +9,12 @@
 
 SEEDS = 300
 QUIET = FaultPlan(
-    crash_rate=0, pause_rate=0, partition_rate=0, disk_loss_rate=0, loss=0.01, repeat=0.01
+    crash_rate=0,
+    pause_rate=0,
+    partition_rate=0,
+    disk_loss_rate=0,
+    message_loss=0.01,
+    message_duplication=0.01,
 )
 KILL_AT_S = 6.0
 STEP_S = 0.01
--- a/src/wharfcart/experiments/history.py
+++ b/src/wharfcart/experiments/history.py
@@ -15,14 +15,14 @@
 
     kind: str
     target: str
-    begun: float
-    ended: float
-    seen: object
+    started_at: float
+    finished_at: float
+    result: object
     value: str | None = None
 
 
 @dataclass
-class History:
+class OperationHistory:
     """All answered operations of a run."""
 
     operations: list[Operation] = field(default_factory=list)
@@ -32,7 +32,7 @@
         """Add an operation."""
         self.operations.append(operation)
 
-    def of(self, kind: str) -> list[Operation]:
+    def of_kind(self, kind: str) -> list[Operation]:
         """Return the operations of one kind."""
         return [operation for operation in self.operations if operation.kind == kind]
 
@@ -43,9 +43,9 @@
             found.append("no leader after the faults ended")
         found.extend(self._check_key_winners())
         found.extend(self._check_key_reads())
-        found.extend(self._check_item_ends())
+        found.extend(self._check_item_completions())
         found.extend(self._check_item_reads())
-        found.extend(self._check_cancel())
+        found.extend(self._check_cancellation())
         return found
 
     # ---- keys: at most once ----
@@ -53,94 +53,96 @@
     def _check_key_winners(self) -> Iterator[str]:
         """All answers about a key name the same request; only its own start is told ok."""
         winners: dict[str, set[str]] = {}
-        for operation in self.of("start"):
-            code, winner, _ = _parts(operation.seen)
+        for operation in self.of_kind("start"):
+            code, winner, _ = _as_triple(operation.result)
             winners.setdefault(operation.target, set()).add(str(winner))
             if code == "ok" and winner != operation.value:
                 yield f"{operation.target}: ok to {operation.value}, winner {winner}"
-        for operation in self.of("read_key"):
-            if operation.seen is not None:
-                winner, _ = _pair(operation.seen)
+        for operation in self.of_kind("read_key"):
+            if operation.result is not None:
+                winner, _ = _as_pair(operation.result)
                 winners.setdefault(operation.target, set()).add(str(winner))
         for key, names in winners.items():
             if len(names) > 1:
                 yield f"{key}: several winners {sorted(names)}"
 
     def _check_key_reads(self) -> Iterator[str]:
-        finished = [o for o in self.of("finish") if _parts(o.seen)[0] == "ok"]
-        started = [o for o in self.of("start") if _parts(o.seen)[0] in ("ok", "key_known")]
-        yield from _stale(
-            started, self.of("read_key"), lambda seen: seen is not None, "lost its start"
+        finished = [o for o in self.of_kind("finish") if _as_triple(o.result)[0] == "ok"]
+        started = [
+            o for o in self.of_kind("start") if _as_triple(o.result)[0] in ("ok", "key_known")
+        ]
+        yield from _stale_reads(
+            started, self.of_kind("read_key"), lambda seen: seen is not None, "lost its start"
         )
-        yield from _stale(
+        yield from _stale_reads(
             finished,
-            self.of("read_key"),
-            lambda seen: seen is not None and _pair(seen)[1] == "completed",
+            self.of_kind("read_key"),
+            lambda seen: seen is not None and _as_pair(seen)[1] == "completed",
             "lost its end",
         )
 
     # ---- items: exactly once ----
 
-    def _check_item_ends(self) -> Iterator[str]:
+    def _check_item_completions(self) -> Iterator[str]:
         accepted: dict[str, list[str | None]] = {}
-        for operation in self.of("complete"):
-            if _parts(operation.seen)[2] == 1:
+        for operation in self.of_kind("complete"):
+            if _as_triple(operation.result)[2] == 1:
                 accepted.setdefault(operation.target, []).append(operation.value)
         for row, values in accepted.items():
             if len(values) > 1:
                 yield f"item {row}: completed {len(values)} times"
 
     def _check_item_reads(self) -> Iterator[str]:
-        accepted = [o for o in self.of("complete") if _parts(o.seen)[2] == 1]
-        yield from _stale(
+        accepted = [o for o in self.of_kind("complete") if _as_triple(o.result)[2] == 1]
+        yield from _stale_reads(
             accepted,
-            self.of("read_item"),
+            self.of_kind("read_item"),
             lambda seen: seen == "COMPLETED",
             "completed, then not",
         )
 
         # A job that ended shows counts: at least what was acknowledged as completed before.
-        for read in self.of("read_counts"):
-            known = {o.target for o in accepted if o.ended < read.begun}
-            if not isinstance(read.seen, int) or read.seen < len(known):
-                yield f"job: {len(known)} completions acknowledged, {read.seen} counted"
+        for read in self.of_kind("read_counts"):
+            known = {o.target for o in accepted if o.finished_at < read.started_at}
+            if not isinstance(read.result, int) or read.result < len(known):
+                yield f"job: {len(known)} completions acknowledged, {read.result} counted"
 
     # ---- cancel ----
 
-    def _check_cancel(self) -> Iterator[str]:
-        cancels = [o for o in self.of("cancel") if _parts(o.seen)[0] == "ok"]
+    def _check_cancellation(self) -> Iterator[str]:
+        cancels = [o for o in self.of_kind("cancel") if _as_triple(o.result)[0] == "ok"]
         if not cancels:
             return
-        first = min(operation.ended for operation in cancels)
-        for operation in self.of("lease"):
-            if operation.begun > first and _parts(operation.seen)[0] == "ok":
+        first = min(operation.finished_at for operation in cancels)
+        for operation in self.of_kind("lease"):
+            if operation.started_at > first and _as_triple(operation.result)[0] == "ok":
                 yield f"item {operation.target}: leased after the cancel was acknowledged"
-        yield from _stale(
-            cancels, self.of("read_cancelled"), lambda seen: bool(seen), "cancel was lost"
+        yield from _stale_reads(
+            cancels, self.of_kind("read_cancelled"), lambda seen: bool(seen), "cancel was lost"
         )
 
 
-def _stale(
+def _stale_reads(
     acknowledged: list[Operation],
     reads: list[Operation],
-    shows: Callable[[object], bool],
-    what: str,
+    reflects: Callable[[object], bool],
+    violation: str,
 ) -> Iterator[str]:
     """Yield reads that began after an acknowledgement and do not show it."""
     first: dict[str, float] = {}
     for operation in acknowledged:
         known = first.get(operation.target, float("inf"))
-        first[operation.target] = min(known, operation.ended)
+        first[operation.target] = min(known, operation.finished_at)
     for read in reads:
-        if read.begun > first.get(read.target, float("inf")) and not shows(read.seen):
-            yield f"{read.target}: {what}, read {read.seen} at {read.begun:.2f}"
+        if read.started_at > first.get(read.target, float("inf")) and not reflects(read.result):
+            yield f"{read.target}: {violation}, read {read.result} at {read.started_at:.2f}"
 
 
-def _parts(seen: object) -> tuple[object, object, object]:
+def _as_triple(seen: object) -> tuple[object, object, object]:
     assert isinstance(seen, tuple) and len(seen) == 3
     return (seen[0], seen[1], seen[2])
 
 
-def _pair(seen: object) -> tuple[object, object]:
+def _as_pair(seen: object) -> tuple[object, object]:
     assert isinstance(seen, tuple) and len(seen) == 2
     return (seen[0], seen[1])
--- a/src/wharfcart/experiments/journal_clients.py
+++ b/src/wharfcart/experiments/journal_clients.py
@@ -16,7 +16,7 @@
     KeyStart,
     ProposeResult,
 )
-from wharfcart.experiments.history import History, Operation
+from wharfcart.experiments.history import Operation, OperationHistory
 from wharfcart.experiments.simulated_journal_disk import SimulatedMachine
 from wharfcart.storage.shard import LOST_LEADERSHIP, Shard
 from wharfcart.storage.shard_state import ItemState
@@ -26,29 +26,33 @@
 
 CLIENT_TIMEOUT_S = 0.3
 CLIENT_PAUSE_S = 0.02
-ROWS_A_JOB = 150
-KEYS = 60
-JOB = "job"
-FILE = "file"
+ROWS_PER_JOB = 150
+KEY_COUNT = 60
+JOB_ID = "job"
+FILE_ID = "file"
 
 
-def record_reads(history: History, shard: Shard, begun: float, ended: float) -> None:
+def record_reads(
+    history: OperationHistory, shard: Shard, started_at: float, finished_at: float
+) -> None:
     """Record what a reader sees of every key and item."""
-    for number in range(KEYS):
+    for number in range(KEY_COUNT):
         record = shard.state.keys.get(f"key-{number}")
         value = None if record is None else (record.start.request_id, record.state)
-        history.add(Operation("read_key", f"key-{number}", begun, ended, value))
-    job = shard.state.jobs.get(JOB)
+        history.add(Operation("read_key", f"key-{number}", started_at, finished_at, value))
+    job = shard.state.jobs.get(JOB_ID)
     if job is None:
         return
     if job.summarized:
-        history.add(Operation("read_counts", JOB, begun, ended, job.record.completed))
+        history.add(Operation("read_counts", JOB_ID, started_at, finished_at, job.record.completed))
     for row, state in enumerate(job.states):
-        history.add(Operation("read_item", str(row), begun, ended, ItemState(state).name))
-    history.add(Operation("read_cancelled", JOB, begun, ended, job.cancelled))
+        history.add(
+            Operation("read_item", str(row), started_at, finished_at, ItemState(state).name)
+        )
+    history.add(Operation("read_cancelled", JOB_ID, started_at, finished_at, job.cancelled))
 
 
-class JournalClient:
+class SimulatedJournalClient:
     """Does one thing after another through whichever machine it believes leads."""
 
     def __init__(self, simulation: "JournalSimulation", number: int) -> None:
@@ -72,37 +76,37 @@
             self._read()
         elif roll < 0.55:
             self._use_key()
-        elif roll < 0.97 or simulation.now < simulation.plan.seconds * 0.6:
-            self._run_items()
+        elif roll < 0.97 or simulation.now < simulation.plan.duration_s * 0.6:
+            self._run_item()
         else:
-            cancel = Command(job_cancel=JobCancel(job_id=JOB, tenant="t"))
-            self._propose("cancel", JOB, cancel, None)
+            cancel = Command(job_cancel=JobCancel(job_id=JOB_ID, tenant="t"))
+            self._propose("cancel", JOB_ID, cancel, None)
 
     def _prepare_job(self) -> None:
         commands = [
             Command(
                 file_append=FileAppend(
-                    file_id=FILE,
+                    file_id=FILE_ID,
                     tenant="t",
-                    lines=[b"{}"] * ROWS_A_JOB,
-                    classes=bytes(ROWS_A_JOB),
+                    lines=[b"{}"] * ROWS_PER_JOB,
+                    classes=bytes(ROWS_PER_JOB),
                     service_names=["s"],
                 )
             ),
-            Command(file_seal=FileSeal(file_id=FILE, tenant="t", rows=ROWS_A_JOB)),
-            Command(job_create=JobCreate(job_id=JOB, tenant="t", file_id=FILE)),
+            Command(file_seal=FileSeal(file_id=FILE_ID, tenant="t", rows=ROWS_PER_JOB)),
+            Command(job_create=JobCreate(job_id=JOB_ID, tenant="t", file_id=FILE_ID)),
         ]
         command = commands[self._step - 1]
-        self._propose("prepare", str(self._step), command, None, until_done=True)
+        self._propose("prepare", str(self._step), command, None, retry_until_done=True)
 
     def _use_key(self) -> None:
-        name = f"key-{self.simulation.random.randrange(KEYS)}"
+        name = f"key-{self.simulation.random.randrange(KEY_COUNT)}"
         request_id = f"c{self.number}-{self._step}"
         start = KeyStart(key=name, digest="d", request_id=request_id)
 
         def started(result: ProposeResult | None) -> None:
             if result is None or result.code != "ok":
-                self.simulation.later(CLIENT_PAUSE_S, self.next_step)
+                self.simulation.call_later(CLIENT_PAUSE_S, self.next_step)
             else:
                 finish = KeyFinish(
                     key=name, request_id=request_id, state="completed", response=b"answer"
@@ -111,15 +115,15 @@
 
         self._propose("start", name, Command(key_start=start), request_id, started)
 
-    def _run_items(self) -> None:
-        row = self.simulation.random.randrange(ROWS_A_JOB)
+    def _run_item(self) -> None:
+        row = self.simulation.random.randrange(ROWS_PER_JOB)
         lease_id = f"c{self.number}-{self._step}"
-        lease = ItemsLease(lease_id=lease_id, job_id=JOB, holder=str(self.number), rows=[row])
+        lease = ItemsLease(lease_id=lease_id, job_id=JOB_ID, holder=str(self.number), rows=[row])
 
         def leased(result: ProposeResult | None) -> None:
             # A completion is tried even without a lease, as a holder that lost it would.
             outcome = ItemResult(row=row, body=lease_id.encode())
-            complete = ItemsComplete(job_id=JOB, lease_id=lease_id, results=[outcome])
+            complete = ItemsComplete(job_id=JOB_ID, lease_id=lease_id, results=[outcome])
             self._propose("complete", str(row), Command(items_complete=complete), lease_id)
 
         self._propose("lease", str(row), Command(items_lease=lease), lease_id, leased)
@@ -132,10 +136,10 @@
             if shard is not None:
                 record_reads(simulation.history, shard, begun, simulation.now)
 
-        simulation.read(self._machine(), seen)
-        simulation.later(CLIENT_PAUSE_S, self.next_step)
+        simulation.read(self._choose_machine(), seen)
+        simulation.call_later(CLIENT_PAUSE_S, self.next_step)
 
-    def _machine(self) -> SimulatedMachine:
+    def _choose_machine(self) -> SimulatedMachine:
         machines = self.simulation.machines
         leaders = [m for m in machines if m.shard is not None and m.shard.is_leader]
         if leaders and self.simulation.random.random() < 0.8:
@@ -148,8 +152,8 @@
         target: str,
         command: Command,
         value: str | None,
-        then: Callable[[ProposeResult | None], None] | None = None,
-        until_done: bool = False,
+        on_result: Callable[[ProposeResult | None], None] | None = None,
+        retry_until_done: bool = False,
     ) -> None:
         simulation = self.simulation
         # The wall clock steps back and forth: nothing may rest on it.
@@ -165,26 +169,26 @@
             unknown = result is None or result.code == LOST_LEADERSHIP
             if not unknown and result is not None:
                 self._record(kind, target, begun, value, result)
-            if unknown and until_done:
+            if unknown and retry_until_done:
                 self._step -= 1
-            if then is not None and not unknown:
-                then(result)
+            if on_result is not None and not unknown:
+                on_result(result)
             else:
-                simulation.later(CLIENT_PAUSE_S, self.next_step)
+                simulation.call_later(CLIENT_PAUSE_S, self.next_step)
 
         def timed_out() -> None:
             if attempt == self._attempt:
                 self._attempt += 1
-                if until_done:
+                if retry_until_done:
                     self._step -= 1
-                simulation.later(CLIENT_PAUSE_S, self.next_step)
+                simulation.call_later(CLIENT_PAUSE_S, self.next_step)
 
-        simulation.propose(self._machine(), command, done)
-        simulation.later(CLIENT_TIMEOUT_S, timed_out)
+        simulation.propose(self._choose_machine(), command, done)
+        simulation.call_later(CLIENT_TIMEOUT_S, timed_out)
 
     def _record(
-        self, kind: str, target: str, begun: float, value: str | None, result: ProposeResult
+        self, kind: str, target: str, started_at: float, value: str | None, result: ProposeResult
     ) -> None:
         seen: object = (result.code, result.key_record.start.request_id, result.accepted)
-        operation = Operation(kind, target, begun, self.simulation.now, seen, value)
+        operation = Operation(kind, target, started_at, self.simulation.now, seen, value)
         self.simulation.history.add(operation)
--- a/src/wharfcart/experiments/journal_simulation.py
+++ b/src/wharfcart/experiments/journal_simulation.py
@@ -17,8 +17,8 @@
     ReplicaMessage,
     ReplicaSet,
 )
-from wharfcart.experiments.history import History
-from wharfcart.experiments.journal_clients import JournalClient, record_reads
+from wharfcart.experiments.history import OperationHistory
+from wharfcart.experiments.journal_clients import SimulatedJournalClient, record_reads
 from wharfcart.experiments.simulated_journal_disk import (
     SimulatedJournalDisk,
     SimulatedMachine,
@@ -30,30 +30,30 @@
 from wharfcart.storage.shard_writes import ShardRecord, ShardWrites
 
 TICK_S = 0.05
-WRITE_LEAST_S = 0.001
-DELAY_LEAST_S = 0.0005
-DELAY_MOST_S = 0.02
+MIN_WRITE_S = 0.001
+MIN_DELAY_S = 0.0005
+MAX_DELAY_S = 0.02
 MEMBERSHIP_LAG_S = 1.0
-CLIENTS = 6
-SNAPSHOT_ROWS = 16
-LOG_ENTRIES = 40
+CLIENT_COUNT = 6
+SNAPSHOT_PAGE_ROWS = 16
+MAX_LOG_ENTRIES = 40
 
 
 @dataclass(frozen=True)
 class FaultPlan:
     """How much goes wrong; rates are events a simulated second."""
 
-    seconds: float = 20.0
-    settle_seconds: float = 12.0
-    loss: float = 0.02
-    repeat: float = 0.02
+    duration_s: float = 20.0
+    settle_s: float = 12.0
+    message_loss: float = 0.02
+    message_duplication: float = 0.02
     crash_rate: float = 0.2
     pause_rate: float = 0.15
     partition_rate: float = 0.15
     disk_loss_rate: float = 0.05
-    longest_fault_s: float = 3.0
-    slowest_write_s: float = 0.02
-    spares: int = 1
+    max_fault_s: float = 3.0
+    max_write_s: float = 0.02
+    spare_machines: int = 1
 
 
 class JournalSimulation:
@@ -63,47 +63,47 @@
         self.random = random.Random(seed)
         self.plan = plan
         self.now = 0.0
-        self.history = History()
+        self.history = OperationHistory()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._sequence = 0
         self._token = 0
         self._tokens: dict[int, Callable[[ProposeResult | None], None]] = {}
-        self._cut: set[frozenset[str]] = set()
+        self._cut_links: set[frozenset[str]] = set()
         self._healing = False
-        count = 3 + plan.spares
+        count = 3 + plan.spare_machines
         self.machines = [
             SimulatedMachine(f"m{n}", SimulatedJournalDisk(f"m{n}-0")) for n in range(count)
         ]
         voters = [machine.disk.identity for machine in self.machines[:3]]
         for machine in self.machines[:3]:
-            self._new_record(machine, voters)
+            self._create_record(machine, voters)
         for machine in self.machines:
             self._start(machine)
-        self.later(TICK_S, self._tick_all)
-        self.later(0.5, self._tell_members)
-        self.later(0.5, self._next_fault)
-        self._clients = [JournalClient(self, number) for number in range(CLIENTS)]
+        self.call_later(TICK_S, self._tick_all)
+        self.call_later(0.5, self._send_membership)
+        self.call_later(0.5, self._next_fault)
+        self._clients = [SimulatedJournalClient(self, number) for number in range(CLIENT_COUNT)]
         for client in self._clients:
-            self.later(1.5 + 0.01 * client.number, client.next_step)
+            self.call_later(1.5 + 0.01 * client.number, client.next_step)
 
-    def run(self) -> History:
+    def run(self) -> OperationHistory:
         """Run to the end: faults, then a quiet time, then final reads."""
-        end = self.plan.seconds
+        end = self.plan.duration_s
         self.run_until(end)
         self._heal()
-        self.run_until(end + self.plan.settle_seconds)
+        self.run_until(end + self.plan.settle_s)
         for client in self._clients:
             client.stopped = True
         self._final_reads()
-        self.run_until(end + self.plan.settle_seconds + 3.0)
+        self.run_until(end + self.plan.settle_s + 3.0)
         return self.history
 
     # ---- events ----
 
-    def later(self, delay: float, work: Callable[[], None]) -> None:
+    def call_later(self, delay: float, callback: Callable[[], None]) -> None:
         """Run ``work`` after a delay of simulated time."""
         self._sequence += 1
-        heapq.heappush(self._events, (self.now + delay, self._sequence, work))
+        heapq.heappush(self._events, (self.now + delay, self._sequence, callback))
 
     def run_until(self, end: float) -> None:
         """Advance simulated time."""
@@ -112,27 +112,27 @@
             work()
         self.now = end
 
-    def _on(self, machine: SimulatedMachine, work: Callable[[], None]) -> None:
+    def _run_on(self, machine: SimulatedMachine, callback: Callable[[], None]) -> None:
         """Run ``work`` on a machine: later if it is paused, never if it restarted meanwhile."""
         if machine.paused:
-            machine.backlog.append(work)
+            machine.backlog.append(callback)
         else:
-            work()
+            callback()
 
     # ---- machines ----
 
-    def _new_record(self, machine: SimulatedMachine, voters: list[str]) -> None:
+    def _create_record(self, machine: SimulatedMachine, voters: list[str]) -> None:
         base = ReplicaSet(voters=voters, in_sync=voters)
         machine.disk.record = ShardRecord(0, HardState(0, ""), 0, 0, base, 0, False, [])
 
     def _start(self, machine: SimulatedMachine) -> None:
         machine.generation += 1
         machine.writing = False
-        machine.gathering = None
-        machine.after_write = []
-        machine.mark = None
+        machine.pending_writes = None
+        machine.messages_after_write = []
+        machine.pending_mark = None
         machine.reload = False
-        machine.reads = []
+        machine.pending_reads = []
         machine.backlog = []
         machine.paused = False
         if machine.disk.record is None:
@@ -140,7 +140,7 @@
             return
         rows = [row for row in machine.disk.rows.values() if row.kind != RowKind.LINE]
         machine.shard = Shard(
-            machine.disk.record, rows, machine.disk.identity, self.random, self.now, LOG_ENTRIES
+            machine.disk.record, rows, machine.disk.identity, self.random, self.now, MAX_LOG_ENTRIES
         )
 
     def crash(self, machine: SimulatedMachine) -> None:
@@ -162,10 +162,10 @@
         for machine in self.machines:
             if not machine.paused and machine.shard is not None:
                 machine.shard.tick(self.now)
-                self._collect(machine)
-        self.later(TICK_S, self._tick_all)
+                self._process_output(machine)
+        self.call_later(TICK_S, self._tick_all)
 
-    def _tell_members(self) -> None:
+    def _send_membership(self) -> None:
         live = {m.disk.identity: m.name for m in self.machines if m.shard or not m.disk.record}
         live = {
             m.disk.identity: m.name
@@ -177,22 +177,22 @@
             for machine in self.machines:
                 if machine.shard is not None and not machine.paused:
                     machine.shard.update_storage_members(live, set(), self.now)
-                    self._collect(machine)
+                    self._process_output(machine)
 
-        self.later(MEMBERSHIP_LAG_S, tell)
-        self.later(0.5, self._tell_members)
+        self.call_later(MEMBERSHIP_LAG_S, tell)
+        self.call_later(0.5, self._send_membership)
 
     # ---- disk and network ----
 
-    def _collect(self, machine: SimulatedMachine) -> None:
+    def _process_output(self, machine: SimulatedMachine) -> None:
         shard = machine.shard
         assert shard is not None
         output = shard.take_output()
         if output.dirty or output.send_after_write or output.reload:
-            gathering = machine.gathering or ShardWrites()
-            machine.gathering = gathering.merge(output.writes)
-        machine.after_write.extend(output.send_after_write)
-        machine.mark = output.written_mark or machine.mark
+            gathering = machine.pending_writes or ShardWrites()
+            machine.pending_writes = gathering.merge(output.writes)
+        machine.messages_after_write.extend(output.send_after_write)
+        machine.pending_mark = output.written_mark or machine.pending_mark
         machine.reload = machine.reload or output.reload
         for message in output.send_now:
             self._send(machine, message)
@@ -200,21 +200,21 @@
             done = self._tokens.pop(answer.token, None)
             if done is not None:
                 done(answer.result)
-        machine.reads.extend(output.reads)
+        machine.pending_reads.extend(output.reads)
         self._write(machine)
 
     def _write(self, machine: SimulatedMachine) -> None:
-        if machine.writing or machine.gathering is None:
+        if machine.writing or machine.pending_writes is None:
             return
         writes, messages, mark, reload = (
-            machine.gathering,
-            machine.after_write,
-            machine.mark,
+            machine.pending_writes,
+            machine.messages_after_write,
+            machine.pending_mark,
             machine.reload,
         )
-        machine.gathering, machine.after_write, machine.mark = None, [], None
+        machine.pending_writes, machine.messages_after_write, machine.pending_mark = None, [], None
         machine.reload = False
-        reads, machine.reads = machine.reads, []
+        reads, machine.pending_reads = machine.pending_reads, []
         machine.writing = True
         generation = machine.generation
 
@@ -225,11 +225,13 @@
             machine.disk.write(writes)
             for read in reads:
                 self._read_snapshot(machine, read)
-            self._on(machine, lambda: self._written(machine, generation, messages, mark, reload))
+            self._run_on(
+                machine, lambda: self._finish_write(machine, generation, messages, mark, reload)
+            )
 
-        self.later(self.random.uniform(WRITE_LEAST_S, self.plan.slowest_write_s), written)
+        self.call_later(self.random.uniform(MIN_WRITE_S, self.plan.max_write_s), written)
 
-    def _written(
+    def _finish_write(
         self,
         machine: SimulatedMachine,
         generation: int,
@@ -248,7 +250,7 @@
             self._send(machine, message)
         if mark is not None:
             machine.shard.mark_written(mark, self.now)
-        self._collect(machine)
+        self._process_output(machine)
 
     def _read_snapshot(self, machine: SimulatedMachine, read: ReadSnapshotRows) -> None:
         generation = machine.generation
@@ -256,41 +258,43 @@
         def answer() -> None:
             if machine.generation != generation or machine.shard is None:
                 return
-            keys = sorted(key for key in machine.disk.rows if key > read.after)[:SNAPSHOT_ROWS]
+            keys = sorted(key for key in machine.disk.rows if key > read.after)[:SNAPSHOT_PAGE_ROWS]
             rows = [machine.disk.rows[key] for key in keys]
             machine.shard.snapshot_rows_read(read.target, rows, self.now)
-            self._collect(machine)
+            self._process_output(machine)
 
-        self.later(0.005, lambda: self._on(machine, answer))
+        self.call_later(0.005, lambda: self._run_on(machine, answer))
 
     def _send(self, sender: SimulatedMachine, message: ReplicaMessage) -> None:
-        if self._lost():
+        if self._is_message_lost():
             return
-        copies = 2 if self.random.random() < self.plan.repeat and not self._healing else 1
+        copies = (
+            2 if self.random.random() < self.plan.message_duplication and not self._healing else 1
+        )
         for _ in range(copies):
-            delay = self.random.uniform(DELAY_LEAST_S, DELAY_MOST_S)
-            self.later(delay, lambda: self._deliver(sender.name, message))
+            delay = self.random.uniform(MIN_DELAY_S, MAX_DELAY_S)
+            self.call_later(delay, lambda: self._deliver(sender.name, message))
 
-    def _lost(self) -> bool:
-        return not self._healing and self.random.random() < self.plan.loss
+    def _is_message_lost(self) -> bool:
+        return not self._healing and self.random.random() < self.plan.message_loss
 
     def _deliver(self, sender: str, message: ReplicaMessage) -> None:
         for machine in self.machines:
             if machine.disk.identity != message.target or self._is_cut(sender, machine.name):
                 continue
             if machine.shard is None and machine.disk.record is None:
-                self._new_record(machine, [])
+                self._create_record(machine, [])
                 self._start(machine)
             if machine.shard is not None:
-                self._on(machine, lambda m=machine: self._receive(m, message))  # type: ignore[misc]
+                self._run_on(machine, lambda m=machine: self._receive(m, message))  # type: ignore[misc]
 
     def _receive(self, machine: SimulatedMachine, message: ReplicaMessage) -> None:
         if machine.shard is not None:
             machine.shard.receive(message, self.now)
-            self._collect(machine)
+            self._process_output(machine)
 
     def _is_cut(self, one: str, other: str) -> bool:
-        return frozenset((one, other)) in self._cut
+        return frozenset((one, other)) in self._cut_links
 
     # ---- faults ----
 
@@ -302,36 +306,36 @@
             self._fault_crash: plan.crash_rate,
             self._fault_pause: plan.pause_rate,
             self._fault_partition: plan.partition_rate,
-            self._fault_disk: plan.disk_loss_rate,
+            self._fault_lose_disk: plan.disk_loss_rate,
         }
         for fault, rate in rates.items():
             if self.random.random() < rate * 0.5:
                 fault()
-        self.later(0.5, self._next_fault)
+        self.call_later(0.5, self._next_fault)
 
-    def _victim(self) -> SimulatedMachine:
+    def _random_machine(self) -> SimulatedMachine:
         return self.random.choice(self.machines)
 
-    def _duration(self) -> float:
-        return self.random.uniform(0.05, self.plan.longest_fault_s)
+    def _fault_duration(self) -> float:
+        return self.random.uniform(0.05, self.plan.max_fault_s)
 
     def _fault_crash(self) -> None:
-        machine = self._victim()
+        machine = self._random_machine()
         self.crash(machine)
         generation = machine.generation
-        self.later(self._duration(), lambda: self._restart(machine, generation))
+        self.call_later(self._fault_duration(), lambda: self._restart(machine, generation))
 
     def _restart(self, machine: SimulatedMachine, generation: int) -> None:
         if machine.generation == generation:
             self._start(machine)
 
     def _fault_pause(self) -> None:
-        machine = self._victim()
+        machine = self._random_machine()
         if machine.shard is None or machine.paused:
             return
         machine.paused = True
         generation = machine.generation
-        self.later(self._duration(), lambda: self._resume(machine, generation))
+        self.call_later(self._fault_duration(), lambda: self._resume(machine, generation))
 
     def _resume(self, machine: SimulatedMachine, generation: int) -> None:
         if machine.generation != generation or not machine.paused:
@@ -344,19 +348,19 @@
     def _fault_partition(self) -> None:
         one, other = self.random.sample([m.name for m in self.machines], 2)
         pair = frozenset((one, other))
-        self._cut.add(pair)
-        self.later(self._duration(), lambda: self._cut.discard(pair))
+        self._cut_links.add(pair)
+        self.call_later(self._fault_duration(), lambda: self._cut_links.discard(pair))
 
-    def _fault_disk(self) -> None:
+    def _fault_lose_disk(self) -> None:
         # One disk at a time, and only while the others hold what was acknowledged: the design
         # note says which losses are survived, and this simulates just those.
-        machine = self._victim()
-        if not self._may_lose(machine):
+        machine = self._random_machine()
+        if not self._can_lose_disk(machine):
             return
         self._lose_disk(machine)
         self._start(machine)
 
-    def _may_lose(self, machine: SimulatedMachine) -> bool:
+    def _can_lose_disk(self, machine: SimulatedMachine) -> bool:
         """Whether a majority of the newest committed voters keeps its disk."""
         leaders = [m for m in self.machines if m.shard is not None and m.shard.is_leader]
         if not leaders:
@@ -372,7 +376,7 @@
 
     def _heal(self) -> None:
         self._healing = True
-        self._cut.clear()
+        self._cut_links.clear()
         for machine in self.machines:
             if machine.paused:
                 self._resume(machine, machine.generation)
@@ -388,7 +392,7 @@
         done: Callable[[ProposeResult | None], None],
     ) -> None:
         """Send a command to a machine; ``done`` gets the answer, or None if it cannot lead."""
-        if self._lost():
+        if self._is_message_lost():
             return
 
         def arrive() -> None:
@@ -403,10 +407,10 @@
                 del self._tokens[token]
                 self._answer(done, None)
                 return
-            self._collect(machine)
+            self._process_output(machine)
 
-        delay = self.random.uniform(DELAY_LEAST_S, DELAY_MOST_S)
-        self.later(delay, lambda: self._on(machine, arrive))
+        delay = self.random.uniform(MIN_DELAY_S, MAX_DELAY_S)
+        self.call_later(delay, lambda: self._run_on(machine, arrive))
 
     def read(self, machine: SimulatedMachine, done: Callable[[Shard | None], None]) -> None:
         """Read a machine's memory if it holds the lease; ``done`` gets the shard or None."""
@@ -417,15 +421,15 @@
                 return
             done(shard if shard.replica.lease_valid(self.now) else None)
 
-        delay = self.random.uniform(DELAY_LEAST_S, DELAY_MOST_S)
-        self.later(delay, lambda: self._on(machine, arrive))
+        delay = self.random.uniform(MIN_DELAY_S, MAX_DELAY_S)
+        self.call_later(delay, lambda: self._run_on(machine, arrive))
 
     def _answer(
         self, done: Callable[[ProposeResult | None], None], result: ProposeResult | None
     ) -> None:
-        if not self._lost():
-            delay = self.random.uniform(DELAY_LEAST_S, DELAY_MOST_S)
-            self.later(delay, lambda: done(result))
+        if not self._is_message_lost():
+            delay = self.random.uniform(MIN_DELAY_S, MAX_DELAY_S)
+            self.call_later(delay, lambda: done(result))
 
     def _final_reads(self) -> None:
         leaders = [m for m in self.machines if m.shard is not None and m.shard.is_leader]
--- a/src/wharfcart/experiments/simulated_journal_disk.py
+++ b/src/wharfcart/experiments/simulated_journal_disk.py
@@ -87,8 +87,8 @@
     generation: int = 0
     backlog: list[Callable[[], None]] = field(default_factory=list)
     writing: bool = False
-    gathering: ShardWrites | None = None
-    after_write: list[ReplicaMessage] = field(default_factory=list)
-    mark: tuple[int, int] | None = None
+    pending_writes: ShardWrites | None = None
+    messages_after_write: list[ReplicaMessage] = field(default_factory=list)
+    pending_mark: tuple[int, int] | None = None
     reload: bool = False
-    reads: list[ReadSnapshotRows] = field(default_factory=list)
+    pending_reads: list[ReadSnapshotRows] = field(default_factory=list)
--- a/tests/storage/test_journal_simulation.py
+++ b/tests/storage/test_journal_simulation.py
@@ -19,7 +19,7 @@
 CLEAN_SEEDS = range(10)
 MUTATION_SEEDS = range(1000, 1040)
 HARSH = FaultPlan(crash_rate=0.5, pause_rate=0.4, partition_rate=0.4, disk_loss_rate=0.15)
-SLOW_DISKS = FaultPlan(crash_rate=0.8, slowest_write_s=0.4)
+SLOW_DISKS = FaultPlan(crash_rate=0.8, max_write_s=0.4)
 
 
 @pytest.mark.parametrize("seed", CLEAN_SEEDS)
@@ -182,4 +182,4 @@
             if any(len(r.replica_set.voters) == 3 and r.replica_set_index > 0 for r in replicas):
                 seen.add("replica set changed")
     assert seen == {"snapshot sent", "snapshot installed", "replica set changed"}
-    assert journal_simulation.LOG_ENTRIES < 100
+    assert journal_simulation.MAX_LOG_ENTRIES < 100
