--- a/src/wharfcart/cli/processes.py
+++ b/src/wharfcart/cli/processes.py
@@ -14,7 +14,7 @@
 from wharfcart.emulator.fleet import EmulatedFleet
 from wharfcart.experiments.dev_fleet import DevFleet
 from wharfcart.experiments.example_fleets import Profile
-from wharfcart.experiments.main_job import MainJob, Target
+from wharfcart.experiments.main_job import MainJob, TargetFleet
 from wharfcart.node import process
 from wharfcart.node.node import Node
 from wharfcart.observability.logs import configure_logs
@@ -112,11 +112,11 @@
     profile: Profile, against: list[str] | None, admin_key: str, items: int
 ) -> bool:
     if against:
-        return await MainJob(Target(against, admin_key, profile), items).run()
+        return await MainJob(TargetFleet(against, admin_key, profile), items).run()
     fleet = DevFleet(profile, 3, "127.0.0.1:0")
     await fleet.start()
     try:
-        return await MainJob(Target(fleet.urls, fleet.admin_key, profile), items).run()
+        return await MainJob(TargetFleet(fleet.urls, fleet.admin_key, profile), items).run()
     finally:
         await fleet.stop()
 
--- a/src/wharfcart/experiments/dev_fleet.py
+++ b/src/wharfcart/experiments/dev_fleet.py
@@ -20,11 +20,11 @@
 ADMIN_KEY = "admin-key"
 STORAGE_NODES = 3
 START_TIMEOUT_S = 30.0
-POLL_S = 0.05
-FIRST_PORT = 12_000
-LAST_PORT = 32_000
+POLL_INTERVAL_S = 0.05
+MIN_PORT = 12_000
+MAX_PORT = 32_000
 
-_handed_out: set[int] = set()
+_allocated_ports: set[int] = set()
 
 
 def free_ports(count: int) -> int:
@@ -34,10 +34,10 @@
     client's connection can take one before its server starts.
     """
     while True:
-        first = random.randrange(FIRST_PORT, LAST_PORT - count)
+        first = random.randrange(MIN_PORT, MAX_PORT - count)
         wanted = range(first, first + count)
-        if _handed_out.isdisjoint(wanted) and all(_is_free(port) for port in wanted):
-            _handed_out.update(wanted)
+        if _allocated_ports.isdisjoint(wanted) and all(_is_free(port) for port in wanted):
+            _allocated_ports.update(wanted)
             return first
 
 
@@ -125,11 +125,11 @@
     headers = {"Authorization": f"Bearer {admin_key}"}
     async with asyncio.timeout(START_TIMEOUT_S), aiohttp.ClientSession(headers=headers) as session:
         for url in urls:
-            while not await _complete(session, url, nodes):
-                await asyncio.sleep(POLL_S)
+            while not await _is_ready(session, url, nodes):
+                await asyncio.sleep(POLL_INTERVAL_S)
 
 
-async def _complete(session: aiohttp.ClientSession, url: str, nodes: int) -> bool:
+async def _is_ready(session: aiohttp.ClientSession, url: str, nodes: int) -> bool:
     try:
         async with session.get(f"{url}/admin/v1/status") as response:
             status = await response.json()
--- a/src/wharfcart/experiments/example_fleets.py
+++ b/src/wharfcart/experiments/example_fleets.py
@@ -36,8 +36,8 @@
 def example_document(profile: Profile) -> dict[str, Any]:
     """Return the operators' document of an example fleet."""
     if profile is Profile.REGISTRATION:
-        return _registration()
-    return _swap()
+        return _registration_document()
+    return _swap_document()
 
 
 def _tenant(name: str, share: float) -> dict[str, Any]:
@@ -60,7 +60,7 @@
     ]
 
 
-def _registration() -> dict[str, Any]:
+def _registration_document() -> dict[str, Any]:
     dealers = [f"dealer-{number:02d}" for number in range(1, 41)]
     stations = [f"inspection-{number:02d}" for number in range(1, 10)]
     office = ["registry-office"]
@@ -133,7 +133,7 @@
     }
 
 
-def _swap() -> dict[str, Any]:
+def _swap_document() -> dict[str, Any]:
     stations = [f"station-{number:02d}" for number in range(1, 61)]
     dispatchers = [f"dispatch-{number}" for number in range(1, 4)]
     parameter = {"office": {"type": "string", "max_length": 100}}
--- a/src/wharfcart/experiments/main_job.py
+++ b/src/wharfcart/experiments/main_job.py
@@ -20,16 +20,16 @@
 from wharfcart.experiments.example_fleets import Profile
 
 ONLINE_REQUESTS = 120
-ONLINE_AT_ONCE = 6
+ONLINE_CONCURRENCY = 6
 APPLICATION_REQUESTS = 60
 JOB_TIMEOUT_S = 50.0
-POLL_S = 0.2
-CANCEL_PROMISE_S = 2.0
-MICROSECONDS = 1_000_000
+POLL_INTERVAL_S = 0.2
+CANCEL_TIMEOUT_S = 2.0
+MICROSECONDS_PER_SECOND = 1_000_000
 
 
 @dataclass(frozen=True)
-class Target:
+class TargetFleet:
     """A running fleet."""
 
     urls: list[str]
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True)
-class _Vocabulary:
+class _ProfileNames:
     """Names of a profile's tenants and services."""
 
     tenant: str
@@ -50,54 +50,56 @@
     online_tokens: int
 
 
-VOCABULARY = {
-    Profile.REGISTRATION: _Vocabulary(
+PROFILE_NAMES = {
+    Profile.REGISTRATION: _ProfileNames(
         "registry-office", "notices", "plates", "register", "status", 32, 48
     ),
-    Profile.SWAP: _Vocabulary("dispatch-1", "assistant", "notes", "charge", "status", 48, 32),
+    Profile.SWAP: _ProfileNames("dispatch-1", "assistant", "notes", "charge", "status", 48, 32),
 }
 
 
 @dataclass
-class _Check:
-    promise: str
-    kept: bool
-    figure: str
+class _CheckResult:
+    guarantee: str
+    passed: bool
+    details: str
 
 
 @dataclass
 class MainJob:
     """One run."""
 
-    target: Target
+    target: TargetFleet
     items: int
-    checks: list[_Check] = field(default_factory=list)
-    first_token: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, 60 * MICROSECONDS, 3))
+    checks: list[_CheckResult] = field(default_factory=list)
+    first_token: HdrHistogram = field(
+        default_factory=lambda: HdrHistogram(1, 60 * MICROSECONDS_PER_SECOND, 3)
+    )
 
     async def run(self) -> bool:
         """Run everything and print the report; return whether every promise was kept."""
-        self._words = VOCABULARY[self.target.profile]
-        headers = {"Authorization": f"Bearer {self._words.tenant}-key"}
+        self._names = PROFILE_NAMES[self.target.profile]
+        headers = {"Authorization": f"Bearer {self._names.tenant}-key"}
         connector = aiohttp.TCPConnector(limit=0)
         started = time.monotonic()
         async with aiohttp.ClientSession(headers=headers, connector=connector) as session:
             self._session = session
-            await self._application_effects()
-            lines = self._lines(self.items)
+            await self._check_idempotent_requests()
+            lines = self._make_lines(self.items)
             job = await self._submit(lines, "main-job")
-            second = await self._submit(self._lines(self.items, "second"), "second-job")
-            await self._cancel(second["id"])
-            await self._online_streams()
-            await self._change_parameter()
-            await self._resend(lines, job["id"])
-            await self._finish(job["id"], lines)
-        self._report(time.monotonic() - started)
-        return all(check.kept for check in self.checks)
+            second = await self._submit(self._make_lines(self.items, "second"), "second-job")
+            await self._check_cancellation(second["id"])
+            await self._check_online_streams()
+            await self._check_configuration_change()
+            await self._check_resubmission(lines, job["id"])
+            await self._check_completion(job["id"], lines)
+        self._print_report(time.monotonic() - started)
+        return all(check.passed for check in self.checks)
 
     # ---- online ----
 
-    async def _online_streams(self) -> None:
-        limit = asyncio.Semaphore(ONLINE_AT_ONCE)
+    async def _check_online_streams(self) -> None:
+        limit = asyncio.Semaphore(ONLINE_CONCURRENCY)
         run = uuid.uuid4().hex[:8]
 
         async def one(number: int) -> bool:
@@ -107,11 +109,11 @@
         whole = await asyncio.gather(*(one(number) for number in range(ONLINE_REQUESTS)))
         p95 = self.first_token.get_value_at_percentile(95) / 1000
         figure = f"{sum(whole)} of {len(whole)}, first token p95 {p95:.0f} ms beside batch"
-        self._note("each caller gets the whole answer to its own request", all(whole), figure)
+        self._record("each caller gets the whole answer to its own request", all(whole), figure)
 
     async def _stream(self, number: int, question: str) -> bool:
         body = {
-            "model": self._words.online,
+            "model": self._names.online,
             "messages": [{"role": "user", "content": question}],
             "stream": True,
         }
@@ -125,21 +127,21 @@
                 if not line.startswith(b"data: "):
                     continue
                 if not text:
-                    elapsed = int((time.monotonic() - started) * MICROSECONDS)
+                    elapsed = int((time.monotonic() - started) * MICROSECONDS_PER_SECOND)
                     self.first_token.record_value(max(1, elapsed))
                 if line == b"data: [DONE]":
                     ended = True
                     break
                 delta = json.loads(line[6:])["choices"][0]["delta"]
                 text += delta.get("content", "")
-        return ended and text.strip() == answer_text(question, self._words.online_tokens)
+        return ended and text.strip() == answer_text(question, self._names.online_tokens)
 
-    async def _application_effects(self) -> None:
+    async def _check_idempotent_requests(self) -> None:
         """Effects that must happen at most once, each sent twice under its key at once."""
         run = uuid.uuid4().hex[:8]
 
         async def once(number: int) -> bool:
-            path = f"/v1/services/{self._words.effect}/{number}"
+            path = f"/v1/services/{self._names.effect}/{number}"
             headers = {"Idempotency-Key": f"{run}-{number}"}
             calls = [
                 self._session.post(
@@ -153,22 +155,22 @@
 
         same = await asyncio.gather(*(once(number) for number in range(APPLICATION_REQUESTS)))
         figure = f"{sum(same)} of {len(same)} sent twice through two nodes, one answer each"
-        self._note("a resent request runs once", all(same), figure)
+        self._record("a resent request runs once", all(same), figure)
 
     # ---- batch ----
 
-    def _lines(self, count: int, label: str = "main") -> list[dict[str, Any]]:
+    def _make_lines(self, count: int, label: str = "main") -> list[dict[str, Any]]:
         """Items of mixed kinds: three of four for the model, the others look-ups."""
         run = uuid.uuid4().hex[:8]
         lines: list[dict[str, Any]] = []
         for number in range(count):
             custom_id = f"{label}-{run}-{number}"
             if number % 4 == 3:
-                url = f"/v1/services/{self._words.status}/{number}"
+                url = f"/v1/services/{self._names.status}/{number}"
                 lines.append({"custom_id": custom_id, "method": "GET", "url": url, "body": {}})
                 continue
             body = {
-                "model": self._words.batch,
+                "model": self._names.batch,
                 "messages": [{"role": "user", "content": custom_id}],
             }
             url = "/v1/chat/completions"
@@ -185,12 +187,12 @@
         headers = {"Idempotency-Key": f"{key}-{lines[0]['custom_id']}"}
         return await self._call("POST", "/v1/batches", json=body, headers=headers)
 
-    async def _cancel(self, job_id: str) -> None:
+    async def _check_cancellation(self, job_id: str) -> None:
         """Cancel a job while some of its items run."""
         job = await self._call("GET", f"/v1/batches/{job_id}")
         waited = time.monotonic()
         while not job["item_counts"]["completed"] and time.monotonic() - waited < JOB_TIMEOUT_S:
-            await asyncio.sleep(POLL_S / 4)
+            await asyncio.sleep(POLL_INTERVAL_S / 4)
             job = await self._call("GET", f"/v1/batches/{job_id}")
         started = time.monotonic()
         job = await self._call("POST", f"/v1/batches/{job_id}/cancel")
@@ -198,36 +200,36 @@
             job["status"] not in ("cancelled", "completed")
             and time.monotonic() - started < JOB_TIMEOUT_S
         ):
-            await asyncio.sleep(POLL_S / 4)
+            await asyncio.sleep(POLL_INTERVAL_S / 4)
             job = await self._call("GET", f"/v1/batches/{job_id}")
         elapsed = time.monotonic() - started
         counts = job["item_counts"]
         ended = counts["completed"] + counts["failed"] + counts["unknown"] + counts["cancelled"]
-        kept = elapsed <= CANCEL_PROMISE_S and ended == counts["total"]
+        kept = elapsed <= CANCEL_TIMEOUT_S and ended == counts["total"]
         figure = f"{elapsed:.2f} s, {counts['completed']} completed, {counts['cancelled']} not run"
-        self._note("a cancelled job stops", kept, figure)
+        self._record("a cancelled job stops", kept, figure)
 
-    async def _resend(self, lines: list[dict[str, Any]], job_id: str) -> None:
+    async def _check_resubmission(self, lines: list[dict[str, Any]], job_id: str) -> None:
         again = await self._submit(lines, "main-job")
         same = again["id"] == job_id
-        self._note("a resent job is the same job", same, f"{again['id']}")
+        self._record("a resent job is the same job", same, f"{again['id']}")
 
-    async def _finish(self, job_id: str, lines: list[dict[str, Any]]) -> None:
+    async def _check_completion(self, job_id: str, lines: list[dict[str, Any]]) -> None:
         started = time.monotonic()
         job = await self._call("GET", f"/v1/batches/{job_id}")
         while job["status"] != "completed" and time.monotonic() - started < JOB_TIMEOUT_S:
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             job = await self._call("GET", f"/v1/batches/{job_id}")
-        wrong = await self._wrong_results(job_id, lines)
+        wrong = await self._find_wrong_results(job_id, lines)
         seconds = max(1, (job["completed_at"] or 0) - job["created_at"])
         counts = job["item_counts"]
         kept = not wrong and counts["completed"] == len(lines)
         figure = f"{counts['completed']} of {len(lines)}, about {len(lines) / seconds:.0f} items/s"
         if wrong:
             figure += f", wrong: {wrong[:3]}"
-        self._note("every item completes exactly once, readable", kept, figure)
+        self._record("every item completes exactly once, readable", kept, figure)
 
-    async def _wrong_results(self, job_id: str, lines: list[dict[str, Any]]) -> list[str]:
+    async def _find_wrong_results(self, job_id: str, lines: list[dict[str, Any]]) -> list[str]:
         seen: dict[str, int] = {}
         wrong: list[str] = []
         expected = {line["custom_id"]: line for line in lines}
@@ -237,21 +239,21 @@
                 result = json.loads(raw)
                 custom_id = result["custom_id"]
                 seen[custom_id] = seen.get(custom_id, 0) + 1
-                if not self._right(expected[custom_id], result["response"]["body"]):
+                if not self._is_expected(expected[custom_id], result["response"]["body"]):
                     wrong.append(custom_id)
         wrong.extend(custom_id for custom_id in expected if seen.get(custom_id) != 1)
         return wrong
 
-    def _right(self, line: dict[str, Any], body: dict[str, Any]) -> bool:
+    def _is_expected(self, line: dict[str, Any], body: dict[str, Any]) -> bool:
         if line["method"] == "GET":
             return bool(body["path"].endswith(line["url"].rsplit("/", 1)[1]))
-        text = answer_text(line["custom_id"], self._words.batch_tokens)
+        text = answer_text(line["custom_id"], self._names.batch_tokens)
         return bool(body["choices"][0]["message"]["content"] == text)
 
     # ---- configuration ----
 
-    async def _change_parameter(self) -> None:
-        tenant, service = self._words.tenant, self._words.batch
+    async def _check_configuration_change(self) -> None:
+        tenant, service = self._names.tenant, self._names.batch
         value = f"office {uuid.uuid4().hex[:8]}"
         template = await self._template_of(service)
         deployment = {
@@ -273,7 +275,7 @@
         seen = [await self._parameter(url, service) for url in self.target.urls]
         kept = bool(answer["in_force"]) and all(found == value for found in seen)
         figure = f"revision {answer['revision']} on {len(seen)} nodes after {elapsed:.2f} s"
-        self._note("an accepted configuration is in force everywhere", kept, figure)
+        self._record("an accepted configuration is in force everywhere", kept, figure)
 
     async def _template_of(self, service: str) -> str:
         models = await self._call("GET", "/v1/models")
@@ -296,13 +298,13 @@
                 raise RuntimeError(f"{method} {path}: {response.status} {body}")
             return body
 
-    def _note(self, promise: str, kept: bool, figure: str) -> None:
-        self.checks.append(_Check(promise, kept, figure))
+    def _record(self, guarantee: str, passed: bool, details: str) -> None:
+        self.checks.append(_CheckResult(guarantee, passed, details))
 
-    def _report(self, seconds: float) -> None:
+    def _print_report(self, seconds: float) -> None:
         table = Table("promise", "kept", "figure", title=f"main job, {self.target.profile.value}")
         for check in self.checks:
-            table.add_row(check.promise, "yes" if check.kept else "NO", check.figure)
+            table.add_row(check.guarantee, "yes" if check.passed else "NO", check.details)
         console = Console(width=130)
         console.print(table)
         console.print(f"{len(self.target.urls)} nodes, {seconds:.1f} s")
--- a/src/wharfcart/experiments/process_fleet.py
+++ b/src/wharfcart/experiments/process_fleet.py
@@ -26,8 +26,8 @@
 from wharfcart.settings.schema import EmulatorSettings, ProxySettings
 
 EXIT_TIMEOUT_S = 30.0
-EMULATOR_PORTS = 64
-POLL_S = 0.05
+EMULATOR_PORT_COUNT = 64
+POLL_INTERVAL_S = 0.05
 
 
 @dataclass
@@ -37,9 +37,9 @@
     node_id: str
     zone: str
     url: str
-    cluster: str
-    advertised: str
-    settings: Path
+    cluster_address: str
+    advertised_address: str
+    settings_path: Path
     data_folder: Path | None
     process: "subprocess.Popen[bytes] | None" = None
 
@@ -87,11 +87,13 @@
         await self._wait_for_backends()
 
     async def _start_emulator(self) -> None:
-        first_port = free_ports(EMULATOR_PORTS)
+        first_port = free_ports(EMULATOR_PORT_COUNT)
         proxies = [
-            ProxySettings(name=node.node_id, listen=node.advertised, target=node.cluster)
+            ProxySettings(
+                name=node.node_id, listen=node.advertised_address, target=node.cluster_address
+            )
             for node in self.nodes
-            if node.advertised != node.cluster
+            if node.advertised_address != node.cluster_address
         ]
         settings = self._emulator_settings.model_copy(
             update={"first_port": first_port, "proxies": proxies}
@@ -101,10 +103,10 @@
         self.key_value = f"127.0.0.1:{first_port}"
         self.machine_list = f"http://127.0.0.1:{first_port + 1}/targets"
         self.proxy_control = f"127.0.0.1:{first_port + 3}"
-        self._emulator = self._run("emulator", path, "emulator")
+        self._emulator = self._start_process("emulator", path, "emulator")
         async with asyncio.timeout(EXIT_TIMEOUT_S), aiohttp.ClientSession() as session:
-            while not await _answers(session, self.machine_list):
-                await asyncio.sleep(POLL_S)
+            while not await _is_responding(session, self.machine_list):
+                await asyncio.sleep(POLL_INTERVAL_S)
 
     def _plan_nodes(self) -> None:
         zones = sorted({group.zone for group in self._emulator_settings.engines})
@@ -125,9 +127,9 @@
             self.nodes.append(node)
 
     def _write_settings(self) -> None:
-        seeds = [node.advertised for node in self.nodes[:STORAGE_NODES]]
+        seeds = [node.advertised_address for node in self.nodes[:STORAGE_NODES]]
         for node in self.nodes:
-            node.settings.write_text(self._node_toml(node, seeds), encoding="utf-8")
+            node.settings_path.write_text(self._node_toml(node, seeds), encoding="utf-8")
 
     def _node_toml(self, node: NodeProcess, seed_list: list[str]) -> str:
         seeds = ", ".join(f'"{seed}"' for seed in seed_list)
@@ -135,8 +137,8 @@
             f'node_id = "{node.node_id}"',
             f'zone = "{node.zone}"',
             f'listen = "{node.url.removeprefix("http://")}"',
-            f'cluster_listen = "{node.cluster}"',
-            f'cluster_advertise = "{node.advertised}"',
+            f'cluster_listen = "{node.cluster_address}"',
+            f'cluster_advertise = "{node.advertised_address}"',
             f"seeds = [{seeds}]",
             f'key_value = "{self.key_value}"',
             f'machine_list = "{self.machine_list}"',
@@ -149,9 +151,9 @@
 
     def start_node(self, node: NodeProcess) -> None:
         """Start a node, again if it ran before."""
-        node.process = self._run("node", node.settings, node.node_id)
+        node.process = self._start_process("node", node.settings_path, node.node_id)
 
-    def _run(self, command: str, settings: Path, name: str) -> "subprocess.Popen[bytes]":
+    def _start_process(self, command: str, settings: Path, name: str) -> "subprocess.Popen[bytes]":
         log = (self.folder / f"{name}.log").open("ab")
         arguments = [sys.executable, "-m", "wharfcart", command, "--settings", str(settings)]
         environment = {k: v for k, v in os.environ.items() if not k.startswith("WHARFCART_")}
@@ -163,7 +165,7 @@
         wanted += sum(group.count for group in self._emulator_settings.applications)
         async with asyncio.timeout(EXIT_TIMEOUT_S):
             while await self._owned_backends() < wanted:
-                await asyncio.sleep(POLL_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _owned_backends(self) -> int:
         status = await self.status()
@@ -218,7 +220,7 @@
 
     # ---- breaking ----
 
-    async def set_link(self, node: NodeProcess, **faults: object) -> None:
+    async def set_link_faults(self, node: NodeProcess, **faults: object) -> None:
         """Switch faults of the traffic towards a node of a proxied fleet."""
         url = f"http://{self.proxy_control}/control/proxies/{node.node_id}"
         async with (
@@ -236,7 +238,7 @@
         assert node.process is not None
         async with asyncio.timeout(EXIT_TIMEOUT_S):
             while node.process.poll() is None:
-                await asyncio.sleep(POLL_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
         return int(node.process.returncode)
 
     def stop(self) -> None:
@@ -253,7 +255,7 @@
         shutil.rmtree(self.folder, ignore_errors=True)
 
 
-async def _answers(session: aiohttp.ClientSession, url: str) -> bool:
+async def _is_responding(session: aiohttp.ClientSession, url: str) -> bool:
     try:
         async with session.get(url) as response:
             return response.status == 200 and bool(await response.json())
--- a/src/wharfcart/experiments/serving_fleet.py
+++ b/src/wharfcart/experiments/serving_fleet.py
@@ -28,11 +28,11 @@
 PLAIN_SERVICE = "app"
 START_TIMEOUT_S = 30.0
 STOP_TIMEOUT_S = 15.0
-POLL_S = 0.03
+POLL_INTERVAL_S = 0.03
 ZONES = ("a", "b", "c")
-MOST_SEEDS = 3
+MAX_SEEDS = 3
 # Longer than a gateway pauses between two listings.
-LISTING_S = 1.0
+LISTING_PAUSE_S = 1.0
 
 
 @dataclass
@@ -42,14 +42,14 @@
     role: str
     node_id: str
     folder: Path
-    settings: Path
+    settings_path: Path
     listen: str
-    readiness: str
+    readiness_listen: str
     cluster_listen: str
     process: "subprocess.Popen[bytes] | None" = None
 
     @property
-    def output(self) -> Path:
+    def log_path(self) -> Path:
         """File with what the process wrote to standard output."""
         return self.folder / f"{self.node_id}.log"
 
@@ -67,9 +67,9 @@
         self.store = MetadataStoreServer()
         self.stream_servers = [ModelServer(f"i-lm-{n}", 12, event_s) for n in range(3)]
         self.plain_servers = [ModelServer(f"i-app-{n}", 0, 0.02) for n in range(2)]
-        self.gateways = [self._plan("gateway", n) for n in range(gateways)]
-        self.stores = [self._plan("storage", n) for n in range(stores)]
-        self.version = 1
+        self.gateways = [self._make_node("gateway", n) for n in range(gateways)]
+        self.stores = [self._make_node("storage", n) for n in range(stores)]
+        self.configuration_version = 1
         self.tenants: list[dict[str, Any]] | None = None  # None where callers need no keys
         self.session: aiohttp.ClientSession
 
@@ -102,9 +102,12 @@
 
     def start_node(self, node: ServingNodeProcess) -> None:
         """Start a process."""
-        environment = {"PATH": os.environ.get("PATH", ""), "WHARFCART_SETTINGS": str(node.settings)}
-        environment |= self.environment_of(node)
-        with node.output.open("ab") as output:
+        environment = {
+            "PATH": os.environ.get("PATH", ""),
+            "WHARFCART_SETTINGS": str(node.settings_path),
+        }
+        environment |= self.extra_environment(node)
+        with node.log_path.open("ab") as output:
             node.process = subprocess.Popen(
                 [sys.executable, "-m", "wharfcart.node.process", node.role],
                 env=environment,
@@ -120,7 +123,7 @@
         if number is signal.SIGKILL:
             node.process.wait()
 
-    async def stopped(self, node: ServingNodeProcess) -> int:
+    async def wait_for_exit(self, node: ServingNodeProcess) -> int:
         """Wait for a process to end and return its exit code."""
         assert node.process is not None
         return await asyncio.to_thread(node.process.wait, STOP_TIMEOUT_S)
@@ -139,19 +142,19 @@
                     result = await result
                 if result:
                     return
-                await asyncio.sleep(POLL_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _all_ready(self) -> bool:
         if f"{GROUP_PREFIX}0" not in self.store.state.items:
             return False
         # A gateway that still lists the keys has found no peer to follow yet.
-        if any(self.store.listed_s_ago(node.node_id) < LISTING_S for node in self.gateways):
+        if any(self.store.listed_s_ago(node.node_id) < LISTING_PAUSE_S for node in self.gateways):
             return False
         return all([await self.is_ready(node) for node in self.gateways])
 
     async def is_ready(self, node: ServingNodeProcess) -> bool:
         """Whether a gateway calls itself ready."""
-        url = f"http://{node.readiness}{names.READINESS_PATH}"
+        url = f"http://{node.readiness_listen}{names.READINESS_PATH}"
         try:
             async with self.session.get(url) as response:
                 return response.status == 200
@@ -162,9 +165,9 @@
 
     def configuration(self, **added: dict[str, Any]) -> dict[str, Any]:
         """Return the example configuration with routes added, named like their prefixes."""
-        self.version += 3
+        self.configuration_version += 3
         return example_configuration(
-            self.version, HOST, STREAM_SERVICE, PLAIN_SERVICE, added, self.tenants
+            self.configuration_version, HOST, STREAM_SERVICE, PLAIN_SERVICE, added, self.tenants
         )
 
     async def put_configuration(self, configuration: dict[str, Any]) -> None:
@@ -210,17 +213,17 @@
         """Return the zone that a server is in."""
         return ZONES[0]
 
-    def settings_of(self, node: ServingNodeProcess) -> list[str]:
+    def extra_settings(self, node: ServingNodeProcess) -> list[str]:
         """Return further lines of a node's settings."""
         return []
 
-    def environment_of(self, node: ServingNodeProcess) -> dict[str, str]:
+    def extra_environment(self, node: ServingNodeProcess) -> dict[str, str]:
         """Return further variables of a node's process."""
         return {}
 
     # ---- inner ----
 
-    def _plan(self, role: str, number: int) -> ServingNodeProcess:
+    def _make_node(self, role: str, number: int) -> ServingNodeProcess:
         node_id = f"{role}-{number}"
         settings = self.folder / f"{node_id}.toml"
         return ServingNodeProcess(
@@ -235,20 +238,20 @@
 
     async def _write_settings(self, node: ServingNodeProcess) -> None:
         number = int(node.node_id.rpartition("-")[2])
-        seeds = ", ".join(f'"{gateway.cluster_listen}"' for gateway in self.gateways[:MOST_SEEDS])
+        seeds = ", ".join(f'"{gateway.cluster_listen}"' for gateway in self.gateways[:MAX_SEEDS])
         lines = [
             f'node_id = "{node.node_id}"',
             f'zone = "{ZONES[number % len(ZONES)]}"',
             f'coordination = "{await self.store.endpoint(node.node_id)}"',
             f'cluster_listen = "{node.cluster_listen}"',
-            *self.settings_of(node),
+            *self.extra_settings(node),
             f"seeds = [{seeds}]",
             "first_start = true",
             "stop_within_s = 8",
         ]
         if node.role == "gateway":
             lines.append(f'listen = "{node.listen}"')
-            lines.append(f'readiness_listen = "{node.readiness}"')
+            lines.append(f'readiness_listen = "{node.readiness_listen}"')
         else:
             lines.append(f'data_folder = "{node.data_folder}"')
-        node.settings.write_text("\n".join(lines) + "\n", encoding="utf-8")
+        node.settings_path.write_text("\n".join(lines) + "\n", encoding="utf-8")
--- a/src/wharfcart/soak/fleet.py
+++ b/src/wharfcart/soak/fleet.py
@@ -109,11 +109,11 @@
         for proxy in (*self.proxies_by_node.values(), *self.proxies_by_server.values()):
             await proxy.stop()
 
-    def settings_of(self, node: ServingNodeProcess) -> list[str]:
+    def extra_settings(self, node: ServingNodeProcess) -> list[str]:
         """Have peers reach the node through its proxy."""
         return [f'cluster_advertise = "{self._advertised_by_node[node.node_id]}"']
 
-    def environment_of(self, node: ServingNodeProcess) -> dict[str, str]:
+    def extra_environment(self, node: ServingNodeProcess) -> dict[str, str]:
         """Load the hooks for clock and disk."""
         path = [str(HOOKS_FOLDER), *(entry for entry in sys.path if entry)]
         return {
--- a/src/wharfcart/soak/run.py
+++ b/src/wharfcart/soak/run.py
@@ -186,8 +186,8 @@
         folder = self._keep / f"seed-{self.seed}"
         folder.mkdir(parents=True, exist_ok=True)
         for node in (*self._fleet.gateways, *self._fleet.stores):
-            if node.output.exists():
-                shutil.copy(node.output, folder)
+            if node.log_path.exists():
+                shutil.copy(node.log_path, folder)
         verdict = {
             "seed": self.seed,
             "load_s": self.load_s,
--- a/tests/integration/conftest.py
+++ b/tests/integration/conftest.py
@@ -18,7 +18,7 @@
 from wharfcart.emulator.engine_core import answer_text
 from wharfcart.experiments.dev_fleet import STORAGE_NODES
 from wharfcart.experiments.example_fleets import Profile
-from wharfcart.experiments.main_job import MainJob, Target
+from wharfcart.experiments.main_job import MainJob, TargetFleet
 from wharfcart.experiments.process_fleet import NodeProcess, ProcessFleet
 
 EFFECTS = 60
@@ -194,7 +194,7 @@
 
 async def _spoil_links(world: World) -> None:
     for node in world.fleet.nodes:
-        await world.fleet.set_link(
+        await world.fleet.set_link_faults(
             node, datagram_loss=0.1, datagram_repeat=0.1, delay_seconds=0.005
         )
 
@@ -204,7 +204,7 @@
     async def break_connections(victim: NodeProcess) -> None:
         await _spoil_links(world)
         for node in world.fleet.nodes:
-            await world.fleet.set_link(
+            await world.fleet.set_link_faults(
                 node, datagram_loss=0.1, datagram_repeat=0.1, broken_connections=4
             )
 
@@ -217,7 +217,7 @@
         await _spoil_links(world)
         await _with_batch(world)
         for node in world.fleet.nodes:
-            await world.fleet.set_link(
+            await world.fleet.set_link_faults(
                 node, datagram_loss=0.1, delay_seconds=0.005, broken_connections=4
             )
 
@@ -227,7 +227,7 @@
 @when("effects are resent through all nodes while the busiest leader is cut off")
 def effects_and_cut(world: World) -> None:
     async def cut(victim: NodeProcess) -> None:
-        await world.fleet.set_link(victim, cut=True)
+        await world.fleet.set_link_faults(victim, cut=True)
         other = next(node for node in world.fleet.nodes if node is not victim)
 
         async def replaced() -> bool:
@@ -237,7 +237,7 @@
             return not seen.get(victim.node_id, False) and led == world.fleet.shards
 
         await until(replaced)
-        await world.fleet.set_link(victim, cut=False)
+        await world.fleet.set_link_faults(victim, cut=False)
 
     _run_effects(world, cut)
 
@@ -647,7 +647,7 @@
 
 @when("the main job runs")
 def main_job(world: World) -> None:
-    target = Target(world.fleet.urls, world.fleet.admin_key, world.fleet.profile)
+    target = TargetFleet(world.fleet.urls, world.fleet.admin_key, world.fleet.profile)
     world.passed = run(MainJob(target, 5000).run())
 
 
--- a/tests/integration/test_fatal_requests.py
+++ b/tests/integration/test_fatal_requests.py
@@ -59,7 +59,7 @@
         """Whether each gateway knows every back end that lives, and none has still to come."""
         if self._replacing:
             return False
-        outputs = [gateway.output.read_text() for gateway in self.gateways]
+        outputs = [gateway.log_path.read_text() for gateway in self.gateways]
         living = [*self.stream_servers, *self.plain_servers]
         return all(server.instance_id in output for server in living for output in outputs)
 
@@ -72,7 +72,7 @@
             del servers[1:]
 
         async def others_are_gone() -> bool:
-            outputs = [gateway.output.read_text() for gateway in self.gateways]
+            outputs = [gateway.log_path.read_text() for gateway in self.gateways]
             return all("backend_gone" in output for output in outputs)
 
         await self.until(others_are_gone, 10.0)
@@ -123,7 +123,7 @@
         """Whether each gateway knows every start again, and none has still to come."""
         if self._replacing:
             return False
-        outputs = [gateway.output.read_text() for gateway in self.gateways]
+        outputs = [gateway.log_path.read_text() for gateway in self.gateways]
         return all(output.count("backend_restarted") >= len(self.ended) for output in outputs)
 
     async def _replace(self, server: ModelServer) -> None:
@@ -198,7 +198,7 @@
         await fleet.ask_again_and_again("/chat/x")
         for gateway in fleet.gateways:
             fleet.signal(gateway, signal.SIGKILL)
-            gateway.output.unlink()
+            gateway.log_path.unlink()
             fleet.start_node(gateway)
         for gateway in fleet.gateways:
             await fleet.until(lambda gateway=gateway: fleet.is_ready(gateway), 10.0)
@@ -258,7 +258,7 @@
         await fleet.until(others_are_done, 20.0)
         await asyncio.sleep(2.0)
         leader = min(
-            fleet.stores, key=lambda node: "leadership_taken" not in node.output.read_text()
+            fleet.stores, key=lambda node: "leadership_taken" not in node.log_path.read_text()
         )
         fleet.signal(leader, signal.SIGKILL)
         await asyncio.sleep(4.0)
--- a/tests/integration/test_operations.py
+++ b/tests/integration/test_operations.py
@@ -14,7 +14,7 @@
 
 async def explained(fleet: ServingFleet, wanted: str) -> str:
     """Run the page's command until the logs are written."""
-    logs = [str(node.output) for node in (*fleet.gateways, *fleet.stores)]
+    logs = [str(node.log_path) for node in (*fleet.gateways, *fleet.stores)]
     command = [sys.executable, "-m", "wharfcart", "explain", wanted, *logs]
     for _ in range(20):
         ended = await asyncio.to_thread(subprocess.run, command, capture_output=True, text=True)
--- a/tests/integration/test_residence.py
+++ b/tests/integration/test_residence.py
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         super().__init__(gateways=3, stores=6)
 
-    def settings_of(self, node: ServingNodeProcess) -> list[str]:
+    def extra_settings(self, node: ServingNodeProcess) -> list[str]:
         """Return the regions of the zones."""
         regions = ", ".join(f'{zone} = "{region}"' for zone, region in REGIONS.items())
         return [f"regions_by_zone = {{ {regions} }}"]
--- a/tests/integration/test_serving_fleet.py
+++ b/tests/integration/test_serving_fleet.py
@@ -280,7 +280,7 @@
             status, body, _ = await task
             assert (status, body) == (200, whole_stream(f"r{number}"))
         assert not await fleet.is_ready(fleet.gateways[0])
-        assert await fleet.stopped(fleet.gateways[0]) == 0
+        assert await fleet.wait_for_exit(fleet.gateways[0]) == 0
 
     play(scenario, event_s=0.15)
 
@@ -290,7 +290,7 @@
         assert await submit(fleet, "job1", 8) == 202
         await asyncio.sleep(1.2)
         leader = min(
-            fleet.stores, key=lambda node: "leadership_taken" not in node.output.read_text()
+            fleet.stores, key=lambda node: "leadership_taken" not in node.log_path.read_text()
         )
         fleet.signal(leader, signal.SIGKILL)
         results = await all_results(fleet, "job1", 8)
@@ -305,7 +305,7 @@
     async def scenario(fleet: ServingFleet) -> None:
         assert await submit(fleet, "job1", 4) == 202
         leader = min(
-            fleet.stores, key=lambda node: "leadership_taken" not in node.output.read_text()
+            fleet.stores, key=lambda node: "leadership_taken" not in node.log_path.read_text()
         )
         fleet.signal(leader, signal.SIGKILL)
         shutil.rmtree(leader.data_folder)
