--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-PLAYS_AT_ONCE = 4
+MAX_CONCURRENT_RUNS = 4
 SOURCES = "src/wharfcart"
 
 
@@ -28,8 +28,8 @@
 
     name: str
     file: str
-    line: str
-    replaced_by: str
+    original: str
+    replacement: str
 
 
 ABLATIONS = (
@@ -131,12 +131,12 @@
     for ablation in ABLATIONS:
         if wanted and ablation.name not in wanted:
             continue
-        clone = prepare(options.work, ablation)
-        print(row(ablation, clone, options.bench.resolve(), options.site.resolve(), plays))
+        clone = prepare_clone(options.work, ablation)
+        print(run_ablation(ablation, clone, options.bench.resolve(), options.site.resolve(), plays))
         sys.stdout.flush()
 
 
-def prepare(work: Path, ablation: Ablation) -> Path:
+def prepare_clone(work: Path, ablation: Ablation) -> Path:
     """Make a clone of the repository in which a mechanism is off."""
     clone = work / ablation.name.replace(" ", "-")
     shutil.rmtree(clone, ignore_errors=True)
@@ -146,13 +146,13 @@
         shutil.copytree(built, clone / "target" / "deps")
     path = clone / SOURCES / ablation.file
     text = path.read_text()
-    if text.count(ablation.line) != 1:
+    if text.count(ablation.original) != 1:
         sys.exit(f"{ablation.name}: {ablation.file} does not hold the line once")
-    path.write_text(text.replace(ablation.line, ablation.replaced_by))
+    path.write_text(text.replace(ablation.original, ablation.replacement))
     return clone
 
 
-def row(
+def run_ablation(
     ablation: Ablation, clone: Path, bench: Path, site: Path, plays: list[tuple[str, str]]
 ) -> str:
     """Play the days in a clone and return its line of the table."""
@@ -165,9 +165,9 @@
 
     # The first play builds; the others find it built.
     outputs = [play(*plays[0])]
-    with ThreadPoolExecutor(PLAYS_AT_ONCE) as pool:
+    with ThreadPoolExecutor(MAX_CONCURRENT_RUNS) as pool:
         outputs += pool.map(lambda one: play(*one), plays[1:])
-    found = [worth_of(output) for output in outputs]
+    found = [parse_worth(output) for output in outputs]
     known = [worth for worth in found if worth is not None]
     mean = sum(known) / len(known) if known else 0.0
     broken = [rule for output in outputs for rule in re.findall(r"BROKEN: ([A-Z]+ \d+)", output)]
@@ -175,7 +175,7 @@
     return f"{ablation.name} | {worths} | {mean:.3f} | {', '.join(broken)}"
 
 
-def worth_of(output: str) -> float | None:
+def parse_worth(output: str) -> float | None:
     """Read a day's worth from what the bench prints."""
     found = re.search(r"^worth (\d\.\d+)", output, re.MULTILINE)
     return None if found is None else float(found[1])
--- a/benchmarks/capacity_slopes.py
+++ b/benchmarks/capacity_slopes.py
@@ -34,11 +34,11 @@
 SERVERS = 1100
 TENANTS = 270
 DEPLOYMENTS = 8000
-JOBS_A_SHARD = 94  # 2,800 over 30 shards
-ITEMS_A_JOB = 5000
+JOBS_PER_SHARD = 94  # 2,800 over 30 shards
+ITEMS_PER_JOB = 5000
 
 
-def measured_memory(make: Callable[[], object]) -> tuple[object, int]:
+def measure_memory(make: Callable[[], object]) -> tuple[object, int]:
     gc.collect()
     tracemalloc.start()
     made = make()
@@ -47,7 +47,7 @@
     return made, size
 
 
-def seconds_each(work: Callable[[], object], times: int) -> float:
+def measure_cpu_s(work: Callable[[], object], times: int) -> float:
     begun = time.process_time()
     for _ in range(times):
         work()
@@ -70,9 +70,9 @@
             router.put_backend(backend, 0.0)
         return router
 
-    router, memory = measured_memory(make)
+    router, memory = measure_memory(make)
     assert isinstance(router, Router)
-    choose = seconds_each(
+    choose = measure_cpu_s(
         lambda: router.choose("model-1", f"t{random.randrange(TENANTS)}/x", 1.0, "prefix"), 2000
     )
     return {"router_memory_bytes": memory, "router_choose_seconds": choose}
@@ -95,9 +95,9 @@
         index.update(spread.values())
         return index, spread
 
-    (index, spread), memory = measured_memory(make)  # type: ignore[misc]
+    (index, spread), memory = measure_memory(make)  # type: ignore[misc]
     change = next(iter(spread.values()))
-    update = seconds_each(lambda: index.update([change]), 200)
+    update = measure_cpu_s(lambda: index.update([change]), 200)
     return {
         "configuration_entries": len(spread),
         "configuration_memory_bytes": memory,
@@ -108,20 +108,20 @@
 def scheduler_figures() -> dict[str, float]:
     def make() -> ShardState:
         state = ShardState()
-        for number in range(JOBS_A_SHARD):
+        for number in range(JOBS_PER_SHARD):
             create = JobCreate(job_id=f"job-{number}", tenant=f"t{number % 40}", deadline_ms=number)
-            record = JobRecord(create=create, rows=ITEMS_A_JOB, service_names=["s"])
-            job = BatchJob(record, bytearray(ITEMS_A_JOB), bytes(ITEMS_A_JOB))
+            record = JobRecord(create=create, rows=ITEMS_PER_JOB, service_names=["s"])
+            job = BatchJob(record, bytearray(ITEMS_PER_JOB), bytes(ITEMS_PER_JOB))
             state.jobs[f"job-{number}"] = job
         return state
 
-    state, memory = measured_memory(make)
+    state, memory = measure_memory(make)
     assert isinstance(state, ShardState)
     scheduler = LeaseScheduler(state, lambda tenant: 1.0, lambda tenant, service: "model")
-    choose = seconds_each(lambda: scheduler.choose({"model"}, 64), 500)
+    choose = measure_cpu_s(lambda: scheduler.choose({"model"}, 64), 500)
     return {
-        "scheduler_jobs": JOBS_A_SHARD,
-        "scheduler_memory_bytes_per_item": memory / (JOBS_A_SHARD * ITEMS_A_JOB),
+        "scheduler_jobs": JOBS_PER_SHARD,
+        "scheduler_memory_bytes_per_item": memory / (JOBS_PER_SHARD * ITEMS_PER_JOB),
         "scheduler_choose_seconds": choose,
     }
 
--- a/benchmarks/fault_soak.py
+++ b/benchmarks/fault_soak.py
@@ -6,7 +6,7 @@
 import tomllib
 from pathlib import Path
 
-KEPT = Path(__file__).parent.parent / "tests" / "soak" / "kept_seeds.toml"
+KEPT_SEEDS_PATH = Path(__file__).parent.parent / "tests" / "soak" / "kept_seeds.toml"
 COMMAND = (sys.executable, "-m", "wharfcart", "soak")
 
 
@@ -17,7 +17,7 @@
     arguments = parser.parse_args()
     runs = [
         ["--seed", str(kept["seed"]), "--load-s", str(kept["load_s"])]
-        for kept in tomllib.loads(KEPT.read_text())["seed"]
+        for kept in tomllib.loads(KEPT_SEEDS_PATH.read_text())["seed"]
     ]
     if arguments.fresh:
         runs.append(["--seeds", str(arguments.fresh), "--load-s", str(arguments.load_s)])
--- a/benchmarks/gateway_latency.py
+++ b/benchmarks/gateway_latency.py
@@ -15,14 +15,14 @@
 from wharfcart.experiments.example_fleets import Profile
 from wharfcart.experiments.process_fleet import NodeProcess, ProcessFleet
 
-RATE = 200
-SECONDS = 8
-FLOOD_SECONDS = 4
-FLOOD_AT_ONCE = 64
-KEY = {"Authorization": "Bearer registry-office-key"}
+REQUESTS_PER_SECOND = 200
+DURATION_S = 8
+FLOOD_DURATION_S = 4
+FLOOD_CONCURRENCY = 64
+AUTHORIZATION = {"Authorization": "Bearer registry-office-key"}
 
 
-async def choose_path(fleet: ProcessFleet) -> tuple[str, NodeProcess]:
+async def choose_backend_and_gateway(fleet: ProcessFleet) -> tuple[str, NodeProcess]:
     """Return an application server's address and a node of its zone that does not own it."""
     async with aiohttp.ClientSession() as session, session.get(fleet.machine_list) as response:
         groups = await response.json()
@@ -46,7 +46,7 @@
 async def stream_tokens(fleet: ProcessFleet, gateway: NodeProcess) -> tuple[int, float]:
     """Stream answers for a while; return tokens and processor seconds of all nodes together."""
     tokens = 0
-    end = time.perf_counter() + FLOOD_SECONDS
+    end = time.perf_counter() + FLOOD_DURATION_S
     before = sum(cpu_seconds(node) for node in fleet.nodes)
 
     async def worker(session: aiohttp.ClientSession, number: int) -> None:
@@ -58,17 +58,17 @@
                 "messages": [{"role": "user", "content": f"{number} {tokens}"}],
             }
             url = f"{gateway.url}/v1/chat/completions"
-            async with session.post(url, json=body, headers=KEY) as response:
+            async with session.post(url, json=body, headers=AUTHORIZATION) as response:
                 async for line in response.content:
                     tokens += line.startswith(b"data: {")
 
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
-        await asyncio.gather(*(worker(session, number) for number in range(FLOOD_AT_ONCE)))
+        await asyncio.gather(*(worker(session, number) for number in range(FLOOD_CONCURRENCY)))
     return tokens, sum(cpu_seconds(node) for node in fleet.nodes) - before
 
 
-async def timed(session: aiohttp.ClientSession, url: str, headers: dict[str, str]) -> float:
+async def timed_get(session: aiohttp.ClientSession, url: str, headers: dict[str, str]) -> float:
     begun = time.perf_counter()
     async with session.get(url, headers=headers) as response:
         await response.read()
@@ -76,8 +76,8 @@
     return time.perf_counter() - begun
 
 
-async def paced(
-    session: aiohttp.ClientSession, gateway: NodeProcess, bare: str
+async def measure_latency(
+    session: aiohttp.ClientSession, gateway: NodeProcess, backend: str
 ) -> tuple[list[float], list[float]]:
     """Send at a fixed rate, in turn to the bare back end and through a node."""
     direct: list[float] = []
@@ -86,14 +86,14 @@
 
     async def one(number: int) -> None:
         if number % 2:
-            direct.append(await timed(session, f"http://{bare}/status/{number}", {}))
+            direct.append(await timed_get(session, f"http://{backend}/status/{number}", {}))
         else:
             url = f"{gateway.url}/v1/services/status/{number}"
-            through.append(await timed(session, url, KEY))
+            through.append(await timed_get(session, url, AUTHORIZATION))
 
     begun = time.perf_counter()
-    for number in range(RATE * 2 * SECONDS):
-        wait = begun + number / (RATE * 2) - time.perf_counter()
+    for number in range(REQUESTS_PER_SECOND * 2 * DURATION_S):
+        wait = begun + number / (REQUESTS_PER_SECOND * 2) - time.perf_counter()
         if wait > 0:
             await asyncio.sleep(wait)
         tasks.append(asyncio.create_task(one(number)))
@@ -112,22 +112,22 @@
     return (int(fields[11]) + int(fields[12])) / 100
 
 
-async def flood(session: aiohttp.ClientSession, gateway: NodeProcess) -> float:
+async def measure_throughput(session: aiohttp.ClientSession, gateway: NodeProcess) -> float:
     """Return requests a second through one node, as fast as it goes."""
     done = 0
-    end = time.perf_counter() + FLOOD_SECONDS
+    end = time.perf_counter() + FLOOD_DURATION_S
 
     async def worker(number: int) -> None:
         nonlocal done
         while time.perf_counter() < end:
             async with session.get(
-                f"{gateway.url}/v1/services/status/{number}", headers=KEY
+                f"{gateway.url}/v1/services/status/{number}", headers=AUTHORIZATION
             ) as response:
                 await response.read()
                 done += response.status == 200
 
-    await asyncio.gather(*(worker(number) for number in range(FLOOD_AT_ONCE)))
-    return done / FLOOD_SECONDS
+    await asyncio.gather(*(worker(number) for number in range(FLOOD_CONCURRENCY)))
+    return done / FLOOD_DURATION_S
 
 
 def percentile(values: list[float], percent: float) -> float:
@@ -147,17 +147,17 @@
         await asyncio.sleep(5)
         idle_cpu = (cpu_seconds(fleet.nodes[3]) - idle_cpu) / 5 * 100
         idle = {node.node_id: resident_megabytes(node) for node in fleet.nodes}
-        bare, gateway = await choose_path(fleet)
+        bare, gateway = await choose_backend_and_gateway(fleet)
         connector = aiohttp.TCPConnector(limit=0)
         async with aiohttp.ClientSession(connector=connector) as session:
-            direct, through = await paced(session, gateway, bare)
+            direct, through = await measure_latency(session, gateway, bare)
             cpu = cpu_seconds(gateway)
-            per_second = await flood(session, gateway)
-            cpu = (cpu_seconds(gateway) - cpu) / (per_second * FLOOD_SECONDS)
+            per_second = await measure_throughput(session, gateway)
+            cpu = (cpu_seconds(gateway) - cpu) / (per_second * FLOOD_DURATION_S)
         tokens, token_cpu = await stream_tokens(fleet, gateway)
         figures = {
             "benchmark": "gateway_latency",
-            "rate_per_second": RATE,
+            "rate_per_second": REQUESTS_PER_SECOND,
             "bare_p50_ms": percentile(direct, 50),
             "bare_p99_ms": percentile(direct, 99),
             "through_p50_ms": percentile(through, 50),
@@ -166,7 +166,7 @@
             "added_p99_ms": round(percentile(through, 99) - percentile(direct, 99), 2),
             "requests_per_second_one_node": round(per_second),
             "gateway_cpu_microseconds_per_request": round(cpu * 1e6),
-            "streamed_tokens_per_second": round(tokens / FLOOD_SECONDS),
+            "streamed_tokens_per_second": round(tokens / FLOOD_DURATION_S),
             "cpu_microseconds_per_streamed_token_all_nodes": round(token_cpu / tokens * 1e6, 1),
             "idle_cpu_percent": round(idle_cpu, 2),
             "idle_megabytes": idle,
--- a/benchmarks/granting.py
+++ b/benchmarks/granting.py
@@ -25,14 +25,14 @@
 def measure() -> dict[str, float]:
     """Return microseconds an event by state."""
     return {
-        "calm": _play(share_taken=0.3, items=0, waiting=0),
-        "items_everywhere": _play(share_taken=0.5, items=120, waiting=0),
-        "full_with_items": _play(share_taken=1.0, items=60, waiting=0),
-        "overloaded": _play(share_taken=1.0, items=0, waiting=60),
+        "calm": _measure_event_us(used_share=0.3, items=0, queued_requests=0),
+        "items_everywhere": _measure_event_us(used_share=0.5, items=120, queued_requests=0),
+        "full_with_items": _measure_event_us(used_share=1.0, items=60, queued_requests=0),
+        "overloaded": _measure_event_us(used_share=1.0, items=0, queued_requests=60),
     }
 
 
-def _play(share_taken: float, items: int, waiting: int) -> float:
+def _measure_event_us(used_share: float, items: int, queued_requests: int) -> float:
     from wharfcart.configuration.instances import BackendInstance
     from wharfcart.routing.backend_selection import BackendSelector
     from wharfcart.slots.events import (
@@ -79,9 +79,9 @@
     if items:
         told = ItemsWaiting(leader, SERVICE, items, 0, Urgency(15.0, 3.0))
         take(granter.handle(told, now))
-    while len(held) < SERVERS * SLOTS * share_taken - items:
+    while len(held) < SERVERS * SLOTS * used_share - items:
         ask()
-    for _ in range(waiting):
+    for _ in range(queued_requests):
         ask()
     began = perf_counter()
     for n in range(EVENTS):
--- a/benchmarks/journal_throughput.py
+++ b/benchmarks/journal_throughput.py
@@ -29,14 +29,14 @@
 from wharfcart.storage.journal_database import Database
 
 RESULT_BYTES = 1000
-ITEMS_AN_ENTRY = 64
+ITEMS_PER_ENTRY = 64
 IN_FLIGHT = 24
-SECONDS = 6.0
-LARGE_JOB = 690_000
+DURATION_S = 6.0
+LARGE_JOB_ITEMS = 690_000
 LINE = b"x" * 200
 
 
-class Cluster:
+class InProcessCluster:
     def __init__(self, folder: Path) -> None:
         self.journals: dict[str, Journal] = {}
         self.folder = folder
@@ -69,7 +69,7 @@
             await journal.stop()
 
 
-def baseline(folder: Path) -> float:
+def measure_sqlite_baseline(folder: Path) -> float:
     connection = sqlite3.connect(folder / "single.sqlite", isolation_level=None)
     connection.execute("pragma locking_mode=exclusive")
     connection.execute("pragma journal_mode=wal")
@@ -77,18 +77,18 @@
     connection.execute("create table result (id integer primary key, value blob)")
     value = b"r" * RESULT_BYTES
     begun, rows = time.perf_counter(), 0
-    while time.perf_counter() - begun < SECONDS / 2:
+    while time.perf_counter() - begun < DURATION_S / 2:
         connection.execute("begin")
         connection.executemany(
             "insert into result values (?, ?)",
-            [(rows + offset, value) for offset in range(ITEMS_AN_ENTRY)],
+            [(rows + offset, value) for offset in range(ITEMS_PER_ENTRY)],
         )
         connection.execute("commit")
-        rows += ITEMS_AN_ENTRY
+        rows += ITEMS_PER_ENTRY
     return rows / (time.perf_counter() - begun)
 
 
-async def make_job(leader: Journal, name: str, rows: int) -> None:
+async def create_job(leader: Journal, name: str, rows: int) -> None:
     for first in range(0, rows, 5000):
         count = min(5000, rows - first)
         append = FileAppend(
@@ -111,13 +111,13 @@
     body = b"r" * RESULT_BYTES
     next_row = 0
     rounds: list[float] = []
-    end = time.perf_counter() + SECONDS
+    end = time.perf_counter() + DURATION_S
 
     async def worker() -> None:
         nonlocal next_row
-        while time.perf_counter() < end and next_row + ITEMS_AN_ENTRY <= rows:
-            first, next_row = next_row, next_row + ITEMS_AN_ENTRY
-            results = [ItemResult(row=first + n, body=body) for n in range(ITEMS_AN_ENTRY)]
+        while time.perf_counter() < end and next_row + ITEMS_PER_ENTRY <= rows:
+            first, next_row = next_row, next_row + ITEMS_PER_ENTRY
+            results = [ItemResult(row=first + n, body=body) for n in range(ITEMS_PER_ENTRY)]
             complete = ItemsComplete(job_id=job_id, results=results)
             begun = time.perf_counter()
             await leader.propose(0, Command(at_ms=1, items_complete=complete))
@@ -127,7 +127,7 @@
     return next_row, sorted(rounds)
 
 
-async def single_rounds(leader: Journal) -> list[float]:
+async def sequential_rounds(leader: Journal) -> list[float]:
     """Rounds of one small entry at a time: what a request that runs at most once pays."""
     rounds = []
     for number in range(300):
@@ -148,19 +148,19 @@
 async def main() -> None:
     folder = Path(tempfile.mkdtemp(prefix="wharfcart-bench-"))
     try:
-        single = await asyncio.to_thread(baseline, folder)
-        cluster = Cluster(folder)
+        single = await asyncio.to_thread(measure_sqlite_baseline, folder)
+        cluster = InProcessCluster(folder)
         leader = await cluster.start()
-        await make_job(leader, "small", 300)
-        alone = await single_rounds(leader)
-        await make_job(leader, "bench", 200_000)
+        await create_job(leader, "small", 300)
+        alone = await sequential_rounds(leader)
+        await create_job(leader, "bench", 200_000)
         before = sum(p.stat().st_size for p in folder.glob("n*/*"))
         cpu_begun, begun = time.process_time(), time.perf_counter()
         items, rounds = await complete_items(leader, "job-bench", 200_000)
         seconds, cpu = time.perf_counter() - begun, time.process_time() - cpu_begun
         after = sum(p.stat().st_size for p in folder.glob("n*/*"))
         memory = resident_bytes()
-        await make_job(leader, "large", LARGE_JOB)
+        await create_job(leader, "large", LARGE_JOB_ITEMS)
         growth = resident_bytes() - memory
         figures = {
             "benchmark": "journal_throughput",
--- a/benchmarks/leader_failover.py
+++ b/benchmarks/leader_failover.py
@@ -8,7 +8,7 @@
 from wharfcart.experiments.journal_simulation import FaultPlan, JournalSimulation
 
 SEEDS = 300
-QUIET = FaultPlan(
+NO_FAULTS = FaultPlan(
     crash_rate=0,
     pause_rate=0,
     partition_rate=0,
@@ -18,20 +18,20 @@
 )
 KILL_AT_S = 6.0
 STEP_S = 0.01
-LONGEST_S = 10.0
+MAX_WAIT_S = 10.0
 
 
 def seconds_without_leader(seed: int) -> float:
-    simulation = JournalSimulation(seed, QUIET)
+    simulation = JournalSimulation(seed, NO_FAULTS)
     simulation.run_until(KILL_AT_S)
     leader = next(m for m in simulation.machines if m.shard is not None and m.shard.is_leader)
     simulation.crash(leader)
-    while simulation.now < KILL_AT_S + LONGEST_S:
+    while simulation.now < KILL_AT_S + MAX_WAIT_S:
         simulation.run_until(simulation.now + STEP_S)
         shards = [m.shard for m in simulation.machines if m.shard is not None]
         if any(shard.replica.lease_valid(simulation.now) for shard in shards):
             return simulation.now - KILL_AT_S
-    return LONGEST_S
+    return MAX_WAIT_S
 
 
 def main() -> None:
--- a/benchmarks/trouble_matrix.py
+++ b/benchmarks/trouble_matrix.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 # name | kind | fields; LM and APP stand for the site's two services.
-TROUBLES = """
+FAULTS = """
 burst | burst | x=2.0 for_s=5.0
 crash | srv_crash | service=LM share=0.3 for_s=4.0
 dark | srv_crash | service=LM share=0.2 for_s=4.0 how=dark
@@ -154,15 +154,15 @@
 
 def make_days(services: tuple[str, str], randomness: random.Random, pairs: int, only: str):
     """Yield the text of each day."""
-    kinds = read_kinds(TROUBLES, "faults") | read_kinds(PLANS, "plan")
+    kinds = read_kinds(FAULTS, "faults") | read_kinds(PLANS, "plan")
     chosen = [name for name in kinds if not only or name in only.split(",")]
     if not pairs:
         for name in chosen:
-            yield day(name, [kinds[name]], services, randomness)
+            yield render_day(name, [kinds[name]], services, randomness)
     for number in range(pairs):
         names = randomness.sample(chosen, 3)
         entries = [kinds[name] for name in names]
-        yield day(f"{number}-" + "+".join(names), entries, services, randomness)
+        yield render_day(f"{number}-" + "+".join(names), entries, services, randomness)
 
 
 def read_kinds(table: str, part: str) -> dict[str, tuple[str, str, str]]:
@@ -174,7 +174,7 @@
     return kinds
 
 
-def entry_text(kind: str, fields: str, services: tuple[str, str], at: float) -> str:
+def render_entry(kind: str, fields: str, services: tuple[str, str], at: float) -> str:
     """Write one entry of a day."""
     cells = [f'kind = "{kind}"', f"at = {at:.2f}"]
     for field in fields.split():
@@ -185,12 +185,14 @@
     return "{ " + ", ".join(cells) + " }"
 
 
-def day(name: str, entries: list, services: tuple[str, str], randomness: random.Random) -> str:
+def render_day(
+    name: str, entries: list, services: tuple[str, str], randomness: random.Random
+) -> str:
     parts: dict[str, list[str]] = {"faults": [], "plan": []}
     for kind, fields, part in entries:
         for _ in range(2):  # each trouble comes twice
             at = randomness.uniform(1.0, 28.0)
-            parts[part].append(entry_text(kind, fields, services, at))
+            parts[part].append(render_entry(kind, fields, services, at))
     closing = randomness.choice(CLOSINGS)
     return "\n".join(
         [
