--- a/src/wharfcart/soak/fleet.py
+++ b/src/wharfcart/soak/fleet.py
@@ -221,12 +221,12 @@
         if server.instance_id not in self._address_by_server:
             await self._add_server_proxy(server)
             server.fatal_bodies = self._fatal_bodies
-            server.on_end = self._note_end
+            server.on_end = self._record_crash
         await super().announce(server, service, state)
 
     # -- inner ---------------------------------------------------------
 
-    def _note_end(self, server: ModelServer, body: bytes) -> None:
+    def _record_crash(self, server: ModelServer, body: bytes) -> None:
         """Take a back end that a request has ended off the net; another one comes."""
         self.ends_by_body[body] += 1
         self._replacements.spawn(self._replace_ended(server))
--- a/tests/experiments/test_waves.py
+++ b/tests/experiments/test_waves.py
@@ -24,7 +24,7 @@
     assert outcome.online_in_time_share(LOAD.objective_s) < 0.9
 
 
-def test_in_overload_those_are_served_in_time_that_can_be() -> None:
+def test_overload_serves_feasible_requests_in_time() -> None:
     load = WaveLoad(duration_s=8.0, job_deadline_s=6.0, servers=4)
     capacity = load.servers * load.slots / (load.online_events * 0.018 + 0.04)
     overload = load.online_requests_per_s * load.high_factor / capacity
@@ -33,7 +33,7 @@
     assert outcome.online_in_time_share(load.objective_s) > 0.8 / overload
 
 
-def test_where_more_items_come_than_fit_slots_go_to_those_that_can_be_in_time() -> None:
+def test_batch_overload_prefers_items_that_can_meet_their_deadline() -> None:
     """Items wait ever longer; run until each is nearly late, they all came late, one by one."""
     load = WaveLoad(duration_s=24.0, jobs_per_s=1.3)
     outcome = simulate(Policy.GRANTS, load, 1)
@@ -45,9 +45,9 @@
 def test_old_jobs_after_a_loss_of_power_do_not_make_the_later_ones_late() -> None:
     load = WaveLoad(duration_s=10.0, servers=10, backlog_jobs=8)
     outcome = simulate(Policy.GRANTS, load, 1)
-    too_old = sum(due_s < 5.0 for due_s in _due_of_old(load)) * 1.3 * load.job_items
+    too_old = sum(due_s < 5.0 for due_s in _backlog_deadlines_s(load)) * 1.3 * load.job_items
     assert outcome.items - outcome.items_in_time <= too_old
 
 
-def _due_of_old(load: WaveLoad) -> list[float]:
+def _backlog_deadlines_s(load: WaveLoad) -> list[float]:
     return [load.job_deadline_s * (1 - n / load.backlog_jobs) for n in range(load.backlog_jobs)]
--- a/tests/integration/conftest.py
+++ b/tests/integration/conftest.py
@@ -25,8 +25,8 @@
 BATCH_ITEMS = 1500
 EACH_DISK_ITEMS = 50
 FREEZE_S = 4.0
-WAIT_S = 30.0
-POLL_S = 0.1
+WAIT_TIMEOUT_S = 30.0
+POLL_INTERVAL_S = 0.1
 
 _Value = TypeVar("_Value")
 
@@ -77,9 +77,9 @@
 
 async def until(condition: Any) -> None:
     """Wait until an async condition holds."""
-    async with asyncio.timeout(WAIT_S):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not await condition():
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
 async def busiest_leader(fleet: ProcessFleet, url: str | None = None) -> NodeProcess:
@@ -192,7 +192,7 @@
     _run_effects(world, freeze)
 
 
-async def _spoil_links(world: World) -> None:
+async def _degrade_links(world: World) -> None:
     for node in world.fleet.nodes:
         await world.fleet.set_link_faults(
             node, datagram_loss=0.1, datagram_repeat=0.1, delay_seconds=0.005
@@ -202,7 +202,7 @@
 @when("every link is bad and effects are resent through all nodes")
 def effects_over_bad_links(world: World) -> None:
     async def break_connections(victim: NodeProcess) -> None:
-        await _spoil_links(world)
+        await _degrade_links(world)
         for node in world.fleet.nodes:
             await world.fleet.set_link_faults(
                 node, datagram_loss=0.1, datagram_repeat=0.1, broken_connections=4
@@ -214,8 +214,8 @@
 @when("every link is bad and a batch job runs")
 def job_over_bad_links(world: World) -> None:
     async def disturb() -> None:
-        await _spoil_links(world)
-        await _with_batch(world)
+        await _degrade_links(world)
+        await _wait_for_busy_node(world)
         for node in world.fleet.nodes:
             await world.fleet.set_link_faults(
                 node, datagram_loss=0.1, delay_seconds=0.005, broken_connections=4
@@ -312,7 +312,7 @@
     run(scenario())
 
 
-async def _with_batch(world: World) -> NodeProcess:
+async def _wait_for_busy_node(world: World) -> NodeProcess:
     """Wait until nodes run batch items; return the one with most."""
     while True:
         status = await world.fleet.status()
@@ -329,7 +329,7 @@
 @when("a batch job runs while a node with items in flight is killed")
 def job_and_kill(world: World) -> None:
     async def disturb() -> None:
-        victim = await _with_batch(world)
+        victim = await _wait_for_busy_node(world)
         world.fleet.send_signal(victim, signal.SIGKILL)
 
     _run_job(world, disturb)
@@ -338,7 +338,7 @@
 @when("a batch job runs while a node is killed and its disk is lost")
 def job_and_disk(world: World) -> None:
     async def disturb() -> None:
-        await _with_batch(world)
+        await _wait_for_busy_node(world)
         victim = world.victim = await busiest_leader(world.fleet)
         world.fleet.send_signal(victim, signal.SIGKILL)
         await world.fleet.wait_exit(victim)
@@ -493,7 +493,7 @@
 
 
 @when("the key-value service goes down and the busiest leader is killed")
-def outage(world: World) -> None:
+def kv_outage(world: World) -> None:
     async def scenario() -> None:
         await world.fleet.set_faults(world.fleet.key_value, outage=True)
         victim = world.victim = await busiest_leader(world.fleet)
--- a/tests/integration/test_fatal_requests.py
+++ b/tests/integration/test_fatal_requests.py
@@ -29,33 +29,33 @@
 from wharfcart.node.fleet_keys import POISON_REQUEST_PREFIX
 from wharfcart.platform import names
 
-FATAL = b"what ends whoever runs it"
+POISON_BODY = b"what ends whoever runs it"
 # Three ends may be chance; a request that has ended three is not sent once more.
-MOST_ENDED = 3
+MAX_CRASHES = 3
 ATTEMPTS = 8
 # A process takes a moment to start again.
-RETURN_S = 0.6
+RESTART_DELAY_S = 0.6
 
 Scenario = Callable[["FragileFleet"], Awaitable[None]]
 
 
-class FragileFleet(ServingFleet):
+class CrashingFleet(ServingFleet):
     """Back ends that a request can end; each is replaced at once by a new incarnation."""
 
-    def __init__(self, events_before_end: int = 0) -> None:
+    def __init__(self, events_before_crash: int = 0) -> None:
         super().__init__()
-        self.ended: list[str] = []
-        self._events_before_end = events_before_end
+        self.crashed: list[str] = []
+        self._events_before_crash = events_before_crash
         self._replacing: set[asyncio.Task[None]] = set()
         for server in (*self.stream_servers, *self.plain_servers):
-            self._make_fragile(server)
+            self._set_up_crashes(server)
 
     async def stop(self) -> None:
         for task in self._replacing:
             task.cancel()
         await super().stop()
 
-    async def all_known(self) -> bool:
+    async def are_backends_known(self) -> bool:
         """Whether each gateway knows every back end that lives, and none has still to come."""
         if self._replacing:
             return False
@@ -63,7 +63,7 @@
         living = [*self.stream_servers, *self.plain_servers]
         return all(server.instance_id in output for server in living for output in outputs)
 
-    async def leave_one_back_end(self) -> None:
+    async def keep_one_backend(self) -> None:
         """Take all back ends of each service away but one."""
         for servers in (self.stream_servers, self.plain_servers):
             for server in servers[1:]:
@@ -77,28 +77,28 @@
 
         await self.until(others_are_gone, 10.0)
 
-    async def outcome(self, number: int, path: str, body: bytes = FATAL) -> int | None:
+    async def outcome(self, number: int, path: str, body: bytes = POISON_BODY) -> int | None:
         """Send one attempt of a caller; return its status, None if its answer broke off."""
         with suppress(aiohttp.ClientError):
             status, _, _ = await self.request(number % 2, path, f"r{number}", data=body)
             return status
         return None
 
-    async def ask_again_and_again(self, path: str, first: int = 0) -> list[int | None]:
+    async def repeat_poison_request(self, path: str, first: int = 0) -> list[int | None]:
         """Have a caller repeat a fatal request, each time before a whole set of back ends."""
         outcomes = []
         for number in range(first, first + ATTEMPTS):
             outcomes.append(await self.outcome(number, path))
-            await self.until(self.all_known, 10.0)
+            await self.until(self.are_backends_known, 10.0)
         return outcomes
 
-    def _make_fragile(self, server: ModelServer) -> None:
-        server.fatal_bodies = {FATAL}
-        server.events_before_end = self._events_before_end
-        server.on_end = self._note_end
+    def _set_up_crashes(self, server: ModelServer) -> None:
+        server.fatal_bodies = {POISON_BODY}
+        server.events_before_end = self._events_before_crash
+        server.on_end = self._record_crash
 
-    def _note_end(self, server: ModelServer, _body: bytes) -> None:
-        self.ended.append(server.instance_id)
+    def _record_crash(self, server: ModelServer, _body: bytes) -> None:
+        self.crashed.append(server.instance_id)
         task = asyncio.create_task(self._replace(server))
         self._replacing.add(task)
         task.add_done_callback(self._replacing.discard)
@@ -108,7 +108,7 @@
         service = STREAM_SERVICE if streams else PLAIN_SERVICE
         servers = self.stream_servers if streams else self.plain_servers
         successor = ModelServer(f"{server.instance_id}+", 12 if streams else 0, 0.01)
-        self._make_fragile(successor)
+        self._set_up_crashes(successor)
         await successor.server.start("127.0.0.1", 0)
         servers[servers.index(server)] = successor
         await self.announce(successor, service)
@@ -116,33 +116,35 @@
         await server.server.stop()
 
 
-class ReturningFleet(FragileFleet):
+class RestartingFleet(CrashingFleet):
     """Back ends that start again under the id that they had, and know nothing of before."""
 
-    async def all_known(self) -> bool:
+    async def are_backends_known(self) -> bool:
         """Whether each gateway knows every start again, and none has still to come."""
         if self._replacing:
             return False
         outputs = [gateway.log_path.read_text() for gateway in self.gateways]
-        return all(output.count("backend_restarted") >= len(self.ended) for output in outputs)
+        return all(output.count("backend_restarted") >= len(self.crashed) for output in outputs)
 
     async def _replace(self, server: ModelServer) -> None:
-        await asyncio.sleep(RETURN_S)
+        await asyncio.sleep(RESTART_DELAY_S)
         streams = server in self.stream_servers
         servers = self.stream_servers if streams else self.plain_servers
         again = ModelServer(server.instance_id, 12 if streams else 0, 0.01)
-        self._make_fragile(again)
+        self._set_up_crashes(again)
         await again.server.start("127.0.0.1", 0)
         servers[servers.index(server)] = again
         await self.announce(again, STREAM_SERVICE if streams else PLAIN_SERVICE)
         await server.server.stop()
 
 
-def play(
-    scenario: Scenario, events_before_end: int = 0, fleet_type: type[FragileFleet] = FragileFleet
+def run_scenario(
+    scenario: Scenario,
+    events_before_crash: int = 0,
+    fleet_type: type[CrashingFleet] = CrashingFleet,
 ) -> None:
     async def run() -> None:
-        fleet = fleet_type(events_before_end)
+        fleet = fleet_type(events_before_crash)
         try:
             await fleet.start()
             async with asyncio.timeout(80):
@@ -154,63 +156,63 @@
 
 
 @pytest.mark.parametrize("path", ["/chat/x", "/charge/x", "/look/x", "/read/x"])
-def test_a_request_ends_three_back_ends_at_most(path: str) -> None:
+def test_a_request_crashes_at_most_three_backends(path: str) -> None:
     """Not repeatable (a stream, a whole answer), repeatable, and resumed at another back end."""
 
-    async def scenario(fleet: FragileFleet) -> None:
-        outcomes = await fleet.ask_again_and_again(path)
-        assert len(fleet.ended) <= MOST_ENDED
+    async def scenario(fleet: CrashingFleet) -> None:
+        outcomes = await fleet.repeat_poison_request(path)
+        assert len(fleet.crashed) <= MAX_CRASHES
         # Told truly: it did not run, and when it may be asked again.
         assert outcomes[-1] == 503
         # Others are served, on the same path and with the same body on another.
         assert await fleet.outcome(90, path, b"another body") == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("path", ["/chat/x", "/look/x"])
-def test_back_ends_that_return_under_their_id_are_ended_three_times_at_most(path: str) -> None:
+def test_backends_restarted_under_the_same_id_crash_at_most_three_times(path: str) -> None:
     """The only back end of a service: the second end of its id took the place of the first."""
 
-    async def scenario(fleet: FragileFleet) -> None:
-        await fleet.leave_one_back_end()
-        outcomes = await fleet.ask_again_and_again(path)
-        assert len(fleet.ended) <= MOST_ENDED
+    async def scenario(fleet: CrashingFleet) -> None:
+        await fleet.keep_one_backend()
+        outcomes = await fleet.repeat_poison_request(path)
+        assert len(fleet.crashed) <= MAX_CRASHES
         assert outcomes[-1] == 503
         assert await fleet.outcome(90, path, b"another body") == 200
 
-    play(scenario, fleet_type=ReturningFleet)
+    run_scenario(scenario, fleet_type=RestartingFleet)
 
 
-def test_a_refusal_is_true_and_tells_when_to_come_back() -> None:
-    async def scenario(fleet: FragileFleet) -> None:
-        await fleet.ask_again_and_again("/charge/x")
-        status, _, headers = await fleet.request(0, "/charge/x", "last", data=FATAL)
+def test_a_refused_request_did_not_run_and_has_retry_after() -> None:
+    async def scenario(fleet: CrashingFleet) -> None:
+        await fleet.repeat_poison_request("/charge/x")
+        status, _, headers = await fleet.request(0, "/charge/x", "last", data=POISON_BODY)
         assert status == 503 and float(headers["retry-after"]) >= 1.0
         runs = [run for server in fleet.plain_servers for run in server.runs]
         assert not any(run.request_id == "last" for run in runs)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_what_was_learned_outlasts_every_gateway() -> None:
-    async def scenario(fleet: FragileFleet) -> None:
-        await fleet.ask_again_and_again("/chat/x")
+def test_poison_evidence_survives_a_restart_of_all_gateways() -> None:
+    async def scenario(fleet: CrashingFleet) -> None:
+        await fleet.repeat_poison_request("/chat/x")
         for gateway in fleet.gateways:
             fleet.signal(gateway, signal.SIGKILL)
             gateway.log_path.unlink()
             fleet.start_node(gateway)
         for gateway in fleet.gateways:
             await fleet.until(lambda gateway=gateway: fleet.is_ready(gateway), 10.0)
-        await fleet.until(fleet.all_known, 10.0)
-        await fleet.ask_again_and_again("/chat/x", ATTEMPTS)
-        assert len(fleet.ended) <= MOST_ENDED
+        await fleet.until(fleet.are_backends_known, 10.0)
+        await fleet.repeat_poison_request("/chat/x", ATTEMPTS)
+        assert len(fleet.crashed) <= MAX_CRASHES
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_gateway_that_the_coordination_service_refuses_tells_the_others_all_the_same() -> None:
-    async def scenario(fleet: FragileFleet) -> None:
+def test_a_gateway_without_coordination_service_shares_poison_evidence() -> None:
+    async def scenario(fleet: CrashingFleet) -> None:
         fleet.store.refused.add("gateway-0")
 
         def both_ends_are_shared() -> bool:
@@ -220,21 +222,21 @@
 
         for number in (0, 2):
             await fleet.outcome(number, "/chat/x")
-            await fleet.until(fleet.all_known, 10.0)
+            await fleet.until(fleet.are_backends_known, 10.0)
         await fleet.until(both_ends_are_shared, 10.0)
         for number in range(1, 2 * ATTEMPTS, 2):
             await fleet.outcome(number, "/chat/x")
-            await fleet.until(fleet.all_known, 10.0)
-        assert len(fleet.ended) <= MOST_ENDED
+            await fleet.until(fleet.are_backends_known, 10.0)
+        assert len(fleet.crashed) <= MAX_CRASHES
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_item_ends_three_back_ends_at_most_and_its_job_goes_on() -> None:
+def test_an_item_crashes_at_most_three_backends_and_its_job_continues() -> None:
     """Also under the next leader."""
 
-    async def scenario(fleet: FragileFleet) -> None:
-        bodies = [FATAL, b"1", b"2", b"3"]
+    async def scenario(fleet: CrashingFleet) -> None:
+        bodies = [POISON_BODY, b"1", b"2", b"3"]
         requests = [
             {
                 "id": f"job1-{number}",
@@ -262,18 +264,18 @@
         )
         fleet.signal(leader, signal.SIGKILL)
         await asyncio.sleep(4.0)
-        assert len(fleet.ended) <= MOST_ENDED
+        assert len(fleet.crashed) <= MAX_CRASHES
         assert await others_are_done(), "an item that is held back has no result yet"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_stream_that_ends_its_back_ends_after_some_events_is_stopped_too() -> None:
+def test_a_stream_that_crashes_backends_after_some_events_is_quarantined() -> None:
     """An answer that has begun speaks less clearly: others that ran there had begun theirs, too."""
 
-    async def scenario(fleet: FragileFleet) -> None:
-        await fleet.ask_again_and_again("/chat/x")
-        await fleet.ask_again_and_again("/chat/x", ATTEMPTS)
-        assert len(fleet.ended) <= 2 * MOST_ENDED
+    async def scenario(fleet: CrashingFleet) -> None:
+        await fleet.repeat_poison_request("/chat/x")
+        await fleet.repeat_poison_request("/chat/x", ATTEMPTS)
+        assert len(fleet.crashed) <= 2 * MAX_CRASHES
 
-    play(scenario, events_before_end=3)
+    run_scenario(scenario, events_before_crash=3)
--- a/tests/integration/test_operations.py
+++ b/tests/integration/test_operations.py
@@ -7,12 +7,12 @@
 import aiohttp
 import pytest
 
-from tests.integration.test_serving_fleet import all_results, play, submit
+from tests.integration.test_serving_fleet import all_results, run_scenario, submit
 from wharfcart.experiments.serving_fleet import PLAIN_SERVICE, ServingFleet
 from wharfcart.platform import names
 
 
-async def explained(fleet: ServingFleet, wanted: str) -> str:
+async def explain(fleet: ServingFleet, wanted: str) -> str:
     """Run the page's command until the logs are written."""
     logs = [str(node.log_path) for node in (*fleet.gateways, *fleet.stores)]
     command = [sys.executable, "-m", "wharfcart", "explain", wanted, *logs]
@@ -30,11 +30,11 @@
             server.switch.faults.cut_streams = 1
         with pytest.raises(aiohttp.ClientError):
             await fleet.request(0, "/chat/x", "r-cut")
-        text = await explained(fleet, "r-cut")
+        text = await explain(fleet, "r-cut")
         assert text.splitlines()[0] == "r-cut: cut: broken"
         assert "sends=1" in text and "backend=i-lm-" in text
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_request_that_was_refused() -> None:
@@ -44,11 +44,11 @@
             await fleet.store.remove(names.SERVER_PREFIX + server.instance_id)
         await asyncio.sleep(0.5)
         await fleet.request(0, "/charge/x", "r-refused")
-        text = await explained(fleet, "r-refused")
+        text = await explain(fleet, "r-refused")
         assert text.splitlines()[0] == "r-refused: refused: no_backend"
         assert "sends=0" in text
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_an_item_that_was_given_up() -> None:
@@ -57,11 +57,11 @@
             server.failing_ids = {"job1-1": 500}
         assert await submit(fleet, "job1", 2) == 202
         await all_results(fleet, "job1", 2)
-        text = await explained(fleet, "job1-1")
+        text = await explain(fleet, "job1-1")
         while "item_given_up" not in text:
             await asyncio.sleep(0.2)
-            text = await explained(fleet, "job1-1")
+            text = await explain(fleet, "job1-1")
         assert text.splitlines()[0] == "job1-1: item_given_up: failed 3 times"
         assert text.count("item_retried") == 2
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/integration/test_residence.py
+++ b/tests/integration/test_residence.py
@@ -16,12 +16,12 @@
 
 REGIONS = {"a": "west", "b": "west", "c": "east"}
 # Named in the body of each item, so that a disk that has one is found.
-MARK = b"only-in-the-west"
+BODY_MARKER = b"only-in-the-west"
 ITEMS = 8
-AT_ONCE_S = 1.0
+REFUSAL_TIMEOUT_S = 1.0
 
 
-class TwoRegions(ServingFleet):
+class TwoRegionFleet(ServingFleet):
     """Zones a and b are in the west, c in the east; six disks and three gateways."""
 
     def __init__(self) -> None:
@@ -38,7 +38,7 @@
         entry = server.entry(service, zone, state) | {"address": self.address_of(server)}
         await self.store.put(names.SERVER_PREFIX + server.instance_id, entry)
 
-    async def bind(self) -> None:
+    async def apply_region_routes(self) -> None:
         """Have routes come into force that are bound to regions."""
         streams = {"kind": "streaming", "timeoutMs": 8000, "backend": STREAM_SERVICE}
         plain = {"kind": "safe", "timeoutMs": 2000, "backend": PLAIN_SERVICE, "maxAttempts": 2}
@@ -70,7 +70,7 @@
 
 
 def submission(job_id: str) -> bytes:
-    body = base64.b64encode(MARK).decode()
+    body = base64.b64encode(BODY_MARKER).decode()
     requests = [
         {"id": f"{job_id}-{n}", "path": "/jobs/run", "headers": {}, "body": body, "tokens": 10}
         for n in range(ITEMS)
@@ -79,8 +79,8 @@
 
 
 def test_data_stays_in_its_regions() -> None:
-    async def scenario(fleet: TwoRegions) -> None:
-        await fleet.bind()
+    async def scenario(fleet: TwoRegionFleet) -> None:
+        await fleet.apply_region_routes()
         far = fleet.stream_servers[2]
         for n in range(12):
             status, _, _ = await fleet.request(n % 3, "/east/x", f"r{n}")
@@ -96,7 +96,7 @@
         assert (status, "retry-after" in headers) == (503, True)
         status, _, headers = await fleet.request(0, "/south/j0", "j0", data=submission("j0"))
         assert (status, "retry-after" in headers) == (503, True)
-        assert loop.time() - began_at < AT_ONCE_S
+        assert loop.time() - began_at < REFUSAL_TIMEOUT_S
 
         # A gateway in the east passes a job on to the west.
         status, _, _ = await fleet.request(2, "/west/j1", "j1", data=submission("j1"))
@@ -112,7 +112,7 @@
         await fleet.until(done, 25.0)
         assert {result["state"] for result in results} == {"succeeded"}
         assert not any(run.request_id.startswith("j1-") for run in far.runs)
-        holding = fleet.disks_with(MARK)
+        holding = fleet.disks_with(BODY_MARKER)
         assert len(holding) >= 2
         assert not holding & {"storage-2", "storage-5"}
 
@@ -120,12 +120,12 @@
         lost = next(node for node in fleet.stores if node.node_id in holding)
         fleet.signal(lost, signal.SIGKILL)
         await asyncio.sleep(4.0)
-        assert not fleet.disks_with(MARK) & {"storage-2", "storage-5"}
+        assert not fleet.disks_with(BODY_MARKER) & {"storage-2", "storage-5"}
         status, _, _ = await fleet.request(1, f"{names.JOB_PATH}none", "reader", method="GET")
         assert status == 404
 
     async def run() -> None:
-        fleet = TwoRegions()
+        fleet = TwoRegionFleet()
         try:
             await fleet.start()
             async with asyncio.timeout(60):
--- a/tests/integration/test_serving_fleet.py
+++ b/tests/integration/test_serving_fleet.py
@@ -19,7 +19,7 @@
 Scenario = Callable[[ServingFleet], Awaitable[None]]
 
 
-def play(scenario: Scenario, **more) -> None:
+def run_scenario(scenario: Scenario, **more) -> None:
     async def run() -> None:
         fleet = ServingFleet(**more)
         try:
@@ -93,7 +93,7 @@
         status, page = await read_page(fleet, "job1", after=2, gateway=1)
         assert page["results"] == results[2:] and page["total"] == 5
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_configuration_is_in_force_and_never_reverts() -> None:
@@ -111,10 +111,10 @@
         await asyncio.sleep(0.5)
         assert await in_force()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_gateway_that_the_store_refuses_learns_from_its_peer() -> None:
+def test_a_gateway_refused_by_the_store_learns_from_its_peer() -> None:
     async def scenario(fleet: ServingFleet) -> None:
         fleet.store.refused.add("gateway-0")
         fleet.store.silent.add("gateway-0")
@@ -127,10 +127,10 @@
 
         await fleet.until(in_force, 6.0)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_gateway_that_starts_while_the_store_is_silent_to_it_serves() -> None:
+def test_a_gateway_starts_while_the_store_is_unresponsive() -> None:
     async def scenario(fleet: ServingFleet) -> None:
         gateway = fleet.gateways[0]
         fleet.signal(gateway, signal.SIGKILL)
@@ -140,7 +140,7 @@
         status, _, _ = await fleet.request(0, "/look/x", "r")
         assert status == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_draining_server_gets_nothing_more() -> None:
@@ -154,10 +154,10 @@
             assert status == 200
         assert len(leaving.runs) == before
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_address_that_went_to_another_incarnation_runs_nothing() -> None:
+def test_an_address_reused_by_another_instance_runs_nothing() -> None:
     async def scenario(fleet: ServingFleet) -> None:
         fleet.plain_servers[0].instance_id = "i-somebody-else"
         for number in range(12):
@@ -165,7 +165,7 @@
             assert status == 200
         assert fleet.plain_servers[0].runs == []
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_cut_stream_is_resumed_under_the_first_head() -> None:
@@ -182,10 +182,10 @@
         assert len(runs) > len(first_runs) == 8, "some stream was cut and resumed, none run anew"
         assert stamps == {key: f"stamp-{name}" for key, name in first_runs.items()}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_cut_stream_that_may_not_be_resumed_is_seen_to_be_cut() -> None:
+def test_a_stream_without_resume_is_closed_when_its_backend_breaks() -> None:
     async def scenario(fleet: ServingFleet) -> None:
         for server in fleet.stream_servers:
             server.switch.faults.cut_streams = 1
@@ -193,10 +193,10 @@
             await fleet.request(0, "/chat/x", "r1")
         assert sum(len(server.runs) for server in fleet.stream_servers) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_charge_whose_answer_was_lost_runs_once_and_is_no_refusal() -> None:
+def test_a_lost_answer_of_a_charge_is_502_without_retry() -> None:
     async def scenario(fleet: ServingFleet) -> None:
         for server in fleet.plain_servers:
             server.switch.faults.lost_answers = 1
@@ -204,7 +204,7 @@
         assert status == 502
         assert sum(len(server.runs) for server in fleet.plain_servers) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_look_up_whose_answer_was_lost_runs_again_elsewhere() -> None:
@@ -215,10 +215,10 @@
             status, _, _ = await fleet.request(0, "/look/x", f"r{number}")
             assert status == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_silent_server_costs_a_look_up_part_of_its_objective_only() -> None:
+def test_an_unresponsive_server_delays_a_look_up_less_than_its_deadline() -> None:
     """Bench: look-ups that went to a dark server waited until their deadline."""
 
     async def scenario(fleet: ServingFleet) -> None:
@@ -230,10 +230,10 @@
             assert status == 200
             assert loop.time() - began < 2.0, "the deadline is four seconds"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_stream_whose_server_falls_silent_goes_on_elsewhere() -> None:
+def test_a_stream_moves_away_from_an_unresponsive_server() -> None:
     async def scenario(fleet: ServingFleet) -> None:
         for server in fleet.stream_servers[:2]:
             server.silent = True
@@ -241,10 +241,10 @@
             status, body, _ = await fleet.request(0, "/read/x", f"r{number}")
             assert (status, body) == (200, whole_stream(f"r{number}"))
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_the_routes_time_is_over_at_once_and_for_the_server_too() -> None:
+def test_the_route_timeout_is_enforced() -> None:
     async def scenario(fleet: ServingFleet) -> None:
         for server in fleet.plain_servers:
             server.silent = True
@@ -254,10 +254,10 @@
         assert status == 504
         assert 1.9 < loop.time() - began < 2.5, "the route's time is two seconds"
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_caller_that_leaves_ends_the_servers_work() -> None:
+def test_a_disconnected_caller_cancels_the_servers_work() -> None:
     async def scenario(fleet: ServingFleet) -> None:
         request = asyncio.create_task(fleet.request(0, "/read/x", "r1"))
         await fleet.until(lambda: any(server.runs for server in fleet.stream_servers), 3.0)
@@ -266,10 +266,10 @@
             lambda: any(server.abandoned["r1"] for server in fleet.stream_servers), 0.5
         )
 
-    play(scenario, event_s=0.2)
+    run_scenario(scenario, event_s=0.2)
 
 
-def test_a_stop_cuts_nothing() -> None:
+def test_a_graceful_stop_completes_open_streams() -> None:
     async def scenario(fleet: ServingFleet) -> None:
         running = [
             asyncio.create_task(fleet.request(0, "/chat/x", f"r{number}")) for number in range(6)
@@ -282,7 +282,7 @@
         assert not await fleet.is_ready(fleet.gateways[0])
         assert await fleet.wait_for_exit(fleet.gateways[0]) == 0
 
-    play(scenario, event_s=0.15)
+    run_scenario(scenario, event_s=0.15)
 
 
 def test_a_killed_leader_loses_no_job_and_no_item_runs_from_its_start_again() -> None:
@@ -298,7 +298,7 @@
         for result in results:
             assert result["message"] == "\n".join(f"{result['id']}-{n}" for n in range(12))
 
-    play(scenario, event_s=0.2)
+    run_scenario(scenario, event_s=0.2)
 
 
 def test_a_disk_lost_right_after_the_acceptance_loses_nothing() -> None:
@@ -312,7 +312,7 @@
         fleet.start_node(leader)
         assert len(await all_results(fleet, "job1", 4)) == 4
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_all_killed_at_once_serve_again() -> None:
@@ -326,10 +326,10 @@
         await fleet.until(lambda: fleet.is_ready(fleet.gateways[0]), 10.0)
         assert await all_results(fleet, "job1", 4) == before
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_caller_that_comes_while_all_gateways_start_is_served() -> None:
+def test_a_request_during_a_restart_of_all_gateways_is_served() -> None:
     async def first_answer(fleet: ServingFleet, gateway: int) -> int:
         while True:
             try:
@@ -346,10 +346,10 @@
         answers = [first_answer(fleet, number) for number in range(len(fleet.gateways))]
         assert await asyncio.gather(*answers) == [200] * len(fleet.gateways)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_ended_job_stops_and_stays_as_it_is() -> None:
+def test_a_cancelled_job_stops() -> None:
     async def scenario(fleet: ServingFleet) -> None:
         assert await submit(fleet, "job1", 6) == 202
         await fleet.until(lambda: any(server.runs for server in fleet.stream_servers), 3.0)
@@ -363,7 +363,7 @@
         status, page = await read_page(fleet, "job1")
         assert status == 200 and page["total"] == 6
 
-    play(scenario, event_s=0.2)
+    run_scenario(scenario, event_s=0.2)
 
 
 def test_items_that_can_not_be_done_are_listed_as_dead() -> None:
@@ -380,7 +380,7 @@
         tries = sum(run.request_id == "job1-1" for s in fleet.stream_servers for run in s.runs)
         assert tries == 3
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_bodies_of_items_and_jobs_that_do_not_exist() -> None:
@@ -392,10 +392,10 @@
         status, _ = await read_page(fleet, "nojob")
         assert status == 404
 
-    play(scenario, event_s=0.2)
+    run_scenario(scenario, event_s=0.2)
 
 
-def test_no_server_is_a_refusal_that_tells_when_to_come_back() -> None:
+def test_a_service_without_servers_is_refused_with_retry_after() -> None:
     async def scenario(fleet: ServingFleet) -> None:
         for server in fleet.plain_servers:
             await fleet.announce(server, PLAIN_SERVICE, "draining")
@@ -407,10 +407,10 @@
         assert status == 503 and float(headers["retry-after"]) > 0
         assert loop.time() - began < 0.5
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_server_that_fails_everything_at_once_draws_no_work_to_itself() -> None:
+def test_a_failing_server_receives_little_work() -> None:
     """Trial 5e9fa130, tulegen-grown trouble-1: its health was good, its answers were all 500."""
 
     async def scenario(fleet: ServingFleet) -> None:
@@ -424,10 +424,10 @@
         results = await all_results(fleet, "job1", 12)
         assert all(result["state"] == "succeeded" for result in results)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_entries_that_lapse_all_at_once_stop_nothing() -> None:
+def test_expired_server_entries_do_not_interrupt_service() -> None:
     """Incident inc-9857: discovery's entries lapsed while the servers worked on."""
 
     async def scenario(fleet: ServingFleet) -> None:
@@ -438,16 +438,16 @@
             status, _, _ = await fleet.request(number % 2, "/charge/x", f"r{number}")
             assert status == 200
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_hosts_are_told_apart_by_header_not_address() -> None:
+def test_routes_are_selected_by_host_header() -> None:
     async def scenario(fleet: ServingFleet) -> None:
         status, _, _ = await fleet.request(0, "/look/x", "r1", headers={"Host": "other.example"})
         assert status == 404
         assert HOST != "other.example" and STREAM_SERVICE != PLAIN_SERVICE
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_tenants_keys_and_jobs() -> None:
@@ -512,7 +512,7 @@
         }
         assert keys == {""}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_limit_of_requests_holds_over_all_gateways() -> None:
@@ -539,4 +539,4 @@
         others = [(await fleet.request(0, "/look/x", f"o{n}", key="k2"))[0] for n in range(10)]
         assert set(others) == {200}
 
-    play(scenario)
+    run_scenario(scenario)
