--- a/src/wharfcart/cli/experiment.py
+++ b/src/wharfcart/cli/experiment.py
@@ -45,7 +45,7 @@
 ) -> None:
     """Run an experiment and write its figures."""
     # Imported here: numpy and matplotlib would cost every node tens of megabytes.
-    from wharfcart.experiments.heaps import Variant, run_batch_interference
+    from wharfcart.experiments.batch_interference import Variant, run_batch_interference
     from wharfcart.experiments.limits import run_limits
     from wharfcart.experiments.scale import run_scale
     from wharfcart.experiments.waves import run_waves
--- a/src/wharfcart/experiments/journal_clients.py
+++ b/src/wharfcart/experiments/journal_clients.py
@@ -16,7 +16,7 @@
     KeyStart,
     ProposeResult,
 )
-from wharfcart.experiments.history import Operation, OperationHistory
+from wharfcart.experiments.operation_history import Operation, OperationHistory
 from wharfcart.experiments.simulated_journal_disk import SimulatedMachine
 from wharfcart.storage.shard import LOST_LEADERSHIP, Shard
 from wharfcart.storage.shard_state import ItemState
--- a/src/wharfcart/experiments/journal_simulation.py
+++ b/src/wharfcart/experiments/journal_simulation.py
@@ -3,7 +3,7 @@
 Runs :class:`wharfcart.storage.shard.Shard` on simulated disks and a simulated network that loses,
 delays, repeats and reorders messages, with crashes, pauses, partitions and lost disks drawn from
 the seed. Clients work through it and what they see goes into a :class:`History`, which a checker
-judges (:mod:`wharfcart.experiments.history`). Same seed, same run.
+judges (:mod:`wharfcart.experiments.operation_history`). Same seed, same run.
 """
 
 import heapq
@@ -17,8 +17,8 @@
     ReplicaMessage,
     ReplicaSet,
 )
-from wharfcart.experiments.history import OperationHistory
 from wharfcart.experiments.journal_clients import SimulatedJournalClient, record_reads
+from wharfcart.experiments.operation_history import OperationHistory
 from wharfcart.experiments.simulated_journal_disk import (
     SimulatedJournalDisk,
     SimulatedMachine,
