--- a/tests/experiments/test_waves.py
+++ b/tests/experiments/test_waves.py
@@ -1,6 +1,6 @@
 """Experiment waves: the product's decisions in virtual time."""
 
-from wharfcart.experiments.waves import Policy, WaveLoad, generate_arrivals, simulate
+from wharfcart.experiments.waves import WavePolicy, WaveLoad, generate_arrivals, simulate
 
 LOAD = WaveLoad(duration_s=14.0)
 
--- a/tests/integration/test_poison_requests.py
+++ b/tests/integration/test_poison_requests.py
@@ -36,7 +36,7 @@
 # A process takes a moment to start again.
 RESTART_DELAY_S = 0.6
 
-Scenario = Callable[["FragileFleet"], Awaitable[None]]
+Scenario = Callable[["CrashingFleet"], Awaitable[None]]
 
 
 class CrashingFleet(ServingFleet):
