--- a/src/wharfcart/experiments/job_group_simulation.py
+++ b/src/wharfcart/experiments/job_group_simulation.py
@@ -91,7 +91,7 @@
 
         Raises
         ------
-        BrokenPromiseError
+        InvariantViolationError
         """
         with simulated_clock():
             run_in_virtual_time(self._run())
--- a/src/wharfcart/experiments/virtual_time.py
+++ b/src/wharfcart/experiments/virtual_time.py
@@ -10,7 +10,7 @@
 from typing import Any, TypeVar
 from unittest import mock
 
-Result = TypeVar("Answer")
+Result = TypeVar("Result")
 
 
 class _JumpingSelector(selectors.SelectSelector):
--- a/tests/experiments/test_waves.py
+++ b/tests/experiments/test_waves.py
@@ -1,6 +1,6 @@
 """Experiment waves: the product's decisions in virtual time."""
 
-from wharfcart.experiments.waves import WavePolicy, WaveLoad, generate_arrivals, simulate
+from wharfcart.experiments.waves import WaveLoad, WavePolicy, generate_arrivals, simulate
 
 LOAD = WaveLoad(duration_s=14.0)
 
@@ -8,19 +8,19 @@
 def test_the_same_seed_gives_the_same_run() -> None:
     assert generate_arrivals(LOAD, 3) == generate_arrivals(LOAD, 3)
     load = WaveLoad(duration_s=8.0, job_deadline_s=5.0)
-    first, second = (simulate(Policy.GRANTS, load, 3) for _ in range(2))
+    first, second = (simulate(WavePolicy.GRANTS, load, 3) for _ in range(2))
     assert sorted(first.first_events) == sorted(second.first_events)
 
 
 def test_online_requests_begin_in_time_beside_batch_and_items_are_done() -> None:
-    outcome = simulate(Policy.GRANTS, LOAD, 3)
+    outcome = simulate(WavePolicy.GRANTS, LOAD, 3)
     assert outcome.online_in_time_share(LOAD.objective_s) > 0.97
     assert outcome.items > 10
     assert outcome.items_in_time == outcome.items
 
 
 def test_items_that_stay_make_online_requests_late() -> None:
-    outcome = simulate(Policy.NO_YIELDING, LOAD, 3)
+    outcome = simulate(WavePolicy.NO_PREEMPTION, LOAD, 3)
     assert outcome.online_in_time_share(LOAD.objective_s) < 0.9
 
 
@@ -29,14 +29,14 @@
     capacity = load.servers * load.slots / (load.online_events * 0.018 + 0.04)
     overload = load.online_requests_per_s * load.high_factor / capacity
     assert overload > 1
-    outcome = simulate(Policy.GRANTS, load, 2)
+    outcome = simulate(WavePolicy.GRANTS, load, 2)
     assert outcome.online_in_time_share(load.objective_s) > 0.8 / overload
 
 
 def test_batch_overload_prefers_items_that_can_meet_their_deadline() -> None:
     """Items wait ever longer; run until each is nearly late, they all came late, one by one."""
     load = WaveLoad(duration_s=24.0, jobs_per_s=1.3)
-    outcome = simulate(Policy.GRANTS, load, 1)
+    outcome = simulate(WavePolicy.GRANTS, load, 1)
     # 0.43 where items start that are rather late than not.
     assert outcome.items_in_time > 0.55 * outcome.items
     assert outcome.online_in_time_share(load.objective_s) > 0.97
@@ -44,7 +44,7 @@
 
 def test_old_jobs_after_a_loss_of_power_do_not_make_the_later_ones_late() -> None:
     load = WaveLoad(duration_s=10.0, servers=10, backlog_jobs=8)
-    outcome = simulate(Policy.GRANTS, load, 1)
+    outcome = simulate(WavePolicy.GRANTS, load, 1)
     too_old = sum(due_s < 5.0 for due_s in _backlog_deadlines_s(load)) * 1.3 * load.job_items
     assert outcome.items - outcome.items_in_time <= too_old
 
