--- a/src/wharfcart/admission/limiter.py
+++ b/src/wharfcart/admission/limiter.py
@@ -93,5 +93,5 @@
 
 def _rate_limited(seconds: float) -> ServingError:
     return ServingError(
-        "rate_limited", "request rate limit exceeded", 429, retry_after_seconds=seconds
+        "rate_limited", "the limit of requests is reached", 429, retry_after_seconds=seconds
     )
--- a/src/wharfcart/backends/application_client.py
+++ b/src/wharfcart/backends/application_client.py
@@ -44,11 +44,11 @@
                 response.raise_for_status()
                 body = await response.json()
         except (TimeoutError, aiohttp.ClientError, ValueError) as error:
-            raise BackendError(f"settle call failed: {error!r}", Outcome.UNKNOWN) from error
+            raise BackendError(f"cannot settle: {error!r}", Outcome.UNKNOWN) from error
         if body["state"] == "not_run":
             return None
         if body["state"] != "completed":
-            raise BackendError("request is still running", Outcome.UNKNOWN)
+            raise BackendError("still running there", Outcome.UNKNOWN)
         data = json.dumps(body["response"]).encode()
         return BackendPart(0, data, True, 200, {"content-type": "application/json"})
 
--- a/src/wharfcart/backends/engine_client.py
+++ b/src/wharfcart/backends/engine_client.py
@@ -60,7 +60,7 @@
                 if resume == 0 and error.outcome is Outcome.NOT_RUN:
                     raise
             attempt = _resume_request(request, reader.next_sequence)
-        raise BackendError("stream was interrupted and could not be resumed", Outcome.UNKNOWN)
+        raise BackendError("stream broke off and could not be resumed", Outcome.UNKNOWN)
 
     async def _send_whole(self, request: BackendRequest) -> BackendPart:
         resumed = _resume_request(request, 0)
@@ -120,7 +120,7 @@
                 response.raise_for_status()
                 body = await response.json()
         except (TimeoutError, aiohttp.ClientError, ValueError) as error:
-            raise BackendError(f"status call failed: {error!r}", Outcome.NOT_RUN) from error
+            raise BackendError(f"no status: {error!r}", Outcome.NOT_RUN) from error
         return EngineInventory(
             body["model"],
             body["version"],
@@ -149,7 +149,7 @@
             ) as response:
                 return response.status == 202
         except (TimeoutError, aiohttp.ClientError) as error:
-            raise BackendError(f"command call failed: {error!r}", Outcome.UNKNOWN) from error
+            raise BackendError(f"order not answered: {error!r}", Outcome.UNKNOWN) from error
 
 
 def _resume_request(request: BackendRequest, next_sequence: int) -> BackendRequest:
--- a/src/wharfcart/backends/http_responses.py
+++ b/src/wharfcart/backends/http_responses.py
@@ -43,7 +43,7 @@
             _check_head(response, request)
             yield response
     except aiohttp.ClientConnectorError as error:
-        raise BackendError(f"connect failed: {error}", Outcome.NOT_RUN) from error
+        raise BackendError(f"no connection: {error}", Outcome.NOT_RUN) from error
     except (aiohttp.ClientError, OSError) as error:  # TimeoutError is an OSError
         raise BackendError(f"connection broke: {error!r}", Outcome.UNKNOWN) from error
 
@@ -79,7 +79,7 @@
         raise BackendError(f"status {response.status}", Outcome.UNKNOWN)
     response_id = response.headers.get(REQUEST_ID_HEADER)
     if response.status < 400 and response_id != request.request_id:
-        raise BackendError("response belongs to another request", Outcome.UNKNOWN)
+        raise BackendError("the answer is another request's", Outcome.UNKNOWN)
 
 
 async def read_response(response: aiohttp.ClientResponse) -> BackendPart:
--- a/src/wharfcart/batch/files.py
+++ b/src/wharfcart/batch/files.py
@@ -78,17 +78,17 @@
             return "not an object", 0
         custom_id = item.get("custom_id")
         if not isinstance(custom_id, str):
-            return "custom_id is missing or not a string", 0
+            return "custom_id is missing or no string", 0
         # Keeps hashes instead of ids to limit memory: a file may have hundreds of thousands.
         if hash(custom_id) in self._custom_ids:
-            return f"custom_id {custom_id!r} is used twice", 0
+            return f"custom_id {custom_id!r} stands twice", 0
         self._custom_ids.add(hash(custom_id))
         return self._validate_target(item)
 
     def _validate_target(self, item: dict[str, object]) -> tuple[str | None, int]:
         url = item.get("url")
         if not isinstance(url, str):
-            return "url is missing or not a string", 0
+            return "url is missing or no string", 0
         if not isinstance(item.get("body", {}), dict):
             return "body is not an object", 0
         name = service_name_of(item)
--- a/src/wharfcart/batch/jobs.py
+++ b/src/wharfcart/batch/jobs.py
@@ -151,7 +151,7 @@
         result: ProposeResult = await self._journal.propose(shard, command)
         if result.code == "key_conflict":
             raise ServingError(
-                "key_conflict", "this Idempotency-Key belongs to another request", 422
+                "key_conflict", "this Idempotency-Key stands for another request", 422
             )
         return result.key_record.start
 
@@ -161,7 +161,7 @@
         if len(running) >= tenant.limits.concurrent_jobs:
             raise ServingError(
                 "too_many_jobs",
-                "the tenant has reached its limit of concurrent jobs",
+                "the tenant's limit of jobs is reached",
                 429,
                 retry_after_seconds=30,
             )
--- a/src/wharfcart/configuration/schema.py
+++ b/src/wharfcart/configuration/schema.py
@@ -57,9 +57,7 @@
 
     name: Name
     version: str = "1"
-    least_servers: int = Field(
-        1, ge=0, le=10_000, description="minimum number of servers that hold it"
-    )
+    least_servers: int = Field(1, ge=0, le=10_000, description="servers that hold it at the least")
     adapters: list[Name] = Field(default_factory=list)
 
 
@@ -110,9 +108,9 @@
     kind: TemplateKind
     model: Name | None = None
     adapter: Name | None = None
-    application: Name | None = Field(None, description="name of the application servers")
-    path: str = Field("", description="path prefix on the application servers")
-    system_prompt: str = Field("", description="may contain {parameter} placeholders")
+    application: Name | None = Field(None, description="application servers, by their name")
+    path: str = Field("", description="path prefix at the application servers")
+    system_prompt: str = Field("", description="may hold {parameter} places")
     max_tokens: int = Field(256, ge=1, le=131_072)
     priority: int = Field(0, ge=0, le=9, description="0 is shed last")
     deadline_seconds: float = Field(30.0, gt=0, le=3600)
@@ -125,9 +123,9 @@
     @model_validator(mode="after")
     def _target_fits_kind(self) -> Self:
         if self.kind is TemplateKind.MODEL and self.model is None:
-            raise ValueError("a template of kind 'model' requires a model")
+            raise ValueError("a template of kind model names a model")
         if self.kind is TemplateKind.APPLICATION and self.application is None:
-            raise ValueError("a template of kind 'application' requires an application")
+            raise ValueError("a template of kind application names an application")
         return self
 
 
--- a/src/wharfcart/configuration/validation.py
+++ b/src/wharfcart/configuration/validation.py
@@ -124,7 +124,7 @@
         seen: set[str] = set()
         for position, name in enumerate(names):
             if name in seen:
-                yield (section, position, "name"), f"{name!r} is defined twice"
+                yield (section, position, "name"), f"{name!r} stands twice"
             seen.add(name)
 
 
@@ -132,7 +132,7 @@
     try:
         fields = [name for _, name, _, _ in Formatter().parse(template.system_prompt) if name]
     except ValueError as error:
-        yield (*place, "system_prompt"), f"invalid placeholder: {error}"
+        yield (*place, "system_prompt"), f"bad place holder: {error}"
         return
     for name in fields:
         if name not in template.parameters:
--- a/src/wharfcart/http/connection.py
+++ b/src/wharfcart/http/connection.py
@@ -266,12 +266,12 @@
     def data_received(self, data: bytes) -> None:
         """Parse received bytes; fail the connection if no request is pending."""
         if not self._busy:
-            self._fail("bytes received while no request is pending", BreakCause.MALFORMED)
+            self._fail("bytes without a request", BreakCause.MALFORMED)
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self._fail(f"malformed HTTP: {type(error).__name__}", BreakCause.MALFORMED)
+            self._fail(f"no HTTP: {type(error).__name__}", BreakCause.MALFORMED)
             return
         if self._buffered_bytes > CONNECTION_BUFFER_BYTES and self._transport is not None:
             self._reading_paused = True
--- a/src/wharfcart/observability/metrics.py
+++ b/src/wharfcart/observability/metrics.py
@@ -18,19 +18,19 @@
         )
         self.first_byte_seconds = Histogram(
             "wharfcart_first_byte_seconds",
-            "Time to the first byte of an online response",
+            "Time to the first byte of an online answer",
             buckets=LATENCY_BUCKETS_S,
             registry=self.registry,
         )
         self.retries = Counter(
-            "wharfcart_retries", "Requests dispatched again", ["cause"], registry=self.registry
+            "wharfcart_retries", "Repeated dispatches", ["cause"], registry=self.registry
         )
         self.refusals = Counter(
             "wharfcart_refusals", "Requests not run", ["code"], registry=self.registry
         )
         self.batch_items = Counter(
             "wharfcart_batch_items",
-            "Batch items finished on this node",
+            "Batch items ended here",
             ["end"],
             registry=self.registry,
         )
@@ -39,7 +39,7 @@
         )
         self.key_value_calls = Counter(
             "wharfcart_key_value_calls",
-            "Calls to the key-value service",
+            "Calls to the service",
             ["call"],
             registry=self.registry,
         )
@@ -48,7 +48,7 @@
         )
         self.dropped_completions = Gauge(
             "wharfcart_dropped_completions",
-            "Duplicate completions dropped, led shards",
+            "Completions that came second, led shards",
             registry=self.registry,
         )
         self.configuration_revision = Gauge(
--- a/src/wharfcart/observability/serving_metrics.py
+++ b/src/wharfcart/observability/serving_metrics.py
@@ -80,22 +80,22 @@
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
-        self.requests = self._counter("wharfcart_answers", "Responses to callers", "outcome")
+        self.requests = self._counter("wharfcart_answers", "Answers to callers", "outcome")
         self.limited_requests = BoundedCounter(
             self._counter("wharfcart_limited", "Requests over their tenant's limit", "tenant"),
             MAX_TENANT_LABELS,
         )
         self.outside_residence = self._counter(
             "wharfcart_outside_residence",
-            "Requests refused because no region allowed for their data could serve them",
+            "Refused since nothing in the regions where the data may be could take it",
             "what",
         )
-        self.retries = self._counter("wharfcart_request_retries", "Requests sent again", "cause")
+        self.retries = self._counter("wharfcart_request_retries", "Further sends", "cause")
         self.coordination_calls = self._counter(
             "wharfcart_coordination_calls", "Calls to the coordination service", "call"
         )
         self.placements = self._counter(
-            "wharfcart_placements", "Back-end selections, by grant or local choice", "by"
+            "wharfcart_placements", "Choices of a back end, by who made them", "by"
         )
         self._peer_bytes = PrometheusCounter(
             "wharfcart_peer_bytes",
@@ -106,7 +106,7 @@
         self.item_runs = self._counter("wharfcart_items", "Runs of batch items", "outcome")
         self.first_byte_seconds = PrometheusHistogram(
             "wharfcart_first_byte_seconds",
-            "Time from a complete request to the first byte of its response",
+            "Time from a whole request to the first byte of its answer",
             ["kind"],
             buckets=LATENCY_BUCKETS_S,
             registry=self.registry,
@@ -118,30 +118,30 @@
             "wharfcart_coordination_age_seconds", "Time since coordination state was last confirmed"
         )
         self.evacuated_zones = BoundedGauge(
-            self._gauge("wharfcart_zone_evacuated", "1 while a zone is evacuated", "zone"),
+            self._gauge("wharfcart_zone_evacuated", "1 while nothing goes to a zone", "zone"),
             MAX_ZONE_LABELS,
         )
         self.in_flight_in_evacuated_zones = BoundedGauge(
             self._gauge(
                 "wharfcart_zone_evacuated_in_flight",
-                "Requests of this process in flight in an evacuated zone",
+                "Requests of this process that still run in a zone that was emptied",
                 "zone",
             ),
             MAX_ZONE_LABELS,
         )
         self.cold_backends = self._gauge(
-            "wharfcart_cold_backends", "Back ends that count as cold and receive few requests"
+            "wharfcart_cold_backends", "Back ends that count as cold and are sent little"
         )
         self.quarantined_fingerprints = self._gauge(
             "wharfcart_contents_held_back",
-            "Request fingerprints quarantined because back ends crashed while running them",
+            "Contents of requests that are held back since back ends ended while they ran them",
         )
         self.open_items = self._gauge("wharfcart_open_items", "Batch items not finished, if leader")
         self.items_preempted = self._counter(
-            "wharfcart_items_yielded", "Batch items preempted by online requests", "cause"
+            "wharfcart_items_yielded", "Items that left a slot for online requests", "cause"
         )
         self.requests_waiting = self._gauge(
-            "wharfcart_requests_waiting", "Requests that wait for a slot, at the granting node"
+            "wharfcart_requests_waiting", "Requests that wait for a slot, at the node that grants"
         )
         self.replicas_behind = self._gauge(
             "wharfcart_replicas_behind", "Replicas that lack acknowledged state, if leader"
--- a/src/wharfcart/observability/timeline.py
+++ b/src/wharfcart/observability/timeline.py
@@ -70,7 +70,7 @@
             if not line.direct:
                 continue
             if line.event == "request_placed":
-                return "placed, but no outcome was logged: its gateway was killed or cut off"
+                return "placed, and no end is told: its gateway was killed or cut off"
             outcome = line.fields.get("outcome") or line.event
             cause = line.fields.get("cause")
             return f"{outcome}: {cause}" if cause else str(outcome)
--- a/src/wharfcart/platform/metadata_store.py
+++ b/src/wharfcart/platform/metadata_store.py
@@ -130,7 +130,7 @@
         try:
             result: dict[str, Any] = json.loads(data)
         except ValueError as error:
-            raise CoordinationUnavailableError("response is not JSON", is_write) from error
+            raise CoordinationUnavailableError("answer is no JSON", is_write) from error
         return result
     if status == 404:
         raise KeyError
--- a/src/wharfcart/platform/server_entry.py
+++ b/src/wharfcart/platform/server_entry.py
@@ -66,20 +66,20 @@
 
 
 def _reject_constant(text: str) -> NoReturn:
-    raise BadEntryError(f"{text} is not a JSON number")
+    raise BadEntryError(f"{text} is no number")
 
 
 def _parse_instance_id(text: str) -> str:
     # The id is sent as a header value with each request to the server.
     if not 0 < len(text) <= MAX_NAME_LENGTH or not text.isascii() or not text.isprintable():
-        raise BadEntryError("the id is not a valid header value")
+        raise BadEntryError("the id is no name")
     return text
 
 
 def _parse_name(entry: dict[str, Any], field: str) -> str:
     text = entry.get(field)
     if not isinstance(text, str) or not 0 < len(text) <= MAX_NAME_LENGTH or not text.isprintable():
-        raise BadEntryError(f"{field} is not a valid name")
+        raise BadEntryError(f"{field} is no name")
     return text
 
 
@@ -88,16 +88,16 @@
     try:
         ip_address(host.removeprefix("[").removesuffix("]"))
     except ValueError:
-        raise BadEntryError("address has no valid IP address") from None
+        raise BadEntryError("address has no IP number") from None
     if not _PORT.fullmatch(port) or not 0 < int(port) <= MAX_PORT:
-        raise BadEntryError("address has no valid port")
+        raise BadEntryError("address has no port")
     return host, int(port)
 
 
 def _parse_integer(entry: dict[str, Any], field: str, minimum: int, maximum: int) -> int:
     number = entry.get(field)
     if type(number) is not int or not minimum <= number <= maximum:
-        raise BadEntryError(f"{field} is not an integer from {minimum} to {maximum}")
+        raise BadEntryError(f"{field} is no whole number from {minimum} to {maximum}")
     return number
 
 
@@ -113,5 +113,5 @@
     if number is None:
         return 0.0
     if type(number) not in (int, float) or not 0 <= number <= MAX_COLD_MS:
-        raise BadEntryError("warmupLeftMs is not a valid duration")
+        raise BadEntryError("warmupLeftMs is no time")
     return float(number)
--- a/src/wharfcart/routing/dispatcher.py
+++ b/src/wharfcart/routing/dispatcher.py
@@ -123,7 +123,7 @@
             backend = self._router.choose(service.target, service.routing_key, now, prefix)
         if backend is None:
             raise ServingError(
-                "no_backend", f"no back end serves {service.target} now", 503, retry_after_seconds=2
+                "no_backend", f"no server holds {service.target} now", 503, retry_after_seconds=2
             )
         return backend
 
@@ -166,9 +166,7 @@
                 return
             except PeerUnreachableError as error:
                 if error.sent:
-                    raise BackendError(
-                        "lost the connection to the owner", Outcome.UNKNOWN
-                    ) from error
+                    raise BackendError("the owner went away", Outcome.UNKNOWN) from error
         async with aclosing(self._run_locally(backend, request)) as parts:
             async for part in parts:
                 yield part
@@ -194,7 +192,7 @@
             async for frame in frames:
                 part = frame.dispatch_part
                 if part.sequence != expected:
-                    raise BackendError("answer skipped a part", Outcome.UNKNOWN)
+                    raise BackendError("a part of the answer is missing", Outcome.UNKNOWN)
                 expected += 1
                 finished = part.end
                 self._router.record_owner_load(
@@ -202,7 +200,7 @@
                 )
                 yield part_from_message(part)
         if not finished:
-            raise BackendError("answer is truncated", Outcome.UNKNOWN)
+            raise BackendError("the answer's end is missing", Outcome.UNKNOWN)
 
 
 def dispatch_frame(backend: Backend, request: BackendRequest, seconds: float) -> Frame:
--- a/src/wharfcart/routing/owner.py
+++ b/src/wharfcart/routing/owner.py
@@ -101,7 +101,7 @@
         gate = owned.gate
         if not gate.admit_online(request.request_id, monotonic()):
             raise ServingError(
-                "overloaded", "back end is at capacity", 503, retry_after_seconds=RETRY_AFTER_S
+                "overloaded", "the back end takes no more", 503, retry_after_seconds=RETRY_AFTER_S
             )
         self._preempt_batch(owned)
         finished = False
--- a/src/wharfcart/routing/sender.py
+++ b/src/wharfcart/routing/sender.py
@@ -273,7 +273,7 @@
                 self._selector.record_full(state, monotonic())
             return SendFailure(False, f"refused_{head.status}")
         if not http_headers.is_signed(head) and head.status < 300:
-            raise ConnectionBrokenError("answer has no signature")
+            raise ConnectionBrokenError("answer is not signed")
         if request.route.kind is RouteKind.STREAM and head.status < 300:
             await self._forward_stream(request, sink, progress, connection, head)
             return None
@@ -291,12 +291,12 @@
         failed = head.status >= STATUS_SERVER_ERROR
         progress.answer_ok = not failed or head.status == STATUS_TIMEOUT
         if failed and progress.answer_started:
-            raise ConnectionBrokenError("back end failed to resume the stream")
+            raise ConnectionBrokenError("resumption failed")
         if failed and request.route.repeatable and progress.sends < request.route.max_backends:
             return SendFailure(True, f"status_{head.status}")
         self._request_log.first_byte(request, progress)
         if progress.answer_started:
-            raise ConnectionBrokenError("back end refused to resume the stream")
+            raise ConnectionBrokenError("resumption refused")
         await sink.send_whole(head.status, http_headers.headers_for_client(head), body)
         self._request_log.finished(request, progress, "answered", head.status)
         return None
@@ -323,7 +323,7 @@
             await self._ensure_started(request, sink, progress, head)
             await sink.send_part(part)
         if splitter is not None and splitter.remainder:
-            raise ConnectionBrokenError("stream ended inside an event")
+            raise ConnectionBrokenError("ended inside an event")
         await self._ensure_started(request, sink, progress, head)
         self._request_log.finished(request, progress, "answered", head.status)
 
@@ -343,7 +343,7 @@
                 return await answer
         except TimeoutError as error:
             self._hedge_budget.withdraw()
-            raise ConnectionBrokenError("timed out", cause=BreakCause.TIMED_OUT) from error
+            raise ConnectionBrokenError("too slow", cause=BreakCause.TIMED_OUT) from error
 
     def _timeout_s(self, request: CallerRequest, progress: RequestProgress) -> float | None:
         route = request.route
@@ -389,7 +389,7 @@
             if progress.last_event is not None and event.number <= progress.last_event:
                 continue
             if progress.last_event is not None and event.number > progress.last_event + 1:
-                raise ConnectionBrokenError("stream skipped an event")
+                raise ConnectionBrokenError("an event is missing")
             progress.last_event = event.number
         forwarded.append(event.raw)
     return b"".join(forwarded)
--- a/src/wharfcart/settings/schema.py
+++ b/src/wharfcart/settings/schema.py
@@ -25,9 +25,9 @@
 class JournalSettings(StrictSettings):
     """Initial layout of the journal; used only by the node that creates it."""
 
-    shards: int = Field(3, ge=1, le=1024, description="number of journal shards, fixed")
+    shards: int = Field(3, ge=1, le=1024, description="shards of the journal, fixed for good")
     replicas: int = Field(3, ge=2, le=7, description="replicas of each shard")
-    retention_hours: float = Field(24.0, gt=0, description="how long finished work stays readable")
+    retention_hours: float = Field(24.0, gt=0, description="how long ended work stays readable")
 
 
 class NodeSettings(StrictSettings):
@@ -39,13 +39,13 @@
     listen: Endpoint = Field(description="callers and operators, HTTP")
     cluster_listen: Endpoint = Field(description="other nodes, TCP and UDP")
     cluster_advertise: Endpoint | None = Field(
-        None, description="address announced to other nodes, if it differs"
+        None, description="address given to other nodes, if it differs"
     )
     seeds: list[Endpoint] = Field(default_factory=list, description="cluster addresses to join by")
     key_value: Endpoint = Field(description="etcd v3 JSON gateway")
     machine_list: str = Field(description="URL of the Prometheus HTTP service discovery list")
     admin_key_sha256: str = Field(pattern=r"^[0-9a-f]{64}$")
-    data_folder: Path | None = Field(None, description="makes the node a storage node")
+    data_folder: Path | None = Field(None, description="makes the node store")
     journal: JournalSettings = JournalSettings()
     log: LogSettings = LogSettings()
     most_file_bytes: int = Field(1_000_000_000, ge=1024)
@@ -57,7 +57,7 @@
 
     zone: str
     count: int = Field(1, ge=0, le=64)
-    models: list[str] = Field(default_factory=list, description="models loaded at startup")
+    models: list[str] = Field(default_factory=list, description="loaded at the start")
 
 
 class ApplicationSettings(StrictSettings):
@@ -80,8 +80,8 @@
     """Emulators of the platform and the back ends, in one process."""
 
     listen_host: str = "127.0.0.1"
-    first_port: int = Field(0, ge=0, le=65_000, description="0 selects free ports")
-    speed: float = Field(1.0, gt=0, le=1000, description="divides all simulated times")
+    first_port: int = Field(0, ge=0, le=65_000, description="0 takes free ports")
+    speed: float = Field(1.0, gt=0, le=1000, description="divides every modelled time")
     engines: list[EngineSettings] = Field(default_factory=list)
     applications: list[ApplicationSettings] = Field(default_factory=list)
     proxies: list[ProxySettings] = Field(default_factory=list)
--- a/tests/configuration/test_configuration.py
+++ b/tests/configuration/test_configuration.py
@@ -57,7 +57,7 @@
         f"{place}: {reason}" for place, reason in _findings(INVALID_REFERENCES).items()
     )
     for text in (
-        "tenants.1.name (line 2): 't' is defined twice",
+        "tenants.1.name (line 2): 't' stands twice",
         "no model 'nothing'",
         "no parameter 'missing'",
         "templates.0.parameters.count.default (line 11): is below 2",
--- a/tests/gateway/test_bad_input.py
+++ b/tests/gateway/test_bad_input.py
@@ -68,7 +68,7 @@
     found = {f["place"]: f["reason"] for f in response.json()["error"]["findings"]}
     assert set(found) == {"line 2", "line 3", "line 4", "line 5", "line 6"}
     assert "no service 'nothing'" in found["line 3"]
-    assert "is used twice" in found["line 4"]
+    assert "stands twice" in found["line 4"]
     assert found["line 6"] == "not UTF-8"
 
 
