--- a/tests/routing/test_forwarder_residence.py
+++ b/tests/routing/test_forwarder_residence.py
@@ -52,7 +52,7 @@
 class UnresponsiveConnection:
     """An idle connection whose peer no longer responds."""
 
-    answered = 3
+    response_count = 3
 
     def send(self, *_request: object) -> None:
         return
