--- a/src/wharfcart/cli/__init__.py
+++ b/src/wharfcart/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Command line: a thin edge over the HTTP interfaces and the processes."""
+"""Command line over the HTTP interfaces, and commands that start processes."""
--- a/src/wharfcart/cli/batch.py
+++ b/src/wharfcart/cli/batch.py
@@ -27,13 +27,13 @@
     server: ServerOption,
     key: KeyOption,
     idempotency_key: Annotated[
-        str | None, typer.Option(help="The same key on a repeated call is the same job.")
+        str | None, typer.Option(help="A repeated call with the same key returns the same job.")
     ] = None,
     window: Annotated[str, typer.Option(help="Completion window, such as 24h.")] = "24h",
-    wait: Annotated[bool, typer.Option(help="Wait until the job ends.")] = False,
+    wait: Annotated[bool, typer.Option(help="Wait until the job is finished.")] = False,
     output: OutputOption = OutputFormat.TABLE,
 ) -> None:
-    """Upload a file and create a job of it."""
+    """Upload a file and create a job from it."""
     client = ApiClient(server, key)
     uploaded = client.call(
         "POST", "/v1/files", data=file.read_bytes(), headers={"Content-Type": "application/jsonl"}
@@ -51,7 +51,7 @@
     job_id: JobArgument,
     server: ServerOption,
     key: KeyOption,
-    wait: Annotated[bool, typer.Option(help="Wait until the job ends.")] = False,
+    wait: Annotated[bool, typer.Option(help="Wait until the job is finished.")] = False,
     output: OutputOption = OutputFormat.TABLE,
 ) -> None:
     """Show a job."""
@@ -77,9 +77,9 @@
     server: ServerOption,
     key: KeyOption,
     first: Annotated[int, typer.Option(help="First input row.")] = 0,
-    limit: Annotated[int | None, typer.Option(help="At most so many rows.")] = None,
+    limit: Annotated[int | None, typer.Option(help="Maximum number of rows.")] = None,
 ) -> None:
-    """Write results so far to standard output, in input order."""
+    """Write the available results to standard output, in input order."""
     path = f"/v1/batches/{job_id}/results?first={first}"
     if limit is not None:
         path += f"&limit={limit}"
--- a/src/wharfcart/cli/client.py
+++ b/src/wharfcart/cli/client.py
@@ -1,4 +1,4 @@
-"""HTTP client of the commands."""
+"""HTTP client that the commands use."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -17,7 +17,12 @@
 
 @dataclass(frozen=True)
 class ApiClient:
-    """Where and as whom the commands call."""
+    """HTTP client of one server.
+
+    Attributes:
+        url: Base URL of a node.
+        key: API key or admin key.
+    """
 
     url: str
     key: str
@@ -30,7 +35,7 @@
         headers: dict[str, str] | None = None,
         data: bytes | None = None,
     ) -> Any:
-        """Make one call and return its JSON answer; an error ends the command."""
+        """Make one call and return the JSON body of the response; an error ends the command."""
         return asyncio.run(self._call(method, path, body, headers or {}, data))
 
     async def _call(
@@ -56,7 +61,7 @@
             fail(f"{self.url}: {error!r}", ExitCode.UNREACHABLE)
 
     async def lines(self, path: str) -> AsyncIterator[bytes]:
-        """Yield the lines of a streamed answer."""
+        """Yield the lines of a streamed response."""
         async with (
             aiohttp.ClientSession() as session,
             session.get(self.url.rstrip("/") + path, headers=self._headers()) as response,
--- a/src/wharfcart/cli/config.py
+++ b/src/wharfcart/cli/config.py
@@ -14,13 +14,13 @@
 app = typer.Typer(help="Templates, deployments and tenants.", no_args_is_help=True)
 
 FileArgument = Annotated[Path, typer.Argument(help="YAML document", exists=True, dir_okay=False)]
-ReplaceOption = Annotated[bool, typer.Option(help="Delete what the document lacks.")]
+ReplaceOption = Annotated[bool, typer.Option(help="Delete entries that the document lacks.")]
 API_ROOT = "/admin/v1/configuration"
 
 
 @app.command()
 def check(file: FileArgument, output: OutputOption = OutputFormat.TABLE) -> None:
-    """Check a whole document without a server; print every finding."""
+    """Validate a complete document without a server and print every finding."""
     try:
         text = file.read_text(encoding="utf-8")
     except UnicodeDecodeError:
@@ -43,7 +43,7 @@
     replace: ReplaceOption = False,
     output: OutputOption = OutputFormat.TABLE,
 ) -> None:
-    """Show what applying a document would change."""
+    """Show the changes that applying a document would make."""
     body = _request_body(file, replace)
     answer = ApiClient(server, key).call("POST", f"{API_ROOT}/plan", body)
     _print_changes(answer, output)
@@ -55,10 +55,12 @@
     server: ServerOption,
     key: KeyOption,
     replace: ReplaceOption = False,
-    author: Annotated[str, typer.Option(help="Who changes it.")] = "",
-    reason: Annotated[str, typer.Option(help="Why.")] = "",
-    revision: Annotated[int | None, typer.Option(help="Refuse unless this is newest.")] = None,
-    wait: Annotated[bool, typer.Option(help="Return once in force everywhere.")] = False,
+    author: Annotated[str, typer.Option(help="Author of the change.")] = "",
+    reason: Annotated[str, typer.Option(help="Reason of the change.")] = "",
+    revision: Annotated[
+        int | None, typer.Option(help="Refuse unless this is the newest revision.")
+    ] = None,
+    wait: Annotated[bool, typer.Option(help="Wait until every node has the revision.")] = False,
     output: OutputOption = OutputFormat.TABLE,
 ) -> None:
     """Apply a document."""
@@ -71,12 +73,12 @@
     to_revision: Annotated[int, typer.Argument(help="Undo everything after this revision.")],
     server: ServerOption,
     key: KeyOption,
-    author: Annotated[str, typer.Option(help="Who changes it.")] = "",
-    reason: Annotated[str, typer.Option(help="Why.")] = "",
-    wait: Annotated[bool, typer.Option(help="Return once in force everywhere.")] = False,
+    author: Annotated[str, typer.Option(help="Author of the change.")] = "",
+    reason: Annotated[str, typer.Option(help="Reason of the change.")] = "",
+    wait: Annotated[bool, typer.Option(help="Wait until every node has the revision.")] = False,
     output: OutputOption = OutputFormat.TABLE,
 ) -> None:
-    """Undo changes as one new revision."""
+    """Undo all changes after a revision, as one new revision."""
     body = {"to_revision": to_revision, "author": author, "reason": reason, "wait": wait}
     _submit_change(ApiClient(server, key), f"{API_ROOT}/rollback", body, None, output)
 
@@ -96,7 +98,7 @@
 def history(
     server: ServerOption, key: KeyOption, output: OutputOption = OutputFormat.TABLE
 ) -> None:
-    """Print accepted changes, newest first."""
+    """Print the accepted changes, newest first."""
     answer = ApiClient(server, key).call("GET", f"{API_ROOT}/history")
     rows = [
         (r["revision"], r["at"], r["author"], r["reason"], len(r["changes"]))
@@ -113,7 +115,7 @@
 def _submit_change(
     client: ApiClient, path: str, body: dict[str, Any], revision: int | None, output: OutputFormat
 ) -> None:
-    # The same id on a repeated call is the same change, also when an answer was lost.
+    # The server recognizes the change by this id if the response to its transaction is lost.
     body["operation_id"] = uuid.uuid4().hex
     headers = {"If-Match": f'"{revision}"'} if revision is not None else {}
     answer = client.call("POST", path, body, headers)
--- a/src/wharfcart/cli/experiment.py
+++ b/src/wharfcart/cli/experiment.py
@@ -1,4 +1,4 @@
-"""``wharfcart experiment run``."""
+"""``wharfcart experiment run``: experiments over emulated fleets."""
 
 from enum import StrEnum
 from pathlib import Path
@@ -14,7 +14,7 @@
 
 
 class Experiment(StrEnum):
-    """Experiments that can be run."""
+    """Available experiments."""
 
     SCALE = "scale"
     HEAPS = "heaps"
@@ -32,32 +32,34 @@
 
 @app.command("run")
 def run(
-    name: Annotated[Experiment, typer.Argument(help="Which experiment.")],
-    profile: Annotated[Profile, typer.Option(help="Fleet, for all but scale.")] = (
+    name: Annotated[Experiment, typer.Argument(help="Experiment to run.")],
+    profile: Annotated[Profile, typer.Option(help="Example fleet, ignored by scale.")] = (
         Profile.REGISTRATION
     ),
-    nodes: Annotated[str, typer.Option(help="Sizes for scale, as 50,100.")] = "50,100,200,410",
-    seed: Annotated[int, typer.Option(help="Same seed, same run.")] = 1,
-    output_folder: Annotated[Path, typer.Option("--output-folder", help="Where figures go.")] = (
-        Path("out")
-    ),
+    nodes: Annotated[
+        str, typer.Option(help="Fleet sizes for scale, such as 50,100.")
+    ] = "50,100,200,410",
+    seed: Annotated[int, typer.Option(help="Seed of the run.")] = 1,
+    output_folder: Annotated[
+        Path, typer.Option("--output-folder", help="Folder for the figures.")
+    ] = (Path("out")),
     output: OutputOption = OutputFormat.TABLE,
 ) -> None:
     """Run an experiment and write its figures."""
-    # Imported here: numpy and matplotlib would cost every node tens of megabytes.
+    # Imported here: numpy and matplotlib would take memory in every node process.
     from wharfcart.experiments.heaps import Variant, run_heaps
     from wharfcart.experiments.limits import run_limits
     from wharfcart.experiments.scale import run_scale
     from wharfcart.experiments.waves import run_waves
 
     if name in (Experiment.WAVES, Experiment.LIMITS):
-        play_all = run_waves if name is Experiment.WAVES else run_limits
-        found = play_all(seed, output_folder)
-        print_result(found, output, ["figure", "value"], found.items())
+        run_experiment = run_waves if name is Experiment.WAVES else run_limits
+        summary = run_experiment(seed, output_folder)
+        print_result(summary, output, ["figure", "value"], summary.items())
         return
     if name is not Experiment.SCALE:
-        found = run_heaps(profile, Variant(name.value), seed, output_folder)
-        print_result(found, output, ["figure", "value"], found.items())
+        summary = run_heaps(profile, Variant(name.value), seed, output_folder)
+        print_result(summary, output, ["figure", "value"], summary.items())
         return
     sizes = [int(size) for size in nodes.split(",")]
     figures = run_scale(sizes, seed, output_folder)
--- a/src/wharfcart/cli/explain.py
+++ b/src/wharfcart/cli/explain.py
@@ -1,4 +1,4 @@
-"""``wharfcart explain``: what became of a request, a job or an item, and why."""
+"""``wharfcart explain``: the decisions about a request, a job or an item."""
 
 import dataclasses
 import json
@@ -14,12 +14,14 @@
 
 def explain(
     wanted: Annotated[str, typer.Argument(metavar="ID", help="Id of a request, job or item.")],
-    files: Annotated[list[Path], typer.Argument(help="Standard output of the processes.")],
+    files: Annotated[
+        list[Path], typer.Argument(help="Log files (standard output of the processes).")
+    ],
     output: OutputOption = OutputFormat.TABLE,
 ) -> None:
-    """Gather every decision about an id over the logs of all processes, in order of time."""
-    texts = (line for path in files for line in path.open(encoding="utf-8", errors="replace"))
-    timeline = timeline_of(wanted, texts)
+    """Show every decision about an id from the logs of all processes, in order of time."""
+    log_lines = (line for path in files for line in path.open(encoding="utf-8", errors="replace"))
+    timeline = timeline_of(wanted, log_lines)
     if output is OutputFormat.JSON:
         typer.echo(json.dumps(dataclasses.asdict(timeline) | {"verdict": timeline.verdict}))
     else:
@@ -32,14 +34,14 @@
     typer.echo(f"{timeline.wanted}: {timeline.verdict}")
     if not timeline.lines:
         return
-    began = timeline.lines[0].time
+    started_at = timeline.lines[0].time
     for line in timeline.lines:
-        typer.echo(_row(line, began))
+        typer.echo(_row(line, started_at))
 
 
-def _row(line: LogLine, began: float) -> str:
+def _row(line: LogLine, started_at: float) -> str:
     mark = "*" if line.direct else " "
     fields = " ".join(
         f"{name}={value}" for name, value in line.fields.items() if value not in (None, "")
     )
-    return f"{mark} {line.time - began:8.3f} s  {line.node:<20} {line.event:<20} {fields}"
+    return f"{mark} {line.time - started_at:8.3f} s  {line.node:<20} {line.event:<20} {fields}"
--- a/src/wharfcart/cli/journal.py
+++ b/src/wharfcart/cli/journal.py
@@ -1,4 +1,4 @@
-"""``wharfcart journal``: what an operator does when disks are lost."""
+"""``wharfcart journal``: recovery after the loss of disks."""
 
 from typing import Annotated
 
@@ -22,12 +22,15 @@
     server: ServerOption,
     key: KeyOption,
     other_disks_are_lost: Annotated[
-        bool, typer.Option(help="Say that the shard's other disks will never come back.")
+        bool, typer.Option(help="Confirm that the shard's other disks are lost for good.")
     ] = False,
     output: OutputOption = OutputFormat.TABLE,
 ) -> None:
-    """Have the surviving node (--server) go on alone with a shard; spares are then added."""
+    """Continue a shard on the surviving node (--server) only; spare replicas are added later."""
     if not other_disks_are_lost:
-        fail("say --other-disks-are-lost if no other disk can come back", ExitCode.USAGE)
+        fail(
+            "pass --other-disks-are-lost if no other disk of the shard can be recovered",
+            ExitCode.USAGE,
+        )
     answer = ApiClient(server, key).call("POST", f"/admin/v1/journal/{shard}/recover", {})
     print_result(answer, output)
--- a/src/wharfcart/cli/main.py
+++ b/src/wharfcart/cli/main.py
@@ -31,7 +31,7 @@
 
 @app.command()
 def status(server: ServerOption, key: KeyOption, output: OutputOption = OutputFormat.TABLE) -> None:
-    """Show every live node: revision in force, shards led, back ends owned."""
+    """Show every live node with its configuration revision, led shards and running requests."""
     answer = ApiClient(server, key).call("GET", "/admin/v1/status")
     rows = [
         (
--- a/src/wharfcart/cli/output.py
+++ b/src/wharfcart/cli/output.py
@@ -29,7 +29,7 @@
 
 
 class OutputFormat(StrEnum):
-    """How a command prints its answer."""
+    """Format in which a command prints its result."""
 
     TABLE = "table"
     JSON = "json"
@@ -38,7 +38,7 @@
 def print_result(
     result: Any, output: OutputFormat, columns: list[str] | None = None, rows: Any = None
 ) -> None:
-    """Print an answer: as JSON, or its rows as a table."""
+    """Print a result as JSON, or its rows as a table."""
     if output is OutputFormat.JSON:
         print(json.dumps(result, indent=2))
         return
--- a/src/wharfcart/cli/processes.py
+++ b/src/wharfcart/cli/processes.py
@@ -1,4 +1,4 @@
-"""Commands that run processes: ``node``, ``emulator``, ``dev``, ``demo``."""
+"""Commands that run processes: nodes, gateways, storage, the emulator and small fleets."""
 
 import asyncio
 import os
@@ -23,16 +23,18 @@
 
 SettingsModel = TypeVar("SettingsModel", bound=BaseModel)
 SettingsOption = Annotated[Path, typer.Option("--settings", help="TOML file")]
-ProfileOption = Annotated[Profile, typer.Option(help="Which example fleet.")]
+ProfileOption = Annotated[Profile, typer.Option(help="Example fleet.")]
 
 
 def node(
     settings: SettingsOption,
-    listen: Annotated[str | None, typer.Option(help="Callers' address.")] = None,
+    listen: Annotated[str | None, typer.Option(help="Address for callers.")] = None,
     zone: Annotated[str | None, typer.Option(help="Zone of this machine.")] = None,
-    data_folder: Annotated[str | None, typer.Option(help="Makes the node store.")] = None,
+    data_folder: Annotated[
+        str | None, typer.Option(help="Data folder; makes this a storage node.")
+    ] = None,
 ) -> None:
-    """Run one node until SIGTERM, then leave without cutting anything."""
+    """Run one node until SIGTERM, then shut down without interrupting requests."""
     flags = {"listen": listen, "zone": zone, "data_folder": data_folder}
     checked = _load_settings(NodeSettings, settings, flags)
     configure_logs(checked.log.level, checked.node_id)
@@ -52,12 +54,12 @@
 
 
 def storage(settings: SettingsOption) -> None:
-    """Run one storage node of such a fleet, until SIGTERM."""
+    """Run one storage node of a fleet on a coordination service, until SIGTERM."""
     process.run_storage(settings)
 
 
 def emulator(settings: SettingsOption) -> None:
-    """Run stand-ins for the platform and the back ends."""
+    """Run emulators of the platform services and the back ends."""
     checked = _load_settings(EmulatorSettings, settings, {})
     configure_logs(checked.log.level, "emulator")
     uvloop.run(_run_emulator(EmulatedFleet(checked)))
@@ -75,11 +77,11 @@
 
 
 def dev(
-    listen: Annotated[str, typer.Option(help="First node's address.")] = "127.0.0.1:8400",
+    listen: Annotated[str, typer.Option(help="Address of the first node.")] = "127.0.0.1:8400",
     profile: ProfileOption = Profile.REGISTRATION,
-    nodes: Annotated[int, typer.Option(min=3, max=9, help="How many nodes.")] = 3,
+    nodes: Annotated[int, typer.Option(min=3, max=9, help="Number of nodes.")] = 3,
 ) -> None:
-    """Run a small whole fleet inside this process."""
+    """Run a small but complete fleet inside this process."""
     configure_logs("warning", "dev")
     uvloop.run(_run_dev(DevFleet(profile, nodes, listen)))
 
@@ -97,12 +99,12 @@
 def demo(
     profile: ProfileOption = Profile.REGISTRATION,
     against: Annotated[
-        list[str] | None, typer.Option(help="URLs of a running fleet's nodes instead.")
+        list[str] | None, typer.Option(help="URLs of nodes of a running fleet to use instead.")
     ] = None,
     admin_key: Annotated[str, typer.Option(help="Admin key of that fleet.")] = "admin-key",
     items: Annotated[int, typer.Option(min=10, help="Items of the batch job.")] = 5000,
 ) -> None:
-    """Run the main job on a fleet and report whether every promise was kept."""
+    """Run the main job on a fleet and report whether all guarantees held."""
     configure_logs("error", "demo")
     passed = uvloop.run(_run_demo(profile, against, admin_key, items))
     raise typer.Exit(int(ExitCode.OK if passed else ExitCode.FAILED))
--- a/src/wharfcart/cli/soak.py
+++ b/src/wharfcart/cli/soak.py
@@ -1,4 +1,4 @@
-"""The command ``wharfcart soak``."""
+"""``wharfcart soak``: real processes under random faults."""
 
 import asyncio
 import json
@@ -15,22 +15,22 @@
 
 
 def soak(
-    seeds: Annotated[int, typer.Option(min=1, help="How many fresh seeds.")] = 3,
-    seed: Annotated[list[int] | None, typer.Option(help="Play this seed; repeatable.")] = None,
+    seeds: Annotated[int, typer.Option(min=1, help="Number of random seeds.")] = 3,
+    seed: Annotated[list[int] | None, typer.Option(help="Run this seed; repeatable.")] = None,
     load_s: Annotated[float, typer.Option(min=5, help="Seconds of load and faults.")] = 25.0,
-    gateways: Annotated[int, typer.Option(min=1, help="How many gateways.")] = GATEWAYS,
-    stores: Annotated[int, typer.Option(min=3, help="How many storage nodes.")] = STORES,
-    keep: Annotated[Path, typer.Option(help="Takes the logs of runs that failed.")] = Path(
+    gateways: Annotated[int, typer.Option(min=1, help="Number of gateways.")] = GATEWAYS,
+    stores: Annotated[int, typer.Option(min=3, help="Number of storage nodes.")] = STORES,
+    keep: Annotated[Path, typer.Option(help="Folder for the logs of failed runs.")] = Path(
         "soak-failures"
     ),
 ) -> None:
-    """Run real processes under random faults and check every promise.
+    """Run real processes under random faults and check all guarantees.
 
-    Prints a JSON line a seed. Exits with 1 if any promise was broken.
+    Prints one JSON line per seed. Exits with 1 if any guarantee was violated.
     """
-    chosen = seed or [random.randrange(MAX_SEED) for _ in range(seeds)]
+    chosen_seeds = seed or [random.randrange(MAX_SEED) for _ in range(seeds)]
     failed = False
-    for number in chosen:
+    for number in chosen_seeds:
         typer.echo(f"seed {number}", err=True)
         run = SoakRun(number, load_s, keep, gateways=gateways, stores=stores)
         verdict = asyncio.run(run.play())
