--- a/src/wharfcart/gateway/idempotency.py
+++ b/src/wharfcart/gateway/idempotency.py
@@ -53,7 +53,7 @@
 
 
 def request_digest(method: str, path: str, body: bytes) -> str:
-    """Return the digest that tells whether two requests with one key are the same."""
+    """Return the digest of a request; all requests with one key must have the same digest."""
     return hashlib.sha256(f"{method} {path}\0".encode() + body).hexdigest()
 
 
@@ -249,7 +249,7 @@
             raise _unknown_outcome_error("the outcome of the request is not known yet")
 
     def _is_abandoned(self, record: KeyRecord, service: Service | None = None) -> bool:
-        """Return whether the node that ran the request must have stopped before its outcome."""
+        """Return whether the node that ran the request must have stopped before it finished."""
         if record.state != KeyState.STARTED:
             return False
         timeout_s = ABANDON_GRACE_S + (service.deadline_seconds if service is not None else 60.0)
--- a/src/wharfcart/gateway/ingress.py
+++ b/src/wharfcart/gateway/ingress.py
@@ -1,4 +1,4 @@
-"""HTTP ingress of a gateway: authenticates callers' requests and forwards them unchanged."""
+"""HTTP ingress of a gateway: authenticates callers and forwards their requests."""
 
 from collections.abc import Awaitable, Callable
 from socket import socket
@@ -23,7 +23,7 @@
 
 METHODS = ("GET", "POST", "PUT", "DELETE", "PATCH", "HEAD", "OPTIONS")
 REQUEST_TIMEOUT_S = 60
-# Disables Sanic's timeout in effect: the deadline of each request applies.
+# In effect no timeout: the deadline of each request applies.
 RESPONSE_TIMEOUT_S = 3600
 KEEP_ALIVE_TIMEOUT_S = 3600
 MAX_HEADER_BYTES = 16_384
--- a/tests/fleet/test_reconciler.py
+++ b/tests/fleet/test_reconciler.py
@@ -1,4 +1,4 @@
-"""Orders that bring engines to the configuration."""
+"""Commands that bring engines to the configured models, adapters and versions."""
 
 from wharfcart.backends.interface import EngineCommand, EngineCommandKind
 from wharfcart.fleet.reconciler import (
@@ -25,27 +25,27 @@
 def _reconcile_until_stable(
     engines: list[EngineStatus], models: list[TargetModel]
 ) -> list[EngineStatus]:
-    """Obey orders until none come; every step keeps a copy of each model in use."""
+    """Apply commands until none are left; assert that each model in use keeps a copy."""
     reconciler = FleetReconciler(epoch=7)
     state = {engine.backend_id: engine for engine in engines}
     now = 0.0
     for _ in range(40):
         now += REPORT_LAG_S + 1
-        for order in reconciler.reconcile(models, list(state.values()), now):
-            before = state[order.backend_id]
-            if order.kind is EngineCommandKind.LOAD_MODEL:
-                held = [e for e in state.values() if e.model == before.model]
+        for command in reconciler.reconcile(models, list(state.values()), now):
+            before = state[command.backend_id]
+            if command.kind is EngineCommandKind.LOAD_MODEL:
+                copies = [e for e in state.values() if e.model == before.model]
                 in_use = before.model in {model.name for model in models}
-                assert not in_use or len(held) > 1 or before.model == order.name
-                state[order.backend_id] = _engine(order.backend_id, order.name, before.zone)
+                assert not in_use or len(copies) > 1 or before.model == command.name
+                state[command.backend_id] = _engine(command.backend_id, command.name, before.zone)
             else:
-                state[order.backend_id] = _engine(
-                    order.backend_id,
+                state[command.backend_id] = _engine(
+                    command.backend_id,
                     before.model,
                     before.zone,
-                    adapters=before.adapters | {order.name}
-                    if order.kind is EngineCommandKind.LOAD_ADAPTER
-                    else before.adapters - {order.name},
+                    adapters=before.adapters | {command.name}
+                    if command.kind is EngineCommandKind.LOAD_ADAPTER
+                    else before.adapters - {command.name},
                 )
     return list(state.values())
 
@@ -71,9 +71,9 @@
 
 
 def test_commands_carry_the_epoch_and_increasing_sequence_numbers() -> None:
-    orders = _commands([_engine("e0"), _engine("e1")], [BIG, SMALL])
-    assert {order.epoch for order in orders} == {7}
-    assert [order.sequence for order in orders] == sorted({o.sequence for o in orders})
+    commands = _commands([_engine("e0"), _engine("e1")], [BIG, SMALL])
+    assert {command.epoch for command in commands} == {7}
+    assert [command.sequence for command in commands] == sorted({c.sequence for c in commands})
 
 
 def test_leaving_and_loading_servers_get_no_commands() -> None:
@@ -92,5 +92,5 @@
 
 def test_new_version_is_loaded_on_one_server_at_a_time() -> None:
     engines = [_engine(f"e{n}", "big", adapters=frozenset({"law"})) for n in range(3)]
-    orders = _commands(engines, [TargetModel("big", "2", 3, ("law",))])
-    assert [order.kind for order in orders] == [EngineCommandKind.LOAD_MODEL]
+    commands = _commands(engines, [TargetModel("big", "2", 3, ("law",))])
+    assert [command.kind for command in commands] == [EngineCommandKind.LOAD_MODEL]
--- a/tests/gateway/conftest.py
+++ b/tests/gateway/conftest.py
@@ -1,4 +1,4 @@
-"""Small fleets inside the test process."""
+"""Fixtures: small fleets inside the test process."""
 
 import asyncio
 import threading
@@ -15,15 +15,15 @@
 
 @contextmanager
 def _running_fleet() -> Iterator[DevFleet]:
-    """Run an embedded fleet on a loop of its own, as `wharfcart dev` does."""
+    """Run a fleet on an event loop in its own thread."""
     loop = asyncio.new_event_loop()
     thread = threading.Thread(target=loop.run_forever, daemon=True)
     thread.start()
 
     async def make() -> DevFleet:
-        made = DevFleet(Profile.REGISTRATION, 3, "127.0.0.1:0")
-        await made.start()
-        return made
+        created = DevFleet(Profile.REGISTRATION, 3, "127.0.0.1:0")
+        await created.start()
+        return created
 
     running = asyncio.run_coroutine_threadsafe(make(), loop).result(START_TIMEOUT_S)
     yield running
@@ -34,13 +34,13 @@
 
 @pytest.fixture(scope="session")
 def fleet() -> Iterator[DevFleet]:
-    """One fleet shared by the tests that leave it as it was."""
+    """Fleet shared by the tests that don't change its engines."""
     with _running_fleet() as running:
         yield running
 
 
 @pytest.fixture
 def own_fleet() -> Iterator[DevFleet]:
-    """A fleet for a test that changes what engines hold."""
+    """Separate fleet for a test that changes the engines' models or adapters."""
     with _running_fleet() as running:
         yield running
--- a/tests/gateway/test_admin.py
+++ b/tests/gateway/test_admin.py
@@ -1,4 +1,4 @@
-"""Operators' interface: findings, revisions, rollback."""
+"""Operators' HTTP interface: validation, revision conflicts, rollback, model changes."""
 
 import json
 import time
--- a/tests/gateway/test_authentication.py
+++ b/tests/gateway/test_authentication.py
@@ -1,4 +1,4 @@
-"""Who a caller is."""
+"""Authentication of callers by API key."""
 
 import pytest
 
--- a/tests/gateway/test_backend_faults.py
+++ b/tests/gateway/test_backend_faults.py
@@ -1,4 +1,7 @@
-"""Back ends that lose answers, refuse, and cut streams: nothing doubled, nothing half."""
+"""Back ends that lose responses, refuse requests or interrupt streams.
+
+No request with an effect runs twice, and no response is truncated.
+"""
 
 import json
 import time
@@ -43,7 +46,7 @@
     assert first.status_code >= 500
     assert first.json()["outcome"] == "unknown"
     assert _effect_count(faulty, "lost-1") == 1
-    # The same key through another node: the back end tells what became of it.
+    # The other node queries the back end for the outcome.
     again = _register(faulty, "lost-1", node=1)
     assert again.status_code == 200
     assert _effect_count(faulty, "lost-1") == 1
@@ -73,7 +76,7 @@
 def test_outcome_during_an_outage_is_unknown_until_the_server_is_back(faulty: DevFleet) -> None:
     _set_applications(faulty, outage=True)
     answer = _register(faulty, "down-1")
-    # The connection was made, so nobody can say that it did not run, until the server tells.
+    # The connection was established, so the request may have run until the server denies it.
     assert answer.json()["outcome"] == "unknown"
     assert _effect_count(faulty, "down-1") == 0
     _set_applications(faulty)
@@ -84,7 +87,7 @@
 
 
 def test_running_request_is_not_reported_as_not_run(faulty: DevFleet) -> None:
-    """A back end asked too early must not let an effect happen that was called not run."""
+    """An outcome query during the run must not report 'not run' for an effect that then happens."""
     server = next(iter(faulty.emulator.applications.values()))
     server._running.add("early")
     settle = f"http://{server.address}/effects/early/settle"
--- a/tests/gateway/test_bad_input.py
+++ b/tests/gateway/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input gets a clear 4xx with `not_run`, and nothing is lost or leaked."""
+"""Invalid requests get a 4xx with `not_run`; disconnected and slow clients hold no resources."""
 
 import json
 import socket
--- a/tests/gateway/test_ingress.py
+++ b/tests/gateway/test_ingress.py
@@ -1,4 +1,4 @@
-"""Callers' connections at a gateway that starts."""
+"""Callers' connections that wait while a gateway starts."""
 
 import asyncio
 import socket
@@ -15,7 +15,7 @@
 
 
 class RecordingForwarder:
-    """Answers at once and notes what came."""
+    """Answers at once and records the requests."""
 
     def __init__(self) -> None:
         self.requests: list[CallerRequest] = []
@@ -26,11 +26,11 @@
 
 
 def listening_socket() -> socket.socket:
-    made = socket.socket()
-    made.bind(("127.0.0.1", 0))
-    made.listen()
-    made.setblocking(False)
-    return made
+    created = socket.socket()
+    created.bind(("127.0.0.1", 0))
+    created.listen()
+    created.setblocking(False)
+    return created
 
 
 async def exchange(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -61,7 +61,7 @@
         await exchange(*await asyncio.open_connection(*front.getsockname()))
         return opened_at, forwarder.requests, serving_at
 
-    opened_at, (waited, second, fresh), serving_at = asyncio.run(asyncio.wait_for(scenario(), 20))
-    assert waited.received_at == opened_at
+    opened_at, (waiting, second, new), serving_at = asyncio.run(asyncio.wait_for(scenario(), 20))
+    assert waiting.received_at == opened_at
     assert second.received_at >= serving_at
-    assert fresh.received_at >= serving_at
+    assert new.received_at >= serving_at
--- a/tests/gateway/test_job_calls_residence.py
+++ b/tests/gateway/test_job_calls_residence.py
@@ -1,4 +1,4 @@
-"""What a gateway says of a job for its residence: where it sends it, and why it refuses it."""
+"""Residence of jobs at a gateway: the groups that get a job, and refusals."""
 
 import asyncio
 import json
@@ -53,7 +53,7 @@
 
 
 class FakeJobClient:
-    """Stands in for the calls to groups."""
+    """Fake job client that records the frames and returns one answer."""
 
     def __init__(self, answer: Frame | JobCallFailure) -> None:
         self.answer = answer
@@ -108,9 +108,9 @@
 
 
 def test_job_residence_is_the_intersection_of_route_and_tenant() -> None:
-    gateway = JobCallsHarness(answer_with(DONE))
-    assert gateway.submit().status == 202
-    frame, residence = gateway.client.sent[0]
+    harness = JobCallsHarness(answer_with(DONE))
+    assert harness.submit().status == 202
+    frame, residence = harness.client.sent[0]
     assert residence == WEST
     assert residence_from_message(frame.submit_job.job) == WEST
 
@@ -119,32 +119,32 @@
     "answer", [JobCallFailure(False, "outside_residence"), answer_with(OUTSIDE_RESIDENCE)]
 )
 def test_job_without_a_group_in_its_residence_is_refused_and_counted(answer) -> None:
-    gateway = JobCallsHarness(answer)
-    refused = gateway.submit()
+    harness = JobCallsHarness(answer)
+    refused = harness.submit()
     assert refused.status == 503
     assert names.RETRY_AFTER.lower() in {name.lower() for name in refused.headers}
-    assert gateway.log.lines[-1]["regions"] == ["west"]
-    assert b'wharfcart_outside_residence_total{what="job"} 1.0' in gateway.metrics.render()
+    assert harness.log.lines[-1]["regions"] == ["west"]
+    assert b'wharfcart_outside_residence_total{what="job"} 1.0' in harness.metrics.render()
 
 
 def test_job_that_another_group_may_have_is_refused_with_503() -> None:
-    gateway = JobCallsHarness(answer_with(MAYBE_ELSEWHERE))
-    assert gateway.submit().status == 503
+    harness = JobCallsHarness(answer_with(MAYBE_ELSEWHERE))
+    assert harness.submit().status == 503
 
 
 def test_submission_reports_a_change_of_eligible_groups() -> None:
-    gateway = JobCallsHarness(answer_with(DONE))
-    gateway.submit()
-    gateway.client.groups = (1,)
-    gateway.submit()
-    assert [frame.submit_job.moved for frame, _ in gateway.client.sent] == [False, True]
+    harness = JobCallsHarness(answer_with(DONE))
+    harness.submit()
+    harness.client.groups = (1,)
+    harness.submit()
+    assert [frame.submit_job.moved for frame, _ in harness.client.sent] == [False, True]
 
 
 def test_read_uses_the_residences_of_the_hosts_batch_routes_and_tenant() -> None:
-    gateway = JobCallsHarness(Frame(result_page=ResultPage(status=NOT_FOUND)))
-    assert gateway.read().status == 404
-    _, residences = gateway.client.sent[0]
+    harness = JobCallsHarness(Frame(result_page=ResultPage(status=NOT_FOUND)))
+    assert harness.read().status == 404
+    _, residences = harness.client.sent[0]
     assert residences == {WEST}
-    configuration = gateway.calls._configuration()
+    configuration = harness.calls._configuration()
     assert configuration.job_residences("h", "unknown") == {BOTH, ANYWHERE}
     assert configuration.batch_residences == {BOTH, ANYWHERE, WEST}
--- a/tests/gateway/test_openai_client.py
+++ b/tests/gateway/test_openai_client.py
@@ -1,4 +1,4 @@
-"""The official OpenAI client works against the gateway unmodified."""
+"""The official OpenAI client works with the gateway."""
 
 import json
 import time
--- a/tests/gateway/test_traffic_shares.py
+++ b/tests/gateway/test_traffic_shares.py
@@ -1,4 +1,4 @@
-"""Weighted splits."""
+"""Weighted splits of a route's requests."""
 
 from collections import Counter
 
@@ -12,5 +12,5 @@
     splitter = TrafficSplitter()
     served = [splitter.service_for(route) for _ in range(400)]
     for start in range(0, 300, 50):
-        part = Counter(served[start : start + 100])
-        assert 7 <= part["b"] <= 13
+        counts = Counter(served[start : start + 100])
+        assert 7 <= counts["b"] <= 13
