--- a/src/wharfcart/storage/job_residence.py
+++ b/src/wharfcart/storage/job_residence.py
@@ -51,8 +51,8 @@
     Args:
         disk: identity of the disk that would join.
         members: current members of the set.
-        held: residences of the group's jobs.
-        wanted: residences that jobs may come with.
+        job_residences: residences of the group's jobs.
+        configured_residences: residences in the configuration that new jobs may have.
         region_of: region of each disk.
     """
     region = region_of(disk)
--- a/src/wharfcart/storage/replica.py
+++ b/src/wharfcart/storage/replica.py
@@ -696,8 +696,8 @@
     def _apply_policy(self, now: float) -> list[ReplicaAction]:
         """Change the replica set or start a learner, as the policy decides."""
         decision = self._policy.decide(self._view(), now)
-        for gone in decision.dropped_peers:
-            self._progress.pop(gone, None)
+        for peer in decision.dropped_peers:
+            self._progress.pop(peer, None)
         if decision.learner is not None:
             self._progress[decision.learner] = Progress(self.last_index + 1, last_contact_at=now)
             return self._replicate(decision.learner, now, heartbeat=True)
--- a/src/wharfcart/storage/replica_placement.py
+++ b/src/wharfcart/storage/replica_placement.py
@@ -59,7 +59,7 @@
         if not self.preferred_zones:
             return Distance.SAME_ZONE
         zone = self.zone_of(identity)
-        return min(self.topology.distance(zone, home) for home in self.preferred_zones)
+        return min(self.topology.distance(zone, preferred) for preferred in self.preferred_zones)
 
     def in_other_region(self, identity: str) -> bool:
         """Whether a disk is outside the group's region."""
--- a/tests/storage/test_job_group.py
+++ b/tests/storage/test_job_group.py
@@ -611,8 +611,8 @@
         await lose_a_replica(fleet)
         leader = fleet.leader
         assert leader is not None and leader.group is not None and leader.service is not None
-        fed = fleet.nodes[3].identity
-        await fleet.until(lambda: fed in leader.group.disks, 5.0)
+        spare = fleet.nodes[3].identity
+        await fleet.until(lambda: spare in leader.group.disks, 5.0)
         job = RequestJob(
             job_id="b",
             items=[RequestItem(item_id="1")],
--- a/tests/storage/test_replica.py
+++ b/tests/storage/test_replica.py
@@ -155,10 +155,10 @@
     leader = _leader()
     _acknowledge(leader, "b", 1, 10.1)
     _acknowledge(leader, "c", 1, 10.1)
-    (handover,) = _sent(leader.step_down(10.2))
-    assert handover.WhichOneof("body") == "campaign_now"
-    heir = _replica(handover.target)
-    heir.epoch = 1
-    requests = _sent(heir.receive(handover, 10.2))
+    (campaign,) = _sent(leader.step_down(10.2))
+    assert campaign.WhichOneof("body") == "campaign_now"
+    successor = _replica(campaign.target)
+    successor.epoch = 1
+    requests = _sent(successor.receive(campaign, 10.2))
     assert {m.WhichOneof("body") for m in requests} == {"vote_request"}
     assert all(m.vote_request.transfer for m in requests)
