--- a/tests/storage/test_job_residence.py
+++ b/tests/storage/test_job_residence.py
@@ -1,4 +1,4 @@
-"""Which groups may hold a job's data, which disks may join one, and who may be asked for slots."""
+"""Groups that may hold a job's data, disks that may join one, and groups that may grant slots."""
 
 import pytest
 
@@ -16,7 +16,7 @@
 WEST, EAST = residence_in(["west"]), residence_in(["east"])
 BOTH = residence_in(["west", "east"])
 NOWHERE = Residence(frozenset())
-# The region of a disk is the first letter of its name; one is in no known region.
+# The first letter of a disk's name is its region; other letters are unknown regions.
 REGIONS = {"w": RegionName("west"), "e": RegionName("east")}
 TOPOLOGY = Topology({"w1": REGIONS["w"], "w2": REGIONS["w"], "e1": REGIONS["e"]})
 
@@ -25,7 +25,7 @@
     return REGIONS.get(disk[0])
 
 
-def test_a_job_goes_to_one_of_the_groups_that_may_hold_it_always_the_same() -> None:
+def test_a_job_goes_to_one_of_its_eligible_groups() -> None:
     ids = [f"job-{n}" for n in range(200)]
     assert {pick_group(job_id, (1, 4)) for job_id in ids} == {1, 4}
     assert pick_group("a", ()) is None
@@ -47,11 +47,11 @@
         (("w-1",), NOWHERE, False),
     ],
 )
-def test_all_disks_of_a_group_must_be_where_the_data_may_be(disks, residence, expected) -> None:
+def test_all_disks_of_a_group_must_be_in_the_residence(disks, residence, expected) -> None:
     assert all_in_residence(disks, residence, region_of) is expected
 
 
-def test_a_group_with_a_bound_job_takes_no_disk_elsewhere() -> None:
+def test_a_group_with_a_bound_job_admits_no_disk_outside_its_residence() -> None:
     assert may_join_group("w-9", ["w-1", "e-1"], [ANYWHERE, BOTH], [], region_of)
     assert may_join_group("e-9", ["w-1", "e-1"], [ANYWHERE, BOTH], [], region_of)
     assert not may_join_group("?", ["w-1", "e-1"], [ANYWHERE, BOTH], [], region_of)
@@ -62,7 +62,7 @@
 def test_a_disk_may_not_join_if_the_group_could_no_longer_hold_a_configured_residence() -> None:
     assert not may_join_group("e-9", ["w-1", "w-2"], [], [ANYWHERE, WEST], region_of)
     assert may_join_group("w-9", ["w-1", "w-2"], [], [ANYWHERE, WEST], region_of)
-    # It can't hold any as it is: nothing is lost.
+    # The group can't hold such jobs anyway.
     assert may_join_group("e-9", ["w-1", "e-1"], [], [WEST], region_of)
     assert may_join_group("e-9", ["w-1", "w-2"], [], [EAST], region_of)
 
--- a/tests/storage/test_journal_simulation.py
+++ b/tests/storage/test_journal_simulation.py
@@ -1,4 +1,4 @@
-"""The journal under simulated faults: clean runs, and seeded defects that must be seen."""
+"""The journal under simulated faults: runs without violations, and seeded defects to detect."""
 
 from collections.abc import Callable, Iterator
 from contextlib import ExitStack, contextmanager
@@ -23,17 +23,17 @@
 
 
 @pytest.mark.parametrize("seed", CLEAN_SEEDS)
-def test_what_must_hold_holds_under_faults(seed: int) -> None:
+def test_invariants_hold_under_faults(seed: int) -> None:
     assert JournalSimulation(seed, FaultPlan()).run().check() == []
 
 
 @pytest.mark.parametrize("seed", CLEAN_SEEDS)
-def test_what_must_hold_holds_under_harsh_faults(seed: int) -> None:
+def test_invariants_hold_under_harsh_faults(seed: int) -> None:
     assert JournalSimulation(seed, HARSH).run().check() == []
 
 
 @pytest.mark.parametrize("seed", CLEAN_SEEDS)
-def test_what_must_hold_holds_on_slow_disks(seed: int) -> None:
+def test_invariants_hold_on_slow_disks(seed: int) -> None:
     assert JournalSimulation(seed, SLOW_DISKS).run().check() == []
 
 
@@ -43,7 +43,7 @@
     assert one.operations == other.operations
 
 
-# ---- defects seeded on purpose ----
+# ---- seeded defects ----
 
 
 def _acknowledge_before_fsync() -> Any:
@@ -151,14 +151,14 @@
             try:
                 violations = JournalSimulation(seed, plan).run().check()
             except (AssertionError, KeyError, IndexError, AttributeError):
-                return  # the defect broke the machine itself
+                return  # the defect crashed the simulation
             if violations:
                 return
     pytest.fail("no seed showed the defect")
 
 
 def test_simulation_reaches_snapshots_and_repair() -> None:
-    """The runs above mean little if they never reach the rare paths."""
+    """The simulation must reach the rare paths, or the runs above prove little."""
     seen: set[str] = set()
     original_snapshot = Shard._start_snapshot
     original_install = Shard._end_install
