--- a/tests/integration/test_fatal_requests.py
+++ b/tests/integration/test_fatal_requests.py
@@ -93,9 +93,9 @@
         return outcomes
 
     def _make_fragile(self, server: ModelServer) -> None:
-        server.fatal_bodies = {FATAL}
-        server.events_before_end = self._events_before_end
-        server.on_end = self._note_end
+        server.poison_bodies = {FATAL}
+        server.events_before_crash = self._events_before_end
+        server.on_crash = self._note_end
 
     def _note_end(self, server: ModelServer, _body: bytes) -> None:
         self.ended.append(server.instance_id)
@@ -211,7 +211,7 @@
 
 def test_a_gateway_that_the_coordination_service_refuses_tells_the_others_all_the_same() -> None:
     async def scenario(fleet: FragileFleet) -> None:
-        fleet.store.refused.add("gateway-0")
+        fleet.store.refused_node_ids.add("gateway-0")
 
         def both_ends_are_shared() -> bool:
             items = fleet.store.state.items
