--- a/tests/slots/network.py
+++ b/tests/slots/network.py
@@ -13,8 +13,8 @@
 from wharfcart.cluster.transport import PeerUnreachableError, TrafficClass, Transport
 from wharfcart.configuration.instances import BackendInstance
 from wharfcart.configuration.serving import RequestLimit
-from wharfcart.experiments.simulated_slots import CLOCK_USERS
-from wharfcart.experiments.virtual_time import run_virtually, virtual_clock
+from wharfcart.experiments.simulated_slots import VIRTUAL_CLOCK_MODULES
+from wharfcart.experiments.virtual_time import run_in_virtual_time, virtual_clock
 from wharfcart.observability.decisions import DecisionLog
 from wharfcart.observability.serving_metrics import ServingMetrics
 from wharfcart.routing.backend_selection import BackendSelector
@@ -293,5 +293,5 @@
         for task in [*fleet.tasks, *(holder.task for holder in fleet.holders.values())]:
             task.cancel()
 
-    with virtual_clock(CLOCK_USERS):
-        run_virtually(run())
+    with virtual_clock(VIRTUAL_CLOCK_MODULES):
+        run_in_virtual_time(run())
