--- a/src/wharfcart/soak/__init__.py
+++ b/src/wharfcart/soak/__init__.py
@@ -1,6 +1,6 @@
-"""Randomized fault soak: the real programs as processes, faults from outside, promises checked.
+"""Randomized fault soak: a fleet of real processes under load, injected faults, checked invariants.
 
-A seed draws a plan of faults (:mod:`.plan`); :mod:`.run` plays it against a fleet of processes
-(:mod:`.fleet`) under load (:mod:`.workload`), and :mod:`.promises` judges what callers and back
-ends saw. Seeds that failed are kept in ``tests/soak/kept_seeds.toml``.
+A seed determines a plan of faults (:mod:`.plan`). :mod:`.run` executes it against a fleet of
+processes (:mod:`.fleet`) under load (:mod:`.workload`), and :mod:`.invariants` checks what callers
+and back ends recorded. ``tests/soak/kept_seeds.toml`` lists seeds that failed, for replay.
 """
--- a/src/wharfcart/soak/faults.py
+++ b/src/wharfcart/soak/faults.py
@@ -1,4 +1,4 @@
-"""What each kind of fault does to a fleet, and how it is undone."""
+"""Implementations of the fault kinds: each injects one fault into a fleet and recovers from it."""
 
 import asyncio
 import itertools
@@ -16,7 +16,7 @@
 from wharfcart.soak.plan import FaultKind, PlannedFault
 
 CLOCK_STEP_S = 3.0
-# A process ends within its time to stop, and that of a freeze beside it.
+# Longer than a graceful stop together with a freeze of the same process.
 STOP_TIMEOUT_S = 15.0
 LINK_DELAY_S = 0.15
 STORE_DELAY_S = 0.2
@@ -24,7 +24,7 @@
 LOST_SERVER_RESPONSES = 3
 CUT_STREAMS = 4
 MAX_RESET_CONNECTIONS = 100
-# A caller whose request ends its back ends asks again after this time.
+# Interval and timeout of the caller that repeats a poison request.
 POISON_RETRY_INTERVAL_S = 0.3
 POISON_REQUEST_TIMEOUT_S = 4.0
 POISON_PATH = "/chat/x"
@@ -32,7 +32,7 @@
 
 
 class Fault(ABC):
-    """One fault that begins and ends."""
+    """One fault, injected for a period."""
 
     def __init__(self, fleet: SoakFleet, planned: PlannedFault) -> None:
         self.fleet = fleet
@@ -40,53 +40,53 @@
 
     @abstractmethod
     async def inject(self) -> None:
-        """Bring the trouble about."""
+        """Inject the fault."""
 
-    async def recover(self) -> None:  # noqa: B027 - many faults end by themselves
-        """Undo it."""
+    async def recover(self) -> None:  # noqa: B027 - several kinds need no recovery
+        """Remove the fault and restart what it stopped."""
 
     @property
     def node(self) -> ServingNodeProcess:
-        """The process that is struck."""
+        """Return the process that the fault affects."""
         nodes = self.fleet.stores if self.planned.on_storage else self.fleet.gateways
         return nodes[self.planned.target_index % len(nodes)]
 
 
 class KillFault(Fault):
-    """A process is killed and started again."""
+    """Kills a process, then restarts it."""
 
     async def inject(self) -> None:
-        """Strike."""
+        """Kill the process."""
         self.fleet.signal(self.node, signal.SIGKILL)
 
     async def recover(self) -> None:
-        """Undo it."""
+        """Restart the process."""
         self.fleet.restart(self.node)
 
 
 class FreezeFault(Fault):
-    """A process stands still."""
+    """Suspends a process, then resumes it."""
 
     async def inject(self) -> None:
-        """Strike."""
+        """Suspend the process."""
         self.fleet.signal(self.node, signal.SIGSTOP)
 
     async def recover(self) -> None:
-        """Undo it."""
+        """Resume the process."""
         self.fleet.signal(self.node, signal.SIGCONT)
 
 
 class TerminateFault(Fault):
-    """A process is asked to stop, and started again once it has."""
+    """Sends SIGTERM to a process and restarts it once it has exited."""
 
     async def inject(self) -> None:
-        """Strike."""
-        # Another fault may kill the process meanwhile and start the next one in its place.
+        """Send SIGTERM."""
+        # Another fault may kill and replace the process before recover() runs.
         self._process = self.node.process
         self.fleet.signal(self.node, signal.SIGTERM)
 
     async def recover(self) -> None:
-        """Undo it."""
+        """Wait for the process to exit, then restart it."""
         if self._process is None:
             return
         try:
@@ -100,27 +100,27 @@
 
 
 class WipeFault(KillFault):
-    """A storage node comes back with an empty disk."""
+    """Kills a storage node and restarts it with an empty disk."""
 
     async def inject(self) -> None:
-        """Strike."""
+        """Kill the process and delete its disk."""
         self.fleet.kill_and_wipe(self.node)
 
 
 class PartitionedLeaderWipeFault(Fault):
-    """The leader reaches no other replica for a while, then loses its disk.
+    """Partitions the leader from its followers, then wipes its disk.
 
-    What it acknowledged meanwhile on fewer disks than it must would be gone.
+    A write that the leader acknowledged without a quorum is then lost.
     """
 
     async def inject(self) -> None:
-        """Strike."""
+        """Stall the links to all followers."""
         self._leader = self.fleet.leader() or self.node
         for node in self._followers():
             await self.fleet.set_link_faults(self.fleet.proxies_by_node[node.node_id], silent=True)
 
     async def recover(self) -> None:
-        """Undo it."""
+        """Wipe the leader's disk, restore the links and restart the leader."""
         self.fleet.kill_and_wipe(self._leader)
         for node in self._followers():
             await self.fleet.set_link_faults(self.fleet.proxies_by_node[node.node_id])
@@ -131,21 +131,21 @@
 
 
 class KillAllFault(Fault):
-    """Every process is killed at the same moment."""
+    """Kills all processes at once, then restarts them."""
 
     async def inject(self) -> None:
-        """Strike."""
+        """Kill all processes."""
         for node in (*self.fleet.gateways, *self.fleet.stores):
             self.fleet.signal(node, signal.SIGKILL)
 
     async def recover(self) -> None:
-        """Undo it."""
+        """Restart all processes."""
         for node in (*self.fleet.gateways, *self.fleet.stores):
             self.fleet.restart(node)
 
 
 class LinkFault(Fault):
-    """What peers send to a node, or it answers, is held up, delayed or reset."""
+    """Stalls, delays or resets the connections from peers to a node."""
 
     faults_by_kind: t.ClassVar[dict[FaultKind, dict[str, t.Any]]] = {
         FaultKind.LINK_STALLED: {"silent": True},
@@ -155,17 +155,17 @@
     }
 
     async def inject(self) -> None:
-        """Strike."""
+        """Set the faults of the node's proxy."""
         proxy = self.fleet.proxies_by_node[self.node.node_id]
         await self.fleet.set_link_faults(proxy, **self.faults_by_kind[self.planned.kind])
 
     async def recover(self) -> None:
-        """Undo it."""
+        """Clear the faults of the node's proxy."""
         await self.fleet.set_link_faults(self.fleet.proxies_by_node[self.node.node_id])
 
 
 class DiskFault(Fault):
-    """A disk refuses writes, is slow or hangs."""
+    """Makes a node's disk full, slow or unresponsive."""
 
     modes_by_kind: t.ClassVar[dict[FaultKind, str]] = {
         FaultKind.DISK_FULL: "full",
@@ -174,29 +174,29 @@
     }
 
     async def inject(self) -> None:
-        """Strike."""
+        """Set the disk mode."""
         self.fleet.set_hook_faults(self.node, disk=self.modes_by_kind[self.planned.kind])
 
     async def recover(self) -> None:
-        """Undo it."""
+        """Restore the disk."""
         self.fleet.set_hook_faults(self.node, disk="")
 
 
 class ClockStepFault(Fault):
-    """A node's wall clock jumps and jumps back."""
+    """Steps a node's wall clock, then steps it back."""
 
     async def inject(self) -> None:
-        """Strike."""
+        """Step the clock forward or back."""
         step_s = CLOCK_STEP_S if self.planned.target_index % 2 else -CLOCK_STEP_S
         self.fleet.set_hook_faults(self.node, clock_step_s=step_s)
 
     async def recover(self) -> None:
-        """Undo it."""
+        """Undo the step."""
         self.fleet.set_hook_faults(self.node, clock_step_s=0.0)
 
 
 class MetadataStoreFault(Fault):
-    """The metadata store is away, slow, loses answers or forgets its history."""
+    """Makes the metadata store fail, respond late, lose responses or drop its change history."""
 
     faults_by_kind: t.ClassVar[dict[FaultKind, dict[str, t.Any]]] = {
         FaultKind.STORE_DOWN: {"outage": True},
@@ -205,26 +205,26 @@
     }
 
     async def inject(self) -> None:
-        """Strike."""
+        """Set the store's faults, or drop its change history."""
         if self.planned.kind is FaultKind.STORE_COMPACTED:
             self.fleet.store.state.compact_history()
             return
         self.fleet.store.switch.faults = Faults(**self.faults_by_kind[self.planned.kind])
 
     async def recover(self) -> None:
-        """Undo it."""
+        """Clear the store's faults."""
         self.fleet.store.switch.faults = Faults()
 
 
 class StoreAccessFault(Fault):
-    """The metadata store refuses one node, or never answers it."""
+    """Makes the metadata store refuse the calls of one node, or never answer them."""
 
     async def inject(self) -> None:
-        """Strike."""
+        """Block the node's calls."""
         self._affected_node_ids().add(self.node.node_id)
 
     async def recover(self) -> None:
-        """Undo it."""
+        """Accept the node's calls again."""
         self._affected_node_ids().discard(self.node.node_id)
 
     def _affected_node_ids(self) -> set[str]:
@@ -235,10 +235,10 @@
 
 
 class ServerLinkFault(Fault):
-    """Connections to one back end are silent, or reset once."""
+    """Stalls the connections to one back end, or resets them once."""
 
     async def inject(self) -> None:
-        """Strike."""
+        """Set the faults of the back end's proxy."""
         server = self.fleet.stream_servers[
             self.planned.target_index % len(self.fleet.stream_servers)
         ]
@@ -249,15 +249,15 @@
             await self.fleet.set_link_faults(self._proxy, broken_connections=MAX_RESET_CONNECTIONS)
 
     async def recover(self) -> None:
-        """Undo it."""
+        """Clear the faults of the back end's proxy."""
         await self.fleet.set_link_faults(self._proxy)
 
 
 class ServerResponseFault(Fault):
-    """Back ends run requests and lose the answers, or cut streams halfway."""
+    """Makes back ends lose responses after a run, or interrupt streams halfway."""
 
     async def inject(self) -> None:
-        """Strike."""
+        """Set the faults of the back ends."""
         if self.planned.kind is FaultKind.SERVER_CUTS_STREAMS:
             for server in self.fleet.stream_servers:
                 server.switch.faults = Faults(cut_streams=CUT_STREAMS)
@@ -266,48 +266,48 @@
                 server.switch.faults = Faults(lost_answers=LOST_SERVER_RESPONSES)
 
     async def recover(self) -> None:
-        """Undo it."""
+        """Clear the faults of all back ends."""
         for server in self.fleet.all_servers:
             server.switch.faults = Faults()
 
 
 class ServerReplacementFault(Fault):
-    """A back end drains and another one comes."""
+    """Drains a back end and adds a replacement."""
 
     async def inject(self) -> None:
-        """Strike."""
+        """Announce the replacement and drain the old back end."""
         await self.fleet.replace_server(self.planned.target_index)
 
 
 class AddedRouteFault(Fault):
-    """The operator adds a route."""
+    """Adds a route to the configuration, as the operator does."""
 
     async def inject(self) -> None:
-        """Strike."""
+        """Write a configuration with one more route."""
         await self.fleet.add_route()
 
 
 class ZoneEvacuationFault(Fault):
-    """The operator empties a zone of servers for a while."""
+    """Evacuates a zone, as the operator does, and ends the evacuation."""
 
     async def inject(self) -> None:
-        """Strike."""
+        """Evacuate the zone."""
         self._record = await self.fleet.evacuate_zone(self.planned.target_index)
 
     async def recover(self) -> None:
-        """Undo it."""
+        """End the evacuation."""
         await self.fleet.end_evacuation(self._record)
 
 
 class PoisonRequestFault(Fault):
-    """A caller repeats a request that ends the back ends that run it, at any gateway."""
+    """Repeats a poison request at all gateways in turn, as a retrying caller does."""
 
     async def inject(self) -> None:
-        """Strike."""
+        """Start to send the request."""
         self._task = asyncio.create_task(self._repeat())
 
     async def recover(self) -> None:
-        """Undo it."""
+        """Stop sending the request."""
         self._task.cancel()
         await asyncio.wait((self._task,))
 
@@ -360,7 +360,7 @@
 
 
 async def inject_fault(fleet: SoakFleet, planned: PlannedFault) -> None:
-    """Wait for a fault's time, bring it about and undo it."""
+    """Wait for a fault's start time, inject it for its duration and recover from it."""
     await asyncio.sleep(planned.start_s)
     fault = FAULTS_BY_KIND[planned.kind](fleet, planned)
     await fault.inject()
--- a/src/wharfcart/soak/fleet.py
+++ b/src/wharfcart/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet of a soak: processes behind proxies, with clocks and disks that can be faulted."""
+"""Fleet of a soak: processes behind fault proxies, with fault hooks for clock and disk."""
 
 import asyncio
 import json
@@ -32,29 +32,35 @@
 from wharfcart.storage.group_record import group_record_from
 
 HOOKS_FOLDER = Path(hooks.__file__).parent
-# A back end that a request has ended has a successor so soon.
+# Time from the crash of a back end to its restart.
 RESTART_DELAY_S = 0.6
-# Where its entry has lapsed meanwhile, it comes later by this.
+# Time for which the store has no entry of the back end, with SAME_ID_AFTER_REMOVAL.
 ENTRY_ABSENCE_S = 0.5
 
 
 class RestartMode(Enum):
-    """How a back end that a request has ended comes back; what ran there is gone each time."""
+    """How a crashed back end restarts; the runs that it executed are lost in every mode.
+
+    Attributes:
+        NEW_ID: with a new instance id.
+        SAME_ID: with its id; the new entry overwrites the old one.
+        SAME_ID_AFTER_REMOVAL: with its id, some time after its entry was removed.
+    """
 
     NEW_ID = "new_id"
     SAME_ID = "old_id_in_place"
     SAME_ID_AFTER_REMOVAL = "old_id_after_lapse"
 
 
-# One after the other, so that each run that ends a few back ends has all of them.
+# Modes are used in turn, so that few crashes cover all of them.
 RESTART_MODES = tuple(RestartMode)
 
 
 class SoakFleet(ServingFleet):
-    """A fleet whose links, clocks and disks can be faulted from outside.
+    """A fleet with fault injection into links, clocks and disks.
 
     Args:
-        seed: of the proxies' jitter.
+        seed: seed of the proxies' random delays.
         gateways: number of gateways.
         stores: number of storage nodes.
     """
@@ -86,10 +92,10 @@
         key = tenant_of(request_id).key
         return await super().request(gateway, path, request_id, deadline_ms, key=key, **more)
 
-    # -- life ----------------------------------------------------------
+    # -- lifecycle -----------------------------------------------------
 
     async def start(self) -> None:
-        """Start proxies, stand-ins and processes."""
+        """Start proxies, emulated services and processes."""
         for node in (*self.gateways, *self.stores):
             advertised = free_endpoint()
             self._advertised_by_node[node.node_id] = advertised
@@ -101,7 +107,7 @@
         await super().start()
 
     async def stop(self) -> None:
-        """End every process that this fleet started, and every stand-in."""
+        """Stop all processes, emulated services and proxies."""
         await self._replacements.stop()
         await super().stop()
         for server in self.retired_servers:
@@ -110,11 +116,11 @@
             await proxy.stop()
 
     def settings_of(self, node: ServingNodeProcess) -> list[str]:
-        """Have peers reach the node through its proxy."""
+        """Return the setting that makes peers reach the node through its proxy."""
         return [f'cluster_advertise = "{self._advertised_by_node[node.node_id]}"']
 
     def environment_of(self, node: ServingNodeProcess) -> dict[str, str]:
-        """Load the hooks for clock and disk."""
+        """Return variables that load the fault hooks for clock and disk into the process."""
         path = [str(HOOKS_FOLDER), *(entry for entry in sys.path if entry)]
         return {
             "PYTHONPATH": ":".join(path),
@@ -124,41 +130,45 @@
     # -- faults --------------------------------------------------------
 
     def set_hook_faults(self, node: ServingNodeProcess, **values: t.Any) -> None:
-        """Change what the hooks of one process do."""
+        """Update the control file of one process's fault hooks."""
         path = self._control_file(node)
-        known = json.loads(path.read_text()) if path.exists() else {}
-        fresh = path.with_suffix(".new")
-        fresh.write_text(json.dumps(known | values))
-        fresh.replace(path)
+        current = json.loads(path.read_text()) if path.exists() else {}
+        new_path = path.with_suffix(".new")
+        new_path.write_text(json.dumps(current | values))
+        new_path.replace(path)
 
     def kill_and_wipe(self, node: ServingNodeProcess) -> None:
-        """Kill a storage node and lose its disk."""
+        """Kill a storage node and delete its data."""
         self.signal(node, signal.SIGKILL)
         shutil.rmtree(node.data_folder, ignore_errors=True)
 
     def restart(self, node: ServingNodeProcess) -> None:
-        """Start a process again that has ended."""
+        """Restart a process if it has exited."""
         if node.process is not None and node.process.poll() is not None:
             self.start_node(node)
 
     async def set_link_faults(self, proxy: FaultProxy, **faults: t.Any) -> None:
-        """Switch the faults of one link."""
+        """Replace the faults of one link."""
         proxy.set_faults(ProxyFaults(**faults))
 
     def leader(self) -> ServingNodeProcess | None:
-        """Return the storage node that leads the first job group, as the store tells."""
+        """Return the storage node that leads job group 0 according to the metadata store."""
         items = self.store.state.items
         item = items.get(f"{GROUP_PREFIX}0")
         record = None if item is None else group_record_from(item.value, item.revision)
         for node in self.stores:
             entry = items.get(f"{NODE_PREFIX}{node.node_id}")
-            known = None if entry is None else node_entry_from(entry.value)
-            if record is not None and known is not None and known.identity == record.leader:
+            node_entry = None if entry is None else node_entry_from(entry.value)
+            if (
+                record is not None
+                and node_entry is not None
+                and node_entry.identity == record.leader
+            ):
                 return node
         return None
 
     async def replace_server(self, server_index: int) -> None:
-        """Let one back end drain and leave, and another come."""
+        """Add a back end and drain the one that it replaces."""
         old = self.stream_servers[server_index % len(self.stream_servers)]
         new = ModelServer(f"i-lm-{self._next_server_number}", 12, 0.02)
         self._next_server_number += 1
@@ -170,19 +180,19 @@
         self.retired_servers.append(old)
 
     def has_run(self, request_id: str) -> bool:
-        """Whether a back end has run a request."""
+        """Return whether any back end has run the request."""
         return any(
             run.request_id == request_id for server in self.all_servers for run in server.runs
         )
 
     def add_poison_request(self) -> bytes:
-        """Return the body of one more request that ends the back ends that run it."""
+        """Register a new poison request and return its body."""
         body = f"fatal {len(self._poison_bodies)}".encode()
         self._poison_bodies.add(body)
         return body
 
     async def evacuate_zone(self, zone_index: int) -> EvacuationRecord:
-        """Ask that nothing new goes to the servers of a zone, as the operator does."""
+        """Evacuate a zone, as the operator does."""
         zone = ZONES[zone_index % len(ZONES)]
         await self.store.put(names.EVACUATE_PREFIX + zone, {})
         record = EvacuationRecord(zone, monotonic())
@@ -190,15 +200,17 @@
         return record
 
     async def end_evacuation(self, record: EvacuationRecord) -> None:
-        """Let servers of a zone get work again, unless another order for it still stands."""
+        """End an evacuation, unless another one of the same zone is still in force."""
         record.ended_at = monotonic()
         if not any(one.zone == record.zone and one.ended_at is None for one in self.evacuations):
             await self.store.remove(names.EVACUATE_PREFIX + record.zone)
 
     def zone_of(self, server: ModelServer) -> str:
-        """Spread servers over the zones, in the order in which they come."""
-        known = len(self._zones_by_server)
-        return self._zones_by_server.setdefault(server.instance_id, ZONES[known % len(ZONES)])
+        """Return the zone of a server; new servers are assigned to the zones in turn."""
+        server_count = len(self._zones_by_server)
+        return self._zones_by_server.setdefault(
+            server.instance_id, ZONES[server_count % len(ZONES)]
+        )
 
     async def add_route(self) -> None:
         """Write a configuration with one more route, as the operator does."""
@@ -209,53 +221,53 @@
 
     @property
     def all_servers(self) -> list[ModelServer]:
-        """Every back end that ever served."""
+        """Return all back ends of the run, including replaced ones."""
         return [*self.stream_servers, *self.plain_servers, *self.retired_servers]
 
     def address_of(self, server: ModelServer) -> str:
-        """Have nodes reach back ends through their proxies."""
+        """Return the address of the back end's proxy."""
         return self._address_by_server[server.instance_id]
 
     async def announce(self, server: ModelServer, service: str, state: str = "ready") -> None:
-        """Write a back end's entry, once its proxy stands."""
+        """Write a back end's entry, after its proxy has started."""
         if server.instance_id not in self._address_by_server:
             await self._add_server_proxy(server)
             server.poison_bodies = self._poison_bodies
             server.on_crash = self._on_server_crash
         await super().announce(server, service, state)
 
-    # -- inner ---------------------------------------------------------
+    # -- crashed back ends ---------------------------------------------
 
     def _on_server_crash(self, server: ModelServer, body: bytes) -> None:
-        """Take a back end that a request has ended off the net; another one comes."""
+        """Count the crash of a back end and schedule its restart."""
         self.crashes_by_body[body] += 1
         self._replacements.spawn(self._restart_crashed(server))
 
     async def _restart_crashed(self, old: ModelServer) -> None:
         await self.proxies_by_server[old.instance_id].stop()
-        streams = old in self.stream_servers
-        servers = self.stream_servers if streams else self.plain_servers
+        is_stream_server = old in self.stream_servers
+        servers = self.stream_servers if is_stream_server else self.plain_servers
         if old not in servers:
-            return  # it was draining: its successor has come already
+            return  # it was draining and has been replaced already
         await asyncio.sleep(RESTART_DELAY_S)
-        manner = RESTART_MODES[self._restart_count % len(RESTART_MODES)]
+        mode = RESTART_MODES[self._restart_count % len(RESTART_MODES)]
         self._restart_count += 1
-        if manner is RestartMode.NEW_ID:
+        if mode is RestartMode.NEW_ID:
             instance_id = f"i-after-end-{self._next_server_number}"
             self._next_server_number += 1
         else:
             instance_id = old.instance_id
             del self._address_by_server[instance_id]
-        if manner is not RestartMode.SAME_ID:
+        if mode is not RestartMode.SAME_ID:
             await self.store.remove(names.SERVER_PREFIX + old.instance_id)
-        if manner is RestartMode.SAME_ID_AFTER_REMOVAL:
+        if mode is RestartMode.SAME_ID_AFTER_REMOVAL:
             await asyncio.sleep(ENTRY_ABSENCE_S)
-        events, event_s = (12, 0.02) if streams else (0, 0.02)
+        events, event_s = (12, 0.02) if is_stream_server else (0, 0.02)
         new = ModelServer(instance_id, events, event_s)
         await new.server.start("127.0.0.1", 0)
         servers[servers.index(old)] = new
         self.retired_servers.append(old)
-        await self.announce(new, STREAM_SERVICE if streams else PLAIN_SERVICE)
+        await self.announce(new, STREAM_SERVICE if is_stream_server else PLAIN_SERVICE)
 
     async def _add_server_proxy(self, server: ModelServer) -> None:
         address = free_endpoint()
--- a/src/wharfcart/soak/history.py
+++ b/src/wharfcart/soak/history.py
@@ -1,11 +1,11 @@
-"""What callers of a soak saw, as plain records that the promises are judged by."""
+"""Records of what callers of a soak observed; input of :mod:`.invariants`."""
 
 from dataclasses import dataclass, field
 from enum import Enum
 
 
 class RequestKind(Enum):
-    """Kinds of requests; the value is the route's path."""
+    """Kinds of requests; the value is the first segment of the route's path."""
 
     REPEATABLE = "look"
     AT_MOST_ONCE = "charge"
@@ -18,8 +18,11 @@
     """One request of a caller.
 
     Attributes:
-        status: of the whole answer; None if the connection ended without one.
-        sent_at, ended_at: seconds of the soak.
+        gateway: index of the gateway that received it.
+        sent_at: send time, in seconds since the start of the load.
+        finished_at: time of the response or failure, in seconds since the start of the load.
+        status: HTTP status of a complete response; None if the caller received none.
+        body: body of the response.
     """
 
     request_id: str
@@ -33,15 +36,17 @@
 
 @dataclass
 class JobRecord:
-    """One batch job as its caller knows it.
+    """One batch job as its caller knows it; times are in seconds since the start of the load.
 
     Attributes:
-        statuses: answers to its submissions; None for a broken connection.
+        item_count: number of items.
+        submission_statuses: HTTP status of each submission; None for a failed connection.
         accepted_at: time of the first 202.
-        results: position to (item id, state, text), as first read.
-        conflicts: reads that differed from the first.
-        missing: times at which a node denied the job after it was accepted.
-        ended_at: time at which its end was acknowledged.
+        results: (item id, state, text) by position, as first read.
+        conflicts: descriptions of reads that differ from the first.
+        denied_at: times at which a node answered that the accepted job does not exist.
+        cancelled_at: time at which the cancellation was acknowledged.
+        is_readable_at_end: whether every gateway served the job after the last fault.
     """
 
     job_id: str
@@ -55,20 +60,26 @@
     is_readable_at_end: bool = False
 
     def record_result(self, position: int, result: tuple[str, str, str], source: str) -> None:
-        """Take one result that was read at a position."""
-        known = self.results.setdefault(position, result)
-        if known != result:
-            self.conflicts.append(f"position {position}: {known[:2]}, then {result[:2]} {source}")
+        """Record the result read at a position, or a conflict if it changed."""
+        first = self.results.setdefault(position, result)
+        if first != result:
+            self.conflicts.append(f"position {position}: {first[:2]}, then {result[:2]} {source}")
 
     @property
     def is_complete(self) -> bool:
-        """Whether every item has a result."""
+        """Return whether every item has a result."""
         return len(self.results) == self.item_count
 
 
 @dataclass
 class RouteRecord:
-    """One route that was added during the soak, and what each life of a gateway answered."""
+    """One route that was added during the soak.
+
+    Attributes:
+        added_at: seconds since the start of the load.
+        regressed_processes: gateway processes that answered 404 after they had served the route.
+        serving_processes: gateway processes that have served the route.
+    """
 
     path: str
     added_at: float
@@ -78,11 +89,11 @@
 
 @dataclass
 class EvacuationRecord:
-    """One order of the operator that nothing new goes to the servers of a zone.
+    """One evacuation of a zone by the operator.
 
     Attributes:
-        since: monotonic time at which it was acknowledged.
-        until: monotonic time at which it was taken back; None while it stands.
+        started_at: monotonic time at which it was acknowledged.
+        ended_at: monotonic time at which it was withdrawn; None while it is in force.
     """
 
     zone: str
@@ -92,10 +103,10 @@
 
 @dataclass
 class SoakHistory:
-    """All that callers saw.
+    """Everything that callers recorded in one run.
 
     Attributes:
-        began_at: monotonic time of the soak's second 0.
+        started_at: monotonic time of the start of the load.
     """
 
     started_at: float = 0.0
--- a/src/wharfcart/soak/hooks/__init__.py
+++ b/src/wharfcart/soak/hooks/__init__.py
@@ -1,1 +1,1 @@
-"""Modules that the soak loads into the processes that it starts."""
+"""Modules that the soak loads into the processes it starts."""
--- a/src/wharfcart/soak/hooks/sitecustomize.py
+++ b/src/wharfcart/soak/hooks/sitecustomize.py
@@ -1,9 +1,9 @@
-"""Faults of the wall clock and the disk inside one process of a soak.
+"""Fault injection into the wall clock and the disk of one process of a soak.
 
-The soak puts this folder on the Python path of the processes that it starts; the programs know
-nothing of it. ``SOAK_CONTROL`` names a JSON file with ``clock_step_s`` (seconds added to the wall
-clock) and ``disk`` (``""``, ``"full"``, ``"slow"`` or ``"hang"``), which the soak rewrites while
-the process runs.
+The soak adds this folder to the Python path of the processes it starts, which load this module at
+startup without any change to the program. The variable ``SOAK_CONTROL`` names a JSON file with
+``clock_step_s`` (seconds added to the wall clock) and ``disk`` (``""``, ``"full"``, ``"slow"`` or
+``"hang"``). The soak rewrites the file while the process runs.
 """
 
 import json
@@ -23,7 +23,7 @@
 
 
 class _ControlFile:
-    """The control file, read anew at most every :data:`REREAD_S`."""
+    """The control file, read again at most every :data:`RELOAD_INTERVAL_S` seconds."""
 
     def __init__(self, path: str) -> None:
         self._path = path
@@ -31,7 +31,7 @@
         self._values: dict[str, Any] = {}
 
     def get(self, name: str, default: Any) -> Any:
-        """Return one value of the file."""
+        """Return a value of the file, or the default."""
         now = time.monotonic()
         if now - self._loaded_at > RELOAD_INTERVAL_S:
             self._loaded_at = now
@@ -39,21 +39,21 @@
                 with open(self._path, encoding="utf-8") as file:
                     self._values = json.load(file)
             except (OSError, ValueError):
-                pass  # being rewritten: the last values hold
+                pass  # absent or invalid: the last values stay in force
         return self._values.get(name, default)
 
 
 class FaultyConnection(sqlite3.Connection):
-    """A database connection whose disk can be full, slow or hanging."""
+    """A database connection with an emulated full, slow or unresponsive disk."""
 
     def execute(self, statement: str, *parameters: Any) -> sqlite3.Cursor:
-        """Execute a statement, or fail."""
+        """Execute a statement; apply the disk fault if it writes."""
         if statement.lstrip().lower().startswith(WRITE_STATEMENTS):
             _apply_disk_fault()
         return super().execute(statement, *parameters)
 
     def executemany(self, statement: str, *parameters: Any) -> sqlite3.Cursor:
-        """Execute a statement with many rows, or fail."""
+        """Apply the disk fault, then execute a statement with many rows."""
         _apply_disk_fault()
         return super().executemany(statement, *parameters)
 
--- a/src/wharfcart/soak/plan.py
+++ b/src/wharfcart/soak/plan.py
@@ -1,7 +1,7 @@
-"""Fault plans drawn from a seed.
+"""Random fault plans, reproducible from a seed.
 
-At most one storage node is in trouble at a time, since the fleet is set to bear the loss of one;
-gateways, back ends and the metadata store may be in trouble together with it and with each other.
+At most one storage node is faulty at a time, since the fleet tolerates the loss of one. Faults of
+gateways, back ends and the metadata store may overlap with it and with each other.
 """
 
 import random
@@ -10,7 +10,7 @@
 
 
 class FaultKind(Enum):
-    """What can be done to a fleet."""
+    """Kinds of faults and of operator actions; the values appear in ``verdict.json``."""
 
     KILL = "kill"
     FREEZE = "freeze"
@@ -82,25 +82,26 @@
     FaultKind.ZONE_EVACUATED,
 )
 
-# A storage node that was in trouble has caught up after this time.
+# A storage node has caught up with its replicas after this time.
 REPLICA_CATCH_UP_S = 5.0
 MIN_FAULT_S = 0.5
 MAX_FAULT_S = 5.0
-# The chance that everything is killed at once in the middle of a run.
+# Probability that a run kills all processes at once.
 KILL_ALL_PROBABILITY = 0.25
-# Requests that end their back ends, and how long their callers repeat them.
 MAX_POISON_REQUESTS = 2
 
 
 @dataclass(frozen=True)
 class PlannedFault:
-    """One fault of a plan, or one order of the operator.
+    """One fault of a plan, or one action of the operator.
 
     Attributes:
-        at_s: when it begins, from the start of the load.
-        for_s: how long it lasts.
-        target: number of the gateway, storage node or back end; meaningless for others.
-        on_storage: whether ``target`` is a storage node rather than a gateway.
+        start_s: start time, in seconds since the start of the load.
+        duration_s: duration in seconds.
+        kind: what happens.
+        target_index: index of the gateway, storage node, back end or zone; unused by kinds that
+            affect the whole fleet.
+        on_storage: whether ``target_index`` is that of a storage node.
     """
 
     start_s: float
@@ -110,36 +111,38 @@
     on_storage: bool = False
 
     def __str__(self) -> str:
-        where = "storage" if self.on_storage else "other"
+        target_role = "storage" if self.on_storage else "other"
         return (
-            f"{self.start_s:.2f} s {self.kind.value} {where} {self.target_index} "
+            f"{self.start_s:.2f} s {self.kind.value} {target_role} {self.target_index} "
             f"for {self.duration_s:.2f} s"
         )
 
 
 def generate_plan(seed: int, load_s: float, gateways: int, stores: int) -> list[PlannedFault]:
-    """Draw the faults of one run.
+    """Generate the faults of one run.
 
     Args:
-        seed: the same seed draws the same plan.
-        load_s: faults end before this time.
+        seed: seed of the random generator; the same seed gives the same plan.
+        load_s: duration of the load; every fault ends before the load does.
         gateways: number of gateways.
         stores: number of storage nodes.
 
     Returns:
-        The faults in the order in which they begin.
+        The faults, ordered by start time.
     """
     rng = random.Random(seed)
     faults = _generate_storage_faults(rng, load_s, stores)
     for kinds in (GATEWAY_FAULTS, FLEET_FAULTS):
         for _ in range(max(1, int(load_s / 5))):
-            for_s = rng.uniform(MIN_FAULT_S, MAX_FAULT_S)
-            at_s = rng.uniform(0, load_s - for_s)
-            faults.append(PlannedFault(at_s, for_s, rng.choice(kinds), rng.randrange(gateways)))
+            duration_s = rng.uniform(MIN_FAULT_S, MAX_FAULT_S)
+            start_s = rng.uniform(0, load_s - duration_s)
+            faults.append(
+                PlannedFault(start_s, duration_s, rng.choice(kinds), rng.randrange(gateways))
+            )
     if rng.random() < KILL_ALL_PROBABILITY:
         faults = [fault for fault in faults if not fault.on_storage]
-        at_s = rng.uniform(load_s / 4, load_s / 2)
-        faults.append(PlannedFault(at_s, MIN_FAULT_S, FaultKind.KILL_ALL, 0))
+        start_s = rng.uniform(load_s / 4, load_s / 2)
+        faults.append(PlannedFault(start_s, MIN_FAULT_S, FaultKind.KILL_ALL, 0))
     faults += _generate_poison_requests(random.Random(f"{seed} fatal"), load_s, gateways)
     return sorted(faults, key=lambda fault: fault.start_s)
 
@@ -147,23 +150,25 @@
 def _generate_poison_requests(
     rng: random.Random, load_s: float, gateways: int
 ) -> list[PlannedFault]:
-    """Draw callers that repeat such a request beside everything else, at any gateway."""
-    drawn = []
+    """Generate callers that repeat a poison request; these overlap with all other faults."""
+    faults = []
     for _ in range(rng.randint(0, MAX_POISON_REQUESTS)):
-        for_s = rng.uniform(MIN_FAULT_S, load_s / 2)
-        at_s = rng.uniform(0, load_s - for_s)
+        duration_s = rng.uniform(MIN_FAULT_S, load_s / 2)
+        start_s = rng.uniform(0, load_s - duration_s)
         target = rng.randrange(gateways)
-        drawn.append(PlannedFault(at_s, for_s, FaultKind.POISON_REQUEST, target))
-    return drawn
+        faults.append(PlannedFault(start_s, duration_s, FaultKind.POISON_REQUEST, target))
+    return faults
 
 
 def _generate_storage_faults(rng: random.Random, load_s: float, stores: int) -> list[PlannedFault]:
     faults: list[PlannedFault] = []
-    at_s = rng.uniform(0, 3.0)
+    start_s = rng.uniform(0, 3.0)
     while True:
-        for_s = rng.uniform(MIN_FAULT_S, MAX_FAULT_S)
-        if at_s + for_s > load_s:
+        duration_s = rng.uniform(MIN_FAULT_S, MAX_FAULT_S)
+        if start_s + duration_s > load_s:
             return faults
         kind = rng.choice(STORAGE_FAULTS)
-        faults.append(PlannedFault(at_s, for_s, kind, rng.randrange(stores), on_storage=True))
-        at_s += for_s + REPLICA_CATCH_UP_S + rng.uniform(0, 2.0)
+        faults.append(
+            PlannedFault(start_s, duration_s, kind, rng.randrange(stores), on_storage=True)
+        )
+        start_s += duration_s + REPLICA_CATCH_UP_S + rng.uniform(0, 2.0)
--- a/src/wharfcart/soak/run.py
+++ b/src/wharfcart/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of a soak: a fleet, a plan, a load, and the verdict."""
+"""One run of a soak: starts a fleet, injects faults under load and checks the invariants."""
 
 import asyncio
 import json
@@ -23,22 +23,26 @@
 
 GATEWAYS = 3
 STORES = 3
-# The fleet has so long after the last fault to serve as before and to finish every job.
+# Time after the last fault until every gateway serves again, then until every job is complete.
 RECOVERY_TIMEOUT_S = 12.0
 JOB_COMPLETION_TIMEOUT_S = 18.0
 CALM_REQUESTS = 6
 POLL_INTERVAL_S = 0.2
-# A node that stands still, or that can read no order since the store is away, sends as before.
+# A frozen node, or one that cannot read the store, does not know of a new evacuation.
 EVACUATION_EXCUSE_KINDS = frozenset({FaultKind.FREEZE, FaultKind.STORE_DOWN})
 
 
 @dataclass(frozen=True)
 class Verdict:
-    """How one run ended.
+    """Result of one run.
 
     Attributes:
-        violations: broken promises, in words; none if the run passed.
-        kept: folder with plan, logs and verdict of a run that failed.
+        violations: descriptions of violated invariants; empty if the run passed.
+        request_count: requests sent.
+        success_count: requests answered with status 200.
+        job_count: batch jobs submitted.
+        duration_s: duration of the run, including start and recovery.
+        logs_folder: folder with plan, logs and verdict; None if the run passed.
     """
 
     seed: int
@@ -55,10 +59,10 @@
     """One run.
 
     Args:
-        seed: draws the plan and the load.
-        load_s: how long faults and load go on.
-        keep: folder that takes the logs of a run that failed.
-        plan: faults to play in place of those that the seed draws.
+        seed: seed of the plan and the load.
+        load_s: duration of load and faults, in seconds.
+        failures_folder: parent folder for the logs of a failed run.
+        plan: faults to inject; None generates them from the seed.
         gateways: number of gateways.
         stores: number of storage nodes.
     """
@@ -81,8 +85,8 @@
         self._fleet.on_route_added = self._workload.track_added_route
 
     async def execute(self) -> Verdict:
-        """Play the run to its end and judge it."""
-        began_at = monotonic()
+        """Execute the run and return its verdict."""
+        started_at = monotonic()
         try:
             await self._fleet.start()
             async with asyncio.TaskGroup() as group:
@@ -95,24 +99,24 @@
             violations += find_excessive_crashes(
                 self._fleet.crashes_by_body, self._gateway_process_count()
             )
-            kept = self._save_logs(violations) if violations else None
+            logs_folder = self._save_logs(violations) if violations else None
         finally:
             await self._fleet.stop()
         history = self._workload.history
-        answered = sum(record.status == 200 for record in history.requests)
+        success_count = sum(record.status == 200 for record in history.requests)
         return Verdict(
             self.seed,
             self.plan,
             violations,
             len(history.requests),
-            answered,
+            success_count,
             len(history.jobs_by_id),
-            round(monotonic() - began_at, 1),
-            kept,
+            round(monotonic() - started_at, 1),
+            logs_folder,
         )
 
     def _gateway_process_count(self) -> int:
-        """Return how many processes of gateways the plan has run."""
+        """Return the number of gateway processes that the plan runs, including restarted ones."""
         kills = sum(
             fault.kind in (FaultKind.KILL, FaultKind.TERMINATE) and not fault.on_storage
             for fault in self.plan
@@ -121,33 +125,36 @@
         return len(self._fleet.gateways) * (1 + all_kills) + kills
 
     def _find_runs_in_evacuated_zones(self) -> list[str]:
-        """Return what was sent to emptied zones, but for nodes that could not know of the order."""
-        began_at = self._workload.history.started_at
-        excused = tuple(
+        """Return descriptions of runs in evacuated zones, except while a node may be unaware."""
+        load_started_at = self._workload.history.started_at
+        excused_intervals = tuple(
             (
-                began_at + fault.start_s,
-                began_at + fault.start_s + fault.duration_s + EVACUATION_DELAY_S,
+                load_started_at + fault.start_s,
+                load_started_at + fault.start_s + fault.duration_s + EVACUATION_DELAY_S,
             )
             for fault in self.plan
             if fault.kind in EVACUATION_EXCUSE_KINDS
         )
         return [
-            problem
+            violation
             for server in self._fleet.all_servers
-            for problem in find_runs_in_evacuated_zone(
-                ZoneBackend(server, self._fleet.zone_of(server), excused), self._fleet.evacuations
+            for violation in find_runs_in_evacuated_zone(
+                ZoneBackend(server, self._fleet.zone_of(server), excused_intervals),
+                self._fleet.evacuations,
             )
         ]
 
     async def _wait_for_recovery(self) -> list[str]:
-        """Wait until the fleet is well again; returns what was not in time."""
-        found = []
+        """Wait until the fleet has recovered; describe what did not recover in time."""
+        violations = []
         if not await self._poll(RECOVERY_TIMEOUT_S, self._all_gateways_serve):
-            found.append(
-                f"no gateway or not each serves {RECOVERY_TIMEOUT_S} s after the last fault"
+            violations.append(
+                f"not every gateway serves {RECOVERY_TIMEOUT_S} s after the last fault"
             )
         if not await self._poll(JOB_COMPLETION_TIMEOUT_S, self._all_jobs_complete):
-            found.append(f"jobs are not done {JOB_COMPLETION_TIMEOUT_S} s after the recovery")
+            violations.append(
+                f"not every job is complete {JOB_COMPLETION_TIMEOUT_S} s after the recovery"
+            )
         for job in self._workload.history.jobs_by_id.values():
             if job.accepted_at is None:
                 continue
@@ -156,7 +163,7 @@
                 for gateway in range(len(self._fleet.gateways))
             ]
             job.is_readable_at_end = all(status == 200 for status in reads)
-        return found
+        return violations
 
     async def _all_gateways_serve(self) -> bool:
         number = int(monotonic() * 1000)
@@ -182,8 +189,8 @@
         return all(job.is_complete for job in open_jobs)
 
     async def _poll(self, timeout_s: float, condition: t.Callable[[], t.Awaitable[bool]]) -> bool:
-        until = monotonic() + timeout_s
-        while monotonic() < until:
+        deadline = monotonic() + timeout_s
+        while monotonic() < deadline:
             if await condition():
                 return True
             await asyncio.sleep(POLL_INTERVAL_S)
--- a/src/wharfcart/soak/tenants.py
+++ b/src/wharfcart/soak/tenants.py
@@ -1,4 +1,4 @@
-"""The tenants of a soak: one without a limit, and one that sends several times what it may."""
+"""Tenants of a soak: one without a rate limit, and one that sends well above its limit."""
 
 from typing import Any, NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class SoakTenant(NamedTuple):
-    """A tenant and its key."""
+    """A tenant and its API key."""
 
     name: str
     key: str
@@ -14,14 +14,14 @@
 
 UNLIMITED_TENANT = SoakTenant("steady", "key-of-steady")
 LIMITED_TENANT = SoakTenant("hot", "key-of-hot")
-# Requests of the hot tenant begin so; no others do.
+# Prefix of the limited tenant's request ids.
 LIMITED_REQUEST_PREFIX = "hot-"
 LIMITED_REQUESTS_PER_SECOND = 4.0
 LIMITED_BURST_REQUESTS = 4.0
 
 
 def tenant_documents() -> list[dict[str, Any]]:
-    """Return both as the operator writes them."""
+    """Return both tenants as they stand in the configuration."""
     return [
         example_tenant(UNLIMITED_TENANT.name, UNLIMITED_TENANT.key),
         example_tenant(
@@ -34,5 +34,5 @@
 
 
 def tenant_of(request_id: str) -> SoakTenant:
-    """Return whose request an id is."""
+    """Return the tenant that sends requests with this id."""
     return LIMITED_TENANT if request_id.startswith(LIMITED_REQUEST_PREFIX) else UNLIMITED_TENANT
--- a/src/wharfcart/soak/workload.py
+++ b/src/wharfcart/soak/workload.py
@@ -1,4 +1,4 @@
-"""Load of a soak: requests of each kind, batch jobs, their readers, and probes of new routes."""
+"""Load of a soak: requests of each kind, batch jobs and probes of added routes."""
 
 import asyncio
 import base64
@@ -16,7 +16,7 @@
 from wharfcart.soak.tenants import LIMITED_REQUEST_PREFIX
 
 DEADLINE_MS = 3000
-# A caller's connection is given up so long after its deadline.
+# A caller closes its connection this long after its deadline.
 CALLER_TIMEOUT_MARGIN_S = 1.5
 REQUEST_INTERVAL_S = 0.12
 LIMITED_REQUEST_INTERVAL_S = 0.06
@@ -31,7 +31,7 @@
 
 
 class SoakWorkload:
-    """Callers of one soak."""
+    """Sends the load of one run and records what callers observe."""
 
     def __init__(self, fleet: SoakFleet, seed: int) -> None:
         self.history = SoakHistory()
@@ -41,11 +41,11 @@
 
     @property
     def now(self) -> float:
-        """Seconds of the soak."""
+        """Return the seconds since the start of the load."""
         return monotonic() - self.history.started_at
 
     async def run(self, load_s: float) -> None:
-        """Load the fleet for a while; returns once every caller has its answer."""
+        """Send load for ``load_s`` seconds; return after every caller has finished."""
         self.history.started_at = monotonic()
         async with asyncio.TaskGroup() as group:
             for kind in RequestKind:
@@ -56,7 +56,7 @@
         await asyncio.gather(*self._job_tasks)
 
     def track_added_route(self, path: str) -> None:
-        """Begin to probe a route whose configuration was just acknowledged."""
+        """Start to probe a route whose configuration was acknowledged."""
         self.history.routes.append(RouteRecord(path, self.now))
 
     # -- requests ------------------------------------------------------
@@ -71,7 +71,7 @@
                 await asyncio.sleep(REQUEST_INTERVAL_S * self._rng.uniform(0.5, 1.5))
 
     async def _send_limited_requests(self, load_s: float) -> None:
-        """Send several times what the tenant may."""
+        """Send requests of the limited tenant well above its limit."""
         number = 0
         async with asyncio.TaskGroup() as group:
             while self.now < load_s:
@@ -82,7 +82,7 @@
                 await asyncio.sleep(LIMITED_REQUEST_INTERVAL_S)
 
     async def request(self, request_id: str, kind: RequestKind, gateway: int) -> RequestRecord:
-        """Send one request and record how it ends."""
+        """Send one request and record its outcome."""
         record = RequestRecord(request_id, kind, gateway, self.now)
         self.history.requests.append(record)
         try:
@@ -103,20 +103,20 @@
             number += 1
             job = JobRecord(f"job-{number}", self._rng.randint(1, MAX_ITEMS_PER_JOB))
             self.history.jobs_by_id[job.job_id] = job
-            ends = self._rng.random() < CANCEL_PROBABILITY
-            self._job_tasks.add(asyncio.create_task(self._run_job(job, ends, load_s)))
+            cancels = self._rng.random() < CANCEL_PROBABILITY
+            self._job_tasks.add(asyncio.create_task(self._run_job(job, cancels, load_s)))
             await asyncio.sleep(JOB_INTERVAL_S * self._rng.uniform(0.5, 1.5))
 
     async def _run_job(self, job: JobRecord, cancels: bool, load_s: float) -> None:
         await self._submit(job)
         if job.accepted_at is None:
             return
-        ends_at = self.now + self._rng.uniform(0.1, 2.0)
+        cancel_at = self.now + self._rng.uniform(0.1, 2.0)
         while not job.is_complete and self.now < load_s:
             await self.read_page(
                 job, self._random_gateway(), self._rng.choice([0, len(job.results)])
             )
-            if cancels and self.now > ends_at:
+            if cancels and self.now > cancel_at:
                 await self._cancel(job)
                 return
             await asyncio.sleep(READ_INTERVAL_S)
@@ -154,7 +154,7 @@
         return status
 
     async def read_page(self, job: JobRecord, gateway: int, after: int) -> int | None:
-        """Read results from a position on; returns the status."""
+        """Read and record results from position ``after`` on; return the status."""
         path = f"{names.JOB_PATH}{job.job_id}?after={after}"
         try:
             async with asyncio.timeout(DEADLINE_MS / 1000):
@@ -183,9 +183,9 @@
             await asyncio.sleep(PROBE_INTERVAL_S)
 
     async def probe(self, route: RouteRecord, gateway: int) -> int | None:
-        """Ask one gateway for a route that was added; returns the status."""
+        """Send a request on an added route to one gateway and record it; return the status."""
         process = self._fleet.gateways[gateway].process
-        life = f"{gateway}:{None if process is None else process.pid}"
+        process_id = f"{gateway}:{None if process is None else process.pid}"
         try:
             async with asyncio.timeout(0.5):
                 status, _, _ = await self._fleet.request(
@@ -193,10 +193,10 @@
                 )
         except (aiohttp.ClientError, TimeoutError, OSError):
             return None
-        if status == 404 and life in route.serving_processes:
-            route.regressed_processes.append(life)
+        if status == 404 and process_id in route.serving_processes:
+            route.regressed_processes.append(process_id)
         if status == 200:
-            route.serving_processes.add(life)
+            route.serving_processes.add(process_id)
         return status
 
     def _random_gateway(self) -> int:
@@ -204,7 +204,7 @@
 
 
 def item_id(job: JobRecord, number: int) -> str:
-    """Return the id of one item."""
+    """Return the id of an item of a job."""
     return f"{job.job_id}-{number}"
 
 
--- a/tests/soak/test_faults.py
+++ b/tests/soak/test_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the soak that strike the same process."""
+"""Overlapping faults of one process."""
 
 import asyncio
 import subprocess
@@ -13,7 +13,7 @@
 
 
 class SingleProcessFleet:
-    """Just enough of a fleet: one process that can be signalled and started again."""
+    """Fake of SoakFleet with one process that can be signalled and restarted."""
 
     def __init__(self) -> None:
         self.violations: list[str] = []
@@ -32,7 +32,7 @@
 
 
 def test_terminate_waits_for_the_signalled_process_not_its_replacement() -> None:
-    """A run of the soak broke off: a kill had put another process in its place."""
+    """A kill replaces the process while the terminate fault waits for it to exit."""
     fleet = SingleProcessFleet()
     planned = PlannedFault(0.0, 0.0, FaultKind.TERMINATE, 0)
 
--- a/tests/soak/test_invariants.py
+++ b/tests/soak/test_invariants.py
@@ -1,4 +1,4 @@
-"""The soak's verdict: each promise, broken in a history made by hand."""
+"""Each invariant of the soak, violated in a handwritten history."""
 
 from wharfcart.emulator.model_server import ModelServer, RunRecord
 from wharfcart.soak.history import (
@@ -104,7 +104,7 @@
 
 def test_poison_request_that_crashes_too_many_backends_is_a_violation() -> None:
     assert find_excessive_crashes({b"fatal 0": 6, b"fatal 1": 7}, 3) == [
-        "fatal 1: 7 back ends ended while they ran it, 6 may"
+        "fatal 1: 7 back ends crashed while they ran it, 6 allowed"
     ]
 
 
@@ -200,4 +200,4 @@
     assert evacuation_violations(11.5) == []
     assert evacuation_violations(31.0) == []
     assert evacuation_violations(12.5, zone="a") == []
-    assert evacuation_violations(20.5) == []  # a node stood still
+    assert evacuation_violations(20.5) == []  # within an excused interval
--- a/tests/soak/test_plan.py
+++ b/tests/soak/test_plan.py
@@ -1,4 +1,4 @@
-"""Plans drawn from a seed."""
+"""Fault plans generated from a seed."""
 
 import itertools
 
@@ -31,5 +31,5 @@
 
 
 def test_every_kind_is_generated_and_implemented() -> None:
-    drawn = {fault.kind for seed in range(300) for fault in generate_plan(seed, 30.0, 3, 3)}
-    assert drawn == set(FaultKind) == set(FAULTS_BY_KIND)
+    generated = {fault.kind for seed in range(300) for fault in generate_plan(seed, 30.0, 3, 3)}
+    assert generated == set(FaultKind) == set(FAULTS_BY_KIND)
