--- a/src/wharfcart/emulator/__init__.py
+++ b/src/wharfcart/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the systems around wharfcart, and fault injection."""
+"""Emulated back ends and platform services, with fault injection."""
--- a/src/wharfcart/emulator/application_server.py
+++ b/src/wharfcart/emulator/application_server.py
@@ -1,8 +1,8 @@
-"""Emulated application server: look-ups and effects, with a ledger that shows doubled effects.
+"""Emulated application server with a ledger of effects, for the detection of duplicates.
 
-``GET`` paths are look-ups. ``POST`` paths record one effect a call under the caller's
-``X-Request-Id``, however often it comes: the server protects nobody from a double. ``POST
-/effects/{id}/settle`` tells what became of an id and refuses it ever after if it never came.
+``GET`` paths are look-ups without an effect. Every ``POST`` records one effect under the caller's
+``X-Request-Id``; the server does not deduplicate. ``POST /effects/{id}/settle`` returns the outcome
+of a request id; if the request has not arrived, the server refuses it from then on.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
 
 
 class ApplicationServer:
-    """One emulated application server. Servers of one application may share a ledger."""
+    """One emulated application server; servers of one application may share a ledger."""
 
     def __init__(
         self, server_id: str, application: str, ledger: list[Effect], speed: float, seed: int
@@ -60,7 +60,7 @@
         return self.server.address
 
     async def start(self, host: str, port: int) -> None:
-        """Listen."""
+        """Start to listen."""
         await self.server.start(host, port)
 
     async def stop(self) -> None:
@@ -73,18 +73,18 @@
             await asyncio.sleep(seconds * self.switch.faults.slow_factor / self._speed)
 
     async def _look_up(self, request: web.Request) -> web.Response:
-        refused = await self.switch.apply_before(request)
-        if refused is not None:
-            return refused
+        refusal = await self.switch.apply_before(request)
+        if refusal is not None:
+            return refusal
         await self._simulate_work()
         path = request.match_info["path"]
         answer: dict[str, object] = {"path": path, "status": "ok", "server": self.server_id}
         return _json_response(request, answer)
 
     async def _apply_effect(self, request: web.Request) -> web.Response:
-        refused = await self.switch.apply_before(request)
-        if refused is not None:
-            return refused
+        refusal = await self.switch.apply_before(request)
+        if refusal is not None:
+            return refusal
         body = await request.read()
         request_id = request.headers.get("X-Request-Id", "")
         if request_id in self._closed_ids:
@@ -109,9 +109,9 @@
         return _json_response(request, answer)
 
     async def _resolve_outcome(self, request: web.Request) -> web.Response:
-        refused = await self.switch.apply_before(request)
-        if refused is not None:
-            return refused
+        refusal = await self.switch.apply_before(request)
+        if refusal is not None:
+            return refusal
         request_id = request.match_info["id"]
         answer = self._responses_by_id.get(request_id)
         if request_id in self._running_ids:
@@ -122,9 +122,9 @@
         return web.json_response({"state": "completed", "response": answer})
 
     async def _status(self, request: web.Request) -> web.Response:
-        refused = await self.switch.apply_before(request)
-        if refused is not None:
-            return refused
+        refusal = await self.switch.apply_before(request)
+        if refusal is not None:
+            return refusal
         return web.json_response({"id": self.server_id, "application": self.application})
 
     async def _ledger(self, request: web.Request) -> web.Response:
--- a/src/wharfcart/emulator/engine_core.py
+++ b/src/wharfcart/emulator/engine_core.py
@@ -1,10 +1,10 @@
-"""Engine core: continuous batching, chunked prefill, prefix cache, priorities, in modelled time.
+"""Model of an inference engine: continuous batching, chunked prefill, prefix cache, priorities.
 
-The model of a step follows published engines: iteration-level scheduling (Orca, Yu et al. 2022),
-block-wise prefix caching and recompute preemption (vLLM, Kwon et al. 2023), chunked prefill sharing
-a token budget with decodes (Sarathi-Serve, Agrawal et al. 2024). Default times are of the order
-published there for models of 7 to 8 billion parameters on one data-centre accelerator. Pure: a step
-tells how long it takes and what it yields; the driver waits.
+The model follows published engines: iteration-level scheduling (Orca, Yu et al. 2022), block-wise
+prefix caching and recompute preemption (vLLM, Kwon et al. 2023), chunked prefill that shares a
+token budget with decoding (Sarathi-Serve, Agrawal et al. 2024). The default times correspond to
+models of 7 to 8 billion parameters on one data-centre accelerator. The model does no I/O and does
+not wait: a step returns its duration and the requests that receive a token, and the caller waits.
 """
 
 from collections import OrderedDict
@@ -18,7 +18,19 @@
 
 @dataclass(frozen=True)
 class EngineModel:
-    """Times and sizes of an emulated engine, in seconds and tokens."""
+    """Step times and sizes of an emulated engine.
+
+    Attributes:
+        base_step_s: fixed time of a step.
+        sequence_step_s: additional time per decoding sequence.
+        prefill_token_s: additional time per prefilled token.
+        step_token_budget: tokens of a step, shared by decoding and prefill.
+        max_sequences: sequences that run at once.
+        max_waiting: queued requests beyond which a submission is refused.
+        cache_blocks: capacity of the prefix cache, in blocks.
+        tokens_per_word: prompt tokens per word.
+        keeps_kv_cache: a cancelled request keeps its KV cache, so that a resume needs no prefill.
+    """
 
     base_step_s: float = 0.012
     sequence_step_s: float = 0.00008
@@ -28,11 +40,11 @@
     max_waiting: int = 512
     cache_blocks: int = 8192
     tokens_per_word: float = 1.3
-    keeps_kv_cache: bool = False  # an oracle's engine keeps what a stopped request had computed
+    keeps_kv_cache: bool = False
 
 
 class StreamState(StrEnum):
-    """State of one request in the engine."""
+    """State of a request in the engine."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -42,12 +54,24 @@
 
 @dataclass
 class EngineRequest:
-    """One request; priority 0 goes first."""
+    """One request.
+
+    Attributes:
+        target: name of the model or adapter.
+        question: the part of the prompt that determines the answer.
+        priority: 0 is the highest priority.
+        arrival_number: arrival order; lower numbers go first within a priority.
+        prefilled_tokens: tokens in the KV cache.
+        prefill_target_tokens: tokens to prefill before decoding: the prompt and earlier output.
+        cached_tokens: prompt tokens found in the prefix cache.
+        tokens: output so far.
+        finished_at: time of the last token.
+    """
 
     request_id: str
     target: str
     prompt: str
-    question: str  # the part of the prompt that the answer is made from
+    question: str
     max_tokens: int
     priority: int
     arrival_number: int = 0
@@ -62,45 +86,49 @@
 
 @dataclass(frozen=True)
 class StepResult:
-    """One engine step: how long it takes and the requests that gain a token at its end."""
+    """Duration of one engine step and the requests that receive a token at its end."""
 
     seconds: float
     token_receivers: list[EngineRequest]
 
 
 def answer_tokens(question: str, max_tokens: int) -> list[str]:
-    """Return the answer to a question: a function of it, so that a checker can recompute it."""
+    """Return the answer to a question; it is deterministic, so that a test can recompute it."""
     digest = xxhash.xxh3_64_hexdigest(question.encode())
     count = min(max_tokens, 8 + int(digest[:2], 16) % 25)
     return [f"{digest[:8]}-{position}" for position in range(count)]
 
 
 def answer_text(question: str, max_tokens: int) -> str:
-    """Return the whole answer as text."""
+    """Return the complete answer as text."""
     return " ".join(answer_tokens(question, max_tokens))
 
 
 class PrefixCache:
-    """Least-recently-used cache of prompt blocks; a block's hash covers all before it."""
+    """Least-recently-used cache of prompt blocks; a block's hash covers all blocks before it.
+
+    Attributes:
+        events: changes since the caller last cleared the list, as ("stored" or "removed", hash).
+    """
 
     def __init__(self, max_blocks: int) -> None:
         self._max_blocks = max_blocks
         self._blocks: OrderedDict[str, None] = OrderedDict()
-        self.events: list[tuple[str, str]] = []  # ("stored" | "removed", block hash)
+        self.events: list[tuple[str, str]] = []
 
     def block_hashes(self, target: str, prompt: str) -> list[str]:
-        """Return the hashes of the prompt's whole blocks."""
+        """Return the hashes of the prompt's complete blocks."""
         words = prompt.split()
         hashes: list[str] = []
-        running = xxhash.xxh3_64(target.encode())
-        whole = len(words) - len(words) % BLOCK_TOKENS
-        for start in range(0, whole, BLOCK_TOKENS):
-            running.update(" ".join(words[start : start + BLOCK_TOKENS]).encode())
-            hashes.append(running.hexdigest())
+        digest = xxhash.xxh3_64(target.encode())
+        complete_words = len(words) - len(words) % BLOCK_TOKENS
+        for start in range(0, complete_words, BLOCK_TOKENS):
+            digest.update(" ".join(words[start : start + BLOCK_TOKENS]).encode())
+            hashes.append(digest.hexdigest())
         return hashes
 
     def count_hits(self, hashes: list[str]) -> int:
-        """Return how many leading blocks are held."""
+        """Return the number of leading blocks that are cached, and mark them as used."""
         hits = 0
         for block in hashes:
             if block not in self._blocks:
@@ -110,7 +138,7 @@
         return hits
 
     def store(self, hashes: list[str]) -> None:
-        """Hold blocks, evicting the longest unused."""
+        """Add blocks and evict the least recently used ones."""
         for block in hashes:
             if block not in self._blocks:
                 self.events.append(("stored", block))
@@ -121,12 +149,12 @@
             self.events.append(("removed", removed))
 
     def cached_hashes(self) -> list[str]:
-        """Return all held block hashes, longest unused first."""
+        """Return the hashes of all cached blocks, least recently used first."""
         return list(self._blocks)
 
 
 class EngineCore:
-    """All requests of one engine."""
+    """Scheduler and requests of one engine."""
 
     def __init__(self, model: EngineModel) -> None:
         self.model = model
@@ -141,7 +169,7 @@
     # ---- requests ----
 
     def submit(self, request: EngineRequest) -> bool:
-        """Queue a request; False when the engine is full or knows the id already."""
+        """Queue a request; return False if the queue is full or the id is already known."""
         waiting = sum(r.state is StreamState.WAITING for r in self._active_requests.values())
         if waiting >= self.model.max_waiting or request.request_id in self.requests:
             return False
@@ -153,7 +181,7 @@
         return True
 
     def cancel(self, request_id: str) -> bool:
-        """Stop a request; its tokens stay for a resume."""
+        """Cancel a request but keep its tokens; return False if it is not active."""
         request = self._active_requests.pop(request_id, None)
         if request is None:
             return False
@@ -161,31 +189,31 @@
         return True
 
     def resume(self, request_id: str) -> EngineRequest | None:
-        """Continue a request that was cancelled; return it, or None if it is not known."""
+        """Queue a cancelled request again; return the request, or None if the id is unknown."""
         request = self.requests.get(request_id)
         if request is not None and request.state is StreamState.PAUSED:
             self._enqueue(request)
         return request
 
     def remove_finished(self, finished_before: float) -> None:
-        """Drop finished requests."""
+        """Remove requests that finished before a time."""
         for request_id, request in list(self.requests.items()):
             if request.state is StreamState.FINISHED and request.finished_at < finished_before:
                 del self.requests[request_id]
 
     @property
     def running_count(self) -> int:
-        """Number of running requests."""
+        """Return the number of running requests."""
         return sum(r.state is StreamState.RUNNING for r in self._active_requests.values())
 
     @property
     def waiting_count(self) -> int:
-        """Number of waiting requests."""
+        """Return the number of waiting requests."""
         return len(self._active_requests) - self.running_count
 
     @property
     def is_busy(self) -> bool:
-        """Whether a step has something to do."""
+        """Return whether any request is running or waiting."""
         return bool(self._active_requests)
 
     def _enqueue(self, request: EngineRequest) -> None:
@@ -196,32 +224,32 @@
     # ---- steps ----
 
     def begin_step(self) -> StepResult:
-        """Decide one iteration; :meth:`finish_step` ends it after its time."""
+        """Schedule one iteration; the caller calls :meth:`finish_step` after its duration."""
         self._admit()
         running = self._sorted_requests(StreamState.RUNNING)
         decoding = [r for r in running if r.prefilled_tokens >= r.prefill_target_tokens]
-        budget = max(0, self.model.step_token_budget - len(decoding))
-        gained = list(decoding)
+        budget_tokens = max(0, self.model.step_token_budget - len(decoding))
+        token_receivers = list(decoding)
         prefill_tokens = 0
         for request in running:
-            missing = request.prefill_target_tokens - request.prefilled_tokens
-            chunk = min(missing, budget)
-            if chunk <= 0:
+            remaining_tokens = request.prefill_target_tokens - request.prefilled_tokens
+            chunk_tokens = min(remaining_tokens, budget_tokens)
+            if chunk_tokens <= 0:
                 continue
-            budget -= chunk
-            prefill_tokens += chunk
-            request.prefilled_tokens += chunk
+            budget_tokens -= chunk_tokens
+            prefill_tokens += chunk_tokens
+            request.prefilled_tokens += chunk_tokens
             if request.prefilled_tokens >= request.prefill_target_tokens:
-                gained.append(request)
+                token_receivers.append(request)
         seconds = (
             self.model.base_step_s
             + self.model.sequence_step_s * len(decoding)
             + self.model.prefill_token_s * prefill_tokens
         )
-        return StepResult(seconds, gained)
+        return StepResult(seconds, token_receivers)
 
     def finish_step(self, step: StepResult, now: float) -> None:
-        """Give the step's requests their token, but for those cancelled meanwhile."""
+        """Append a token to the step's requests, except those cancelled during the step."""
         for request in step.token_receivers:
             if request.state is StreamState.RUNNING:
                 self._append_token(request, now)
@@ -244,13 +272,15 @@
     def _start(self, request: EngineRequest) -> None:
         request.state = StreamState.RUNNING
         hashes = self.cache.block_hashes(request.target, request.prompt)
-        hit = int(self.cache.count_hits(hashes) * BLOCK_TOKENS * self.model.tokens_per_word)
-        request.cached_tokens = min(hit, request.prompt_tokens - 1)
-        held = self.model.keeps_kv_cache and bool(request.tokens)
+        reused_tokens = int(
+            self.cache.count_hits(hashes) * BLOCK_TOKENS * self.model.tokens_per_word
+        )
+        request.cached_tokens = min(reused_tokens, request.prompt_tokens - 1)
+        is_cached = self.model.keeps_kv_cache and bool(request.tokens)
         request.prefilled_tokens = (
-            request.prompt_tokens + len(request.tokens) if held else request.cached_tokens
+            request.prompt_tokens + len(request.tokens) if is_cached else request.cached_tokens
         )
-        # Tokens generated before are part of the prompt now (recompute preemption).
+        # Earlier output is prefilled again with the prompt (recompute preemption).
         request.prefill_target_tokens = request.prompt_tokens + len(request.tokens)
         self.prompt_tokens += request.prompt_tokens
         self.hit_tokens += request.cached_tokens
@@ -266,8 +296,8 @@
             self._active_requests.pop(request.request_id, None)
 
     def _sorted_requests(self, state: StreamState) -> list[EngineRequest]:
-        found = [request for request in self._active_requests.values() if request.state is state]
-        return sorted(found, key=_scheduling_key)
+        matching = [request for request in self._active_requests.values() if request.state is state]
+        return sorted(matching, key=_scheduling_key)
 
 
 def _scheduling_key(request: EngineRequest) -> tuple[int, int]:
--- a/src/wharfcart/emulator/engine_server.py
+++ b/src/wharfcart/emulator/engine_server.py
@@ -1,11 +1,13 @@
-"""Emulated engine: OpenAI HTTP API with streams, and the engine's control calls.
+"""Emulated engine: OpenAI HTTP API with resumable streams, and the engine's control API.
 
-Calls besides the OpenAI ones (docs/operations/emulator.md):
+Extensions of the OpenAI API (docs/operations/emulator.md):
 
-* ``X-Request-Id`` names a request and is repeated in the answer; events of a stream are numbered by
+* ``X-Request-Id`` identifies a request and is echoed in the response. Stream events are numbered by
   their SSE ``id``; ``GET /v1/streams/{id}`` with ``Last-Event-ID`` resumes, ``DELETE`` cancels.
-* ``GET /load`` lagging load report, ``GET /status`` what is loaded, ``GET /events`` cache events.
-* ``POST /control/orders`` fenced orders, ``/control/kv-cache`` export and import.
+* ``GET /load`` returns a delayed load report, ``GET /status`` the loaded model and adapters,
+  ``GET /events`` the events of the prefix cache.
+* ``POST /control/orders`` takes commands with a fencing token; ``/control/kv-cache`` exports and
+  imports the prefix cache.
 """
 
 import asyncio
@@ -31,7 +33,11 @@
 
 @dataclass
 class LoadedModel:
-    """What an engine holds, and the newest fence it obeyed."""
+    """Loaded model and adapters of an engine.
+
+    Attributes:
+        fencing_token: (epoch, sequence) of the newest accepted command; older ones are refused.
+    """
 
     model_name: str = ""
     version: str = ""
@@ -69,7 +75,7 @@
         return self.server.address
 
     async def start(self, host: str, port: int) -> None:
-        """Listen and start stepping."""
+        """Start to listen and to execute engine steps."""
         await self.server.start(host, port)
         self._tasks.spawn(self._step_loop())
 
@@ -94,7 +100,7 @@
         self.switch.add_routes(app)
         return app
 
-    # ---- stepping ----
+    # ---- engine steps ----
 
     async def _step_loop(self) -> None:
         loop = asyncio.get_running_loop()
@@ -133,16 +139,16 @@
         return await self._infer(request, chat=False)
 
     async def _infer(self, request: web.Request, chat: bool) -> web.StreamResponse:
-        refused = await self.switch.apply_before(request)
-        if refused is not None:
-            return refused
+        refusal = await self.switch.apply_before(request)
+        if refusal is not None:
+            return refusal
         body = await request.json()
         request_id = request.headers.get("X-Request-Id", "")
         target = str(body.get("model", ""))
         if target != self.loaded_model.model_name and target not in self.loaded_model.adapters:
             return _not_run_response(404, f"model {target} is not loaded")
         prompt, question = _parse_prompt(body, chat)
-        work = EngineRequest(
+        engine_request = EngineRequest(
             request_id,
             target,
             prompt,
@@ -150,103 +156,107 @@
             int(body.get("max_tokens") or 256),
             int(body.get("priority", 0)),
         )
-        if not self.core.submit(work):
+        if not self.core.submit(engine_request):
             return _not_run_response(503, "engine is full or knows the request")
         self._work_available.set()
         self.switch.apply_after(request)
         if body.get("stream"):
-            return await self._stream(request, work, 0, chat)
-        return await self._complete_response(work, chat)
+            return await self._stream(request, engine_request, 0, chat)
+        return await self._complete_response(engine_request, chat)
 
-    async def _complete_response(self, work: EngineRequest, chat: bool) -> web.Response:
-        async for _ in self._token_positions(work, 0):
+    async def _complete_response(self, engine_request: EngineRequest, chat: bool) -> web.Response:
+        async for _ in self._token_positions(engine_request, 0):
             pass
-        if work.state is not StreamState.FINISHED:
+        if engine_request.state is not StreamState.FINISHED:
             return _not_run_response(499, "cancelled")
-        text = " ".join(work.tokens)
+        text = " ".join(engine_request.tokens)
         choice: dict[str, object] = {"index": 0, "finish_reason": "stop"}
         choice |= {"message": {"role": "assistant", "content": text}} if chat else {"text": text}
         usage = {
-            "prompt_tokens": work.prompt_tokens,
-            "completion_tokens": len(work.tokens),
-            "total_tokens": work.prompt_tokens + len(work.tokens),
-            "prompt_tokens_details": {"cached_tokens": work.cached_tokens},
+            "prompt_tokens": engine_request.prompt_tokens,
+            "completion_tokens": len(engine_request.tokens),
+            "total_tokens": engine_request.prompt_tokens + len(engine_request.tokens),
+            "prompt_tokens_details": {"cached_tokens": engine_request.cached_tokens},
         }
         answer = {
-            "id": work.request_id,
+            "id": engine_request.request_id,
             "object": "chat.completion" if chat else "text_completion",
             "created": 0,
-            "model": work.target,
+            "model": engine_request.target,
             "choices": [choice],
             "usage": usage,
         }
-        return web.json_response(answer, headers={"X-Request-Id": work.request_id})
+        return web.json_response(answer, headers={"X-Request-Id": engine_request.request_id})
 
     async def _stream(
-        self, request: web.Request, work: EngineRequest, first_position: int, chat: bool
+        self, request: web.Request, engine_request: EngineRequest, first_position: int, chat: bool
     ) -> web.StreamResponse:
         response = web.StreamResponse(
-            headers={"Content-Type": "text/event-stream", "X-Request-Id": work.request_id}
+            headers={"Content-Type": "text/event-stream", "X-Request-Id": engine_request.request_id}
         )
         await response.prepare(request)
         cut_at = first_position + 3 if self.switch.consume_stream_cut() else -1
-        async for position in self._token_positions(work, first_position):
+        async for position in self._token_positions(engine_request, first_position):
             if position == cut_at:
                 drop_connection(request)
-            text = work.tokens[position] + (" " if position + 1 < 10_000 else "")
-            await response.write(_encode_event(work, position, text, chat))
-        if work.state is StreamState.FINISHED:
-            await response.write(_encode_event(work, len(work.tokens), None, chat))
-            await response.write(f"id: {len(work.tokens) + 1}\ndata: [DONE]\n\n".encode())
+            text = engine_request.tokens[position] + (" " if position + 1 < 10_000 else "")
+            await response.write(_encode_event(engine_request, position, text, chat))
+        if engine_request.state is StreamState.FINISHED:
+            await response.write(
+                _encode_event(engine_request, len(engine_request.tokens), None, chat)
+            )
+            await response.write(f"id: {len(engine_request.tokens) + 1}\ndata: [DONE]\n\n".encode())
         await response.write_eof()
         return response
 
     async def _token_positions(
-        self, work: EngineRequest, first_position: int
+        self, engine_request: EngineRequest, first_position: int
     ) -> AsyncIterator[int]:
-        """Yield positions of tokens as they come; ends when the request ends or is cancelled."""
-        self._reader_counts[work.request_id] = self._reader_counts.get(work.request_id, 0) + 1
+        """Yield the position of each new token until the request finishes or is cancelled."""
+        self._reader_counts[engine_request.request_id] = (
+            self._reader_counts.get(engine_request.request_id, 0) + 1
+        )
         position = first_position
         try:
             while True:
-                while position < len(work.tokens):
+                while position < len(engine_request.tokens):
                     yield position
                     position += 1
-                if work.state in (StreamState.FINISHED, StreamState.PAUSED):
+                if engine_request.state in (StreamState.FINISHED, StreamState.PAUSED):
                     return
                 async with self._tokens_changed:
                     await self._tokens_changed.wait()
         finally:
-            self._reader_counts[work.request_id] -= 1
-            if self._reader_counts[work.request_id] == 0:
-                del self._reader_counts[work.request_id]
-                if work.state in (StreamState.RUNNING, StreamState.WAITING):
-                    self._tasks.spawn(self._cancel_if_abandoned(work))
+            self._reader_counts[engine_request.request_id] -= 1
+            if self._reader_counts[engine_request.request_id] == 0:
+                del self._reader_counts[engine_request.request_id]
+                if engine_request.state in (StreamState.RUNNING, StreamState.WAITING):
+                    self._tasks.spawn(self._cancel_if_abandoned(engine_request))
 
-    async def _cancel_if_abandoned(self, work: EngineRequest) -> None:
+    async def _cancel_if_abandoned(self, engine_request: EngineRequest) -> None:
         await asyncio.sleep(DISCONNECT_GRACE_S / self._speed)
-        if work.request_id not in self._reader_counts:
-            self.core.cancel(work.request_id)
+        if engine_request.request_id not in self._reader_counts:
+            self.core.cancel(engine_request.request_id)
 
     async def _resume(self, request: web.Request) -> web.StreamResponse:
-        refused = await self.switch.apply_before(request)
-        if refused is not None:
-            return refused
-        work = self.core.resume(request.match_info["id"])
-        if work is None:
+        refusal = await self.switch.apply_before(request)
+        if refusal is not None:
+            return refusal
+        engine_request = self.core.resume(request.match_info["id"])
+        if engine_request is None:
             return _not_run_response(404, "no such stream")
         self._work_available.set()
-        first = int(request.headers.get("Last-Event-ID", "-1")) + 1
+        first_position = int(request.headers.get("Last-Event-ID", "-1")) + 1
         chat = request.query.get("chat", "1") == "1"
         if request.query.get("stream", "1") == "0":
-            return await self._complete_response(work, chat)
-        return await self._stream(request, work, first, chat)
+            return await self._complete_response(engine_request, chat)
+        return await self._stream(request, engine_request, first_position, chat)
 
     async def _cancel(self, request: web.Request) -> web.Response:
-        found = self.core.cancel(request.match_info["id"])
+        cancelled = self.core.cancel(request.match_info["id"])
         async with self._tokens_changed:
             self._tokens_changed.notify_all()
-        return web.json_response({"cancelled": found})
+        return web.json_response({"cancelled": cancelled})
 
     # ---- reports ----
 
@@ -256,14 +266,16 @@
         return web.json_response({"object": "list", "data": data})
 
     async def _load(self, request: web.Request) -> web.Response:
-        horizon = asyncio.get_running_loop().time() - LOAD_LAG_S / self._speed
-        old = [report for at, report in self._load_reports if at <= horizon]
-        return web.json_response(old[-1] if old else {"running": 0, "waiting": 0})
+        visible_until = asyncio.get_running_loop().time() - LOAD_LAG_S / self._speed
+        visible_reports = [report for at, report in self._load_reports if at <= visible_until]
+        return web.json_response(
+            visible_reports[-1] if visible_reports else {"running": 0, "waiting": 0}
+        )
 
     async def _status(self, request: web.Request) -> web.Response:
-        refused = await self.switch.apply_before(request)
-        if refused is not None:
-            return refused
+        refusal = await self.switch.apply_before(request)
+        if refusal is not None:
+            return refusal
         loaded = self.loaded_model
         return web.json_response(
             {
@@ -281,28 +293,28 @@
 
     async def _cache_events(self, request: web.Request) -> web.Response:
         after = int(request.query.get("after", "0"))
-        horizon = asyncio.get_running_loop().time() - EVENT_LAG_S / self._speed
+        visible_until = asyncio.get_running_loop().time() - EVENT_LAG_S / self._speed
         events = [
             {"sequence": sequence, "kind": kind, "block": block}
             for at, sequence, kind, block in self._cache_event_log
-            if at <= horizon and sequence > after
+            if at <= visible_until and sequence > after
         ]
         return web.json_response({"events": events[:1000]})
 
     # ---- control ----
 
     async def _on_command(self, request: web.Request) -> web.Response:
-        refused = await self.switch.apply_before(request)
-        if refused is not None:
-            return refused
-        order = await request.json()
-        fence = (int(order["epoch"]), int(order["sequence"]))
-        if fence <= self.loaded_model.fencing_token:
+        refusal = await self.switch.apply_before(request)
+        if refusal is not None:
+            return refusal
+        command = await request.json()
+        new_token = (int(command["epoch"]), int(command["sequence"]))
+        if new_token <= self.loaded_model.fencing_token:
             return web.json_response({"error": "fenced"}, status=409)
-        self.loaded_model.fencing_token = fence
-        kind, name = str(order["order"]), str(order["name"])
+        self.loaded_model.fencing_token = new_token
+        kind, name = str(command["order"]), str(command["name"])
         if kind == "load_model":
-            self._tasks.spawn(self._load_model(name, str(order.get("version", "1")), fence))
+            self._tasks.spawn(self._load_model(name, str(command.get("version", "1")), new_token))
         elif kind == "load_adapter":
             self._tasks.spawn(self._load_adapter(name))
         elif kind == "unload_adapter":
@@ -351,7 +363,9 @@
     return " ".join(contents), contents[-1] if contents else ""
 
 
-def _encode_event(work: EngineRequest, number: int, text: str | None, chat: bool) -> bytes:
+def _encode_event(
+    engine_request: EngineRequest, number: int, text: str | None, chat: bool
+) -> bytes:
     finish = "stop" if text is None else None
     choice: dict[str, object] = {"index": 0, "finish_reason": finish}
     if chat:
@@ -359,10 +373,10 @@
     else:
         choice["text"] = text or ""
     chunk = {
-        "id": work.request_id,
+        "id": engine_request.request_id,
         "object": "chat.completion.chunk" if chat else "text_completion",
         "created": 0,
-        "model": work.target,
+        "model": engine_request.target,
         "choices": [choice],
     }
     return f"id: {number}\ndata: {json.dumps(chunk)}\n\n".encode()
--- a/src/wharfcart/emulator/fault_proxy.py
+++ b/src/wharfcart/emulator/fault_proxy.py
@@ -1,7 +1,7 @@
 """Fault-injecting proxy between nodes, for TCP and UDP on one address.
 
-A node whose ``cluster_advertise`` names a proxy is reached by its peers only through it. Faults are
-switched by ``POST /control/proxies/{name}`` on the control address (:class:`ProxyFaults`).
+Peers reach a node only through its proxy if its ``cluster_advertise`` is the proxy's address.
+``POST /control/proxies/{name}`` on the control address sets the faults (:class:`ProxyFaults`).
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 
 
 class ProxyFaults(BaseModel):
-    """Faults of the traffic towards one node."""
+    """Faults of the traffic to one node."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -34,7 +34,7 @@
 
 
 class FaultProxy:
-    """The way to one node."""
+    """Proxy in front of one node."""
 
     def __init__(self, listen: Endpoint, target: Endpoint, seed: int) -> None:
         self.faults = ProxyFaults()
@@ -50,7 +50,7 @@
         self._reverse_open.set()
 
     async def start(self) -> None:
-        """Listen for TCP and UDP."""
+        """Start to listen on TCP and UDP."""
         self._server = await asyncio.start_server(self._on_connection, *self._listen)
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
@@ -59,7 +59,7 @@
         self._datagram_transport = transport
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Close the listeners and all connections."""
         if self._server is not None:
             self._server.close()
         if self._datagram_transport is not None:
@@ -68,7 +68,7 @@
             writer.close()
 
     def set_faults(self, faults: ProxyFaults) -> None:
-        """Switch faults."""
+        """Replace the faults and apply them to open connections."""
         self.faults = faults
         _set_event(self._forward_open, not (faults.cut or faults.silent))
         _set_event(self._reverse_open, not (faults.cut or faults.silent or faults.one_way))
@@ -98,31 +98,31 @@
             pass
         finally:
             self._writers.difference_update(pair)
-            for each in pair:
-                each.close()
+            for endpoint_writer in pair:
+                endpoint_writer.close()
 
     async def _copy(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, link_open: asyncio.Event
     ) -> None:
         while data := await reader.read(READ_BUFFER_BYTES):
-            await link_open.wait()  # a cut link holds bytes back; nothing is told to the ends
+            await link_open.wait()  # a stalled link buffers bytes and keeps both ends open
             if self.faults.delay_seconds:
                 await asyncio.sleep(self.random_delay_s())
             writer.write(data)
             await writer.drain()
-        # One end closed: so does the other.
+        # Ends the task group, which closes both connections.
         raise ConnectionResetError
 
     # ---- UDP ----
 
     def random_delay_s(self) -> float:
-        """Draw a delay."""
+        """Return a random delay around the configured one."""
         return self.faults.delay_seconds * (0.5 + self._random.random())
 
     def forward_datagram(
         self, transport: asyncio.DatagramTransport, data: bytes, destination: Endpoint
     ) -> None:
-        """Send a datagram on, as the faults allow."""
+        """Send a datagram to its destination, subject to the faults."""
         if self.faults.cut or self._random.random() < self.faults.datagram_loss:
             return
         copies = 2 if self._random.random() < self.faults.datagram_repeat else 1
@@ -131,7 +131,7 @@
             loop.call_later(self.random_delay_s(), _send_datagram, transport, data, destination)
 
     async def open_upstream(self, client: Endpoint) -> asyncio.DatagramTransport:
-        """Return a socket towards the target whose answers go back to ``client``."""
+        """Open a socket to the target; its datagrams are returned to ``client``."""
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
             lambda: _ReverseProtocol(self, client), local_addr=(self._listen[0], 0)
@@ -140,12 +140,12 @@
 
     @property
     def target(self) -> Endpoint:
-        """Where the node listens."""
+        """Return the node's own address."""
         return self._target
 
     @property
     def datagram_transport(self) -> asyncio.DatagramTransport | None:
-        """Socket that peers send to."""
+        """Return the socket that peers send to, or None before the start."""
         return self._datagram_transport
 
 
@@ -164,7 +164,7 @@
 
 
 class _ForwardProtocol(asyncio.DatagramProtocol):
-    """From peers to the node, each peer by a socket of its own."""
+    """Forwards datagrams from peers to the node, with one upstream socket per peer."""
 
     def __init__(self, proxy: FaultProxy) -> None:
         self._proxy = proxy
@@ -185,7 +185,7 @@
 
 
 class _ReverseProtocol(asyncio.DatagramProtocol):
-    """Answers of the node back to one peer."""
+    """Returns datagrams of the node to one peer."""
 
     def __init__(self, proxy: FaultProxy, client: Endpoint) -> None:
         self._proxy = proxy
@@ -197,7 +197,7 @@
 
 
 class ProxyGroup:
-    """All proxies of an emulator and their control address."""
+    """All proxies of an emulator, with their control API."""
 
     def __init__(self, settings: list[ProxySettings], seed: int) -> None:
         self.proxies = {
@@ -211,13 +211,13 @@
         self.server = WebServer(app)
 
     async def start(self, host: str, port: int) -> None:
-        """Start every proxy and the control address."""
+        """Start the control API and every proxy."""
         await self.server.start(host, port)
         for proxy in self.proxies.values():
             await proxy.start()
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop the control API and every proxy."""
         await self.server.stop()
         for proxy in self.proxies.values():
             await proxy.stop()
--- a/src/wharfcart/emulator/faults.py
+++ b/src/wharfcart/emulator/faults.py
@@ -1,7 +1,7 @@
-"""Faults of the stand-ins, switched by ``POST /control/faults`` on each of them.
+"""Faults of the emulated services, set by ``POST /control/faults`` on each of them.
 
-The body is a JSON object of :class:`Faults`; fields left out keep their value. ``GET`` tells the
-present ones.
+The body is a JSON object of :class:`Faults`; omitted fields keep their value. ``GET`` returns the
+current values.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 
 
 class Faults(BaseModel):
-    """Faults of one stand-in."""
+    """Faults of one emulated service."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -30,7 +30,7 @@
 
 
 class FaultSwitch:
-    """Holds and applies the faults of one stand-in."""
+    """Holds and applies the faults of one emulated service."""
 
     def __init__(self, seed: int) -> None:
         self.faults = Faults()
@@ -42,7 +42,7 @@
         app.router.add_post("/control/faults", self._post)
 
     async def apply_before(self, request: web.Request) -> web.Response | None:
-        """Apply faults that strike before the effect; a response ends the call."""
+        """Apply the faults that precede the effect of a call; return the refusal, if any."""
         faults = self.faults
         if faults.outage:
             drop_connection(request)
@@ -54,7 +54,7 @@
         return None
 
     def apply_after(self, request: web.Request, is_write: bool = False) -> None:
-        """Apply faults that strike after the effect."""
+        """Apply the faults that follow the effect of a call."""
         if is_write and self.faults.lost_writes > 0:
             self.faults.lost_writes -= 1
             drop_connection(request)
@@ -63,7 +63,7 @@
             drop_connection(request)
 
     def consume_stream_cut(self) -> bool:
-        """Whether this stream is to be cut halfway."""
+        """Return whether to interrupt this stream, and count it against ``cut_streams``."""
         if self.faults.cut_streams > 0:
             self.faults.cut_streams -= 1
             return True
@@ -84,9 +84,8 @@
 def drop_connection(request: web.Request) -> None:
     """Abort the caller's connection and end the handler.
 
-    Raises
-    ------
-    ConnectionResetError
+    Raises:
+        ConnectionResetError: always.
     """
     if request.transport is not None:
         request.transport.abort()
--- a/src/wharfcart/emulator/fleet.py
+++ b/src/wharfcart/emulator/fleet.py
@@ -1,4 +1,4 @@
-"""The emulated surroundings of a fleet in one process: platform, engines, application servers."""
+"""All emulated services of a fleet in one process: platform, engines, application servers."""
 
 import asyncio
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class EmulatorAddresses:
-    """Where the platform's stand-ins listen."""
+    """Addresses of the emulated platform services."""
 
     key_value: str
     machine_list: str
@@ -23,7 +23,7 @@
 
 
 class EmulatedFleet:
-    """All stand-ins of one emulator process."""
+    """All emulated services of one emulator process."""
 
     def __init__(self, settings: EmulatorSettings) -> None:
         self._settings = settings
@@ -38,7 +38,7 @@
 
     @property
     def addresses(self) -> EmulatorAddresses:
-        """Addresses for node settings."""
+        """Return the addresses for the settings of nodes."""
         return EmulatorAddresses(
             self.key_value.server.address,
             f"http://{self.machine_list.server.address}/targets",
@@ -46,7 +46,7 @@
         )
 
     async def start(self) -> None:
-        """Start everything."""
+        """Start all services."""
         for server in (self.key_value, self.machine_list, self.weight_store):
             await server.server.start(self._settings.listen_host, self._allocate_port())
         await self.proxies.start(self._settings.listen_host, self._allocate_port())
@@ -61,7 +61,7 @@
                 await self._start_application(application.zone, application.name, seed)
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop all services."""
         servers: list[EngineServer | ApplicationServer | WebServer | ProxyGroup] = [
             self.proxies,
             *self.engines.values(),
--- a/src/wharfcart/emulator/key_value_server.py
+++ b/src/wharfcart/emulator/key_value_server.py
@@ -1,9 +1,8 @@
 """Emulated key-value service: a subset of the etcd v3 JSON gateway.
 
-``/v3/kv/range``, ``/v3/kv/txn`` (compare on revisions, version and value; put, delete,
-range),
-``/v3/lease/grant|keepalive|revoke`` and ``/v3/watch``; keys and values in base64, 64-bit numbers as
-strings (etcd API reference v3). Rate-limited: 429 beyond the limit.
+It serves ``/v3/kv/range``, ``/v3/kv/txn`` (comparisons of revisions, versions and values; put,
+delete, range), ``/v3/lease/grant|keepalive|revoke`` and ``/v3/watch``. Keys and values are base64,
+64-bit numbers are strings (etcd API reference v3). Calls above the rate limit get 429.
 """
 
 import asyncio
@@ -36,7 +35,8 @@
     revision: int = 1
     values: dict[bytes, _Value] = field(default_factory=dict)
     history: list[tuple[int, str, bytes, _Value | None]] = field(default_factory=list)
-    leases: dict[int, tuple[float, float]] = field(default_factory=dict)  # term, end
+    # (TTL, expiry time) by lease id, in seconds
+    leases: dict[int, tuple[float, float]] = field(default_factory=dict)
     next_lease: int = 1000
 
 
@@ -67,9 +67,9 @@
     def _rate_limited(self, handler: Callable[[Any], dict[str, object]]) -> Handler:
         async def limited(request: web.Request) -> web.Response:
             self.calls += 1
-            refused = await self.switch.apply_before(request)
-            if refused is not None:
-                return refused
+            refusal = await self.switch.apply_before(request)
+            if refusal is not None:
+                return refusal
             if not self._bucket.take(1.0, asyncio.get_running_loop().time()):
                 return web.json_response({"error": "rate limit"}, status=429)
             self._expire_leases()
@@ -89,14 +89,14 @@
     def _range(self, body: dict[str, str]) -> dict[str, object]:
         start = base64.b64decode(body["key"])
         keys = self._keys_in_range(start, base64.b64decode(body.get("range_end", "")))
-        least = int(body.get("min_mod_revision", 0))
-        found = [key for key in keys if self._store.values[key].mod_revision >= least]
-        limit = int(body.get("limit", 0)) or len(found)
+        min_revision = int(body.get("min_mod_revision", 0))
+        matching = [key for key in keys if self._store.values[key].mod_revision >= min_revision]
+        limit = int(body.get("limit", 0)) or len(matching)
         return {
             "header": self._header(),
-            "kvs": [self._encode_value(key) for key in found[:limit]],
-            "count": str(len(found)),
-            "more": len(found) > limit,
+            "kvs": [self._encode_value(key) for key in matching[:limit]],
+            "count": str(len(matching)),
+            "more": len(matching) > limit,
         }
 
     def _keys_in_range(self, start: bytes, end: bytes) -> list[bytes]:
@@ -134,18 +134,18 @@
         value = self._store.values.get(key)
         target = str(compare["target"])
         actual: object
-        wanted: object
+        expected: object
         if target == "VALUE":
             actual = value.value if value else b""
-            wanted = base64.b64decode(str(compare["value"]))
+            expected = base64.b64decode(str(compare["value"]))
         else:
             name = {"MOD": "mod_revision", "CREATE": "create_revision", "VERSION": "version"}[
                 target
             ]
             actual = getattr(value, name) if value else 0
-            wanted = int(str(compare[name]))
+            expected = int(str(compare[name]))
         result = str(compare.get("result", "EQUAL"))
-        return {"EQUAL": actual == wanted, "NOT_EQUAL": actual != wanted}[result]
+        return {"EQUAL": actual == expected, "NOT_EQUAL": actual != expected}[result]
 
     def _apply_operation(self, operation: dict[str, object]) -> dict[str, object]:
         name, body = next(iter(operation.items()))
@@ -157,39 +157,39 @@
         if name == "request_delete_range":
             key = base64.b64decode(body["key"])
             end = base64.b64decode(body.get("range_end", ""))
-            doomed = self._keys_in_range(key, end)
-            for each in doomed:
-                del self._store.values[each]
-                self._store.history.append((self._store.revision, "DELETE", each, None))
-            return {"response_delete_range": {"deleted": str(len(doomed))}}
+            deleted_keys = self._keys_in_range(key, end)
+            for deleted_key in deleted_keys:
+                del self._store.values[deleted_key]
+                self._store.history.append((self._store.revision, "DELETE", deleted_key, None))
+            return {"response_delete_range": {"deleted": str(len(deleted_keys))}}
         return {"response_range": self._range(body)}
 
     def _put(self, key: bytes, value: bytes, lease: int) -> None:
         store = self._store
-        known = store.values.get(key)
-        created = known.create_revision if known else store.revision
-        version = known.version + 1 if known else 1
-        store.values[key] = _Value(value, created, store.revision, version, lease)
+        previous = store.values.get(key)
+        created_revision = previous.create_revision if previous else store.revision
+        version = previous.version + 1 if previous else 1
+        store.values[key] = _Value(value, created_revision, store.revision, version, lease)
         store.history.append((store.revision, "PUT", key, store.values[key]))
         del store.history[:-10_000]
 
     # ---- leases ----
 
     def _grant(self, body: dict[str, str]) -> dict[str, object]:
-        term = float(body["TTL"])
+        ttl_s = float(body["TTL"])
         lease = int(body.get("ID", 0)) or self._store.next_lease
         self._store.next_lease += 1
-        self._store.leases[lease] = (term, asyncio.get_running_loop().time() + term)
-        return {"header": self._header(), "ID": str(lease), "TTL": str(int(term))}
+        self._store.leases[lease] = (ttl_s, asyncio.get_running_loop().time() + ttl_s)
+        return {"header": self._header(), "ID": str(lease), "TTL": str(int(ttl_s))}
 
     def _keep_alive(self, body: dict[str, str]) -> dict[str, object]:
         lease = int(body["ID"])
-        found = self._store.leases.get(lease)
-        if found is None:
+        granted = self._store.leases.get(lease)
+        if granted is None:
             return {"result": {"ID": str(lease), "TTL": "0"}}
-        term = found[0]
-        self._store.leases[lease] = (term, asyncio.get_running_loop().time() + term)
-        return {"result": {"ID": str(lease), "TTL": str(int(term))}}
+        ttl_s = granted[0]
+        self._store.leases[lease] = (ttl_s, asyncio.get_running_loop().time() + ttl_s)
+        return {"result": {"ID": str(lease), "TTL": str(int(ttl_s))}}
 
     def _revoke(self, body: dict[str, str]) -> dict[str, object]:
         self._drop_lease(int(body["ID"]))
@@ -197,38 +197,38 @@
 
     def _expire_leases(self) -> None:
         now = asyncio.get_running_loop().time()
-        for lease, (_, end) in list(self._store.leases.items()):
-            if end <= now:
+        for lease, (_, expires_at) in list(self._store.leases.items()):
+            if expires_at <= now:
                 self._drop_lease(lease)
 
     def _drop_lease(self, lease: int) -> None:
         self._store.leases.pop(lease, None)
-        held = [key for key, value in self._store.values.items() if value.lease == lease]
-        if held:
+        leased_keys = [key for key, value in self._store.values.items() if value.lease == lease]
+        if leased_keys:
             self._store.revision += 1
-        for key in held:
+        for key in leased_keys:
             del self._store.values[key]
             self._store.history.append((self._store.revision, "DELETE", key, None))
 
     # ---- watch ----
 
     async def _watch(self, request: web.Request) -> web.StreamResponse:
-        refused = await self.switch.apply_before(request)
-        if refused is not None:
-            return refused
+        refusal = await self.switch.apply_before(request)
+        if refusal is not None:
+            return refusal
         create = (await request.json())["create_request"]
         start = base64.b64decode(create["key"])
         end = base64.b64decode(create.get("range_end", ""))
-        seen = int(create.get("start_revision", self._store.revision + 1)) - 1
+        last_revision = int(create.get("start_revision", self._store.revision + 1)) - 1
         response = web.StreamResponse()
         await response.prepare(request)
         while True:
             events = [
                 self._encode_event(kind, key, value)
                 for revision, kind, key, value in self._store.history
-                if revision > seen and (key == start or start <= key < end)
+                if revision > last_revision and (key == start or start <= key < end)
             ]
-            seen = self._store.revision
+            last_revision = self._store.revision
             if events:
                 message = {"result": {"header": self._header(), "events": events}}
                 await response.write(json.dumps(message).encode() + b"\n")
--- a/src/wharfcart/emulator/metadata_store.py
+++ b/src/wharfcart/emulator/metadata_store.py
@@ -1,7 +1,7 @@
 """Emulated metadata store of the users' platform: keys, revisions, watches, transactions.
 
-Pages, conditions, forgotten history and rate limits as its description tells; leases are not
-served, since wharfcart takes none.
+It serves pages, conditional transactions and watches, and answers 410 to a watch of a compacted
+revision. It has no leases, since wharfcart uses none.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 @dataclass
 class StoredItem:
-    """One key."""
+    """Value of one key, with the revisions of its last write and its creation."""
 
     value: bytes
     revision: int
@@ -32,7 +32,12 @@
 
 @dataclass
 class StoreState:
-    """All keys and the history of changes."""
+    """All keys and the history of changes.
+
+    Attributes:
+        history: (revision, key, new value or None if removed), oldest first.
+        compacted_revision: changes up to this revision are no longer in the history.
+    """
 
     revision: int = 1
     items: dict[str, StoredItem] = field(default_factory=dict)
@@ -43,8 +48,10 @@
         """Write and remove keys at one new revision."""
         self.revision += 1
         for key, value in puts.items():
-            made = self.items[key].create_revision if key in self.items else self.revision
-            self.items[key] = StoredItem(value, self.revision, made)
+            created_revision = (
+                self.items[key].create_revision if key in self.items else self.revision
+            )
+            self.items[key] = StoredItem(value, self.revision, created_revision)
             self.history.append((self.revision, key, value))
         for key in removes:
             if self.items.pop(key, None) is not None:
@@ -53,7 +60,7 @@
         return self.revision
 
     def compact_history(self) -> None:
-        """Drop the history, so that every watch must begin anew."""
+        """Drop the history, so that every watch must list the keys again."""
         self.compacted_revision = self.revision
         self.history.clear()
 
@@ -62,12 +69,11 @@
 
 
 class MetadataStoreServer:
-    """One emulated store, with an address of its own for each node.
+    """One emulated store, with a separate address for each node.
 
-    Parameters
-    ----------
-    refused: ids of the nodes that are turned away.
-    silent: ids of the nodes whose calls are never answered.
+    Attributes:
+        refused_node_ids: nodes whose calls get 503.
+        unanswered_node_ids: nodes whose calls get no response.
     """
 
     def __init__(self, seed: int = 1) -> None:
@@ -81,7 +87,7 @@
         self._last_list_at: dict[str, float] = {}
 
     async def open_endpoint(self, node_id: str) -> str:
-        """Open an address for one node and return it."""
+        """Open and return an address for one node."""
         app = web.Application()
         app[NODE_KEY] = node_id
         app.router.add_get(names.READ_KEY, self._read_key)
@@ -98,13 +104,13 @@
         await asyncio.gather(*(server.stop() for server in self._servers))
 
     async def put(self, key: str, value: object) -> int:
-        """Write a JSON value as the operator or a server does."""
+        """Write a JSON value, as the operator or a server does; return the revision."""
         revision = self.state.write({key: json.dumps(value).encode()}, [])
         await self._notify()
         return revision
 
     async def remove(self, key: str) -> None:
-        """Remove a key as a server that left does."""
+        """Remove a key, as a server does when it leaves."""
         self.state.write({}, [key])
         await self._notify()
 
@@ -122,9 +128,9 @@
         return await self.switch.apply_before(request)
 
     async def _read_key(self, request: web.Request) -> web.Response:
-        refused = await self._apply_faults(request)
-        if refused is not None:
-            return refused
+        refusal = await self._apply_faults(request)
+        if refusal is not None:
+            return refusal
         key = request.query["key"]
         item = self.state.items.get(key)
         if item is None:
@@ -132,15 +138,15 @@
         return web.json_response(_encode_item(key, item) | {"at": self.state.revision})
 
     def seconds_since_list(self, node_id: str) -> float:
-        """Return the seconds since a node last listed the keys; infinite if it never did."""
+        """Return the seconds since a node last listed the keys; infinity if it never has."""
         listed_at = self._last_list_at.get(node_id, -math.inf)
         return asyncio.get_running_loop().time() - listed_at
 
     async def _read_range(self, request: web.Request) -> web.Response:
         self._last_list_at[request.app[NODE_KEY]] = asyncio.get_running_loop().time()
-        refused = await self._apply_faults(request)
-        if refused is not None:
-            return refused
+        refusal = await self._apply_faults(request)
+        if refusal is not None:
+            return refusal
         prefix = request.query.get("pathPrefix", "")
         after = request.query.get("after", "")
         keys = sorted(key for key in self.state.items if key.startswith(prefix) and key > after)
@@ -154,11 +160,11 @@
         )
 
     async def _watch(self, request: web.Request) -> web.Response:
-        refused = await self._apply_faults(request)
-        if refused is not None:
-            return refused
+        refusal = await self._apply_faults(request)
+        if refusal is not None:
+            return refusal
         after = int(request.query["after"])
-        until = asyncio.get_running_loop().time() + int(request.query["waitMs"]) / 1000
+        deadline = asyncio.get_running_loop().time() + int(request.query["waitMs"]) / 1000
         while True:
             if after < self.state.compacted_revision:
                 return web.json_response({"at": self.state.revision}, status=410)
@@ -167,10 +173,10 @@
                 for change in self.state.history
                 if change[0] > after and change[1].startswith(request.query["pathPrefix"])
             ]
-            left_s = until - asyncio.get_running_loop().time()
-            if events or left_s <= 0:
+            remaining_s = deadline - asyncio.get_running_loop().time()
+            if events or remaining_s <= 0:
                 return web.json_response({"events": events, "at": self.state.revision})
-            await self._wait_for_change(left_s)
+            await self._wait_for_change(remaining_s)
 
     async def _wait_for_change(self, seconds: float) -> None:
         try:
@@ -180,13 +186,13 @@
             return
 
     async def _transaction(self, request: web.Request) -> web.Response:
-        refused = await self._apply_faults(request)
-        if refused is not None:
-            return refused
+        refusal = await self._apply_faults(request)
+        if refusal is not None:
+            return refusal
         body = await request.json()
-        for row in body["expectedRevision"]:
-            item = self.state.items.get(row["key"])
-            if (0 if item is None else item.revision) != row["revision"]:
+        for condition in body["expectedRevision"]:
+            item = self.state.items.get(condition["key"])
+            if (0 if item is None else item.revision) != condition["revision"]:
                 return web.json_response({"requests": []}, status=412)
         puts = {entry["key"]: base64.b64decode(entry["value"]) for entry in body["put"]}
         revision = self.state.write(puts, body["remove"])
--- a/src/wharfcart/emulator/model_server.py
+++ b/src/wharfcart/emulator/model_server.py
@@ -1,6 +1,6 @@
-"""Emulated server of the users' platform: slots, streams of events, resumption, identity.
+"""Emulated server of the users' platform: slots, event streams, resumption, instance identity.
 
-Every run is recorded, so that a test can tell what ran twice.
+It records every run, so that a test can detect duplicates.
 """
 
 import asyncio
@@ -18,20 +18,20 @@
 STATUS_WRONG_INSTANCE = 421
 STATUS_OVERLOADED = 500
 STREAM_CONTENT_TYPE = "text/event-stream"
-# A cold server fails above so many requests in a second: its rate times this, and some more.
+# Requests per second above which a cold server fails: its rate times the factor, plus the burst.
 COLD_RATE_FACTOR = 1.5
 COLD_BURST_REQUESTS = 5.0
 
 
 @dataclass(frozen=True)
 class RunRecord:
-    """One run of a request, from an event on.
+    """One run of a request.
 
-    Parameters
-    ----------
-    at: monotonic time at which it began.
-    tenant: whose request it is, as the caller was told to be.
-    key: that was passed on; there should be none.
+    Attributes:
+        first_event: position of the first event; above 0 for a resumed stream.
+        run_at: monotonic time of the start.
+        tenant: tenant in the request's header.
+        api_key: caller's API key, which a gateway must not forward; empty if absent.
     """
 
     request_id: str
@@ -43,20 +43,25 @@
 
 
 class ModelServer:
-    """One incarnation of a server.
+    """One instance of a server.
 
-    Parameters
-    ----------
-    events: number of events of each stream; 0 answers whole bodies.
-    event_s: time between events, or of a whole answer.
+    Args:
+        instance_id: id of the instance.
+        event_count: events of each stream; 0 sends complete bodies instead.
+        event_interval_s: time between events, or until a complete body is sent.
+        slot_count: requests that run at once.
+        queue_size: requests that wait for a slot; the server refuses further ones.
 
     Attributes:
-        born_ms: wall clock milliseconds of its start.
-        overruns: requests above what it bore while it was cold.
-        fatal_bodies: a request with one of these bodies ends the server once it runs.
-        events_before_end: events that such a request still gets.
-        on_end: called with the body of the request that has ended the server.
-        has_ended: a request has ended it.
+        started_at_ms: start time, in wall clock milliseconds.
+        failure_status_by_id: status of every response to a request id.
+        failure_status: status of every response; None if the server does not fail.
+        is_unresponsive: requests get no response.
+        overload_count: requests that failed since they exceeded the capacity of the cold server.
+        poison_bodies: bodies of requests that crash the server when they run.
+        events_before_crash: events that a poison request receives before the crash.
+        on_crash: called with the server and the body of the request that crashed it.
+        has_crashed: whether a request has crashed the server.
     """
 
     def __init__(
@@ -73,7 +78,7 @@
         self.finished_by_id: Counter[str] = Counter()
         self.abandoned_by_id: Counter[str] = Counter()
         self.failure_status_by_id: dict[str, int] = {}
-        self.failure_status: int | None = None  # status of every answer
+        self.failure_status: int | None = None
         self.is_unresponsive = False
         self.poison_bodies: set[bytes] = set()
         self.events_before_crash = 0
@@ -82,7 +87,7 @@
         self.overload_count = 0
         self._cold_until = 0.0
         self._cold_requests_per_second = 0.0
-        self._arrivals: deque[float] = deque()  # of the last second, while it is cold
+        self._arrivals: deque[float] = deque()  # of the last second, while the server is cold
         self.switch = FaultSwitch(1)
         self._event_count = event_count
         self._event_interval_s = event_interval_s
@@ -95,18 +100,18 @@
         self.server = WebServer(app)
 
     def turn_cold(self, duration_s: float, requests_per_second: float) -> None:
-        """Be cold for a while, and bear only so many requests a second."""
+        """Make the server cold for a period, with a limited request rate."""
         self._cold_until = monotonic() + duration_s
         self._cold_requests_per_second = requests_per_second
         self._arrivals.clear()
 
     @property
     def cold_ms(self) -> int:
-        """How much longer it is cold, in milliseconds; 0 if it is not."""
+        """Return the remaining time for which the server is cold, in milliseconds."""
         return max(0, round((self._cold_until - monotonic()) * 1000))
 
     def backend_entry(self, service: str, zone: str, state: str = "ready") -> dict[str, object]:
-        """Return what this server writes into the metadata store."""
+        """Return the entry that this server writes into the metadata store."""
         return {
             "backend": service,
             "address": self.server.address,
@@ -126,8 +131,8 @@
             report = {"activeRequests": running, "queuedRequests": waiting}
             return web.json_response(report, headers={names.COLD_MS: str(self.cold_ms)})
         request_id = request.headers.get(names.REQUEST_ID, "")
-        wanted = request.headers.get(names.EXPECT_INSTANCE, self.instance_id)
-        if wanted != self.instance_id:
+        expected_instance_id = request.headers.get(names.EXPECT_INSTANCE, self.instance_id)
+        if expected_instance_id != self.instance_id:
             return self._not_run_response(STATUS_WRONG_INSTANCE, request_id)
         if self._is_overloaded():
             self.overload_count += 1
@@ -150,7 +155,7 @@
             self._request_count -= 1
 
     def _is_overloaded(self) -> bool:
-        """Count a request that arrives; tell whether it is more than a cold server bears."""
+        """Count an arrival; return whether it exceeds the capacity of the cold server."""
         now = monotonic()
         if now >= self._cold_until:
             return False
@@ -163,11 +168,13 @@
         )
 
     async def _run(self, request: web.Request, request_id: str, body: bytes) -> web.StreamResponse:
-        first = int(request.headers.get(names.LAST_EVENT_ID, "-1")) + 1
+        first_event = int(request.headers.get(names.LAST_EVENT_ID, "-1")) + 1
         deadline_ms = int(request.headers.get(names.DEADLINE_MS, "0"))
         tenant = request.headers.get(names.TENANT, "")
-        key = request.headers.get(names.AUTHORIZATION, "")
-        self.runs.append(RunRecord(request_id, first, deadline_ms, monotonic(), tenant, key))
+        api_key = request.headers.get(names.AUTHORIZATION, "")
+        self.runs.append(
+            RunRecord(request_id, first_event, deadline_ms, monotonic(), tenant, api_key)
+        )
         if body in self.poison_bodies and not self.events_before_crash:
             await self._crash(body)
         if self.failure_status is not None:
@@ -186,19 +193,21 @@
             return web.Response(
                 body=f"answer to {request_id}", headers=self._response_headers(request_id)
             )
-        return await self._stream(request, request_id, first, body)
+        return await self._stream(request, request_id, first_event, body)
 
     async def _stream(
-        self, request: web.Request, request_id: str, first: int, body: bytes
+        self, request: web.Request, request_id: str, first_event: int, body: bytes
     ) -> web.StreamResponse:
         response = web.StreamResponse(
             headers=self._response_headers(request_id) | {"Content-Type": STREAM_CONTENT_TYPE}
         )
-        cut_after = (first + self._event_count) // 2 if self.switch.consume_stream_cut() else None
+        cut_after = (
+            (first_event + self._event_count) // 2 if self.switch.consume_stream_cut() else None
+        )
         await response.prepare(request)
-        for number in range(first, self._event_count):
+        for number in range(first_event, self._event_count):
             await asyncio.sleep(self._event_interval_s)
-            if body in self.poison_bodies and number == first + self.events_before_crash:
+            if body in self.poison_bodies and number == first_event + self.events_before_crash:
                 await self._crash(body)
             if number == cut_after:
                 await response.write(f"id: {number}\ndata: half an ev".encode())
@@ -209,13 +218,13 @@
         return response
 
     async def _crash(self, body: bytes) -> None:
-        """End as a process does that a request has crashed."""
+        """Abort all connections, as the crash of the process does."""
         await asyncio.sleep(self._event_interval_s)
         if not self.has_crashed:
             self.has_crashed = True
             self.server.crash()
             self.on_crash(self, body)
-        raise ConnectionResetError("the server has ended")
+        raise ConnectionResetError("a poison request crashed the server")
 
     def _response_headers(self, request_id: str) -> dict[str, str]:
         return {
--- a/src/wharfcart/emulator/operator_documents.py
+++ b/src/wharfcart/emulator/operator_documents.py
@@ -1,4 +1,4 @@
-"""Configurations as the users' operator writes them into the metadata store."""
+"""Configurations as the operator writes them into the metadata store."""
 
 from typing import Any
 
@@ -13,10 +13,13 @@
 ) -> dict[str, Any]:
     """Return a configuration with a route of each kind.
 
-    Parameters
-    ----------
-    added: further routes by name, which is their prefix too; the fields that differ.
-    tenants: whose keys callers must show; None where they need none.
+    Args:
+        version: version of the configuration.
+        host: host name of all routes.
+        stream_service: service of the streaming and batch routes.
+        plain_service: service of the other routes.
+        added_routes: fields of further routes by name; the path prefix is ``/name/``.
+        tenants: tenants with their API keys; None if callers need no key.
     """
     common = {"hostname": host, "priority": 0, "targetLatencyMs": 500}
     streaming = {"kind": "streaming", "timeoutMs": 8000, "backend": stream_service}
@@ -45,10 +48,10 @@
 
 
 def example_tenant(name: str, *keys: str, **fields: Any) -> dict[str, Any]:
-    """Return a tenant with its keys; further fields are its priority and its limit."""
+    """Return a tenant with its API keys; ``fields`` are its priority and its limit."""
     return {"name": name, "apiKeys": list(keys)} | fields
 
 
 def repeatable_route_fields(service: str) -> dict[str, Any]:
-    """Return the fields of a further route that may be repeated."""
+    """Return the fields of an additional route whose requests may be repeated."""
     return {"kind": "safe", "timeoutMs": 2000, "backend": service, "maxAttempts": 2}
--- a/src/wharfcart/emulator/platform_servers.py
+++ b/src/wharfcart/emulator/platform_servers.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class Machine:
-    """One machine as the platform knows it."""
+    """One machine of the machine list."""
 
     machine_id: str
     kind: str  # engine | application
@@ -27,7 +27,7 @@
 
 
 class MachineListServer:
-    """``GET /targets``: the machines as they were some time ago; ``POST`` changes one's state."""
+    """``GET /targets`` returns the machine list after a lag; ``POST`` changes a machine's state."""
 
     def __init__(self, lag_seconds: float, seed: int) -> None:
         self.switch = FaultSwitch(seed)
@@ -41,27 +41,27 @@
         self.server = WebServer(app)
 
     def put(self, machine: Machine, visible_at_once: bool = False) -> None:
-        """Add or change a machine; seen after the lag."""
+        """Add or change a machine; visible after the lag, or at once."""
         self.machines[machine.machine_id] = machine
         self._record_version(visible_at_once)
 
     def remove(self, machine_id: str) -> None:
-        """Drop a machine; seen after the lag."""
+        """Remove a machine; visible after the lag."""
         self.machines.pop(machine_id, None)
         self._record_version(False)
 
     def _record_version(self, at_once: bool) -> None:
         now = asyncio.get_running_loop().time()
-        at = now - self._lag_s if at_once else now
-        self._versions.append((at, list(self.machines.values())))
+        visible_from = now - self._lag_s if at_once else now
+        self._versions.append((visible_from, list(self.machines.values())))
         del self._versions[:-1000]
 
     async def _targets(self, request: web.Request) -> web.Response:
-        refused = await self.switch.apply_before(request)
-        if refused is not None:
-            return refused
-        horizon = asyncio.get_running_loop().time() - self._lag_s
-        seen = [machines for at, machines in self._versions if at <= horizon]
+        refusal = await self.switch.apply_before(request)
+        if refusal is not None:
+            return refusal
+        visible_until = asyncio.get_running_loop().time() - self._lag_s
+        visible_versions = [machines for at, machines in self._versions if at <= visible_until]
         groups = [
             {
                 "targets": [machine.address],
@@ -73,7 +73,7 @@
                     "state": machine.state,
                 },
             }
-            for machine in (seen[-1] if seen else [])
+            for machine in (visible_versions[-1] if visible_versions else [])
         ]
         return web.json_response(groups)
 
@@ -88,7 +88,7 @@
 
 
 class WeightStoreServer:
-    """``GET /weights/{name}/{version}``: takes as long as the shared rate allows."""
+    """``GET /weights/{name}/{version}``: all readers share the store's read rate."""
 
     def __init__(self, speed: Callable[[], float], seed: int) -> None:
         self.switch = FaultSwitch(seed)
@@ -100,13 +100,14 @@
         self.server = WebServer(app)
 
     async def _weights(self, request: web.Request) -> web.Response:
-        refused = await self.switch.apply_before(request)
-        if refused is not None:
-            return refused
-        adapter = request.match_info["name"].startswith("adapter-")
-        size = ADAPTER_BYTES if adapter else MODEL_BYTES
+        refusal = await self.switch.apply_before(request)
+        if refusal is not None:
+            return refusal
+        is_adapter = request.match_info["name"].startswith("adapter-")
+        size_bytes = ADAPTER_BYTES if is_adapter else MODEL_BYTES
         now = asyncio.get_running_loop().time()
-        # One queue for all readers: the store's rate is shared.
-        self._free_at = max(self._free_at, now) + size / STORE_BYTES_PER_SECOND / self._speed()
+        self._free_at = (
+            max(self._free_at, now) + size_bytes / STORE_BYTES_PER_SECOND / self._speed()
+        )
         await asyncio.sleep(self._free_at - now)
-        return web.json_response({"bytes": size})
+        return web.json_response({"bytes": size_bytes})
--- a/src/wharfcart/emulator/web_server.py
+++ b/src/wharfcart/emulator/web_server.py
@@ -1,14 +1,16 @@
-"""Serving of one stand-in's aiohttp application on loopback."""
+"""HTTP server of one emulated service."""
 
 import logging
 
 from aiohttp import web
 
-logging.getLogger("aiohttp.server").setLevel(logging.CRITICAL)  # dropped connections are on purpose
+logging.getLogger("aiohttp.server").setLevel(
+    logging.CRITICAL
+)  # dropped connections are injected faults
 
 
 class WebServer:
-    """One aiohttp application on one port."""
+    """Serves one aiohttp application on one port."""
 
     def __init__(self, app: web.Application) -> None:
         self._runner = web.AppRunner(
@@ -17,7 +19,7 @@
         self.address = ""
 
     async def start(self, host: str, port: int) -> None:
-        """Listen; port 0 takes a free one."""
+        """Start to listen; port 0 selects a free port."""
         await self._runner.setup()
         site = web.TCPSite(self._runner, host, port)
         await site.start()
@@ -25,11 +27,11 @@
         self.address = f"{bound[0]}:{bound[1]}"
 
     async def stop(self) -> None:
-        """Close."""
+        """Close the listener and all connections."""
         await self._runner.cleanup()
 
     def crash(self) -> None:
-        """End as a process that dies: every connection is reset, and none comes up any more."""
+        """Reset every connection and accept no further one, as the crash of a process does."""
         for site in list(self._runner.sites):
             listener = getattr(site, "_server", None)
             if listener is not None:
