--- a/src/wharfcart/emulator/application_server.py
+++ b/src/wharfcart/emulator/application_server.py
@@ -56,7 +56,7 @@
 
     @property
     def address(self) -> str:
-        """``host:port``."""
+        """Return the address as ``host:port``."""
         return self.server.address
 
     async def start(self, host: str, port: int) -> None:
@@ -78,8 +78,8 @@
             return refusal
         await self._simulate_work()
         path = request.match_info["path"]
-        answer: dict[str, object] = {"path": path, "status": "ok", "server": self.server_id}
-        return _json_response(request, answer)
+        response_body: dict[str, object] = {"path": path, "status": "ok", "server": self.server_id}
+        return _json_response(request, response_body)
 
     async def _apply_effect(self, request: web.Request) -> web.Response:
         refusal = await self.switch.apply_before(request)
@@ -99,27 +99,27 @@
         digest = hashlib.sha256(body).hexdigest()
         business_key = request.headers.get("X-Business-Key", digest)
         self.ledger.append(Effect(request_id, path, business_key, digest))
-        answer: dict[str, object] = {
+        response_body: dict[str, object] = {
             "path": path,
             "receipt": digest[:16],
             "request_id": request_id,
         }
-        self._responses_by_id[request_id] = answer
+        self._responses_by_id[request_id] = response_body
         self.switch.apply_after(request)
-        return _json_response(request, answer)
+        return _json_response(request, response_body)
 
     async def _resolve_outcome(self, request: web.Request) -> web.Response:
         refusal = await self.switch.apply_before(request)
         if refusal is not None:
             return refusal
         request_id = request.match_info["id"]
-        answer = self._responses_by_id.get(request_id)
+        response_body = self._responses_by_id.get(request_id)
         if request_id in self._running_ids:
             return web.json_response({"state": "running"})
-        if answer is None:
+        if response_body is None:
             self._closed_ids.add(request_id)
             return web.json_response({"state": "not_run"})
-        return web.json_response({"state": "completed", "response": answer})
+        return web.json_response({"state": "completed", "response": response_body})
 
     async def _status(self, request: web.Request) -> web.Response:
         refusal = await self.switch.apply_before(request)
--- a/src/wharfcart/emulator/engine_server.py
+++ b/src/wharfcart/emulator/engine_server.py
@@ -71,7 +71,7 @@
 
     @property
     def address(self) -> str:
-        """``host:port``."""
+        """Return the address as ``host:port``."""
         return self.server.address
 
     async def start(self, host: str, port: int) -> None:
--- a/src/wharfcart/emulator/web_server.py
+++ b/src/wharfcart/emulator/web_server.py
@@ -4,9 +4,8 @@
 
 from aiohttp import web
 
-logging.getLogger("aiohttp.server").setLevel(
-    logging.CRITICAL
-)  # dropped connections are injected faults
+# Injected faults drop connections, which aiohttp logs as errors.
+logging.getLogger("aiohttp.server").setLevel(logging.CRITICAL)
 
 
 class WebServer:
--- a/src/wharfcart/soak/fleet.py
+++ b/src/wharfcart/soak/fleet.py
@@ -262,8 +262,8 @@
             await self.store.remove(names.SERVER_PREFIX + old.instance_id)
         if mode is RestartMode.SAME_ID_AFTER_REMOVAL:
             await asyncio.sleep(ENTRY_ABSENCE_S)
-        events, event_s = (12, 0.02) if is_stream_server else (0, 0.02)
-        new = ModelServer(instance_id, events, event_s)
+        event_count, event_interval_s = (12, 0.02) if is_stream_server else (0, 0.02)
+        new = ModelServer(instance_id, event_count, event_interval_s)
         await new.server.start("127.0.0.1", 0)
         servers[servers.index(old)] = new
         self.retired_servers.append(old)
--- a/src/wharfcart/soak/invariants.py
+++ b/src/wharfcart/soak/invariants.py
@@ -26,8 +26,8 @@
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 # An accepted job may be unknown to a node for this long.
 JOB_VISIBILITY_DELAY_S = 1.0
-# A tenant may exceed its limit a little when gateways and limit coordinators fail together.
 LIMIT_WINDOW_S = 5.0
+# A tenant may exceed its limit slightly when gateways and limit coordinators fail together.
 LIMIT_OVERSHOOT_FACTOR = 1.1
 LIMIT_OVERSHOOT_REQUESTS = 20
 # Items of a cancelled job do not start after this time.
--- a/src/wharfcart/soak/plan.py
+++ b/src/wharfcart/soak/plan.py
@@ -82,7 +82,7 @@
     FaultKind.ZONE_EVACUATED,
 )
 
-# A storage node has caught up with its replicas after this time.
+# A recovered storage node has caught up with the other replicas after this time.
 REPLICA_CATCH_UP_S = 5.0
 MIN_FAULT_S = 0.5
 MAX_FAULT_S = 5.0
--- a/src/wharfcart/soak/workload.py
+++ b/src/wharfcart/soak/workload.py
@@ -51,7 +51,7 @@
             for kind in RequestKind:
                 group.create_task(self._send_requests(kind, load_s))
             group.create_task(self._send_limited_requests(load_s))
-            group.create_task(self._run_jobs(load_s))
+            group.create_task(self._start_jobs(load_s))
             group.create_task(self._probe_routes(load_s))
         await asyncio.gather(*self._job_tasks)
 
@@ -97,7 +97,7 @@
 
     # -- batch jobs ----------------------------------------------------
 
-    async def _run_jobs(self, load_s: float) -> None:
+    async def _start_jobs(self, load_s: float) -> None:
         number = 0
         while self.now < load_s:
             number += 1
--- a/tests/soak/test_plan.py
+++ b/tests/soak/test_plan.py
@@ -24,7 +24,7 @@
 
 
 @given(SEEDS)
-def test_every_fault_ends_before_the_load(seed: int) -> None:
+def test_every_fault_lies_within_the_load(seed: int) -> None:
     for fault in generate_plan(seed, 30.0, 3, 3):
         assert fault.start_s >= 0
         assert fault.start_s + fault.duration_s <= 30
