--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -1,11 +1,11 @@
-"""What each mechanism is worth: days of a deployment with the mechanism switched off.
+"""Measures the effect of each mechanism: runs days of a deployment with the mechanism disabled.
 
     python benchmarks/ablation.py BENCH SITE WORK [--days D,...] [--seeds N,...] [--only NAME,...]
 
-BENCH is the users' bench, SITE a site file of theirs, WORK a folder for clones of this repository,
-one a mechanism (not under /tmp). A mechanism is switched off by replacing a line of the clone's
-sources, so that the product needs no switch for it; a line that is no longer there is an error.
-Prints a line a mechanism: worth of each day and seed, their mean, rules broken.
+BENCH is the users' bench, SITE one of its site files, WORK a folder for clones of this repository,
+one per mechanism (not under /tmp). A mechanism is disabled by replacing source text in the clone,
+so that the product needs no switch for it; text that does not occur exactly once is an error.
+Prints a line per mechanism: the score of each day and seed, their mean, and the broken rules.
 """
 
 import argparse
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Ablation:
-    """One mechanism and the edit that switches it off."""
+    """A mechanism and the source edit that disables it."""
 
     name: str
     file: str
@@ -116,7 +116,7 @@
 
 
 def main() -> None:
-    """Play every mechanism's days."""
+    """Run the days of every mechanism."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("bench", type=Path)
     parser.add_argument("site", type=Path)
@@ -137,7 +137,7 @@
 
 
 def prepare_clone(work: Path, ablation: Ablation) -> Path:
-    """Make a clone of the repository in which a mechanism is off."""
+    """Clone the repository and disable a mechanism in the clone."""
     clone = work / ablation.name.replace(" ", "-")
     shutil.rmtree(clone, ignore_errors=True)
     subprocess.run(["git", "clone", "--quiet", str(ROOT), str(clone)], check=True)
@@ -147,7 +147,7 @@
     path = clone / SOURCES / ablation.file
     text = path.read_text()
     if text.count(ablation.original) != 1:
-        sys.exit(f"{ablation.name}: {ablation.file} does not hold the line once")
+        sys.exit(f"{ablation.name}: {ablation.file} must contain the original text exactly once")
     path.write_text(text.replace(ablation.original, ablation.replacement))
     return clone
 
@@ -155,7 +155,7 @@
 def run_ablation(
     ablation: Ablation, clone: Path, bench: Path, site: Path, plays: list[tuple[str, str]]
 ) -> str:
-    """Play the days in a clone and return its line of the table."""
+    """Run the days in a clone and return its row of the table."""
     why = f"ablation: without {ablation.name}"
 
     def play(day: str, seed: str) -> str:
@@ -163,22 +163,22 @@
         done = subprocess.run(command, cwd=clone, capture_output=True, text=True, check=False)
         return done.stdout
 
-    # The first play builds; the others find it built.
+    # The first run builds the extension; the others reuse it.
     outputs = [play(*plays[0])]
     with ThreadPoolExecutor(MAX_CONCURRENT_RUNS) as pool:
         outputs += pool.map(lambda one: play(*one), plays[1:])
-    found = [parse_worth(output) for output in outputs]
-    known = [worth for worth in found if worth is not None]
-    mean = sum(known) / len(known) if known else 0.0
+    scores = [parse_worth(output) for output in outputs]
+    known_scores = [worth for worth in scores if worth is not None]
+    mean = sum(known_scores) / len(known_scores) if known_scores else 0.0
     broken = [rule for output in outputs for rule in re.findall(r"BROKEN: ([A-Z]+ \d+)", output)]
-    worths = " | ".join("no result" if worth is None else f"{worth:.3f}" for worth in found)
-    return f"{ablation.name} | {worths} | {mean:.3f} | {', '.join(broken)}"
+    cells = " | ".join("no result" if worth is None else f"{worth:.3f}" for worth in scores)
+    return f"{ablation.name} | {cells} | {mean:.3f} | {', '.join(broken)}"
 
 
 def parse_worth(output: str) -> float | None:
-    """Read a day's worth from what the bench prints."""
-    found = re.search(r"^worth (\d\.\d+)", output, re.MULTILINE)
-    return None if found is None else float(found[1])
+    """Return the score of a day from the output of the bench; None without a score."""
+    match = re.search(r"^worth (\d\.\d+)", output, re.MULTILINE)
+    return None if match is None else float(match[1])
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity_slopes.py
+++ b/benchmarks/capacity_slopes.py
@@ -1,7 +1,6 @@
-"""State and processor time of each role at full size, measured on the real cores and codecs.
+"""Measures memory and processor time of each role at full size.
 
-Prints JSON; ``docs/figures/slopes.json`` is a committed run, from which docs/CAPACITY.md is
-computed.
+Prints JSON. The capacity page is computed from a committed run, ``docs/figures/slopes.json``.
 """
 
 import gc
@@ -41,17 +40,17 @@
 def measure_memory(make: Callable[[], object]) -> tuple[object, int]:
     gc.collect()
     tracemalloc.start()
-    made = make()
+    value = make()
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return made, size
+    return value, size
 
 
 def measure_cpu_s(work: Callable[[], object], times: int) -> float:
-    begun = time.process_time()
+    started_at = time.process_time()
     for _ in range(times):
         work()
-    return (time.process_time() - begun) / times
+    return (time.process_time() - started_at) / times
 
 
 def router_figures() -> dict[str, float]:
--- a/benchmarks/fault_soak.py
+++ b/benchmarks/fault_soak.py
@@ -1,4 +1,4 @@
-"""The fault soak: every seed that ever failed, then fresh ones. Exit 1 if any fails."""
+"""Runs the fault soak with the kept regression seeds, then new seeds; exits with 1 on a failure."""
 
 import argparse
 import subprocess
--- a/benchmarks/gateway_latency.py
+++ b/benchmarks/gateway_latency.py
@@ -1,7 +1,7 @@
-"""Latency that nodes add over the bare back end, paired in one run; requests a second; memory.
+"""Measures the latency that nodes add to a back end, their throughput and their memory.
 
-Separate processes: emulator and four nodes. Each pair asks the back end directly and through a node
-that does not own it, so that the request passes two nodes. Prints JSON.
+Runs the emulator and four nodes as separate processes. Requests alternate between the back end and
+a node that does not own it, so that they pass two nodes. Prints JSON.
 """
 
 import asyncio
@@ -44,7 +44,7 @@
 
 
 async def stream_tokens(fleet: ProcessFleet, gateway: NodeProcess) -> tuple[int, float]:
-    """Stream answers for a while; return tokens and processor seconds of all nodes together."""
+    """Stream answers for a while; return tokens and the processor seconds of all nodes."""
     tokens = 0
     end = time.perf_counter() + FLOOD_DURATION_S
     before = sum(cpu_seconds(node) for node in fleet.nodes)
@@ -69,17 +69,17 @@
 
 
 async def timed_get(session: aiohttp.ClientSession, url: str, headers: dict[str, str]) -> float:
-    begun = time.perf_counter()
+    started_at = time.perf_counter()
     async with session.get(url, headers=headers) as response:
         await response.read()
         assert response.status == 200, response.status
-    return time.perf_counter() - begun
+    return time.perf_counter() - started_at
 
 
 async def measure_latency(
     session: aiohttp.ClientSession, gateway: NodeProcess, backend: str
 ) -> tuple[list[float], list[float]]:
-    """Send at a fixed rate, in turn to the bare back end and through a node."""
+    """Send at a fixed rate, alternately to the back end and through a node."""
     direct: list[float] = []
     through: list[float] = []
     tasks: list[asyncio.Task[None]] = []
@@ -91,9 +91,9 @@
             url = f"{gateway.url}/v1/services/status/{number}"
             through.append(await timed_get(session, url, AUTHORIZATION))
 
-    begun = time.perf_counter()
+    started_at = time.perf_counter()
     for number in range(REQUESTS_PER_SECOND * 2 * DURATION_S):
-        wait = begun + number / (REQUESTS_PER_SECOND * 2) - time.perf_counter()
+        wait = started_at + number / (REQUESTS_PER_SECOND * 2) - time.perf_counter()
         if wait > 0:
             await asyncio.sleep(wait)
         tasks.append(asyncio.create_task(one(number)))
@@ -113,7 +113,7 @@
 
 
 async def measure_throughput(session: aiohttp.ClientSession, gateway: NodeProcess) -> float:
-    """Return requests a second through one node, as fast as it goes."""
+    """Return the requests per second through one node in a closed loop."""
     done = 0
     end = time.perf_counter() + FLOOD_DURATION_S
 
@@ -147,10 +147,10 @@
         await asyncio.sleep(5)
         idle_cpu = (cpu_seconds(fleet.nodes[3]) - idle_cpu) / 5 * 100
         idle = {node.node_id: resident_megabytes(node) for node in fleet.nodes}
-        bare, gateway = await choose_backend_and_gateway(fleet)
+        backend, gateway = await choose_backend_and_gateway(fleet)
         connector = aiohttp.TCPConnector(limit=0)
         async with aiohttp.ClientSession(connector=connector) as session:
-            direct, through = await measure_latency(session, gateway, bare)
+            direct, through = await measure_latency(session, gateway, backend)
             cpu = cpu_seconds(gateway)
             per_second = await measure_throughput(session, gateway)
             cpu = (cpu_seconds(gateway) - cpu) / (per_second * FLOOD_DURATION_S)
--- a/benchmarks/granting.py
+++ b/benchmarks/granting.py
@@ -1,6 +1,6 @@
-"""What one event costs the node that grants slots, in microseconds, by the state of its back ends.
+"""Measures the time per event of the granting node, in microseconds, in several load states.
 
-``--against COMMIT`` measures an earlier commit, too, in the same run and on the same events.
+``--against COMMIT`` also measures an earlier commit on the same events.
 """
 
 import argparse
@@ -23,7 +23,7 @@
 
 
 def measure() -> dict[str, float]:
-    """Return microseconds an event by state."""
+    """Return microseconds per event by load state."""
     return {
         "calm": _measure_event_us(used_share=0.3, items=0, queued_requests=0),
         "items_everywhere": _measure_event_us(used_share=0.5, items=120, queued_requests=0),
@@ -52,10 +52,10 @@
     from wharfcart.slots.urgency import Urgency
 
     rng = Random(1)
-    choice = BackendSelector("z0", rng)
+    selector = BackendSelector("z0", rng)
     for n in range(SERVERS):
-        choice.put(BackendInstance(f"i{n}", SERVICE, "127.0.0.1", 1, f"z{n % 3}", SLOTS, True))
-    granter = SlotGranter(choice, lambda _instance: True)
+        selector.put(BackendInstance(f"i{n}", SERVICE, "127.0.0.1", 1, f"z{n % 3}", SLOTS, True))
+    granter = SlotGranter(selector, lambda _instance: True)
     now = 0.0
     gateways = [SessionKey(HolderId(f"g{n}"), 1) for n in range(GATEWAYS)]
     leader = SessionKey(HolderId("leader/0"), 1)
@@ -64,53 +64,55 @@
     held: deque[tuple[SessionKey, SlotNumber]] = deque()
     numbers = iter(range(1, 10**9))
 
-    def take(instructions: list[object]) -> None:
+    def handle_instructions(instructions: list[object]) -> None:
         for one in instructions:
             if isinstance(one, Granted):
                 held.append((one.session, one.number))
             elif isinstance(one, ItemOffered):
                 granter.handle(ItemStarted(leader, one.number, Urgency(15.0, 3.0)), now)
 
-    def ask() -> None:
+    def request_slot() -> None:
         number = SlotNumber(next(numbers))
         asked = SlotRequested(rng.choice(gateways), number, SERVICE, now + 0.28, now + 2.0)
-        take(granter.handle(asked, now))
+        handle_instructions(granter.handle(asked, now))
 
     if items:
-        told = ItemsWaiting(leader, SERVICE, items, 0, Urgency(15.0, 3.0))
-        take(granter.handle(told, now))
+        items_waiting = ItemsWaiting(leader, SERVICE, items, 0, Urgency(15.0, 3.0))
+        handle_instructions(granter.handle(items_waiting, now))
     while len(held) < SERVERS * SLOTS * used_share - items:
-        ask()
+        request_slot()
     for _ in range(queued_requests):
-        ask()
-    began = perf_counter()
+        request_slot()
+    started_at = perf_counter()
     for n in range(EVENTS):
         now += 0.001
         if n % 2:
-            ask()
+            request_slot()
         elif held:
             session, number = held.popleft()
-            take(granter.handle(SlotReleased(session, number, RunResult.BACKEND_OK), now))
+            handle_instructions(
+                granter.handle(SlotReleased(session, number, RunResult.BACKEND_OK), now)
+            )
         if n % 50 == 0:
-            take(granter.tick(now))
-    return round((perf_counter() - began) / EVENTS * 1e6, 1)
+            handle_instructions(granter.tick(now))
+    return round((perf_counter() - started_at) / EVENTS * 1e6, 1)
 
 
 def measure_commit(commit: str) -> dict[str, float]:
-    """Measure the program of an earlier commit, by a process of its own."""
+    """Measure an earlier commit in a separate process."""
     archive = subprocess.run(
         ["git", "archive", commit, "src"], check=True, capture_output=True
     ).stdout
     with tempfile.TemporaryDirectory() as folder:
         with tarfile.open(fileobj=io.BytesIO(archive)) as sources:
             sources.extractall(folder, filter="data")
-        found = subprocess.run(
+        output = subprocess.run(
             [sys.executable, os.path.abspath(__file__)],
             check=True,
             capture_output=True,
             env=os.environ | {"PYTHONPATH": f"{folder}/src"},
         ).stdout
-    return dict(json.loads(found)["microseconds_an_event"])
+    return dict(json.loads(output)["microseconds_an_event"])
 
 
 def main() -> None:
--- a/benchmarks/journal_soak.py
+++ b/benchmarks/journal_soak.py
@@ -1,4 +1,4 @@
-"""Thousands of simulator seeds under three fault plans. Prints JSON; exit 1 if any fails."""
+"""Runs the journal simulation with many seeds and fault plans; exits with 1 on a failure."""
 
 import argparse
 import json
@@ -19,13 +19,13 @@
     parser.add_argument("--first", type=int, default=0)
     parser.add_argument("--seeds", type=int, default=1000)
     arguments = parser.parse_args()
-    begun = time.monotonic()
+    started_at = time.monotonic()
     failed: list[dict[str, object]] = []
     for name, plan in PLANS.items():
         for seed in range(arguments.first, arguments.first + arguments.seeds):
             try:
                 violations = JournalSimulation(seed, plan).run().check()
-            except Exception as error:  # a defect in the cores, too, is a finding with its seed
+            except Exception as error:  # report a crash with its seed
                 violations = [repr(error)]
             if violations:
                 failed.append({"plan": name, "seed": seed, "violations": violations[:3]})
@@ -33,7 +33,7 @@
         "benchmark": "journal_soak",
         "runs": arguments.seeds * len(PLANS),
         "failed": failed,
-        "seconds": round(time.monotonic() - begun, 1),
+        "seconds": round(time.monotonic() - started_at, 1),
     }
     print(json.dumps(figures, indent=2))
     sys.exit(1 if failed else 0)
--- a/benchmarks/journal_throughput.py
+++ b/benchmarks/journal_throughput.py
@@ -1,8 +1,8 @@
-"""Items a second through the replicated journal, beside a single-copy SQLite baseline in one run.
+"""Measures the throughput of the replicated journal against a single-copy SQLite baseline.
 
-Three journals in one process with direct message passing: one core does the work of three nodes.
-Prints JSON: items/s of 1 kB results committed on three disks, the ratio to the baseline, commit
-round p50 and p99, bytes on disk an item, processor time an item, memory of a large job.
+Three journals run in one process and exchange messages directly, so one core does the work of three
+nodes. Prints JSON: committed items/s of 1 kB results, the ratio to the baseline, p50 and p99 of
+commit rounds, disk bytes and processor time per item, memory of a large job.
 """
 
 import asyncio
@@ -56,7 +56,7 @@
                     return journal
 
     def send(self, target: str, messages: list[ReplicaMessage]) -> None:
-        # Encoded and decoded as on the wire; delivered in a later step of the loop.
+        # Encodes and decodes as on the wire; delivers in a later iteration of the loop.
         data = [message.SerializeToString() for message in messages]
         loop = asyncio.get_running_loop()
         loop.call_soon(self.deliver, target, data)
@@ -76,8 +76,8 @@
     connection.execute("pragma synchronous=full")
     connection.execute("create table result (id integer primary key, value blob)")
     value = b"r" * RESULT_BYTES
-    begun, rows = time.perf_counter(), 0
-    while time.perf_counter() - begun < DURATION_S / 2:
+    started_at, rows = time.perf_counter(), 0
+    while time.perf_counter() - started_at < DURATION_S / 2:
         connection.execute("begin")
         connection.executemany(
             "insert into result values (?, ?)",
@@ -85,7 +85,7 @@
         )
         connection.execute("commit")
         rows += ITEMS_PER_ENTRY
-    return rows / (time.perf_counter() - begun)
+    return rows / (time.perf_counter() - started_at)
 
 
 async def create_job(leader: Journal, name: str, rows: int) -> None:
@@ -107,7 +107,7 @@
 
 
 async def complete_items(leader: Journal, job_id: str, rows: int) -> tuple[int, list[float]]:
-    """Complete items with several entries in flight; return how many and each round's seconds."""
+    """Complete items with several entries in flight; return their number and the round times."""
     body = b"r" * RESULT_BYTES
     next_row = 0
     rounds: list[float] = []
@@ -119,24 +119,24 @@
             first, next_row = next_row, next_row + ITEMS_PER_ENTRY
             results = [ItemResult(row=first + n, body=body) for n in range(ITEMS_PER_ENTRY)]
             complete = ItemsComplete(job_id=job_id, results=results)
-            begun = time.perf_counter()
+            started_at = time.perf_counter()
             await leader.propose(0, Command(at_ms=1, items_complete=complete))
-            rounds.append(time.perf_counter() - begun)
+            rounds.append(time.perf_counter() - started_at)
 
     await asyncio.gather(*(worker() for _ in range(IN_FLIGHT)))
     return next_row, sorted(rounds)
 
 
 async def sequential_rounds(leader: Journal) -> list[float]:
-    """Rounds of one small entry at a time: what a request that runs at most once pays."""
+    """Return the times of commit rounds with one small entry each, one after another."""
     rounds = []
     for number in range(300):
         complete = ItemsComplete(
             job_id="job-small", results=[ItemResult(row=number, body=b"r" * RESULT_BYTES)]
         )
-        begun = time.perf_counter()
+        started_at = time.perf_counter()
         await leader.propose(0, Command(at_ms=1, items_complete=complete))
-        rounds.append(time.perf_counter() - begun)
+        rounds.append(time.perf_counter() - started_at)
     return sorted(rounds)
 
 
@@ -148,16 +148,16 @@
 async def main() -> None:
     folder = Path(tempfile.mkdtemp(prefix="wharfcart-bench-"))
     try:
-        single = await asyncio.to_thread(measure_sqlite_baseline, folder)
+        baseline = await asyncio.to_thread(measure_sqlite_baseline, folder)
         cluster = InProcessCluster(folder)
         leader = await cluster.start()
         await create_job(leader, "small", 300)
-        alone = await sequential_rounds(leader)
+        sequential = await sequential_rounds(leader)
         await create_job(leader, "bench", 200_000)
         before = sum(p.stat().st_size for p in folder.glob("n*/*"))
-        cpu_begun, begun = time.process_time(), time.perf_counter()
+        cpu_begun, started_at = time.process_time(), time.perf_counter()
         items, rounds = await complete_items(leader, "job-bench", 200_000)
-        seconds, cpu = time.perf_counter() - begun, time.process_time() - cpu_begun
+        seconds, cpu = time.perf_counter() - started_at, time.process_time() - cpu_begun
         after = sum(p.stat().st_size for p in folder.glob("n*/*"))
         memory = resident_bytes()
         await create_job(leader, "large", LARGE_JOB_ITEMS)
@@ -165,10 +165,10 @@
         figures = {
             "benchmark": "journal_throughput",
             "items_per_second": round(items / seconds),
-            "baseline_rows_per_second": round(single),
-            "ratio_to_baseline": round(items / seconds / single, 3),
-            "single_round_p50_ms": round(alone[len(alone) // 2] * 1000, 2),
-            "single_round_p99_ms": round(alone[int(len(alone) * 0.99)] * 1000, 2),
+            "baseline_rows_per_second": round(baseline),
+            "ratio_to_baseline": round(items / seconds / baseline, 3),
+            "single_round_p50_ms": round(sequential[len(sequential) // 2] * 1000, 2),
+            "single_round_p99_ms": round(sequential[int(len(sequential) * 0.99)] * 1000, 2),
             "loaded_round_p50_ms": round(rounds[len(rounds) // 2] * 1000, 2),
             "loaded_round_p99_ms": round(rounds[int(len(rounds) * 0.99)] * 1000, 2),
             "cpu_microseconds_per_item_three_replicas": round(cpu / items * 1e6, 1),
--- a/benchmarks/leader_failover.py
+++ b/benchmarks/leader_failover.py
@@ -1,6 +1,6 @@
-"""Time without a leader after the leader's machine dies, in simulated time. Prints JSON.
+"""Measures the simulated time without a leader after the leader crashes. Prints JSON.
 
-Real cores under virtual time, disks and network as in the journal's simulator, no other fault.
+Uses the journal simulation without other faults.
 """
 
 import json
--- a/benchmarks/trouble_matrix.py
+++ b/benchmarks/trouble_matrix.py
@@ -1,9 +1,9 @@
-"""Plays each kind of trouble on a deployment, alone and mixed, and variants of the deployment.
+"""Runs each kind of fault on a deployment, alone and mixed, and variants of the deployment.
 
     python benchmarks/trouble_matrix.py BENCH SITE OUT [--pairs N] [--variant NAME] [--seed N]
 
-BENCH is the users' bench, SITE a site file of theirs, OUT a folder for the generated site: nothing
-of theirs is kept in this repository. Prints a line a day: rules broken, credit, weakest part.
+BENCH is the users' bench, SITE one of its site files, OUT a folder for the generated site. Prints a
+line per day: broken rules, score, weakest part.
 """
 
 import argparse
@@ -95,7 +95,7 @@
     'closing = { kind = "wipe_after_ack", down_s = 1.0, how = "all oldest" }',
     'closing = { kind = "kill_all", down_s = 0.8 }',
 )
-# Changes of a site's head: pattern and replacement.
+# Edits of a site's head: pattern and replacement.
 VARIANTS = {
     "": [],
     "far": [(r"cross_zone_ms = [\d.]+", "cross_zone_ms = 8.0")],
@@ -143,7 +143,7 @@
 
 
 def read_head(site: Path, variant: str) -> tuple[str, tuple[str, str]]:
-    """Return the site's text before its days, changed as the variant tells, and its services."""
+    """Return the site's text before its days, edited for the variant, and its two services."""
     text = site.read_text()
     head = text[: text.index("\n[[day]]")] + "\n"
     for pattern, replacement in VARIANTS[variant]:
@@ -166,7 +166,7 @@
 
 
 def read_kinds(table: str, part: str) -> dict[str, tuple[str, str, str]]:
-    """Return name to kind, fields and the part of a day that an entry stands in."""
+    """Return kind, fields and part of a day by name."""
     kinds = {}
     for line in table.strip().splitlines():
         name, kind, fields = (cell.strip() for cell in line.split("|"))
@@ -175,7 +175,7 @@
 
 
 def render_entry(kind: str, fields: str, services: tuple[str, str], at: float) -> str:
-    """Write one entry of a day."""
+    """Return the TOML of one entry of a day."""
     cells = [f'kind = "{kind}"', f"at = {at:.2f}"]
     for field in fields.split():
         name, _, value = field.partition("=")
@@ -190,7 +190,7 @@
 ) -> str:
     parts: dict[str, list[str]] = {"faults": [], "plan": []}
     for kind, fields, part in entries:
-        for _ in range(2):  # each trouble comes twice
+        for _ in range(2):  # each fault occurs twice
             at = randomness.uniform(1.0, 28.0)
             parts[part].append(render_entry(kind, fields, services, at))
     closing = randomness.choice(CLOSINGS)
--- a/src/wharfcart/experiments/__init__.py
+++ b/src/wharfcart/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Load, experiments, reports and plots."""
+"""Simulations, experiments, load generators, reports and plots."""
--- a/src/wharfcart/experiments/batch_interference.py
+++ b/src/wharfcart/experiments/batch_interference.py
@@ -1,4 +1,4 @@
-"""Experiment ``heaps`` and its kin: batch beside online work, against paired baselines."""
+"""Experiments on batch work beside online requests, compared with paired baselines."""
 
 import json
 import random
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class FleetShape:
-    """A profile's fleet and load."""
+    """Fleet size and load of a profile."""
 
     engines: int
     policy: PreemptionPolicy
@@ -42,7 +42,7 @@
 
 
 class Variant(StrEnum):
-    """Experiments of this module."""
+    """Experiment of this module."""
 
     HEAPS = "heaps"
     BURSTS = "bursts"
@@ -51,7 +51,7 @@
 
 
 def make_workload(shape: FleetShape, variant: Variant, seed: int) -> ServingWorkload:
-    """Draw arrivals and heaps."""
+    """Generate online arrivals and batch jobs."""
     source = random.Random(seed)
     arrivals: list[OnlineArrival] = []
     at = 0.0
@@ -72,28 +72,28 @@
 
 
 def _prompt(shape: FleetShape, tenant: str, source: random.Random) -> str:
-    """A shared template head, the tenant's parameters, and a question of its own."""
-    head = " ".join(f"{tenant}-{n}" for n in range(shape.online_prompt_words // 2))
+    """Return a prompt: a prefix that all requests of the tenant share, and a random suffix."""
+    prefix = " ".join(f"{tenant}-{n}" for n in range(shape.online_prompt_words // 2))
     length = int(shape.online_prompt_words / 2 * source.lognormvariate(0, 0.4))
-    own = " ".join(str(source.randrange(10**6)) for _ in range(length))
-    return f"{head} {own}"
+    suffix = " ".join(str(source.randrange(10**6)) for _ in range(length))
+    return f"{prefix} {suffix}"
 
 
 def run_batch_interference(
     profile: Profile, variant: Variant, seed: int, output: Path
 ) -> dict[str, Any]:
-    """Run every mode on the same arrivals; write figures, a plot and an HTML report."""
+    """Run every mode on the same arrivals; write figures, plots and an HTML report."""
     output.mkdir(parents=True, exist_ok=True)
     shape = SHAPES[profile]
     workload = make_workload(shape, variant, seed)
     slow = 4.0 if variant == Variant.SLOW_BACKEND else 1.0
-    outcomes = {
+    results = {
         mode: SimulatedServing(mode, workload, shape.engines, shape.policy, seed, slow).run()
         for mode in ServingMode
     }
-    figures = summarize(profile, variant, seed, outcomes)
+    figures = summarize(profile, variant, seed, results)
     (output / "figures.json").write_text(json.dumps(figures, indent=2) + "\n", encoding="utf-8")
-    plot_outcomes(outcomes, output / "latency.png", output / "timeline.png")
+    plot_outcomes(results, output / "latency.png", output / "timeline.png")
     (output / "report.html").write_text(_render_html(figures), encoding="utf-8")
     return figures
 
@@ -101,19 +101,21 @@
 def summarize(
     profile: Profile, variant: Variant, seed: int, outcomes: dict[ServingMode, ServingResult]
 ) -> dict[str, Any]:
-    """Return the figures of a run."""
-    alone, ours = outcomes[ServingMode.ONLINE_ONLY], outcomes[ServingMode.WHARFCART]
+    """Return the figures of an experiment."""
+    online_only, wharfcart = outcomes[ServingMode.ONLINE_ONLY], outcomes[ServingMode.WHARFCART]
     oracle = outcomes[ServingMode.ORACLE]
     figures: dict[str, Any] = {
         "experiment": variant.value,
         "profile": profile.value,
         "seed": seed,
-        "online_p99_ratio": _first_token_ratio(ours, alone, 99),
-        "online_p50_ratio": _first_token_ratio(ours, alone, 50),
-        "batch_throughput_ratio": round(ours.items_completed / max(1, oracle.items_completed), 4),
-        "prefix_hit_ratio": round(ours.hit_tokens / max(1, ours.prompt_tokens), 4),
-        "fairness_max_min_ratio": _fairness(ours),
-        "batch_stopped": ours.batch_preempted,
+        "online_p99_ratio": _first_token_ratio(wharfcart, online_only, 99),
+        "online_p50_ratio": _first_token_ratio(wharfcart, online_only, 50),
+        "batch_throughput_ratio": round(
+            wharfcart.items_completed / max(1, oracle.items_completed), 4
+        ),
+        "prefix_hit_ratio": round(wharfcart.hit_tokens / max(1, wharfcart.prompt_tokens), 4),
+        "fairness_max_min_ratio": _fairness(wharfcart),
+        "batch_stopped": wharfcart.batch_preempted,
     }
     for mode, outcome in outcomes.items():
         figures[f"{mode.value}_items_per_second"] = round(
@@ -133,7 +135,10 @@
 
 
 def _fairness(outcome: ServingResult) -> float:
-    """Ratio of the worst to the best tenant's mean time to first token, the flooder left out."""
+    """Return the ratio of the highest to the lowest mean time to first token over tenants.
+
+    The flooding tenant and tenants with few requests are excluded.
+    """
     means = [
         histogram.get_mean_value()
         for tenant, histogram in outcome.first_token_by_tenant.items()
@@ -145,7 +150,7 @@
 def plot_outcomes(
     outcomes: dict[ServingMode, ServingResult], latency: Path, timeline: Path
 ) -> None:
-    """Plot latency distributions, and slack and batch over time."""
+    """Plot latency distributions, and requests in flight over time."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/src/wharfcart/experiments/capacity.py
+++ b/src/wharfcart/experiments/capacity.py
@@ -1,7 +1,7 @@
-"""The capacity page's table: each role at the size of two years, from committed figures.
+"""Table of the capacity page: the load of each role at full size, computed from committed figures.
 
-``docs/CAPACITY.md`` holds what :func:`render_table` returns; a test compares the two, so that page
-and figures cannot part. ``python -m wharfcart.experiments.capacity`` writes the table anew.
+A test checks that ``docs/CAPACITY.md`` holds the output of :func:`render_table`.
+``python -m wharfcart.experiments.capacity`` regenerates the table.
 """
 
 import json
@@ -28,7 +28,7 @@
 SECONDS_PER_DAY = 86_400
 ITEMS_PER_LEASE = 64
 HEADER_BYTES = 40
-OPEN_ITEMS_SHARE = 1 / 3  # of a day's items in open jobs at once: deadlines of eight hours
+OPEN_ITEMS_SHARE = 1 / 3  # of a day's items; job deadlines are eight hours
 HEARTBEAT_INTERVAL_S = 0.25
 POLLS_PER_SECOND_PER_SERVER = 1.0
 CPU_LIMIT_PERCENT = 1.9
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class CapacityRow:
-    """One role's figure at the size."""
+    """A figure of one role at full size, and its limit."""
 
     role: str
     figure: str
@@ -50,19 +50,19 @@
 
     @property
     def verdict(self) -> str:
-        """Whether the value keeps the limit."""
+        """Whether the value is within the limit; empty without a limit."""
         if self.limit is None:
             return ""
         return "within" if self.value <= self.limit else "OVER"
 
 
 def load_figures(folder: Path) -> dict[str, Any]:
-    """Read all committed figures by file name."""
+    """Return the content of each JSON file of the folder by file stem."""
     return {path.stem: json.loads(path.read_text()) for path in sorted(folder.glob("*.json"))}
 
 
 def compute_rows(figures: dict[str, Any]) -> list[CapacityRow]:
-    """Work every role out at the size."""
+    """Compute the rows of all roles at full size."""
     return [
         *_membership(figures),
         *_caller_edge(figures),
@@ -225,10 +225,10 @@
     per_node = items * REPLICAS / STORAGE_NODES
     cpu = journal["cpu_microseconds_per_item_three_replicas"] / REPLICAS
     disk = journal["disk_bytes_per_item_and_replica"]
-    led = SHARDS / STORAGE_NODES
-    beats = led * (REPLICAS - 1) / HEARTBEAT_INTERVAL_S
-    beat = slopes["heartbeat_bytes"] + HEADER_BYTES
-    answer = slopes["heartbeat_answer_bytes"] + HEADER_BYTES
+    led_shards = SHARDS / STORAGE_NODES
+    heartbeats_per_s = led_shards * (REPLICAS - 1) / HEARTBEAT_INTERVAL_S
+    heartbeat_bytes = slopes["heartbeat_bytes"] + HEADER_BYTES
+    answer_bytes = slopes["heartbeat_answer_bytes"] + HEADER_BYTES
     return [
         CapacityRow(
             "journal replica",
@@ -251,8 +251,8 @@
         CapacityRow(
             "journal leader",
             "heartbeats and answers, idle",
-            f"{beats:.0f}/s x ({beat} + {answer}) B",
-            beats * (beat + answer),
+            f"{heartbeats_per_s:.0f}/s x ({heartbeat_bytes} + {answer_bytes}) B",
+            heartbeats_per_s * (heartbeat_bytes + answer_bytes),
             "B/s",
             BYTES_PER_SECOND_LIMIT,
             "reckoned from encoded messages",
@@ -275,7 +275,7 @@
     leases = items / ITEMS_PER_LEASE / SHARDS
     seconds = slopes["scheduler_choose_seconds"]
     per_item = slopes["scheduler_memory_bytes_per_item"]
-    held = BATCH_ITEMS_PER_DAY * OPEN_ITEMS_SHARE * per_item / STORAGE_NODES * REPLICAS
+    memory_bytes = BATCH_ITEMS_PER_DAY * OPEN_ITEMS_SHARE * per_item / STORAGE_NODES * REPLICAS
     return [
         CapacityRow(
             "batch scheduler",
@@ -290,7 +290,7 @@
             "batch scheduler",
             "memory of open items",
             f"1.3e9 / 3 x {per_item:.2f} B x 3 / 30",
-            held / 1e6,
+            memory_bytes / 1e6,
             "MB",
             MEMORY_LIMIT_MB,
             "reckoned from a measured slope",
@@ -369,7 +369,7 @@
 
 
 def _serving(figures: dict[str, Any]) -> list[CapacityRow]:
-    """Gateways and storage nodes: the busiest process of a sweep, carried on to the size."""
+    """Return rows of gateways and storage nodes, extrapolated from a sweep over fleet sizes."""
     serving = figures["serving"]
 
     def row(role: str, key: str, name: str, unit: str, limit: float | None = None) -> CapacityRow:
@@ -396,14 +396,14 @@
 
 
 def _extrapolate(sizes: list[int], values: list[float]) -> tuple[float, float]:
-    """Return the value at the size by the power of the last two sizes, and that power."""
+    """Extrapolate to full size by the power law of the last two sizes; return value and power."""
     growth = log(values[-1] / values[-2]) / log(sizes[-1] / sizes[-2])
     power = min(2.0, max(0.0, growth))
     return values[-1] * (NODES / sizes[-1]) ** power, power
 
 
 def render_table(rows: list[CapacityRow]) -> str:
-    """Return the page's table."""
+    """Return the rows as a Markdown table."""
     lines = [
         "| role | figure | formula | at the size | limit | verdict | basis |",
         "| --- | --- | --- | --- | --- | --- | --- |",
@@ -426,7 +426,7 @@
 
 
 def main() -> None:
-    """Write the table anew."""
+    """Regenerate the table of the capacity page."""
     table = render_table(compute_rows(load_figures(FIGURES_FOLDER)))
     PAGE_PATH.write_text(
         replace_table(PAGE_PATH.read_text(encoding="utf-8"), table), encoding="utf-8"
--- a/src/wharfcart/experiments/cold_shares.py
+++ b/src/wharfcart/experiments/cold_shares.py
@@ -1,13 +1,13 @@
-"""Model of cold back ends: ways to keep their rate over all gateways, on the same arrivals.
+"""Simulation of rate limits for cold back ends; compares strategies on the same arrivals.
 
-* ``product``: buckets at the granting node; gateways that choose by themselves have a share at a
-  few back ends each (:mod:`wharfcart.routing.cold_backends`);
-* ``divided``: the same, but each gateway has its part of the share at every back end;
-* ``free``: gateways that choose by themselves send as they like.
+* ``product``: token buckets at the granting node; each gateway without a granting node has a share
+  at a few back ends (:mod:`wharfcart.routing.cold_backends`);
+* ``divided``: the same, but each such gateway has a smaller share at every back end;
+* ``free``: such gateways send without a limit.
 
-All warm back ends are full, so that all requests are for cold ones. A third of the gateways is cut
-off for a while; the granting node is replaced, with a moment in which nobody grants, and one in
-which two nodes do. Run as a module, it writes figures as JSON.
+All warm back ends are full, so every request needs a cold one. A third of the gateways is
+partitioned for a while. The granting node is replaced: at first no node grants, then two do.
+Run as a module, it prints figures as JSON lines.
 """
 
 import json
@@ -35,12 +35,11 @@
 CUT_OFF_SHARE = 1 / 3
 NO_GRANTER_INTERVAL_S = (8.0, 9.0)
 TWO_GRANTERS_INTERVAL_S = (9.0, 9.5)
-# A granting node has a request wait for so long.
 GRANT_WAIT_TIMEOUT_S = 0.25
 
 
 class RateStrategy(StrEnum):
-    """How the rate is kept by gateways that choose by themselves."""
+    """How gateways without a granting node limit the rate."""
 
     PRODUCT = "product"
     DIVIDED = "divided"
@@ -49,13 +48,13 @@
 
 @dataclass
 class ColdBackendResult:
-    """What came of one play.
+    """Result of one run.
 
     Attributes:
-        worst_over: most requests of one second at one back end, less what it bears.
-        asked: requests in all.
-        refused: requests that were refused.
-        needless: those among them that some back end would have borne, at its plain rate.
+        worst_over: most requests within one second at one back end, minus the allowed number.
+        asked: all requests.
+        refused: refused requests.
+        needless: refused requests although some back end was below its rate.
     """
 
     max_excess: float = -1e9
@@ -65,7 +64,7 @@
 
 
 class ColdBackendSimulation:
-    """One play."""
+    """One run of a strategy."""
 
     def __init__(self, strategy: RateStrategy, gateways: int, rate: float, seed: int) -> None:
         self._strategy = strategy
@@ -79,21 +78,21 @@
         self.outcome = ColdBackendResult()
 
     def run(self) -> ColdBackendResult:
-        """Play all seconds."""
+        """Run the simulation to its end and return the result."""
         demand = DEMAND_FACTOR * self._limit.requests_per_s * len(BACKENDS) * STEP_S
         waiting: deque[tuple[float, int]] = deque()
         for step in range(round(DURATION_S / STEP_S)):
             now = step * STEP_S
-            coming = int(demand) + (self._rng.random() < demand % 1)
-            self.outcome.requested += coming
-            new = [(now, self._rng.randrange(len(self._shares))) for _ in range(coming)]
+            arrival_count = int(demand) + (self._rng.random() < demand % 1)
+            self.outcome.requested += arrival_count
+            new = [(now, self._rng.randrange(len(self._shares))) for _ in range(arrival_count)]
             waiting.extend(new)
             self._serve(waiting, now)
         return self.outcome
 
     def _serve(self, waiting: deque[tuple[float, int]], now: float) -> None:
         for _ in range(len(waiting)):
-            came, gateway = waiting.popleft()
+            arrived_at, gateway = waiting.popleft()
             granter = self._granter_of(gateway, now)
             chosen = (
                 self._choose_locally(gateway, now)
@@ -102,13 +101,13 @@
             )
             if chosen is not None:
                 self._send(chosen, now)
-            elif granter is None or now - came >= GRANT_WAIT_TIMEOUT_S:
+            elif granter is None or now - arrived_at >= GRANT_WAIT_TIMEOUT_S:
                 self._refuse(now)
             else:
-                waiting.append((came, gateway))
+                waiting.append((arrived_at, gateway))
 
     def _granter_of(self, gateway: int, now: float) -> int | None:
-        """Return which node a gateway asks; None if it reaches none."""
+        """Return the granting node that a gateway reaches; None if it reaches none."""
         cut_off = (
             gateway < len(self._shares) * CUT_OFF_SHARE
             and CUT_OFF_INTERVAL_S[0] <= now < CUT_OFF_INTERVAL_S[1]
@@ -120,8 +119,8 @@
         return gateway % 2 if now < TWO_GRANTERS_INTERVAL_S[1] else 1
 
     def _choose_granted(self, granter: int, now: float) -> str | None:
-        surely = granter == 1 or now < NO_GRANTER_INTERVAL_S[0]
-        per_s = granted_rate(self._limit, surely)
+        is_leadership_confirmed = granter == 1 or now < NO_GRANTER_INTERVAL_S[0]
+        per_s = granted_rate(self._limit, is_leadership_confirmed)
         buckets = self._granters[granter]
         allowed = [name for name in BACKENDS if buckets.allows(name, per_s, now)]
         return self._spend_at_random(allowed, buckets)
@@ -155,8 +154,8 @@
 
     def _refuse(self, now: float) -> None:
         self.outcome.refused += 1
-        least = min(self._requests_in_last_second(name, now) for name in BACKENDS)
-        if least + 1 <= self._limit.requests_per_s:
+        min_requests = min(self._requests_in_last_second(name, now) for name in BACKENDS)
+        if min_requests + 1 <= self._limit.requests_per_s:
             self.outcome.avoidable_refusals += 1
 
     def _requests_in_last_second(self, name: str, now: float) -> int:
@@ -167,19 +166,19 @@
 
 
 def main() -> None:
-    """Write figures of all ways and sizes."""
+    """Print the figures of all strategies and sizes."""
     for rate in RATES:
-        for way in RateStrategy:
+        for strategy in RateStrategy:
             for gateways in SIZES:
-                outcome = ColdBackendSimulation(way, gateways, rate, seed=1).run()
+                result = ColdBackendSimulation(strategy, gateways, rate, seed=1).run()
                 line = {
                     "rate": rate,
-                    "way": way.value,
+                    "way": strategy.value,
                     "gateways": gateways,
-                    "worst_over_bound": outcome.max_excess,
-                    "asked": outcome.requested,
-                    "refused_share": round(outcome.refused / outcome.requested, 3),
-                    "needless_share": round(outcome.avoidable_refusals / outcome.requested, 3),
+                    "worst_over_bound": result.max_excess,
+                    "asked": result.requested,
+                    "refused_share": round(result.refused / result.requested, 3),
+                    "needless_share": round(result.avoidable_refusals / result.requested, 3),
                 }
                 print(json.dumps(line))
 
--- a/src/wharfcart/experiments/dev_fleet.py
+++ b/src/wharfcart/experiments/dev_fleet.py
@@ -1,4 +1,4 @@
-"""A small whole fleet in one process: nodes, platform and back ends."""
+"""A small fleet in one process: nodes, emulated platform and emulated back ends."""
 
 import asyncio
 import hashlib
@@ -28,10 +28,10 @@
 
 
 def free_ports(count: int) -> int:
-    """Return the first of ``count`` loopback ports in a row, free for TCP and UDP now.
+    """Return the first of ``count`` consecutive loopback ports that are free for TCP and UDP.
 
-    They lie below the range from which the kernel takes ports of outgoing connections, so that no
-    client's connection can take one before its server starts.
+    The ports are below the kernel's ephemeral range, so that no outgoing connection can use one
+    before its server starts.
     """
     while True:
         first = random.randrange(MIN_PORT, MAX_PORT - count)
@@ -55,12 +55,12 @@
 
 
 def free_endpoint() -> str:
-    """Return a loopback address that is free for TCP and UDP now."""
+    """Return a loopback address that is free for TCP and UDP."""
     return f"127.0.0.1:{free_ports(1)}"
 
 
 class DevFleet:
-    """Nodes over three zones, three of them with data folders, and their emulated surroundings."""
+    """Nodes in three zones, three of them with data folders, and the emulator."""
 
     def __init__(self, profile: Profile, nodes: int, listen: str) -> None:
         self.profile = profile
@@ -75,7 +75,7 @@
         self._folder = Path(tempfile.mkdtemp(prefix="wharfcart-dev-"))
 
     async def start(self) -> None:
-        """Start everything and wait until the configuration is in force."""
+        """Start all nodes and wait until the configuration is in force."""
         await self.emulator.start()
         cluster = [free_endpoint() for _ in range(self._node_count)]
         for position in range(self._node_count):
@@ -108,7 +108,7 @@
         )
 
     async def stop(self) -> None:
-        """Stop everything and delete the data."""
+        """Stop all nodes and delete their data."""
         for node in self.nodes:
             await node.close()
         await self.emulator.stop()
@@ -116,7 +116,7 @@
 
 
 async def wait_for_fleet(urls: list[str], admin_key: str, nodes: int) -> None:
-    """Wait until every node answers, knows all others, and the journal has a leader per shard.
+    """Wait until every node sees all nodes answering and each journal shard has a leader.
 
     Raises
     ------
@@ -142,12 +142,12 @@
 
 
 async def apply_document(url: str, admin_key: str, document: dict[str, object]) -> None:
-    """Apply a document and wait until it is in force everywhere.
+    """Apply a configuration document and wait until it is in force on every node.
 
     Raises
     ------
     RuntimeError
-        If it is refused.
+        If the node rejects the document.
     """
 
     body = {"document": yaml.safe_dump(document), "author": "dev", "wait": True}
--- a/src/wharfcart/experiments/example_fleets.py
+++ b/src/wharfcart/experiments/example_fleets.py
@@ -1,4 +1,4 @@
-"""The example fleets of the two first users, by the sizes and workloads of their brief."""
+"""Two example fleets: emulator settings and configuration documents."""
 
 import hashlib
 from enum import StrEnum
@@ -21,7 +21,7 @@
 
 
 def example_emulator(profile: Profile, speed: float = 1.0) -> EmulatorSettings:
-    """Return the emulated surroundings: engines and application servers per zone."""
+    """Return the emulator's settings: engines and application servers per zone."""
     if profile is Profile.REGISTRATION:
         zones, models, engines, application = REGISTRATION_ZONES, REGISTRATION_MODELS, 2, "registry"
     else:
@@ -34,14 +34,14 @@
 
 
 def example_document(profile: Profile) -> dict[str, Any]:
-    """Return the operators' document of an example fleet."""
+    """Return the configuration document of an example fleet."""
     if profile is Profile.REGISTRATION:
         return _registration_document()
     return _swap_document()
 
 
 def _tenant(name: str, share: float) -> dict[str, Any]:
-    # The example's keys are public; a real operator's document holds hashes of secret ones.
+    # Keys of the example are public; a production document holds hashes of secret keys.
     digest = hashlib.sha256(f"{name}-key".encode()).hexdigest()
     limits = {"requests_per_second": 500.0, "burst": 1000}
     return {"name": name, "key_sha256": [digest], "share": share, "limits": limits}
--- a/src/wharfcart/experiments/hollow_fleet.py
+++ b/src/wharfcart/experiments/hollow_fleet.py
@@ -1,7 +1,7 @@
-"""Hollow nodes: the real membership and spreading cores and codecs, hundreds in one process.
+"""Hollow nodes: membership, configuration propagation and codecs, hundreds of nodes in a process.
 
-Virtual time, a simulated network with delay and loss. Every datagram and every pull is encoded and
-decoded as between real nodes, so that bytes and processor time are what a node would spend.
+Time is virtual; the simulated network delays and drops messages. Every datagram and every pull is
+encoded and decoded as between real nodes, so that bytes and processor time are realistic.
 """
 
 import heapq
@@ -42,7 +42,7 @@
 
 @dataclass
 class HollowNode:
-    """One node's cores and what it spent."""
+    """State of one node, and its traffic and processor time."""
 
     name: str
     zone: str
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True)
 class StateChange:
-    """A member as some observer saw it change."""
+    """A state change of a member as seen by one observer."""
 
     observed_at: float
     observer: str
@@ -67,7 +67,7 @@
 
 
 class HollowFleet:
-    """Hollow nodes over three regions and seven zones."""
+    """Hollow nodes in several zones and regions."""
 
     def __init__(
         self, count: int, seed: int, loss: float, zones: int = 7, regions: int = 3
@@ -107,7 +107,7 @@
     # ---- time ----
 
     def call_later(self, delay: float, callback: Callable[[], None]) -> None:
-        """Run ``work`` after a delay of simulated time."""
+        """Run ``callback`` after a delay of simulated time, in seconds."""
         self._sequence += 1
         heapq.heappush(self._events, (self.now + delay, self._sequence, callback))
 
@@ -132,14 +132,14 @@
     # ---- network ----
 
     def _run_core(self, node: HollowNode, run_core: Callable[[], list[MembershipAction]]) -> None:
-        """Run a core, charge its processor time to the node, and carry its actions out."""
-        begun = time.process_time()
+        """Run the membership core, charge its processor time to the node, execute its actions."""
+        started_at = time.process_time()
         actions = run_core()
         datagrams: list[tuple[Address, bytes]] = []
         for action in actions:
             if isinstance(action, SendGossip):
                 datagrams.append((action.address, action.message.SerializeToString()))
-        node.cpu_seconds += time.process_time() - begun
+        node.cpu_seconds += time.process_time() - started_at
         for address, data in datagrams:
             self._send(node, address, data)
         for action in actions:
@@ -172,7 +172,7 @@
     def _is_partitioned(self, one: HollowNode, other: HollowNode) -> bool:
         return frozenset((one.region, other.region)) in self.partitioned_regions
 
-    # ---- spreading ----
+    # ---- configuration propagation ----
 
     def _handle_peer_revisions(self, node: HollowNode, peer: PeerRevisions) -> None:
         if peer.configuration_revision <= node.configuration.revision or node.pulling:
@@ -181,24 +181,24 @@
         if source is None or self._is_partitioned(node, source):
             return
         node.pulling = True
-        begun = time.process_time()
+        started_at = time.process_time()
         pull = PullEntries(namespace=CONFIGURATION, since_revision=node.configuration.revision)
         request = Frame(call_id=1, pull_entries=pull).SerializeToString()
-        node.cpu_seconds += time.process_time() - begun
+        node.cpu_seconds += time.process_time() - started_at
         node.bytes_sent += len(request) + TCP_HEADER_BYTES
         node.messages_sent += 1
         delay = self._delay(node, source)
         self.call_later(delay, lambda: self._serve_pull(node, source, pull.since_revision))
 
     def _serve_pull(self, node: HollowNode, source: HollowNode, since: int) -> None:
-        begun = time.process_time()
+        started_at = time.process_time()
         entries = Entries(
             namespace=CONFIGURATION,
             revision=source.configuration.revision,
             entries=source.configuration.changes_since(since),
         )
         data = Frame(call_id=1, entries=entries).SerializeToString()
-        source.cpu_seconds += time.process_time() - begun
+        source.cpu_seconds += time.process_time() - started_at
         source.bytes_sent += len(data) + TCP_HEADER_BYTES
         source.messages_sent += 1
         self.call_later(self._delay(source, node), lambda: self._receive_entries(node, data))
@@ -211,15 +211,15 @@
     def _apply_entries(self, node: HollowNode, entries: Entries) -> None:
         node.configuration.merge(entries.entries, entries.revision)
         for revision in range(entries.revision, 0, -1):
-            seen = self.applied_at.setdefault(revision, {})
-            if node.name in seen:
+            time_by_node = self.applied_at.setdefault(revision, {})
+            if node.name in time_by_node:
                 break
-            seen[node.name] = self.now
+            time_by_node[node.name] = self.now
         node.membership.configuration_revision = node.configuration.revision
         self._run_core(node, node.membership.announce_revision)
 
     def change_configuration(self, revision: int, value_bytes: int = 220) -> None:
-        """Accept a change at one random live node."""
+        """Apply a configuration change at a random live node."""
         node = self.random.choice([node for node in self.nodes if node.up])
         entry = Entry(
             key=f"deployment/tenant-{revision % 270}/service-{revision % 40}",
@@ -229,20 +229,20 @@
         entries = Entries(namespace=CONFIGURATION, revision=revision, entries=[entry])
         self._apply_entries(node, entries)
 
-    # ---- looking ----
+    # ---- inspection and faults ----
 
     def _find_node(self, name: str) -> HollowNode | None:
         number = int(name.removeprefix("node-"))
         return self.nodes[number] if number < len(self.nodes) else None
 
     def kill(self, names: set[str]) -> None:
-        """Stop nodes without a word."""
+        """Crash nodes."""
         for node in self.nodes:
             if node.name in names:
                 node.up = False
 
     def detection_times(self, killed: set[str], killed_at: float) -> list[float]:
-        """Return, for each observer and dead node, the seconds until the observer knew."""
+        """Return the detection time of each observer and killed node, in seconds, sorted."""
         return sorted(
             change.observed_at - killed_at
             for change in self.changes
@@ -253,11 +253,11 @@
         )
 
     def false_removals(self, killed: set[str]) -> int:
-        """Return how often a live node was declared dead."""
+        """Return how many times an observer declared a live node dead."""
         return sum(change.state == DEAD and change.member not in killed for change in self.changes)
 
     def reset_counters(self) -> None:
-        """Begin a new measurement."""
+        """Reset the counters of traffic and processor time."""
         for node in self.nodes:
             node.bytes_sent = node.messages_sent = 0
             node.cpu_seconds = 0.0
--- a/src/wharfcart/experiments/job_group_simulation.py
+++ b/src/wharfcart/experiments/job_group_simulation.py
@@ -1,9 +1,9 @@
 """Seeded simulation of one job group: real drivers and cores, simulated network, disks and service.
 
-Runs in virtual time. Faults: processes killed, disks lost, full or slow, links cut either way,
-messages late or lost, the coordination service away, its answers lost or late, nodes that it
-refuses, machines added and emptied. Checked: what was acknowledged stays, positions never change,
-an ended job does not grow, a node that is sure never denies a job.
+Runs in virtual time. Faults: processes are killed; disks are lost, full or slow; links are cut in
+one or both directions; messages are delayed or lost; the coordination service is down, loses
+answers or refuses nodes; machines are added and retired. Checks: acknowledged data stays, results
+keep their positions, a cancelled job does not grow, a confirmed leader never denies a job.
 """
 
 import asyncio
@@ -38,7 +38,7 @@
 from wharfcart.experiments.virtual_time import run_in_virtual_time, virtual_clock, virtual_monotonic
 
 SETTLE_S = 8.0
-# Replicas and the leadership move home one after the other, each after some quiet seconds.
+# Replicas and the leadership move back to their preferred zones one after the other.
 REBALANCE_S = 20.0
 OTHER_REGION = Distance.OTHER_REGION
 CROSS_REGION_DELAY_S = 0.02
@@ -52,12 +52,12 @@
 
 
 class InvariantViolationError(AssertionError):
-    """A promise did not hold."""
+    """An invariant of the job group was violated."""
 
 
 @dataclass
 class ObservedJob:
-    """What clients were told of a job."""
+    """What clients observed of a job."""
 
     accepted: bool = False
     results: list[bytes] = field(default_factory=list)
@@ -66,28 +66,28 @@
 
 
 class JobGroupSimulation:
-    """One run."""
+    """One run of the simulation."""
 
     def __init__(self, seed: int, stores: int = 3, duration_s: float = 60.0) -> None:
         self.random = random.Random(seed)
         self.coordination = SimulatedCoordination(self.random)
         self.nodes = {number: SimulatedNode(self, number) for number in range(stores)}
         self.duration_s = duration_s
-        # A fleet without zones, unless a test says otherwise.
+        # Without zones by default.
         self.topology = Topology()
         self.zones: dict[int, str] = {}
         self.zones_lost = 0
-        # Where jobs that may come must stay.
+        # Residences that submitted jobs may require.
         self.residences: frozenset[Residence] = frozenset()
         self.cut_links: set[tuple[int, int]] = set()
         self.jobs: dict[str, ObservedJob] = {}
         self.accepted = 0
         self.reads = 0
-        self._healed = False  # for good: messages are lost no more
+        self._healed = False  # once true, no more messages are lost
         self._background: list[asyncio.Task[None]] = []
 
     def run(self) -> None:
-        """Play the run and check every promise.
+        """Run the simulation and check every invariant.
 
         Raises
         ------
@@ -97,7 +97,7 @@
             run_in_virtual_time(self._run())
 
     def coordination_of(self, node: SimulatedNode) -> SimulatedCoordination:
-        """Return the service as one node sees it."""
+        """Return a node's view of the coordination service."""
         return RefusingCoordination(self.coordination, node)
 
     def zone_of(self, number: int) -> str:
@@ -105,7 +105,7 @@
         return self.zones.get(number, "")
 
     async def transmit(self, source: int, target: int) -> None:
-        """Take the time of one way; a cut or lost message never arrives."""
+        """Wait for the one-way delay; over a cut link, or if the message is lost, for an hour."""
         await asyncio.sleep(self.random.uniform(0.0003, 0.004))
         if self.topology.distance(self.zone_of(source), self.zone_of(target)) is OTHER_REGION:
             await asyncio.sleep(CROSS_REGION_DELAY_S)
@@ -137,11 +137,11 @@
             node.kill()
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run work beside everything else; its failure fails the run."""
+        """Run a background task; its failure fails the run."""
         self._background.append(asyncio.create_task(work))
 
     async def sync_mirrors(self) -> None:
-        """Carry the service's state to every mirror, with some lag."""
+        """Copy the state of the coordination service to every mirror, with some lag."""
         while True:
             await asyncio.sleep(0.03)
             for node in self.nodes.values():
@@ -164,10 +164,10 @@
                 if not open_jobs:
                     continue
                 record = self.random.choice(open_jobs)
-                done = {result.item_id for result in record.results}
-                left = [item for item in record.job.items if item.item_id not in done]
+                done_ids = {result.item_id for result in record.results}
+                remaining = [item for item in record.job.items if item.item_id not in done_ids]
                 outcome = ItemOutcome(
-                    item_id=self.random.choice(left).item_id,
+                    item_id=self.random.choice(remaining).item_id,
                     succeeded=True,
                     text=f"{node.number}-{self.random.random()}".encode(),
                 )
@@ -214,12 +214,12 @@
         known = self.jobs[job_id]
         accepted_before = known.accepted
         seen_before = len(known.results)
-        asked_at = virtual_monotonic()
+        started_at = virtual_monotonic()
         page = await service.read_results(ReadResults(job_id=job_id, after=0, wait_ms=0))
-        stale = virtual_monotonic() - asked_at > 0.5
+        stale = virtual_monotonic() - started_at > 0.5
         if page.status == NOT_FOUND:
             if accepted_before and not stale:
-                raise InvariantViolationError(f"{job_id} was accepted and is denied")
+                raise InvariantViolationError(f"{job_id}: accepted, but not found")
             return
         if page.status == DONE:
             self._check_page(job_id, known, [result.text for result in page.results], seen_before)
@@ -230,12 +230,12 @@
         self.reads += 1
         common = min(len(texts), len(known.results))
         if texts[:common] != known.results[:common]:
-            raise InvariantViolationError(f"{job_id}: a position changed")
+            raise InvariantViolationError(f"{job_id}: a result changed its position")
         if (
             known.max_results_after_cancel is not None
             and len(texts) > known.max_results_after_cancel
         ):
-            raise InvariantViolationError(f"{job_id}: grew after its end")
+            raise InvariantViolationError(f"{job_id}: results were added after the cancellation")
         del seen_before
         if len(texts) > len(known.results):
             known.results = texts
@@ -248,12 +248,12 @@
         known.cancel_requested = True
         answer = await service.cancel(EndJob(job_id=job_id))
         if answer.status == NOT_FOUND and known.accepted:
-            raise InvariantViolationError(f"{job_id} was accepted and is denied at its end")
+            raise InvariantViolationError(f"{job_id}: accepted, but not found on cancellation")
 
     # ---- faults ----
 
     async def _inject_faults(self) -> None:
-        strikes = [
+        faults = [
             self._kill_node,
             self._kill_all_nodes,
             self._lose_disk,
@@ -270,7 +270,7 @@
         ]
         while True:
             await asyncio.sleep(self.random.uniform(0.5, 4.0))
-            await self.random.choice(strikes)()
+            await self.random.choice(faults)()
 
     def _random_node(self) -> SimulatedNode:
         return self.random.choice(list(self.nodes.values()))
@@ -302,15 +302,15 @@
         await asyncio.sleep(5.0)
 
     async def _settle(self) -> None:
-        """Undo what is under way: losses are borne one at a time."""
+        """Heal all faults first: the group tolerates only one loss at a time."""
         await self._heal()
         await asyncio.sleep(5.0)
 
     async def _isolate_node(self) -> None:
-        lonely = self._random_node().number
+        isolated = self._random_node().number
         for other in self.nodes:
-            if other != lonely:
-                self.cut_links |= {(lonely, other), (other, lonely)}
+            if other != isolated:
+                self.cut_links |= {(isolated, other), (other, isolated)}
         await asyncio.sleep(self.random.uniform(1.0, 6.0))
         self.cut_links.clear()
 
@@ -354,9 +354,9 @@
 
     async def _replace_node(self) -> None:
         await self._settle()
-        gone = self._random_node()
-        gone.kill()
-        del self.nodes[gone.number]
+        removed = self._random_node()
+        removed.kill()
+        del self.nodes[removed.number]
         await asyncio.sleep(self.random.uniform(0.1, 2.0))
         await self._add_node()
         await asyncio.sleep(5.0)
@@ -392,26 +392,26 @@
             node.disk.delay_s = 0.002
             await self._restart_node(node)
 
-    # ---- the end ----
+    # ---- final checks ----
 
     async def _check_final_state(self) -> None:
         service = self._random_leading_service()
         if service is None:
-            raise InvariantViolationError("no leader although everything is well")
+            raise InvariantViolationError("no leader after all faults were healed")
         for job_id, known in list(self.jobs.items()):
             if not known.accepted:
                 continue
             page = await service.read_results(ReadResults(job_id=job_id, after=0, wait_ms=0))
             if page.status != DONE:
                 raise InvariantViolationError(
-                    f"{job_id} was accepted and can't be read: {page.status}"
+                    f"{job_id}: accepted, but not readable: {page.status}"
                 )
             texts = [result.text for result in page.results]
             self._check_page(job_id, known, texts, len(known.results))
             if len(texts) < len(known.results):
-                raise InvariantViolationError(f"{job_id}: results are gone")
+                raise InvariantViolationError(f"{job_id}: results were lost")
 
 
 def simulated_clock() -> AbstractContextManager[None]:
-    """Have the drivers read the virtual clock."""
+    """Patch the clock of the drivers to virtual time."""
     return virtual_clock(VIRTUAL_CLOCK_MODULES)
--- a/src/wharfcart/experiments/journal_clients.py
+++ b/src/wharfcart/experiments/journal_clients.py
@@ -1,4 +1,4 @@
-"""Clients of the journal's simulation: what they ask for, and what they record of the answers."""
+"""Simulated clients of a journal shard; they record the answers that they get."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -35,7 +35,7 @@
 def record_reads(
     history: OperationHistory, shard: Shard, started_at: float, finished_at: float
 ) -> None:
-    """Record what a reader sees of every key and item."""
+    """Record a read of every key and item."""
     for number in range(KEY_COUNT):
         record = shard.state.keys.get(f"key-{number}")
         value = None if record is None else (record.start.request_id, record.state)
@@ -53,7 +53,7 @@
 
 
 class SimulatedJournalClient:
-    """Does one thing after another through whichever machine it believes leads."""
+    """Runs random operations one after another, mostly at a leader."""
 
     def __init__(self, simulation: "JournalSimulation", number: int) -> None:
         self.simulation = simulation
@@ -64,7 +64,7 @@
         self._cancelled = False
 
     def next_step(self) -> None:
-        """Do the next thing, unless the run is over."""
+        """Start the next operation unless the client is stopped."""
         if self.stopped:
             return
         self._step += 1
@@ -121,7 +121,7 @@
         lease = ItemsLease(lease_id=lease_id, job_id=JOB_ID, holder=str(self.number), rows=[row])
 
         def leased(result: ProposeResult | None) -> None:
-            # A completion is tried even without a lease, as a holder that lost it would.
+            # Also completes without a lease, like a holder that lost its lease.
             outcome = ItemResult(row=row, body=lease_id.encode())
             complete = ItemsComplete(job_id=JOB_ID, lease_id=lease_id, results=[outcome])
             self._propose("complete", str(row), Command(items_complete=complete), lease_id)
@@ -129,12 +129,12 @@
         self._propose("lease", str(row), Command(items_lease=lease), lease_id, leased)
 
     def _read(self) -> None:
-        begun = self.simulation.now
+        started_at = self.simulation.now
         simulation = self.simulation
 
         def seen(shard: Shard | None) -> None:
             if shard is not None:
-                record_reads(simulation.history, shard, begun, simulation.now)
+                record_reads(simulation.history, shard, started_at, simulation.now)
 
         simulation.read(self._choose_machine(), seen)
         simulation.call_later(CLIENT_PAUSE_S, self.next_step)
@@ -156,9 +156,9 @@
         retry_until_done: bool = False,
     ) -> None:
         simulation = self.simulation
-        # The wall clock steps back and forth: nothing may rest on it.
+        # The wall clock jumps: the journal must not rely on it.
         command.at_ms = max(1, int(1e6 + simulation.random.uniform(-5e5, 5e5)))
-        begun = simulation.now
+        started_at = simulation.now
         self._attempt += 1
         attempt = self._attempt
 
@@ -166,12 +166,12 @@
             if attempt != self._attempt:
                 return
             self._attempt += 1
-            unknown = result is None or result.code == LOST_LEADERSHIP
-            if not unknown and result is not None:
-                self._record(kind, target, begun, value, result)
-            if unknown and retry_until_done:
+            is_unknown = result is None or result.code == LOST_LEADERSHIP
+            if not is_unknown and result is not None:
+                self._record(kind, target, started_at, value, result)
+            if is_unknown and retry_until_done:
                 self._step -= 1
-            if on_result is not None and not unknown:
+            if on_result is not None and not is_unknown:
                 on_result(result)
             else:
                 simulation.call_later(CLIENT_PAUSE_S, self.next_step)
--- a/src/wharfcart/experiments/journal_simulation.py
+++ b/src/wharfcart/experiments/journal_simulation.py
@@ -1,9 +1,9 @@
-"""Seeded simulator of one journal shard: the real cores under virtual time and faults.
+"""Seeded simulation of one journal shard under virtual time and faults.
 
-Runs :class:`wharfcart.storage.shard.Shard` on simulated disks and a simulated network that loses,
-delays, repeats and reorders messages, with crashes, pauses, partitions and lost disks drawn from
-the seed. Clients work through it and what they see goes into a :class:`History`, which a checker
-judges (:mod:`wharfcart.experiments.operation_history`). Same seed, same run.
+Runs :class:`wharfcart.storage.shard.Shard` on simulated disks and a simulated network that drops,
+delays, duplicates and reorders messages, with random crashes, pauses, partitions and disk losses.
+Simulated clients record their operations in an :class:`OperationHistory`, which checks them
+(:mod:`wharfcart.experiments.operation_history`). A run is deterministic for its seed.
 """
 
 import heapq
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class FaultPlan:
-    """How much goes wrong; rates are events a simulated second."""
+    """Faults of a run; rates are events per simulated second, ``message_*`` are probabilities."""
 
     duration_s: float = 20.0
     settle_s: float = 12.0
@@ -57,7 +57,7 @@
 
 
 class JournalSimulation:
-    """One run."""
+    """One run of the simulation."""
 
     def __init__(self, seed: int, plan: FaultPlan) -> None:
         self.random = random.Random(seed)
@@ -87,7 +87,7 @@
             self.call_later(1.5 + 0.01 * client.number, client.next_step)
 
     def run(self) -> OperationHistory:
-        """Run to the end: faults, then a quiet time, then final reads."""
+        """Run with faults, then without faults, then read the final state."""
         end = self.plan.duration_s
         self.run_until(end)
         self._heal()
@@ -101,7 +101,7 @@
     # ---- events ----
 
     def call_later(self, delay: float, callback: Callable[[], None]) -> None:
-        """Run ``work`` after a delay of simulated time."""
+        """Run ``callback`` after a delay of simulated time, in seconds."""
         self._sequence += 1
         heapq.heappush(self._events, (self.now + delay, self._sequence, callback))
 
@@ -113,7 +113,7 @@
         self.now = end
 
     def _run_on(self, machine: SimulatedMachine, callback: Callable[[], None]) -> None:
-        """Run ``work`` on a machine: later if it is paused, never if it restarted meanwhile."""
+        """Run ``callback`` on a machine; a paused machine runs it on resume, unless it restarts."""
         if machine.paused:
             machine.backlog.append(callback)
         else:
@@ -144,7 +144,7 @@
         )
 
     def crash(self, machine: SimulatedMachine) -> None:
-        """End a machine's process; its disk stays."""
+        """Crash a machine's process; its disk stays."""
         machine.generation += 1
         machine.shard = None
         machine.paused = False
@@ -219,7 +219,7 @@
         generation = machine.generation
 
         def written() -> None:
-            # A crash before this moment loses the whole commit, as SQLite's does.
+            # A crash before this point loses the whole commit, as with SQLite.
             if machine.generation != generation:
                 return
             machine.disk.write(writes)
@@ -352,8 +352,7 @@
         self.call_later(self._fault_duration(), lambda: self._cut_links.discard(pair))
 
     def _fault_lose_disk(self) -> None:
-        # One disk at a time, and only while the others hold what was acknowledged: the design
-        # note says which losses are survived, and this simulates just those.
+        # The journal survives a lost disk only while a majority keeps the acknowledged entries.
         machine = self._random_machine()
         if not self._can_lose_disk(machine):
             return
@@ -361,7 +360,7 @@
         self._start(machine)
 
     def _can_lose_disk(self, machine: SimulatedMachine) -> bool:
-        """Whether a majority of the newest committed voters keeps its disk."""
+        """Whether a majority of the voters still has its disk after losing this machine's."""
         leaders = [m for m in self.machines if m.shard is not None and m.shard.is_leader]
         if not leaders:
             return False
@@ -391,7 +390,7 @@
         command: Command,
         done: Callable[[ProposeResult | None], None],
     ) -> None:
-        """Send a command to a machine; ``done`` gets the answer, or None if it cannot lead."""
+        """Send a command to a machine; ``done`` gets the result, or None if it cannot lead."""
         if self._is_message_lost():
             return
 
@@ -413,7 +412,7 @@
         self.call_later(delay, lambda: self._run_on(machine, arrive))
 
     def read(self, machine: SimulatedMachine, done: Callable[[Shard | None], None]) -> None:
-        """Read a machine's memory if it holds the lease; ``done`` gets the shard or None."""
+        """Read a machine's state; ``done`` gets the shard, or None without a valid lease."""
 
         def arrive() -> None:
             shard = machine.shard
--- a/src/wharfcart/experiments/main_job.py
+++ b/src/wharfcart/experiments/main_job.py
@@ -1,7 +1,7 @@
-"""The main job: what the first users do all day, checked against what must always hold.
+"""End-to-end check of a fleet: online requests, batch jobs and a configuration change.
 
-Runs against any fleet of the example configuration, embedded or of separate processes, through the
-public interfaces alone.
+Runs against any fleet with an example configuration, in one process or several, and uses public
+interfaces only.
 """
 
 import asyncio
@@ -77,7 +77,7 @@
     )
 
     async def run(self) -> bool:
-        """Run everything and print the report; return whether every promise was kept."""
+        """Run all checks and print the report; return whether every check passed."""
         self._names = PROFILE_NAMES[self.target.profile]
         headers = {"Authorization": f"Bearer {self._names.tenant}-key"}
         connector = aiohttp.TCPConnector(limit=0)
@@ -106,10 +106,10 @@
             async with limit:
                 return await self._stream(number, f"question {run} {number}")
 
-        whole = await asyncio.gather(*(one(number) for number in range(ONLINE_REQUESTS)))
+        correct = await asyncio.gather(*(one(number) for number in range(ONLINE_REQUESTS)))
         p95 = self.first_token.get_value_at_percentile(95) / 1000
-        figure = f"{sum(whole)} of {len(whole)}, first token p95 {p95:.0f} ms beside batch"
-        self._record("each caller gets the whole answer to its own request", all(whole), figure)
+        details = f"{sum(correct)} of {len(correct)}, first token p95 {p95:.0f} ms beside batch"
+        self._record("each caller gets the whole answer to its own request", all(correct), details)
 
     async def _stream(self, number: int, question: str) -> bool:
         body = {
@@ -119,7 +119,7 @@
         }
         started = time.monotonic()
         text = ""
-        ended = False
+        completed = False
         url = f"{self._url(number)}/v1/chat/completions"
         async with self._session.post(url, json=body) as response:
             async for raw in response.content:
@@ -130,14 +130,14 @@
                     elapsed = int((time.monotonic() - started) * MICROSECONDS_PER_SECOND)
                     self.first_token.record_value(max(1, elapsed))
                 if line == b"data: [DONE]":
-                    ended = True
+                    completed = True
                     break
                 delta = json.loads(line[6:])["choices"][0]["delta"]
                 text += delta.get("content", "")
-        return ended and text.strip() == answer_text(question, self._names.online_tokens)
+        return completed and text.strip() == answer_text(question, self._names.online_tokens)
 
     async def _check_idempotent_requests(self) -> None:
-        """Effects that must happen at most once, each sent twice under its key at once."""
+        """Send each request twice at once with one idempotency key; both must get one answer."""
         run = uuid.uuid4().hex[:8]
 
         async def once(number: int) -> bool:
@@ -154,13 +154,13 @@
             return bodies[0].get("request_id") is not None and bodies[0] == bodies[1]
 
         same = await asyncio.gather(*(once(number) for number in range(APPLICATION_REQUESTS)))
-        figure = f"{sum(same)} of {len(same)} sent twice through two nodes, one answer each"
-        self._record("a resent request runs once", all(same), figure)
+        details = f"{sum(same)} of {len(same)} sent twice through two nodes, one answer each"
+        self._record("a resent request runs once", all(same), details)
 
     # ---- batch ----
 
     def _make_lines(self, count: int, label: str = "main") -> list[dict[str, Any]]:
-        """Items of mixed kinds: three of four for the model, the others look-ups."""
+        """Return batch items: three of four are model requests, the others look-ups."""
         run = uuid.uuid4().hex[:8]
         lines: list[dict[str, Any]] = []
         for number in range(count):
@@ -188,7 +188,7 @@
         return await self._call("POST", "/v1/batches", json=body, headers=headers)
 
     async def _check_cancellation(self, job_id: str) -> None:
-        """Cancel a job while some of its items run."""
+        """Cancel a job while some of its items run and check that it stops in time."""
         job = await self._call("GET", f"/v1/batches/{job_id}")
         waited = time.monotonic()
         while not job["item_counts"]["completed"] and time.monotonic() - waited < JOB_TIMEOUT_S:
@@ -204,10 +204,10 @@
             job = await self._call("GET", f"/v1/batches/{job_id}")
         elapsed = time.monotonic() - started
         counts = job["item_counts"]
-        ended = counts["completed"] + counts["failed"] + counts["unknown"] + counts["cancelled"]
-        kept = elapsed <= CANCEL_TIMEOUT_S and ended == counts["total"]
-        figure = f"{elapsed:.2f} s, {counts['completed']} completed, {counts['cancelled']} not run"
-        self._record("a cancelled job stops", kept, figure)
+        finished = counts["completed"] + counts["failed"] + counts["unknown"] + counts["cancelled"]
+        passed = elapsed <= CANCEL_TIMEOUT_S and finished == counts["total"]
+        details = f"{elapsed:.2f} s, {counts['completed']} completed, {counts['cancelled']} not run"
+        self._record("a cancelled job stops", passed, details)
 
     async def _check_resubmission(self, lines: list[dict[str, Any]], job_id: str) -> None:
         again = await self._submit(lines, "main-job")
@@ -223,11 +223,11 @@
         wrong = await self._find_wrong_results(job_id, lines)
         seconds = max(1, (job["completed_at"] or 0) - job["created_at"])
         counts = job["item_counts"]
-        kept = not wrong and counts["completed"] == len(lines)
-        figure = f"{counts['completed']} of {len(lines)}, about {len(lines) / seconds:.0f} items/s"
+        passed = not wrong and counts["completed"] == len(lines)
+        details = f"{counts['completed']} of {len(lines)}, about {len(lines) / seconds:.0f} items/s"
         if wrong:
-            figure += f", wrong: {wrong[:3]}"
-        self._record("every item completes exactly once, readable", kept, figure)
+            details += f", wrong: {wrong[:3]}"
+        self._record("every item completes exactly once, readable", passed, details)
 
     async def _find_wrong_results(self, job_id: str, lines: list[dict[str, Any]]) -> list[str]:
         seen: dict[str, int] = {}
@@ -273,9 +273,9 @@
         )
         elapsed = time.monotonic() - started
         seen = [await self._parameter(url, service) for url in self.target.urls]
-        kept = bool(answer["in_force"]) and all(found == value for found in seen)
-        figure = f"revision {answer['revision']} on {len(seen)} nodes after {elapsed:.2f} s"
-        self._record("an accepted configuration is in force everywhere", kept, figure)
+        passed = bool(answer["in_force"]) and all(found == value for found in seen)
+        details = f"revision {answer['revision']} on {len(seen)} nodes after {elapsed:.2f} s"
+        self._record("an accepted configuration is in force everywhere", passed, details)
 
     async def _template_of(self, service: str) -> str:
         models = await self._call("GET", "/v1/models")
--- a/src/wharfcart/experiments/operation_history.py
+++ b/src/wharfcart/experiments/operation_history.py
@@ -1,8 +1,8 @@
-"""History checker: what clients saw, judged against what must always hold.
+"""Checks the operations that clients observed for linearizability.
 
-Every object here only moves forward (a key from nothing to started to completed, an item to one
-end, a job to cancelled), so linearizability comes down to three rules: one winner, no way back, and
-a read that begins after an acknowledgement shows at least what was acknowledged.
+Every object changes in one direction only (a key from absent to started to completed, an item to
+one result, a job to cancelled), so linearizability reduces to three rules: each object has one
+winner, no state reverts, and a read that starts after an acknowledgement reflects it.
 """
 
 from collections.abc import Callable, Iterator
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class Operation:
-    """One answered operation of a client."""
+    """A client's operation that got an answer; times in seconds."""
 
     kind: str
     target: str
@@ -23,7 +23,7 @@
 
 @dataclass
 class OperationHistory:
-    """All answered operations of a run."""
+    """The answered operations of a run."""
 
     operations: list[Operation] = field(default_factory=list)
     has_leader: bool = True
@@ -37,21 +37,21 @@
         return [operation for operation in self.operations if operation.kind == kind]
 
     def check(self) -> list[str]:
-        """Return every violation found."""
-        found: list[str] = []
+        """Return a description of each violation."""
+        violations: list[str] = []
         if not self.has_leader:
-            found.append("no leader after the faults ended")
-        found.extend(self._check_key_winners())
-        found.extend(self._check_key_reads())
-        found.extend(self._check_item_completions())
-        found.extend(self._check_item_reads())
-        found.extend(self._check_cancellation())
-        return found
+            violations.append("no leader after the faults ended")
+        violations.extend(self._check_key_winners())
+        violations.extend(self._check_key_reads())
+        violations.extend(self._check_item_completions())
+        violations.extend(self._check_item_reads())
+        violations.extend(self._check_cancellation())
+        return violations
 
     # ---- keys: at most once ----
 
     def _check_key_winners(self) -> Iterator[str]:
-        """All answers about a key name the same request; only its own start is told ok."""
+        """All answers about a key name the same request, and only that request's start gets ok."""
         winners: dict[str, set[str]] = {}
         for operation in self.of_kind("start"):
             code, winner, _ = _as_triple(operation.result)
@@ -101,7 +101,7 @@
             "completed, then not",
         )
 
-        # A job that ended shows counts: at least what was acknowledged as completed before.
+        # A summarized job counts at least the completions acknowledged before the read.
         for read in self.of_kind("read_counts"):
             known = {o.target for o in accepted if o.finished_at < read.started_at}
             if not isinstance(read.result, int) or read.result < len(known):
@@ -128,7 +128,7 @@
     reflects: Callable[[object], bool],
     violation: str,
 ) -> Iterator[str]:
-    """Yield reads that began after an acknowledgement and do not show it."""
+    """Yield reads that start after an acknowledgement and do not reflect it."""
     first: dict[str, float] = {}
     for operation in acknowledged:
         known = first.get(operation.target, float("inf"))
--- a/src/wharfcart/experiments/process_fleet.py
+++ b/src/wharfcart/experiments/process_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of separate processes on loopback, for tests and benchmarks: the programs as shipped."""
+"""A fleet of separate processes on loopback, for tests and benchmarks."""
 
 import asyncio
 import hashlib
@@ -32,7 +32,7 @@
 
 @dataclass
 class NodeProcess:
-    """One node's process and where it is."""
+    """A node's process, addresses and files."""
 
     node_id: str
     zone: str
@@ -52,7 +52,7 @@
 
 @dataclass
 class ProcessFleet:
-    """Emulator and nodes, each a process of its own."""
+    """Emulator and nodes, each in its own process."""
 
     profile: Profile
     node_count: int
@@ -70,13 +70,13 @@
 
     @property
     def urls(self) -> list[str]:
-        """Callers' addresses of all nodes."""
+        """HTTP base addresses of all nodes."""
         return [node.url for node in self.nodes]
 
     # ---- starting ----
 
     async def start(self) -> None:
-        """Start everything and bring the example configuration into force."""
+        """Start all processes and apply the example configuration."""
         self._plan_nodes()
         await self._start_emulator()
         self._write_settings()
@@ -150,7 +150,7 @@
         return "\n".join(lines) + "\n"
 
     def start_node(self, node: NodeProcess) -> None:
-        """Start a node, again if it ran before."""
+        """Start or restart a node."""
         node.process = self._start_process("node", node.settings_path, node.node_id)
 
     def _start_process(self, command: str, settings: Path, name: str) -> "subprocess.Popen[bytes]":
@@ -172,17 +172,17 @@
         owned = [b for node in status["nodes"] for b in node.get("owned", [])]
         return len({backend["backend_id"] for backend in owned})
 
-    # ---- looking ----
+    # ---- inspection ----
 
     async def status(self, url: str | None = None) -> dict[str, Any]:
-        """Return the operators' status as some node tells it."""
+        """Return the fleet status that a node reports; by default the first node."""
         headers = {"Authorization": f"Bearer {self.admin_key}"}
         async with (
             aiohttp.ClientSession(headers=headers) as session,
             session.get(f"{url or self.urls[0]}/admin/v1/status") as response,
         ):
-            found: dict[str, Any] = await response.json()
-            return found
+            result: dict[str, Any] = await response.json()
+            return result
 
     async def leaders(self, url: str | None = None) -> list[NodeProcess]:
         """Return the nodes that lead shards, most shards first."""
@@ -192,7 +192,7 @@
         return sorted(leading, key=lambda node: -led[node.node_id])
 
     async def ledger(self) -> list[dict[str, Any]]:
-        """Return every effect that the application servers recorded."""
+        """Return the effects that the application servers recorded."""
         address = (await self.addresses("application"))[0]
         async with (
             aiohttp.ClientSession() as session,
@@ -211,17 +211,17 @@
         return [str(g["targets"][0]) for g in groups if g["labels"]["kind"] == kind]
 
     async def set_faults(self, address: str, **faults: object) -> None:
-        """Switch faults of one stand-in."""
+        """Set the faults of an emulated server."""
         async with (
             aiohttp.ClientSession() as session,
             session.post(f"http://{address}/control/faults", json=faults) as response,
         ):
             response.raise_for_status()
 
-    # ---- breaking ----
+    # ---- faults ----
 
     async def set_link_faults(self, node: NodeProcess, **faults: object) -> None:
-        """Switch faults of the traffic towards a node of a proxied fleet."""
+        """Set the faults of the traffic to a node; the fleet must be proxied."""
         url = f"http://{self.proxy_control}/control/proxies/{node.node_id}"
         async with (
             aiohttp.ClientSession() as session,
@@ -230,11 +230,11 @@
             response.raise_for_status()
 
     def send_signal(self, node: NodeProcess, number: signal.Signals) -> None:
-        """Send a signal to a node that this fleet started."""
+        """Send a signal to a node's process."""
         os.kill(node.pid, number)
 
     async def wait_exit(self, node: NodeProcess) -> int:
-        """Wait for a node's end and return its exit code."""
+        """Wait until a node exits and return its exit code."""
         assert node.process is not None
         async with asyncio.timeout(EXIT_TIMEOUT_S):
             while node.process.poll() is None:
@@ -242,7 +242,7 @@
         return int(node.process.returncode)
 
     def stop(self) -> None:
-        """End every process of this fleet and delete its files."""
+        """Kill every process of this fleet and delete its files."""
         processes = [node.process for node in self.nodes if node.process is not None]
         if self._emulator is not None:
             processes.append(self._emulator)
--- a/src/wharfcart/experiments/scale.py
+++ b/src/wharfcart/experiments/scale.py
@@ -1,7 +1,7 @@
-"""Experiment ``scale``: hollow nodes at several sizes, slopes of what each costs.
+"""Experiment ``scale``: resource usage of hollow nodes over fleet size.
 
-Measures membership (bytes, messages, processor time, memory; detection of a lost rack and zone; a
-region cut off and back) and spreading of configuration changes. Writes ``figures.json`` and plots.
+Measures membership (bytes, messages, processor time and memory; detection of a lost rack and zone;
+a partitioned region) and propagation of configuration changes. Writes ``figures.json`` and plots.
 """
 
 import gc
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class SizeFigures:
-    """Figures of one size; per node unless the name says otherwise."""
+    """Figures of one fleet size; rates and memory are means per node."""
 
     nodes: int
     bytes_per_second: float
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True)
 class Slope:
-    """A least-squares line over the number of nodes."""
+    """Least-squares fit of a figure over the number of nodes."""
 
     figure: str
     base: float
@@ -83,7 +83,7 @@
 
 
 def measure_size(nodes: int, seed: int) -> SizeFigures:
-    """Run one fleet through all its troubles."""
+    """Run a fleet of one size through all faults."""
     gc.collect()
     tracemalloc.start()
     fleet = HollowFleet(nodes, seed, LOSS)
@@ -158,7 +158,7 @@
 
 
 def _measure_partition(fleet: HollowFleet, lost: set[str]) -> tuple[int, float]:
-    """Cut one region off and let it come back."""
+    """Partition a region and heal it; return false removals and the share of known members."""
     before = len(fleet.changes)
     regions = sorted({node.region for node in fleet.nodes})
     fleet.partitioned_regions = {frozenset((regions[0], other)) for other in regions[1:]}
@@ -184,7 +184,7 @@
 
 
 def fit_slope(name: str, figures: list[SizeFigures]) -> Slope:
-    """Fit a line over the number of nodes; the error is the slope's standard error."""
+    """Fit a line over the number of nodes, with the standard error of its slope."""
     x = np.array([figure.nodes for figure in figures], dtype=float)
     y = np.array([getattr(figure, name) for figure in figures], dtype=float)
     if len(x) < 3:
@@ -196,7 +196,7 @@
 
 
 def plot_scale(figures: list[SizeFigures], path: Path) -> None:
-    """Plot bytes, detection and time in force over the number of nodes."""
+    """Plot traffic, detection time and propagation time over the number of nodes."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/src/wharfcart/experiments/serving_fleet.py
+++ b/src/wharfcart/experiments/serving_fleet.py
@@ -1,6 +1,6 @@
-"""Gateways and storage nodes as real processes before emulated servers and metadata store.
+"""Gateways and storage nodes as processes, with emulated servers and metadata store.
 
-The stand-ins run in the caller's event loop; the programs run as shipped, one process each.
+The emulated servers run in the event loop of the caller.
 """
 
 import asyncio
@@ -31,13 +31,13 @@
 POLL_INTERVAL_S = 0.03
 ZONES = ("a", "b", "c")
 MAX_SEEDS = 3
-# Longer than a gateway pauses between two listings.
+# Longer than the pause of a gateway between two listings.
 LISTING_PAUSE_S = 1.0
 
 
 @dataclass
 class ServingNodeProcess:
-    """One process and its addresses."""
+    """A node's process, addresses and files."""
 
     role: str
     node_id: str
@@ -50,12 +50,12 @@
 
     @property
     def log_path(self) -> Path:
-        """File with what the process wrote to standard output."""
+        """File with the standard output of the process."""
         return self.folder / f"{self.node_id}.log"
 
     @property
     def data_folder(self) -> Path:
-        """The node's disk."""
+        """Folder with the node's data."""
         return self.folder / f"{self.node_id}-data"
 
 
@@ -70,13 +70,13 @@
         self.gateways = [self._make_node("gateway", n) for n in range(gateways)]
         self.stores = [self._make_node("storage", n) for n in range(stores)]
         self.configuration_version = 1
-        self.tenants: list[dict[str, Any]] | None = None  # None where callers need no keys
+        self.tenants: list[dict[str, Any]] | None = None  # None: callers need no API keys
         self.session: aiohttp.ClientSession
 
-    # ---- life ----
+    # ---- lifecycle ----
 
     async def start(self) -> None:
-        """Start everything and wait until gateways are ready and jobs have a leader."""
+        """Start all processes; wait until gateways are ready and the job group has a leader."""
         self.session = aiohttp.ClientSession()
         for server in (*self.stream_servers, *self.plain_servers):
             await server.server.start("127.0.0.1", 0)
@@ -91,7 +91,7 @@
         await self.until(self._all_ready, START_TIMEOUT_S)
 
     async def stop(self) -> None:
-        """Stop everything and remove the folder."""
+        """Kill all processes and remove the folder."""
         for node in (*self.gateways, *self.stores):
             self.signal(node, signal.SIGKILL)
         await self.session.close()
@@ -101,7 +101,7 @@
         shutil.rmtree(self.folder, ignore_errors=True)
 
     def start_node(self, node: ServingNodeProcess) -> None:
-        """Start a process."""
+        """Start or restart a node."""
         environment = {
             "PATH": os.environ.get("PATH", ""),
             "WHARFCART_SETTINGS": str(node.settings_path),
@@ -116,7 +116,7 @@
             )
 
     def signal(self, node: ServingNodeProcess, number: signal.Signals) -> None:
-        """Signal a process that this fleet started; one that is killed is waited for."""
+        """Send a signal to a running node; after SIGKILL, wait until it exits."""
         if node.process is None or node.process.poll() is not None:
             return
         node.process.send_signal(number)
@@ -124,12 +124,12 @@
             node.process.wait()
 
     async def wait_for_exit(self, node: ServingNodeProcess) -> int:
-        """Wait for a process to end and return its exit code."""
+        """Wait until a process exits and return its exit code."""
         assert node.process is not None
         return await asyncio.to_thread(node.process.wait, STOP_TIMEOUT_S)
 
     async def until(self, condition: Any, seconds: float) -> None:
-        """Wait for a condition, a function that may be asynchronous.
+        """Poll a condition, a function or coroutine function, until it holds.
 
         Raises
         ------
@@ -147,13 +147,13 @@
     async def _all_ready(self) -> bool:
         if f"{GROUP_PREFIX}0" not in self.store.state.items:
             return False
-        # A gateway that still lists the keys has found no peer to follow yet.
+        # A gateway that still lists keys does not follow a peer yet.
         if any(self.store.listed_s_ago(node.node_id) < LISTING_PAUSE_S for node in self.gateways):
             return False
         return all([await self.is_ready(node) for node in self.gateways])
 
     async def is_ready(self, node: ServingNodeProcess) -> bool:
-        """Whether a gateway calls itself ready."""
+        """Whether a gateway reports ready."""
         url = f"http://{node.readiness_listen}{names.READINESS_PATH}"
         try:
             async with self.session.get(url) as response:
@@ -161,21 +161,21 @@
         except aiohttp.ClientError:
             return False
 
-    # ---- the operator and the servers ----
+    # ---- configuration and servers ----
 
     def configuration(self, **added: dict[str, Any]) -> dict[str, Any]:
-        """Return the example configuration with routes added, named like their prefixes."""
+        """Return the example configuration with more routes; keywords are names and prefixes."""
         self.configuration_version += 3
         return example_configuration(
             self.configuration_version, HOST, STREAM_SERVICE, PLAIN_SERVICE, added, self.tenants
         )
 
     async def put_configuration(self, configuration: dict[str, Any]) -> None:
-        """Write a configuration as the operator does."""
+        """Write the configuration to the metadata store."""
         await self.store.put(names.CONFIGURATION_KEY, configuration)
 
     async def announce(self, server: ModelServer, service: str, state: str = "ready") -> None:
-        """Write a server's entry."""
+        """Write a server's discovery entry to the metadata store."""
         key = names.SERVER_PREFIX + server.instance_id
         entry = server.entry(service, self.zone_of(server), state)
         entry |= {"address": self.address_of(server)}
@@ -186,11 +186,11 @@
     async def request(
         self, gateway: int, path: str, request_id: str, deadline_ms: int = 8000, **more: Any
     ) -> tuple[int, bytes, dict[str, str]]:
-        """Send one request; return status, whole body and lower-case headers.
+        """Send one request; return status, body and headers with lower-case names.
 
         Raises
         ------
-        aiohttp.ClientError: the connection ended before the answer was whole.
+        aiohttp.ClientError: the connection closed before the response was complete.
         """
         headers = {"Host": HOST, names.REQUEST_ID: request_id, names.DEADLINE_MS: str(deadline_ms)}
         key = more.pop("key", "")
@@ -200,28 +200,28 @@
         url = f"http://{self.gateways[gateway].listen}{path}"
         method = more.pop("method", "POST")
         async with self.session.request(method, url, headers=headers, **more) as response:
-            found = {name.lower(): value for name, value in response.headers.items()}
-            return response.status, await response.read(), found
+            response_headers = {name.lower(): value for name, value in response.headers.items()}
+            return response.status, await response.read(), response_headers
 
-    # ---- for other fleets ----
+    # ---- override points ----
 
     def address_of(self, server: ModelServer) -> str:
-        """Return where nodes reach a server."""
+        """Return the address at which nodes reach a server."""
         return server.server.address
 
     def zone_of(self, server: ModelServer) -> str:
-        """Return the zone that a server is in."""
+        """Return the zone of a server."""
         return ZONES[0]
 
     def extra_settings(self, node: ServingNodeProcess) -> list[str]:
-        """Return further lines of a node's settings."""
+        """Return additional lines of a node's settings file."""
         return []
 
     def extra_environment(self, node: ServingNodeProcess) -> dict[str, str]:
-        """Return further variables of a node's process."""
+        """Return additional environment variables of a node's process."""
         return {}
 
-    # ---- inner ----
+    # ---- internals ----
 
     def _make_node(self, role: str, number: int) -> ServingNodeProcess:
         node_id = f"{role}-{number}"
--- a/src/wharfcart/experiments/simulated_journal_disk.py
+++ b/src/wharfcart/experiments/simulated_journal_disk.py
@@ -16,14 +16,14 @@
 
 @dataclass
 class SimulatedJournalDisk:
-    """What one disk holds, as :class:`wharfcart.storage.journal_database.Database` would."""
+    """In-memory replacement for :class:`wharfcart.storage.journal_database.Database`."""
 
     identity: str
     record: ShardRecord | None = None
     rows: dict[tuple[str, str, int], Row] = field(default_factory=dict)
 
     def write(self, writes: ShardWrites) -> None:
-        """Take writes as one commit."""
+        """Apply writes as one commit."""
         record = self.record
         assert record is not None
         log = {entry.index: entry for entry in record.log}
@@ -78,7 +78,7 @@
 
 @dataclass
 class SimulatedMachine:
-    """One machine: a disk that lasts and a process that does not."""
+    """A machine: a persistent disk and the volatile state of its process."""
 
     name: str
     disk: SimulatedJournalDisk
--- a/src/wharfcart/experiments/simulated_serving.py
+++ b/src/wharfcart/experiments/simulated_serving.py
@@ -1,8 +1,7 @@
-"""Online and batch on emulated engines in virtual time, under the real router and gates.
+"""Online and batch requests on emulated engines in virtual time.
 
-The engines are :class:`wharfcart.emulator.engine_core.EngineCore`; routing, admission and yielding
-are the cores that nodes run. Baselines differ only in what replaces those cores, and run on the
-same arrivals in the same run.
+The engines are :class:`wharfcart.emulator.engine_core.EngineCore`; routing, admission and
+preemption run the same code as nodes. Baselines replace parts of it and run on the same arrivals.
 """
 
 import heapq
@@ -36,7 +35,7 @@
 
 
 class ServingMode(StrEnum):
-    """What decides about routing and batch."""
+    """What decides about routing and batch items: the product or a baseline."""
 
     ONLINE_ONLY = "online_alone"
     WHARFCART = "wharfcart"
@@ -47,7 +46,7 @@
 
 @dataclass(frozen=True)
 class OnlineArrival:
-    """One online request."""
+    """Arrival of one online request."""
 
     arrived_at: float
     tenant: str
@@ -56,7 +55,7 @@
 
 @dataclass(frozen=True)
 class ServingWorkload:
-    """What arrives: the same for every mode."""
+    """Arrivals of a run, the same for every mode."""
 
     arrivals: list[OnlineArrival]
     batch_jobs: list[tuple[float, int]]  # time, items
@@ -67,7 +66,7 @@
 
 @dataclass
 class ServingResult:
-    """What one mode gave."""
+    """Result of a mode; histograms are in microseconds."""
 
     mode: ServingMode
     first_token: HdrHistogram = field(
@@ -95,7 +94,7 @@
 
 
 class SimulatedServing:
-    """One run of one mode."""
+    """One run of a mode."""
 
     def __init__(
         self,
@@ -133,7 +132,7 @@
         return _Engine(name, EngineCore(EngineModel(resume_is_free=free)), gate)
 
     def run(self) -> ServingResult:
-        """Run the workload."""
+        """Run the workload and return the result."""
         for number, arrival in enumerate(self.workload.arrivals):
             self._later(arrival.arrived_at, lambda n=number, a=arrival: self._arrive(n, a))  # type: ignore[misc]
         if self.mode is not ServingMode.ONLINE_ONLY:
@@ -208,7 +207,7 @@
         if self.mode in (ServingMode.RANDOM, ServingMode.ENGINE_PRIORITIES):
             return free
         if self.mode is ServingMode.ORACLE and not engine.gate.online:
-            # It knows when the next online request comes, and starts no prompt just before it.
+            # The oracle knows the next online arrival and starts no prompt just before it.
             return 0 if self._next_arrival() - self.now < ORACLE_MARGIN_S else free
         return engine.gate.available_batch_slots(self.now)
 
--- a/src/wharfcart/experiments/simulated_slots.py
+++ b/src/wharfcart/experiments/simulated_slots.py
@@ -1,7 +1,7 @@
-"""A small fleet in virtual time: gateways, the node that grants slots, model servers.
+"""A small fleet in virtual time: gateways, the granting node and model servers.
 
-The decisions are the product's own (placement, granting, load board, job execution); the servers
-are slots with a queue, first in first out, as the users' engines are. Messages take one way's time.
+Placement, granting, load snapshots and job execution run the product's code. Model servers have
+slots and a FIFO queue. Each message takes a fixed one-way delay.
 """
 
 import asyncio
@@ -57,7 +57,7 @@
 ZONE = "a"
 LEADER_ADDRESS = Address("10.0.0.1", 7000)
 ONE_WAY_DELAY_S = 0.001
-# Of a model server: time to the first token, tokens read a second, time between two events.
+# Latency of a model server.
 FIRST_TOKEN_DELAY_S = 0.03
 PREFILL_TOKENS_PER_SECOND = 51_200
 EVENT_INTERVAL_S = 0.018
@@ -75,13 +75,13 @@
 
 
 class SimulatedModelServer:
-    """A model server: so many requests run, the others wait in the order in which they came."""
+    """A model server that runs one request per slot and queues the others first in, first out."""
 
     def __init__(self, slots: int) -> None:
         self._slots = asyncio.Semaphore(slots)
 
     async def run(self, prompt_tokens: int, events: int, on_event: Callable[[], None]) -> None:
-        """Run a request; cancelled, it frees its slot at once."""
+        """Run a request; cancellation frees its slot at once."""
         async with self._slots:
             await asyncio.sleep(FIRST_TOKEN_DELAY_S + prompt_tokens / PREFILL_TOKENS_PER_SECOND)
             on_event()
@@ -91,7 +91,7 @@
 
 
 class SimulatedItemRunner:
-    """Runs batch items at the servers, each one from where it was cut."""
+    """Runs batch items at the servers; a preempted item resumes after its last event."""
 
     def __init__(self, selector: BackendSelector, servers: dict[str, SimulatedModelServer]) -> None:
         self._selector = selector
@@ -99,9 +99,9 @@
         self.events_by_item: dict[str, int] = {}
 
     async def run(self, send: ItemAttempt) -> RunOutcome:
-        """Run an item to its end; cancelled, it keeps the events that it has."""
+        """Run an item to completion; after a cancellation it keeps its events."""
         text = send.progress.partial_text
-        left = self.events_by_item[send.item.item_id] - len(text.texts)
+        remaining_events = self.events_by_item[send.item.item_id] - len(text.texts)
         server = self._servers[send.state.instance.instance_id]
         prompt_tokens = send.item.tokens + 5 * len(text.texts)
 
@@ -110,7 +110,7 @@
             text.add_event(len(text.texts), "")
 
         try:
-            await server.run(prompt_tokens, left, on_event)
+            await server.run(prompt_tokens, remaining_events, on_event)
         finally:
             self._selector.record_finished(send.state, send.send_id)
         return RunOutcome.SUCCEEDED
@@ -118,7 +118,7 @@
 
 @dataclass
 class LeadershipStub:
-    """Stands in for a job group's leadership: results count at once."""
+    """Stub of a job group's leadership that accepts results at once."""
 
     due_at: dict[str, float] = field(default_factory=dict)
     done_at: dict[str, float] = field(default_factory=dict)  # by item
@@ -126,18 +126,18 @@
     epoch: int = 1
 
     def append_result(self, job_id: str, outcome: ItemOutcome) -> bool:
-        """Take a result."""
+        """Record a result."""
         self.done_at[outcome.item_id] = virtual_monotonic()
         self.jobs[job_id].results.append(outcome)
         return True
 
     def delete_job(self, job_id: str) -> None:
-        """Drop a job."""
+        """Delete a job."""
         self.jobs.pop(job_id, None)
 
 
 class LoopbackTransport:
-    """Calls to the node that grants slots, one way's time each."""
+    """Transport to the granting node, with a fixed one-way delay."""
 
     def __init__(self, service: SlotService) -> None:
         self._service = service
@@ -145,7 +145,7 @@
     async def stream(
         self, _address: Address, frame: Frame, _traffic: TrafficClass
     ) -> AsyncGenerator[Frame, None]:
-        """Open a session or ask for a slot."""
+        """Open a session or request a slot."""
         answers: asyncio.Queue[Frame] = asyncio.Queue()
 
         async def answer(frame: Frame) -> None:
@@ -166,12 +166,12 @@
             serving.cancel()
 
     def send(self, _address: Address, frame: Frame, _traffic: TrafficClass) -> None:
-        """Tell what happens within a session."""
+        """Send events of a session."""
         loop = asyncio.get_running_loop()
         loop.call_later(ONE_WAY_DELAY_S, self._service.handle_events, frame.slot_events)
 
     def round_trip_s(self, _address: Address) -> float:
-        """Return the time of a message there and back."""
+        """Return the round-trip time."""
         return 2 * ONE_WAY_DELAY_S
 
     def drop(self, _address: Address, _traffic: TrafficClass) -> None:
@@ -179,17 +179,17 @@
 
 
 class LocalChoicePlacement(GrantedPlacement):
-    """A gateway that asks for no slot, but tells which ones it takes."""
+    """Placement by local choice: requests no slots, but reports the ones it uses."""
 
     def _steps(self, request: PlacementRequest) -> list[RequestStep]:
         return []
 
 
 class _NonPreemptingBackends(GroupBackends):
-    """Items stay where they are until they are done."""
+    """Back ends whose items are never preempted."""
 
     def preemption_order(self, state: InstanceState, now: float) -> list[TakenSlot]:
-        """Return no item: none leaves."""
+        """Return no items."""
         return []
 
 
@@ -206,12 +206,12 @@
 
 
 class SlotFleet:
-    """Gateways, servers and the leader of one run.
+    """Gateways, model servers and the leader of one run.
 
     Args:
-        seed: of every choice.
-        grants: slots are granted; otherwise gateways choose by their own picture of the load.
-        yields: items leave for online requests.
+        seed: of all random choices.
+        grants: slots are granted; otherwise gateways choose by load snapshots.
+        yields: online requests preempt batch items.
     """
 
     def __init__(
@@ -235,8 +235,8 @@
         self._leader_selector = self._make_selector()
         self._runner = SimulatedItemRunner(self._leader_selector, self._servers)
         self._uses_grants = uses_grants
-        kind = SlotService if preempts_items else _NonPreemptingService
-        self._service = kind(
+        service_type = SlotService if preempts_items else _NonPreemptingService
+        self._service = service_type(
             0,
             self._leader_selector,
             lambda _instance: True,
@@ -250,7 +250,7 @@
         self._gateways = [self._make_gateway(n) for n in range(gateways)]
 
     def start(self) -> list[asyncio.Task[None]]:
-        """Begin to grant and to hold sessions; returns the tasks that do."""
+        """Start granting and all sessions; return their tasks."""
         sessions = self._make_sessions("leader", self._leader_selector, self._item_slots)
         self._item_slots.begin(sessions)
         self._service.begin(1)
@@ -262,9 +262,9 @@
     async def send_request(
         self, request_id: str, prompt_tokens: int, events: int, objective_s: float
     ) -> float | None:
-        """Play one online request; return the time to its first event, None if it was refused."""
-        choice, placement, _ = self._rng.choice(self._gateways)
-        began_at = virtual_monotonic()
+        """Run an online request; return the seconds to its first event, None if it is refused."""
+        selector, placement, _ = self._rng.choice(self._gateways)
+        started_at = virtual_monotonic()
         request = PlacementRequest(
             service=SERVICE,
             excluded=frozenset(),
@@ -272,8 +272,8 @@
             unread_tokens=prompt_tokens,
             request_id=request_id,
             route_name="online",
-            start_deadline=began_at + objective_s,
-            queue_deadline=began_at + 1.0,
+            start_deadline=started_at + objective_s,
+            queue_deadline=started_at + 1.0,
             priority=0,
         )
         try:
@@ -282,19 +282,19 @@
             return None
         assert placed is not None
         state = placed.state
-        use = choice.record_sent(state, virtual_monotonic(), prompt_tokens)
+        send_id = selector.record_sent(state, virtual_monotonic(), prompt_tokens)
         sent_at = virtual_monotonic()
         first_s: list[float] = []
 
         def on_event() -> None:
             if not first_s:
-                choice.record_first_byte(state, use)
+                selector.record_first_byte(state, send_id)
                 placement.first_byte_received("online", virtual_monotonic() - sent_at)
-                first_s.append(virtual_monotonic() - began_at)
+                first_s.append(virtual_monotonic() - started_at)
 
         await asyncio.sleep(ONE_WAY_DELAY_S)
         await self._servers[state.instance.instance_id].run(prompt_tokens, events, on_event)
-        choice.record_finished(state, use)
+        selector.record_finished(state, send_id)
         placement.send_finished(placed, SendResult.BACKEND_OK)
         return first_s[0]
 
@@ -306,7 +306,15 @@
         deadline_s: float,
         age_s: float = 0.0,
     ) -> None:
-        """Accept a batch job whose items give so many events each, or take up one of some age."""
+        """Submit a batch job; ``events`` has the number of events of each item.
+
+        Args:
+            job_id: of the job.
+            prompt_tokens: of each item.
+            events: of each item.
+            deadline_s: time after acceptance at which the items are due.
+            age_s: time since the job was accepted.
+        """
         items = [
             RequestItem(item_id=f"{job_id}-{n}", tokens=prompt_tokens) for n in range(len(events))
         ]
@@ -327,10 +335,10 @@
         self._execution.job_accepted(job)
 
     def _make_selector(self) -> BackendSelector:
-        choice = BackendSelector(ZONE, Random(self._rng.random()))
+        selector = BackendSelector(ZONE, Random(self._rng.random()))
         for instance in self._instances:
-            choice.put(instance)
-        return choice
+            selector.put(instance)
+        return selector
 
     def _make_execution(self) -> JobExecution:
         group = SimpleNamespace(
@@ -357,18 +365,18 @@
         )
 
     def _make_gateway(self, number: int) -> tuple[BackendSelector, GrantedPlacement, SlotSessions]:
-        choice = self._make_selector()
-        sessions = self._make_sessions(f"gateway-{number}", choice, FleetLoad(choice))
-        kind = GrantedPlacement if self._uses_grants else LocalChoicePlacement
-        placement = kind(
-            choice,
+        selector = self._make_selector()
+        sessions = self._make_sessions(f"gateway-{number}", selector, FleetLoad(selector))
+        placement_type = GrantedPlacement if self._uses_grants else LocalChoicePlacement
+        placement = placement_type(
+            selector,
             sessions,
             lambda _group: Distance.SAME_ZONE,
             lambda: (),
             self._metrics.placements,
             PermitRelays(self._transport, list),
         )
-        return choice, placement, sessions
+        return selector, placement, sessions
 
     def _make_sessions(
         self, holder: str, selector: BackendSelector, listener: SlotUpdateListener
--- a/src/wharfcart/experiments/simulated_storage.py
+++ b/src/wharfcart/experiments/simulated_storage.py
@@ -1,6 +1,6 @@
-"""Storage nodes of a simulation: their disks, their network and the coordination service.
+"""Simulated storage nodes, disks, network and coordination service, in virtual time.
 
-Used by :mod:`wharfcart.experiments.job_group_simulation`; everything runs in virtual time.
+Used by :mod:`wharfcart.experiments.job_group_simulation`.
 """
 
 import asyncio
@@ -51,7 +51,7 @@
 
 @dataclass
 class SimulatedDisk:
-    """A disk that outlives its process; ``database`` is replaced when the disk is lost."""
+    """A disk with delays and failures; its content outlives the process of its node."""
 
     random: random.Random
     database: JobDatabase
@@ -72,7 +72,7 @@
     async def save_partial_texts(
         self, group: int, parts: Sequence[PartialText], finished_item_ids: Collection[str]
     ) -> None:
-        """Add events of items that still run."""
+        """Save events of items that still run."""
         await self._simulate_delay(writes=True)
         self.database.save_partial_texts(group, parts, finished_item_ids)
 
@@ -82,17 +82,17 @@
         return self.database.load_partial_texts(group)
 
     async def job_states(self, group: int) -> list[JobState]:
-        """Return the states."""
+        """Return the states of the group's jobs."""
         await self._simulate_delay()
         return self.database.job_states(group)
 
     async def apply_updates(self, group: int, epoch: int, updates: Sequence[JobUpdate]) -> bool:
-        """Write updates."""
+        """Apply job updates."""
         await self._simulate_delay(writes=True)
         return self.database.apply_updates(group, epoch, updates)
 
     async def load_jobs(self, job_ids: Sequence[str]) -> list[JobUpdate]:
-        """Return records."""
+        """Return the records of jobs."""
         await self._simulate_delay()
         return self.database.load_jobs(job_ids)
 
@@ -105,7 +105,7 @@
 
 @dataclass
 class SimulatedCoordination:
-    """The coordination service: linearizable, at times away, at times without an answer."""
+    """A linearizable coordination service that can be down or lose answers."""
 
     random: random.Random
     entries: dict[str, KeyChange] = field(default_factory=dict)
@@ -114,17 +114,17 @@
     lost_answer_share: float = 0.0
 
     def put(self, key: str, value: bytes) -> None:
-        """Write a key as the operator or a node's announcement does."""
+        """Write a key unconditionally."""
         self.revision += 1
         self.entries[key] = KeyChange(key, self.revision, value)
 
     async def read(self, key: str) -> KeyChange | None:
-        """Return a key."""
+        """Return the entry of a key."""
         await self._simulate_call()
         return self.entries.get(key)
 
     async def commit(self, transaction: Transaction) -> int:
-        """Carry out a transaction, perhaps late, perhaps without an answer."""
+        """Commit a transaction; a lost answer may also delay it."""
         await self._simulate_call()
         if self.random.random() < self.lost_answer_share:
             if self.random.random() < 0.5:
@@ -158,7 +158,7 @@
 
 
 class NullExecution:
-    """Stands in for the items' execution: the simulation appends results itself."""
+    """Job execution that does nothing; the simulation appends results itself."""
 
     def job_accepted(self, job: RequestJob) -> None:
         """Do nothing."""
@@ -168,7 +168,7 @@
 
 
 class SimulatedNode:
-    """A storage node: a process on a disk."""
+    """A storage node: a disk and a process that can be killed."""
 
     def __init__(self, simulation: "JobGroupSimulation", number: int) -> None:
         self.simulation = simulation
@@ -179,7 +179,7 @@
         self.group: JobGroup | None = None
         self.service: JobGroupService | None = None
         self.refused = False
-        self.resumed_at = -math.inf  # virtual time at which its machine was suspended last
+        self.resumed_at = -math.inf  # virtual time of the last resume after a suspension
         self._bootstrap_task: asyncio.Task[None] | None = None
 
     @property
@@ -218,10 +218,10 @@
             self._region_of,
         )
         await self.group.start()
-        founder = LayoutBootstrap(
+        bootstrap = LayoutBootstrap(
             context, LAYOUT_KEY, lambda _group: GROUP_KEY, self._zones, self.simulation.topology
         )
-        self._bootstrap_task = asyncio.create_task(founder.run())
+        self._bootstrap_task = asyncio.create_task(bootstrap.run())
 
     def kill(self) -> None:
         """Kill the process; the disk stays as it is."""
@@ -234,11 +234,11 @@
         self.disk.generation += 1
 
     def lose_disk(self) -> None:
-        """Lose the disk; the next start finds an empty one."""
+        """Replace the disk by an empty one."""
         self.disk = SimulatedDisk(self.simulation.random, new_database())
 
     async def handle_call(self, frame: Frame) -> Frame | None:
-        """Answer a call of another node."""
+        """Handle a call of another node; return None if there is no answer."""
         group = self.group
         if group is None:
             return None
@@ -271,10 +271,10 @@
         if layout is None and entry is not None and entry.value is not None:
             layout = layout_from_bytes(entry.value)
         topology = self.simulation.topology
-        home_zones = () if layout is None else layout.preferred_zones(group, topology)
+        group_zones = () if layout is None else layout.preferred_zones(group, topology)
         zones_lost = self.simulation.zones_lost
         return ReplicaPlacement(
-            COPIES, 2 * COPIES - 1, self._zones(), topology, home_zones, zones_lost
+            COPIES, 2 * COPIES - 1, self._zones(), topology, group_zones, zones_lost
         )
 
     def _retiring(self) -> set[str]:
@@ -290,7 +290,7 @@
 
 
 class RefusingCoordination(SimulatedCoordination):
-    """The view of a node that the service may refuse."""
+    """A node's view of the coordination service, which may refuse the node."""
 
     def __init__(self, service: SimulatedCoordination, node: SimulatedNode) -> None:
         super().__init__(service.random)
@@ -298,12 +298,12 @@
         self._node = node
 
     async def read(self, key: str) -> KeyChange | None:
-        """Return a key unless refused."""
+        """Return the entry of a key unless the node is refused."""
         self._check()
         return await self._service.read(key)
 
     async def commit(self, transaction: Transaction) -> int:
-        """Carry out a transaction unless refused."""
+        """Commit a transaction unless the node is refused."""
         self._check()
         return await self._service.commit(transaction)
 
@@ -313,7 +313,7 @@
 
 
 class SimulatedTransport:
-    """Calls of one node."""
+    """Transport of one node."""
 
     def __init__(self, simulation: "JobGroupSimulation", node: SimulatedNode) -> None:
         self._simulation = simulation
@@ -322,7 +322,7 @@
     async def call(
         self, address: Address, frame: Frame, traffic: TrafficClass = TrafficClass.BULK
     ) -> Frame:
-        """Carry a call there and its answer back."""
+        """Send a call and return its answer."""
         simulation = self._simulation
         await simulation.transmit(self._node.number, address.port)
         target = simulation.nodes.get(address.port)
@@ -335,7 +335,7 @@
         return answer
 
     def round_trip_s(self, address: Address) -> float:
-        """Nothing is observed."""
+        """Return 0: round trips are not observed."""
         return 0.0
 
     def drop(self, address: Address) -> None:
@@ -343,5 +343,5 @@
 
 
 def new_database() -> JobDatabase:
-    """Return an empty database in memory."""
+    """Return an empty in-memory database."""
     return JobDatabase(None)
--- a/src/wharfcart/experiments/virtual_time.py
+++ b/src/wharfcart/experiments/virtual_time.py
@@ -1,6 +1,6 @@
-"""An asyncio event loop whose clock jumps to the next timer: hours pass in a moment.
+"""An asyncio event loop with virtual time: its clock advances to the next timer without waiting.
 
-Nothing may wait for a real socket or thread. With seeded randomness a run repeats exactly.
+Tasks must not wait for real sockets or threads. With seeded randomness a run is deterministic.
 """
 
 import asyncio
@@ -14,22 +14,22 @@
 
 
 class _JumpingSelector(selectors.SelectSelector):
-    """A selector that, instead of waiting, tells the loop how long it would have waited."""
+    """A selector that advances the virtual clock by the timeout instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Return at once; the clock moves on by the timeout."""
+        """Advance the clock by the timeout and return at once."""
         if timeout is None:
-            raise RuntimeError("every task waits for ever")
+            raise RuntimeError("deadlock: no task is ready and no timer is scheduled")
         self.now += max(0.0, timeout)
         return super().select(0)
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """The event loop."""
+    """Event loop in virtual time."""
 
     def __init__(self) -> None:
         self._virtual_selector = _JumpingSelector()
@@ -41,7 +41,7 @@
 
 
 def run_in_virtual_time(work: Coroutine[Any, Any, Result]) -> Result:
-    """Run a coroutine to its end in virtual time."""
+    """Run a coroutine to completion in virtual time and return its result."""
     loop = VirtualTimeLoop()
     try:
         return loop.run_until_complete(work)
@@ -53,13 +53,13 @@
 
 
 def virtual_monotonic() -> float:
-    """Stand in for :func:`time.monotonic` inside the loop."""
+    """Return the virtual time; a replacement for :func:`time.monotonic`."""
     return asyncio.get_event_loop().time()
 
 
 @contextmanager
 def virtual_clock(modules: Iterable[str]) -> Iterator[None]:
-    """Have modules that import ``monotonic`` by name read the virtual clock."""
+    """Patch ``monotonic`` in the given modules to return virtual time."""
     patches = [mock.patch(f"{module}.monotonic", virtual_monotonic) for module in modules]
     for patch in patches:
         patch.start()
--- a/src/wharfcart/experiments/waves.py
+++ b/src/wharfcart/experiments/waves.py
@@ -2,10 +2,10 @@
 
 Policies, each on the same arrivals:
 
-* ``grants``: the product as it is;
-* ``own_choice``: gateways choose by an old picture of the load, items leave once it shows them;
-* ``no_yielding``: the same, and items stay until they are done;
-* ``online_alone``: the product without batch: the bound for online work.
+* ``grants``: the product;
+* ``own_choice``: gateways choose by load snapshots; online requests preempt items with a delay;
+* ``no_yielding``: the same without preemption;
+* ``online_alone``: the product without batch jobs, a bound for online requests.
 """
 
 import asyncio
@@ -23,7 +23,7 @@
 
 
 class WavePolicy(StrEnum):
-    """What decides."""
+    """How slots are assigned."""
 
     GRANTS = "grants"
     LOCAL_CHOICE = "own_choice"
@@ -33,11 +33,11 @@
 
 @dataclass(frozen=True)
 class WaveLoad:
-    """A load and the fleet before it; rates a second, times in seconds.
+    """Load and fleet size; rates per second, times in seconds.
 
     Attributes:
-        old_jobs: that were accepted before, evenly over the time within which jobs are due, and
-            lost what they had done: as after a power loss of all machines.
+        old_jobs: accepted before the start, evenly spaced over the deadline, with all progress
+            lost: the state after a power loss of all machines.
     """
 
     duration_s: float = 40.0
@@ -60,18 +60,18 @@
     backlog_jobs: int = 0
 
     def rate_at(self, at: float) -> float:
-        """Return the online requests a second at a time."""
+        """Return the online requests per second at a time."""
         low = at % (self.low_s + self.high_s) < self.low_s
         return self.online_requests_per_s * (self.low_factor if low else self.high_factor)
 
 
 @dataclass
 class WaveResult:
-    """What a policy gave.
+    """Result of a policy.
 
     Attributes:
-        first_events: when each online request came, and how long its first event took; None if
-            it was refused.
+        first_events: arrival of each online request and seconds to its first event; None if it
+            is refused.
     """
 
     first_events: list[tuple[float, float | None]] = field(default_factory=list)
@@ -79,21 +79,21 @@
     items_in_time: int = 0
 
     def online_in_time_share(self, objective_s: float) -> float:
-        """Return the share of online requests that began in time."""
+        """Return the share of online requests with the first event within the objective."""
         in_time = sum(first is not None and first <= objective_s for _, first in self.first_events)
         return in_time / max(1, len(self.first_events))
 
 
 @dataclass(frozen=True)
 class Arrivals:
-    """What comes: the same for every policy."""
+    """Arrivals of a run, the same for every policy."""
 
     online: list[tuple[float, int]]  # at, events
-    jobs: list[tuple[float, list[int]]]  # at, events of each item; before 0: old ones
+    jobs: list[tuple[float, list[int]]]  # at, events of each item; negative: backlog
 
 
 def generate_arrivals(load: WaveLoad, seed: int) -> Arrivals:
-    """Draw the arrivals of a run."""
+    """Generate the arrivals of a run."""
     rng = Random(seed)
 
     def size(mean: int) -> int:
@@ -121,7 +121,7 @@
 
 
 def simulate(policy: WavePolicy, load: WaveLoad, seed: int) -> WaveResult:
-    """Play a policy in virtual time."""
+    """Run a policy in virtual time."""
     arrivals = generate_arrivals(load, seed)
     with virtual_clock(VIRTUAL_CLOCK_MODULES):
         return run_in_virtual_time(_run_fleet(policy, load, arrivals, seed))
@@ -130,10 +130,10 @@
 async def _run_fleet(
     policy: WavePolicy, load: WaveLoad, arrivals: Arrivals, seed: int
 ) -> WaveResult:
-    grants = policy in (WavePolicy.GRANTS, WavePolicy.ONLINE_ONLY)
-    yields = policy is not WavePolicy.NO_PREEMPTION
-    fleet = SlotFleet(seed, load.gateways, load.servers, load.slots, grants, yields)
-    outcome = WaveResult()
+    uses_grants = policy in (WavePolicy.GRANTS, WavePolicy.ONLINE_ONLY)
+    preempts_items = policy is not WavePolicy.NO_PREEMPTION
+    fleet = SlotFleet(seed, load.gateways, load.servers, load.slots, uses_grants, preempts_items)
+    result = WaveResult()
     background = fleet.start()
 
     async def ask(number: int, at: float, events: int) -> None:
@@ -141,41 +141,41 @@
         first_s = await fleet.send_request(
             f"r{number}", load.online_prompt_tokens, events, load.objective_s
         )
-        outcome.first_events.append((at, first_s))
+        result.first_events.append((at, first_s))
 
     async def submit(number: int, at: float, events: list[int]) -> None:
         await asyncio.sleep(WARM_UP_S + max(0.0, at))
         age_s = max(0.0, -at)
         fleet.submit(f"j{number}", load.item_prompt_tokens, events, load.job_deadline_s, age_s)
 
-    asked = [asyncio.create_task(ask(n, *one)) for n, one in enumerate(arrivals.online)]
+    tasks = [asyncio.create_task(ask(n, *one)) for n, one in enumerate(arrivals.online)]
     if policy is not WavePolicy.ONLINE_ONLY:
-        asked += [asyncio.create_task(submit(n, *one)) for n, one in enumerate(arrivals.jobs)]
-    await asyncio.gather(*asked)
+        tasks += [asyncio.create_task(submit(n, *one)) for n, one in enumerate(arrivals.jobs)]
+    await asyncio.gather(*tasks)
     await asyncio.sleep(load.job_deadline_s)
     for task in background:
         task.cancel()
     done_at = fleet.leadership.done_at
-    outcome.items = len(fleet.leadership.due_at)
-    outcome.items_in_time = sum(
+    result.items = len(fleet.leadership.due_at)
+    result.items_in_time = sum(
         done_at.get(item, float("inf")) <= due for item, due in fleet.leadership.due_at.items()
     )
-    return outcome
+    return result
 
 
 def run_waves(seed: int, output: Path, load: WaveLoad | None = None) -> dict[str, Any]:
-    """Play every policy on the same arrivals; write figures and a plot."""
+    """Run every policy on the same arrivals; write figures and a plot."""
     load = load or WaveLoad()
     output.mkdir(parents=True, exist_ok=True)
-    outcomes = {policy: simulate(policy, load, seed) for policy in WavePolicy}
+    results = {policy: simulate(policy, load, seed) for policy in WavePolicy}
     figures: dict[str, Any] = {"experiment": "waves", "seed": seed}
-    for policy, outcome in outcomes.items():
+    for policy, result in results.items():
         figures[f"{policy}_online_in_time"] = round(
-            outcome.online_in_time_share(load.objective_s), 4
+            result.online_in_time_share(load.objective_s), 4
         )
-        figures[f"{policy}_items_in_time"] = f"{outcome.items_in_time} of {outcome.items}"
+        figures[f"{policy}_items_in_time"] = f"{result.items_in_time} of {result.items}"
     (output / "waves.json").write_text(json.dumps(figures, indent=2) + "\n", encoding="utf-8")
-    _plot(outcomes, load, output / "waves.png")
+    _plot(results, load, output / "waves.png")
     return figures
 
 
@@ -201,9 +201,9 @@
 
 
 def _in_time_share_at(outcome: WaveResult, load: WaveLoad, second: int) -> float:
-    def came_then(at: float) -> bool:
+    def is_in_second(at: float) -> bool:
         return second <= at < second + 1
 
-    found = [first for at, first in outcome.first_events if came_then(at)]
-    in_time = sum(first is not None and first <= load.objective_s for first in found)
-    return in_time / len(found) if found else 1.0
+    delays_s = [first for at, first in outcome.first_events if is_in_second(at)]
+    in_time = sum(first is not None and first <= load.objective_s for first in delays_s)
+    return in_time / len(delays_s) if delays_s else 1.0
--- a/tests/experiments/test_capacity.py
+++ b/tests/experiments/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page says what the committed figures say."""
+"""The capacity page matches the committed figures."""
 
 from pathlib import Path
 
--- a/tests/experiments/test_limits.py
+++ b/tests/experiments/test_limits.py
@@ -1,4 +1,4 @@
-"""Experiment limits: ways to keep tenants' limits."""
+"""Experiment ``limits``: strategies for tenant limits."""
 
 from wharfcart.experiments.limits import LimitLoad, LimitStrategy, generate_arrivals, simulate
 
--- a/tests/experiments/test_waves.py
+++ b/tests/experiments/test_waves.py
@@ -1,4 +1,4 @@
-"""Experiment waves: the product's decisions in virtual time."""
+"""Experiment ``waves``: online requests and batch items in virtual time."""
 
 from wharfcart.experiments.waves import WaveLoad, WavePolicy, generate_arrivals, simulate
 
@@ -34,10 +34,9 @@
 
 
 def test_batch_overload_prefers_items_that_can_meet_their_deadline() -> None:
-    """Items wait ever longer; run until each is nearly late, they all came late, one by one."""
+    """Guards against starting each item only when it is nearly late, so that all are late."""
     load = WaveLoad(duration_s=24.0, jobs_per_s=1.3)
     outcome = simulate(WavePolicy.GRANTS, load, 1)
-    # 0.43 where items start that are rather late than not.
     assert outcome.items_in_time > 0.55 * outcome.items
     assert outcome.online_in_time_share(load.objective_s) > 0.97
 
--- a/tests/integration/clients.py
+++ b/tests/integration/clients.py
@@ -1,4 +1,4 @@
-"""Clients that record what they see."""
+"""Clients that record the answers they get."""
 
 import asyncio
 import json
@@ -19,14 +19,14 @@
 
 @dataclass
 class Effect:
-    """One effect as its client saw it."""
+    """A request with side effects and its answers."""
 
     key: str
     answers: list[tuple[int, str, str]] = field(default_factory=list)  # status, outcome, body
 
 
 class Client:
-    """A tenant's client that goes from node to node."""
+    """A tenant's client that retries at other nodes."""
 
     def __init__(self, fleet: ProcessFleet) -> None:
         self.fleet = fleet
@@ -36,7 +36,7 @@
         await self.session.close()
 
     async def effect(self, number: int, key: str, value: str) -> Effect:
-        """Send one effect until it has a final answer, each time through another node."""
+        """Send a request with side effects until it succeeds, each time through another node."""
         seen = Effect(key)
         for attempt in range(RETRIES):
             url = self.fleet.urls[(number + attempt) % len(self.fleet.urls)]
@@ -57,7 +57,7 @@
         return seen
 
     async def stream(self, url: str, question: str) -> bool:
-        """Run one streamed chat; return whether the answer was whole and the right one."""
+        """Run one streamed chat; return whether the answer was complete and correct."""
         body = {
             "model": "notices",
             "messages": [{"role": "user", "content": question}],
@@ -75,7 +75,7 @@
         return ended and text.strip() == answer_text(question, 48)
 
     async def call(self, method: str, path: str, **arguments: Any) -> dict[str, Any]:
-        """Make a call through the first node that answers it."""
+        """Make a call, retried at other nodes until one answers."""
         for attempt in range(RETRIES):
             url = self.fleet.urls[attempt % len(self.fleet.urls)]
             try:
@@ -90,7 +90,7 @@
         raise TimeoutError(path)
 
     async def submit(self, items: int) -> tuple[str, list[str]]:
-        """Upload a file and create a job; return its id and the items' ids."""
+        """Upload a file and create a job; return its id and the ids of its items."""
         run = uuid.uuid4().hex[:8]
         ids = [f"{run}-{number}" for number in range(items)]
         lines = [
@@ -114,7 +114,7 @@
         return job["id"], ids
 
     async def wait_job(self, job_id: str) -> dict[str, Any]:
-        """Wait for a job's end."""
+        """Wait until a job is completed or cancelled; return it."""
         async with asyncio.timeout(JOB_TIMEOUT_S):
             while True:
                 job = await self.call("GET", f"/v1/batches/{job_id}")
@@ -123,7 +123,7 @@
                 await asyncio.sleep(RETRY_DELAY_S)
 
     async def statuses_until_found(self, node: NodeProcess, job_id: str) -> set[int]:
-        """Ask one node for a job without a pause until it tells of it; return all statuses."""
+        """Poll one node without pause until it finds the job; return all statuses."""
         seen: set[int] = set()
         async with asyncio.timeout(JOB_TIMEOUT_S):
             while 200 not in seen:
@@ -132,12 +132,12 @@
                     async with self.session.get(url) as response:
                         seen.add(response.status)
                 except (aiohttp.ClientError, OSError):
-                    pass  # it does not listen yet
+                    pass  # the node does not listen yet
                 await asyncio.sleep(0)
         return seen
 
     async def results(self, job_id: str) -> list[dict[str, Any]]:
-        """Return all output lines of a job, through the last node that lives."""
+        """Return all output lines of a job, read from the last running node."""
         living = [n for n in self.fleet.nodes if n.process is not None and n.process.poll() is None]
         url = f"{living[-1].url}/v1/files/output-{job_id}/content"
         async with self.session.get(url) as response:
--- a/tests/integration/conftest.py
+++ b/tests/integration/conftest.py
@@ -1,4 +1,4 @@
-"""Steps over fleets of separate processes."""
+"""Steps of the scenarios over fleets of separate processes."""
 
 import asyncio
 import json
@@ -33,7 +33,7 @@
 
 @dataclass
 class World:
-    """What the steps of one scenario share."""
+    """State that the steps of one scenario share."""
 
     fleet: ProcessFleet
     victim: NodeProcess | None = None
@@ -95,7 +95,7 @@
         client = Client(world.fleet)
         world.victim = world.fleet.nodes[0]
         url = world.victim.url
-        # Slow streams, so that a node that does not wait for them cuts them.
+        # Slow streams, so that a node that does not drain interrupts them.
         for address in await world.fleet.addresses("engine"):
             await world.fleet.set_faults(address, slow_factor=8.0)
         tasks = [asyncio.create_task(client.stream(url, f"q{n}")) for n in range(24)]
@@ -160,7 +160,7 @@
     async def scenario() -> None:
         client = Client(world.fleet)
         world.victim = await busiest_leader(world.fleet)
-        # Every effect is sent by two clients at once, as a client that resends does.
+        # Sends every request twice at once, like a client that retries.
         tasks = [
             asyncio.create_task(client.effect(number + copy, f"key-{number}", f"vehicle-{number}"))
             for number in range(EFFECTS)
@@ -263,14 +263,14 @@
 
 @then("every effect is completed or its answer says what is known")
 def effects_answered(world: World) -> None:
-    done = {effect["path"].rsplit("/", 1)[1] for effect in run(world.fleet.ledger())}
+    completed = {effect["path"].rsplit("/", 1)[1] for effect in run(world.fleet.ledger())}
     by_key: dict[str, set[str]] = {}
     for effect in world.effects:
         status, outcome, body = effect.answers[-1]
         vehicle = effect.key.replace("key", "vehicle")
         assert status == 200 or outcome == "unknown", effect.answers[-3:]
         if status == 200:
-            assert vehicle in done
+            assert vehicle in completed
             by_key.setdefault(effect.key, set()).add(body)
         for earlier_status, earlier_outcome, _ in effect.answers[:-1]:
             assert earlier_status != 200
@@ -313,16 +313,16 @@
 
 
 async def _wait_for_busy_node(world: World) -> NodeProcess:
-    """Wait until nodes run batch items; return the one with most."""
+    """Wait until a node runs several batch items; return the node with the most."""
     while True:
         status = await world.fleet.status()
         running = {
             node["node_id"]: sum(b["batch_in_flight"] for b in node.get("owned", []))
             for node in status["nodes"]
         }
-        most = max(running, key=lambda name: running[name])
-        if running[most] >= 8:
-            return next(node for node in world.fleet.nodes if node.node_id == most)
+        busiest = max(running, key=lambda name: running[name])
+        if running[busiest] >= 8:
+            return next(node for node in world.fleet.nodes if node.node_id == busiest)
         await asyncio.sleep(0.02)
 
 
@@ -351,7 +351,7 @@
 
 @when("a batch job is done and each disk is lost in turn")
 def each_disk(world: World) -> None:
-    """Ask each node for the job without a pause from the moment it starts on an empty disk."""
+    """Poll each node for the job without pause from its start on an empty disk."""
 
     async def lose(victim: NodeProcess, client: Client) -> None:
         lost = await _storage_identity(world, victim)
@@ -361,7 +361,7 @@
         shutil.rmtree(victim.data_folder)
         world.fleet.start_node(victim)
         world.statuses.append(await client.statuses_until_found(victim, world.job_id))
-        # Two disks lost at once leave no majority: the next one waits until this one is replaced.
+        # Two lost disks leave no majority: wait until this one is replaced.
         await until(lambda: _replaced(world, lost))
 
     async def scenario() -> None:
@@ -375,7 +375,7 @@
     run(scenario())
 
 
-@then("no node that started anew denied the job")
+@then("no node with a new disk denied the job")
 def nothing_denied(world: World) -> None:
     assert len(world.statuses) == STORAGE_NODES
     assert all(statuses <= {200, 503} for statuses in world.statuses), world.statuses
@@ -401,7 +401,7 @@
     run(lose())
 
 
-@when("the operator has the survivor go on alone")
+@when("the operator recovers the journal from the survivor")
 def recover(world: World) -> None:
     survivor = world.fleet.nodes[2]
     done: set[int] = set()
@@ -412,7 +412,7 @@
             for shard in range(world.fleet.shards):
                 url = f"{survivor.url}/admin/v1/journal/{shard}/recover"
                 async with session.post(url) as response:
-                    # Refused while membership still counts the lost identities as live.
+                    # The node refuses while membership still lists the lost disks as live.
                     if response.status == 200:
                         done.add(shard)
         return len(done) == world.fleet.shards
@@ -622,7 +622,7 @@
 def no_new_work(world: World) -> None:
     async def scenario() -> tuple[int, int]:
         client = Client(world.fleet)
-        await asyncio.sleep(3.0)  # the promise's own three seconds
+        await asyncio.sleep(3.0)  # time after which the engine must get no new work
         before = await _prompt_tokens(world)
         urls = world.fleet.urls
         streams = [client.stream(urls[n % len(urls)], f"q{n}") for n in range(60)]
--- a/tests/integration/features/failures.feature
+++ b/tests/integration/features/failures.feature
@@ -33,7 +33,7 @@
   Scenario: A node that starts with an emptied disk denies no job
     Given a fleet of 4 nodes
     When a batch job is done and each disk is lost in turn
-    Then no node that started anew denied the job
+    Then no node with a new disk denied the job
 
   Scenario: The leader is frozen past its lease
     Given a fleet of 4 nodes
@@ -91,7 +91,7 @@
   Scenario: Two disks are lost after their acknowledgements
     Given a fleet of 4 nodes
     When a batch job and effects are done and then two disks are lost
-    And the operator has the survivor go on alone
+    And the operator recovers the journal from the survivor
     Then every item completed exactly once with its own answer
     And every effect happened at most once
     And every effect is replayed from the journal
--- a/tests/integration/test_operations.py
+++ b/tests/integration/test_operations.py
@@ -1,4 +1,4 @@
-"""The three cases of docs/OPERATIONS.md, followed from the id to the cause."""
+"""The three cases of docs/OPERATIONS.md: ``wharfcart explain`` finds the cause by the id."""
 
 import asyncio
 import subprocess
@@ -13,15 +13,15 @@
 
 
 async def explain(fleet: ServingFleet, wanted: str) -> str:
-    """Run the page's command until the logs are written."""
+    """Run ``wharfcart explain`` until the logs contain the id; return its output."""
     logs = [str(node.log_path) for node in (*fleet.gateways, *fleet.stores)]
     command = [sys.executable, "-m", "wharfcart", "explain", wanted, *logs]
     for _ in range(20):
-        ended = await asyncio.to_thread(subprocess.run, command, capture_output=True, text=True)
-        if ended.returncode == 0:
-            return ended.stdout
+        completed = await asyncio.to_thread(subprocess.run, command, capture_output=True, text=True)
+        if completed.returncode == 0:
+            return completed.stdout
         await asyncio.sleep(0.2)
-    raise AssertionError(f"nothing is told of {wanted}")
+    raise AssertionError(f"no log line about {wanted}")
 
 
 def test_a_stream_that_broke_off() -> None:
--- a/tests/integration/test_poison_requests.py
+++ b/tests/integration/test_poison_requests.py
@@ -1,17 +1,7 @@
-"""Requests that end the back ends that run them.
+"""Poison requests: requests that crash each back end that runs them.
 
-Seen: back ends of one service ended one after the other, up to five within 1.4 s, each with all the
-requests it ran; half of the streams of these seconds were lost. In front of each end stood a
-request without a byte of answer, sent once.
-
-How it came about: one request came again and again, under a new id, at any gateway, and each time a
-sound back end was found for it.
-
-Cause: what a gateway knew of a request ended with the attempt, and a broken send spoke against the
-back end alone. What proved it: these runs, in which nothing else runs at the back ends. As long as
-nothing was known of a request beyond an attempt, eight attempts ended 8 back ends (one that may not
-be repeated), 16 and 24 (one that the gateway itself repeats or resumes), also after every gateway
-was restarted, and one item of a job 48.
+Guards against a caller that repeats such a request under new ids, at any gateway, and crashes one
+healthy back end after the other.
 """
 
 import asyncio
@@ -30,17 +20,16 @@
 from wharfcart.platform import names
 
 POISON_BODY = b"what ends whoever runs it"
-# Three ends may be chance; a request that has ended three is not sent once more.
+# After this many crashes a request is quarantined.
 MAX_CRASHES = 3
 ATTEMPTS = 8
-# A process takes a moment to start again.
 RESTART_DELAY_S = 0.6
 
 Scenario = Callable[["CrashingFleet"], Awaitable[None]]
 
 
 class CrashingFleet(ServingFleet):
-    """Back ends that a request can end; each is replaced at once by a new incarnation."""
+    """Back ends that a poison request crashes; a new instance replaces each at once."""
 
     def __init__(self, events_before_crash: int = 0) -> None:
         super().__init__()
@@ -56,7 +45,7 @@
         await super().stop()
 
     async def are_backends_known(self) -> bool:
-        """Whether each gateway knows every back end that lives, and none has still to come."""
+        """Whether each gateway knows every running back end and no replacement is pending."""
         if self._replacing:
             return False
         outputs = [gateway.log_path.read_text() for gateway in self.gateways]
@@ -64,7 +53,7 @@
         return all(server.instance_id in output for server in living for output in outputs)
 
     async def keep_one_backend(self) -> None:
-        """Take all back ends of each service away but one."""
+        """Remove all back ends of each service except one."""
         for servers in (self.stream_servers, self.plain_servers):
             for server in servers[1:]:
                 await self.store.remove(names.SERVER_PREFIX + server.instance_id)
@@ -78,14 +67,14 @@
         await self.until(others_are_gone, 10.0)
 
     async def outcome(self, number: int, path: str, body: bytes = POISON_BODY) -> int | None:
-        """Send one attempt of a caller; return its status, None if its answer broke off."""
+        """Send one request; return its status, None if the connection breaks."""
         with suppress(aiohttp.ClientError):
             status, _, _ = await self.request(number % 2, path, f"r{number}", data=body)
             return status
         return None
 
     async def repeat_poison_request(self, path: str, first: int = 0) -> list[int | None]:
-        """Have a caller repeat a fatal request, each time before a whole set of back ends."""
+        """Repeat a poison request, each time after all back ends were replaced."""
         outcomes = []
         for number in range(first, first + ATTEMPTS):
             outcomes.append(await self.outcome(number, path))
@@ -117,10 +106,10 @@
 
 
 class RestartingFleet(CrashingFleet):
-    """Back ends that start again under the id that they had, and know nothing of before."""
+    """Back ends that restart under their previous id, without state."""
 
     async def are_backends_known(self) -> bool:
-        """Whether each gateway knows every start again, and none has still to come."""
+        """Whether each gateway knows every restart and no restart is pending."""
         if self._replacing:
             return False
         outputs = [gateway.log_path.read_text() for gateway in self.gateways]
@@ -157,14 +146,14 @@
 
 @pytest.mark.parametrize("path", ["/chat/x", "/charge/x", "/look/x", "/read/x"])
 def test_a_request_crashes_at_most_three_backends(path: str) -> None:
-    """Not repeatable (a stream, a whole answer), repeatable, and resumed at another back end."""
+    """Covers non-repeatable, repeatable and resumable requests."""
 
     async def scenario(fleet: CrashingFleet) -> None:
         outcomes = await fleet.repeat_poison_request(path)
         assert len(fleet.crashed) <= MAX_CRASHES
-        # Told truly: it did not run, and when it may be asked again.
+        # The refused request did not run.
         assert outcomes[-1] == 503
-        # Others are served, on the same path and with the same body on another.
+        # Other bodies on the same path are served.
         assert await fleet.outcome(90, path, b"another body") == 200
 
     run_scenario(scenario)
@@ -172,7 +161,7 @@
 
 @pytest.mark.parametrize("path", ["/chat/x", "/look/x"])
 def test_backends_restarted_under_the_same_id_crash_at_most_three_times(path: str) -> None:
-    """The only back end of a service: the second end of its id took the place of the first."""
+    """Guards against evidence of a second crash that overwrites the first of the same id."""
 
     async def scenario(fleet: CrashingFleet) -> None:
         await fleet.keep_one_backend()
@@ -233,7 +222,7 @@
 
 
 def test_an_item_crashes_at_most_three_backends_and_its_job_continues() -> None:
-    """Also under the next leader."""
+    """Holds also after a change of the leader."""
 
     async def scenario(fleet: CrashingFleet) -> None:
         bodies = [POISON_BODY, b"1", b"2", b"3"]
@@ -265,13 +254,13 @@
         fleet.signal(leader, signal.SIGKILL)
         await asyncio.sleep(4.0)
         assert len(fleet.crashed) <= MAX_CRASHES
-        assert await others_are_done(), "an item that is held back has no result yet"
+        assert await others_are_done(), "a quarantined item has no result yet"
 
     run_scenario(scenario)
 
 
 def test_a_stream_that_crashes_backends_after_some_events_is_quarantined() -> None:
-    """An answer that has begun speaks less clearly: others that ran there had begun theirs, too."""
+    """A started answer is weaker evidence, since other requests there had started theirs, too."""
 
     async def scenario(fleet: CrashingFleet) -> None:
         await fleet.repeat_poison_request("/chat/x")
--- a/tests/integration/test_residence.py
+++ b/tests/integration/test_residence.py
@@ -1,4 +1,4 @@
-"""A fleet over two regions, as processes: what back ends and disks received."""
+"""Data residence in a fleet of processes over two regions: back ends and disks stay in bounds."""
 
 import asyncio
 import base64
@@ -15,31 +15,31 @@
 from wharfcart.platform import names
 
 REGIONS = {"a": "west", "b": "west", "c": "east"}
-# Named in the body of each item, so that a disk that has one is found.
+# Part of the body of each item, to find the disks that store it.
 BODY_MARKER = b"only-in-the-west"
 ITEMS = 8
 REFUSAL_TIMEOUT_S = 1.0
 
 
 class TwoRegionFleet(ServingFleet):
-    """Zones a and b are in the west, c in the east; six disks and three gateways."""
+    """A fleet with zones a and b in the west and c in the east."""
 
     def __init__(self) -> None:
         super().__init__(gateways=3, stores=6)
 
     def extra_settings(self, node: ServingNodeProcess) -> list[str]:
-        """Return the regions of the zones."""
+        """Return the setting with the regions of the zones."""
         regions = ", ".join(f'{zone} = "{region}"' for zone, region in REGIONS.items())
         return [f"regions_by_zone = {{ {regions} }}"]
 
     async def announce(self, server: ModelServer, service: str, state: str = "ready") -> None:
-        """Write a server's entry; a server's number tells its zone."""
+        """Write a server's entry; its number selects its zone."""
         zone = "abc"[int(server.instance_id[-1])]
         entry = server.entry(service, zone, state) | {"address": self.address_of(server)}
         await self.store.put(names.SERVER_PREFIX + server.instance_id, entry)
 
     async def apply_region_routes(self) -> None:
-        """Have routes come into force that are bound to regions."""
+        """Apply routes that are restricted to regions and wait until they are in force."""
         streams = {"kind": "streaming", "timeoutMs": 8000, "backend": STREAM_SERVICE}
         plain = {"kind": "safe", "timeoutMs": 2000, "backend": PLAIN_SERVICE, "maxAttempts": 2}
         jobs = {"kind": "batch", "timeoutMs": 30_000, "backend": STREAM_SERVICE, "maxAttempts": 3}
@@ -60,7 +60,7 @@
         await self.until(in_force, 5.0)
 
     def disks_with(self, mark: bytes) -> set[str]:
-        """Return the storage nodes that have some bytes on their disks."""
+        """Return the storage nodes whose disks contain some bytes."""
         return {
             node.node_id
             for node in self.stores
@@ -81,24 +81,24 @@
 def test_data_stays_in_its_regions() -> None:
     async def scenario(fleet: TwoRegionFleet) -> None:
         await fleet.apply_region_routes()
-        far = fleet.stream_servers[2]
+        east_server = fleet.stream_servers[2]
         for n in range(12):
             status, _, _ = await fleet.request(n % 3, "/east/x", f"r{n}")
             assert status == 200
-        assert {run.request_id for run in far.runs} >= {f"r{n}" for n in range(12)}
-        near = [run for server in fleet.stream_servers[:2] for run in server.runs]
-        assert near == []
+        assert {run.request_id for run in east_server.runs} >= {f"r{n}" for n in range(12)}
+        west_runs = [run for server in fleet.stream_servers[:2] for run in server.runs]
+        assert west_runs == []
 
         # The plain service has no back end in the east.
         loop = asyncio.get_running_loop()
-        began_at = loop.time()
+        started_at = loop.time()
         status, _, headers = await fleet.request(0, "/nowhere/x", "n1")
         assert (status, "retry-after" in headers) == (503, True)
         status, _, headers = await fleet.request(0, "/south/j0", "j0", data=submission("j0"))
         assert (status, "retry-after" in headers) == (503, True)
-        assert loop.time() - began_at < REFUSAL_TIMEOUT_S
+        assert loop.time() - started_at < REFUSAL_TIMEOUT_S
 
-        # A gateway in the east passes a job on to the west.
+        # A gateway in the east forwards a job to the west.
         status, _, _ = await fleet.request(2, "/west/j1", "j1", data=submission("j1"))
         assert status == 202
         results: list[dict[str, str]] = []
@@ -111,12 +111,12 @@
 
         await fleet.until(done, 25.0)
         assert {result["state"] for result in results} == {"succeeded"}
-        assert not any(run.request_id.startswith("j1-") for run in far.runs)
+        assert not any(run.request_id.startswith("j1-") for run in east_server.runs)
         holding = fleet.disks_with(BODY_MARKER)
         assert len(holding) >= 2
         assert not holding & {"storage-2", "storage-5"}
 
-        # No spare in the east takes the place of a lost disk.
+        # No disk in the east replaces a lost disk.
         lost = next(node for node in fleet.stores if node.node_id in holding)
         fleet.signal(lost, signal.SIGKILL)
         await asyncio.sleep(4.0)
--- a/tests/integration/test_serving_fleet.py
+++ b/tests/integration/test_serving_fleet.py
@@ -1,4 +1,4 @@
-"""Gateways and storage nodes as processes, before emulated servers and metadata store."""
+"""Gateways and storage nodes as processes, with emulated servers and metadata store."""
 
 import asyncio
 import base64
@@ -179,7 +179,9 @@
             stamps[f"r{number}"] = headers["x-response-stamp"]
         runs = [(run, server.instance_id) for server in fleet.stream_servers for run in server.runs]
         first_runs = {run.request_id: name for run, name in runs if run.first_event == 0}
-        assert len(runs) > len(first_runs) == 8, "some stream was cut and resumed, none run anew"
+        assert len(runs) > len(first_runs) == 8, (
+            "a stream was cut and resumed, and none was restarted"
+        )
         assert stamps == {key: f"stamp-{name}" for key, name in first_runs.items()}
 
     run_scenario(scenario)
@@ -219,7 +221,7 @@
 
 
 def test_an_unresponsive_server_delays_a_look_up_less_than_its_deadline() -> None:
-    """Bench: look-ups that went to a dark server waited until their deadline."""
+    """Guards against look-ups that wait for an unresponsive server until their deadline."""
 
     async def scenario(fleet: ServingFleet) -> None:
         fleet.plain_servers[0].silent = True
@@ -411,7 +413,7 @@
 
 
 def test_a_failing_server_receives_little_work() -> None:
-    """Trial 5e9fa130, tulegen-grown trouble-1: its health was good, its answers were all 500."""
+    """Guards against a server that reports healthy, fails every request and attracts more."""
 
     async def scenario(fleet: ServingFleet) -> None:
         fleet.stream_servers[0].fails_with = 500
@@ -428,7 +430,7 @@
 
 
 def test_expired_server_entries_do_not_interrupt_service() -> None:
-    """Incident inc-9857: discovery's entries lapsed while the servers worked on."""
+    """Guards against dropping servers whose discovery entries expire while they still run."""
 
     async def scenario(fleet: ServingFleet) -> None:
         for server in fleet.plain_servers:
@@ -488,7 +490,7 @@
         assert (await fleet.request(1, path, "reader", method="GET"))[0] == 401
         assert (await fleet.request(0, path, "end", method="DELETE", key="k3"))[0] == 404
 
-        # A key is taken away: the job goes on, and is read with the tenant's other key.
+        # After a key is removed, the job continues and the tenant's other key reads it.
         fleet.tenants = [example_tenant("t", "k2"), example_tenant("u", "k3")]
         await fleet.put_configuration(fleet.configuration(open=PUBLIC))
 
