--- a/src/wharfcart/http/connection.py
+++ b/src/wharfcart/http/connection.py
@@ -1,12 +1,12 @@
-"""One HTTP/1.1 client connection, one request at a time, that trusts no byte too many.
+"""HTTP/1.1 client connection for one request at a time, strict about malformed responses.
 
-Parsing is httptools' (llhttp). What this module adds, and why a ready-made client does not do:
+httptools (llhttp) parses the bytes. Common HTTP clients lack these checks:
 
-* an answer without a length is whole only if the peer ended the connection in order; a reset one
-  is not (the usual client takes both for whole);
-* an answer that carries another request's id is dropped, and the one that follows is awaited;
-* bytes that arrive while no request is waiting make the connection unusable;
-* an answer that came before the request's body was written leaves an unusable connection.
+* a response without a length is complete only if the peer closed the connection in order, not if
+  it reset it;
+* a response with the id of another request is dropped, and the connection waits for the next one;
+* bytes that arrive while no request is pending make the connection unusable;
+* a response that arrives before the request body is written makes the connection unusable.
 """
 
 import asyncio
@@ -19,20 +19,20 @@
 
 import httptools
 
-from wharfcart.http.silence import notice_silence
+from wharfcart.http.dead_peer_detection import enable_dead_peer_detection
 
-# A peer that acknowledges nothing for so long is gone: longer than packets that are sent once more
-# take, shorter than a caller stays.
-UNACKNOWLEDGED_MS = 1500
+# Longer than TCP retransmissions take, shorter than callers wait.
+UNACKNOWLEDGED_TIMEOUT_MS = 1500
 CONNECTION_BUFFER_BYTES = 256 * 1024
 NO_BODY_STATUSES = frozenset({204, 304})
 
 
 class ConnectFailedError(Exception):
-    """No connection came up: nothing was sent.
+    """The connection could not be opened, so nothing was sent.
 
     Attributes:
-        refused: the peer's machine answered that nobody listens; otherwise nothing is known of it.
+        refused: whether the peer's machine refused or reset the connection. If False, the state of
+            the peer is unknown.
     """
 
     def __init__(self, reason: str = "", refused: bool = False) -> None:
@@ -41,25 +41,25 @@
 
 
 class BreakCause(StrEnum):
-    """Why an exchange came to no whole answer.
+    """Why a request got no complete response.
 
     Attributes:
         CLOSED: the peer closed or reset the connection.
-        MALFORMED: what arrived was no answer to the request.
-        SLOW: this node did not wait any longer.
+        MALFORMED: the received bytes are not a valid response to the request.
+        TIMED_OUT: this node stopped waiting.
     """
 
     CLOSED = "closed"
     MALFORMED = "malformed"
-    SLOW = "slow"
+    TIMED_OUT = "slow"
 
 
 class ConnectionBrokenError(Exception):
-    """The connection ended, or what arrived was no HTTP, before the answer was whole.
+    """The connection closed or received malformed bytes before the response was complete.
 
     Attributes:
         sent: whether any byte of the request may have reached the peer.
-        cause: what kind of break it was.
+        cause: why the response is incomplete.
     """
 
     def __init__(
@@ -70,8 +70,8 @@
         self.cause = cause
 
 
-class AnswerHead:
-    """Status and headers of an answer; header names are in lower case."""
+class ResponseHead:
+    """Status and headers of a response; header names are in lower case."""
 
     __slots__ = ("headers", "status")
 
@@ -88,11 +88,13 @@
 
 
 @dataclass
-class _Answer:
-    """What has come of the answer that is awaited.
+class _Response:
+    """Parser state of the pending response.
 
-    ``stray``: the message at hand answers another request. ``poisoned``: a second answer came.
-    ``until_close``: the answer has no length and ends with its connection.
+    Attributes:
+        until_close: the response has no length and ends when the peer closes the connection.
+        belongs_to_other_request: the message being parsed has the id of another request.
+        has_extra_response: a second response arrived for one request.
     """
 
     status: int = 0
@@ -101,42 +103,48 @@
     complete: bool = False
     until_close: bool = False
     keep_alive: bool = False
-    stray: bool = False
+    belongs_to_other_request: bool = False
     informational: bool = False
-    poisoned: bool = False
+    has_extra_response: bool = False
 
 
 class HttpConnection(asyncio.Protocol):
-    """A connection to one address."""
+    """Client connection to one address.
+
+    Attributes:
+        idle_since: monotonic time at which the last response was finished.
+        idle_limit_s: idle timeout that the peer announced, or 0.
+        closed: whether the connection is closed.
+        response_count: responses completed on this connection.
+    """
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
-        self._wake: asyncio.Future[None] | None = None
+        self._waiter: asyncio.Future[None] | None = None
         self._failure: ConnectionBrokenError | None = None
         self._parts: deque[bytes] = deque()
-        self._buffered = 0
+        self._buffered_bytes = 0
         self._busy = False
         self._reading_paused = False
         self._writable = asyncio.Event()
         self._writable.set()
         self._id_header = ""
         self._expected_id = ""
-        self._answer = _Answer()
+        self._response = _Response()
         self.idle_since = 0.0
         self.idle_limit_s = 0.0
         self.closed = False
-        self.answered = 0
+        self.response_count = 0
 
-    # ---- use ----
+    # ---- requests ----
 
     @classmethod
     async def open(cls, host: str, port: int, timeout_s: float) -> "HttpConnection":
-        """Connect.
+        """Open a connection.
 
-        Raises
-        ------
-        ConnectFailedError
+        Raises:
+            ConnectFailedError: the connection was not established within ``timeout_s``.
         """
         loop = asyncio.get_running_loop()
         try:
@@ -149,7 +157,7 @@
 
     @property
     def reusable(self) -> bool:
-        """Whether another request may be sent on this connection."""
+        """Whether another request can be sent on this connection."""
         return not self.closed and self._failure is None and not self._busy
 
     def send(
@@ -161,13 +169,12 @@
         id_header: str = "",
         expected_id: str = "",
     ) -> None:
-        """Write a request.
+        """Send a request.
 
-        An answer whose ``id_header`` names another request than ``expected_id`` is dropped.
+        A response whose ``id_header`` differs from ``expected_id`` is dropped.
 
-        Raises
-        ------
-        ConnectionBrokenError with ``sent`` False
+        Raises:
+            ConnectionBrokenError: the connection is not reusable; ``sent`` is False.
         """
         if not self.reusable or self._transport is None or self._transport.is_closing():
             raise ConnectionBrokenError("connection is closed", sent=False)
@@ -176,50 +183,47 @@
         if body or method in ("POST", "PUT", "PATCH"):
             lines.append(f"content-length: {len(body)}")
         head = ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1", "surrogateescape")
-        self._answer = _Answer()
+        self._response = _Response()
         self._busy = True
         self._id_header = id_header
         self._expected_id = expected_id
         self._transport.write(head + body)
 
-    async def read_head(self) -> AnswerHead:
-        """Wait for status and headers.
+    async def read_head(self) -> ResponseHead:
+        """Wait for the status and headers of the response.
 
-        Raises
-        ------
-        ConnectionBrokenError
+        Raises:
+            ConnectionBrokenError: the connection broke before they arrived.
         """
-        while not self._answer.head_ready:
+        while not self._response.head_ready:
             self._raise_failure()
             await self._wait()
-        return AnswerHead(self._answer.status, self._answer.headers)
+        return ResponseHead(self._response.status, self._response.headers)
 
     async def read_part(self) -> bytes | None:
-        """Return the next bytes of the body, or None at the end of a whole answer.
+        """Return the next bytes of the body, or None at the end of a complete response.
 
-        Raises
-        ------
-        ConnectionBrokenError
+        Raises:
+            ConnectionBrokenError: the connection broke before the response was complete.
         """
         while not self._parts:
-            if self._answer.complete:
+            if self._response.complete:
                 return None
             self._raise_failure()
             await self._wait()
         part = b"".join(self._parts) if len(self._parts) > 1 else self._parts[0]
         self._parts.clear()
-        self._buffered = 0
+        self._buffered_bytes = 0
         if self._reading_paused and self._transport is not None:
             self._reading_paused = False
             self._transport.resume_reading()
         return part
 
     async def read_body(self) -> bytes:
-        """Return the rest of the body of a whole answer.
+        """Return the rest of the body of a complete response.
 
-        Raises
-        ------
-        ConnectionBrokenError
+        Raises:
+            ConnectionBrokenError: the connection broke before the response was complete.
         """
         parts = []
         while (part := await self.read_part()) is not None:
@@ -227,26 +231,26 @@
         return b"".join(parts)
 
     def finish(self, now: float) -> bool:
-        """End the use of a whole answer; return whether the connection may be kept."""
+        """Release the connection after a response; close it and return False if not reusable."""
         unsent = self._transport is not None and self._transport.get_write_buffer_size() > 0
-        kept = (
-            self._answer.complete
-            and not self._answer.poisoned
-            and self._answer.keep_alive
+        reusable = (
+            self._response.complete
+            and not self._response.has_extra_response
+            and self._response.keep_alive
             and not unsent
             and not self.closed
             and self._failure is None
         )
-        if not kept:
+        if not reusable:
             self.close()
             return False
         self._busy = False
         self.idle_since = now
-        self.answered += 1
+        self.response_count += 1
         return True
 
     def close(self) -> None:
-        """Close at once, whatever is under way: the peer sees its caller leave."""
+        """Abort the connection at once, even while a request is pending."""
         self.closed = True
         if self._transport is not None:
             self._transport.abort()
@@ -254,103 +258,112 @@
     # ---- asyncio.Protocol ----
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
-        # uvloop's transports are no subclasses of asyncio's.
+        """Store the transport and enable dead-peer detection."""
+        # uvloop's transports are not subclasses of asyncio's.
         self._transport = cast(asyncio.Transport, transport)
-        notice_silence(transport, UNACKNOWLEDGED_MS)
+        enable_dead_peer_detection(transport, UNACKNOWLEDGED_TIMEOUT_MS)
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes; without a request they make the connection unusable."""
+        """Parse received bytes; fail the connection if no request is pending."""
         if not self._busy:
-            self._fail("bytes without a request", BreakCause.MALFORMED)
+            self._fail("bytes received while no request is pending", BreakCause.MALFORMED)
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self._fail(f"no HTTP: {type(error).__name__}", BreakCause.MALFORMED)
+            self._fail(f"malformed HTTP: {type(error).__name__}", BreakCause.MALFORMED)
             return
-        if self._buffered > CONNECTION_BUFFER_BYTES and self._transport is not None:
+        if self._buffered_bytes > CONNECTION_BUFFER_BYTES and self._transport is not None:
             self._reading_paused = True
             self._transport.pause_reading()
         self._notify()
 
     def eof_received(self) -> bool:
-        """Complete an answer that ends with its connection; fail any other."""
-        ended_in_order = self._socket_error() == 0
+        """Complete a response that ends at close; fail any other one."""
+        closed_in_order = self._socket_error() == 0
         if (
-            ended_in_order
-            and self._answer.head_ready
-            and not self._answer.complete
-            and self._answer.until_close
+            closed_in_order
+            and self._response.head_ready
+            and not self._response.complete
+            and self._response.until_close
         ):
-            self._answer.complete = True
-            self._answer.keep_alive = False
-        self._fail("ended by the peer" if ended_in_order else "reset")
+            self._response.complete = True
+            self._response.keep_alive = False
+        self._fail("ended by the peer" if closed_in_order else "reset")
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail an answer that is not whole."""
+        """Fail an incomplete response."""
         self.closed = True
         self._fail("reset" if exc is not None else "closed")
 
     # ---- httptools callbacks ----
 
     def on_message_begin(self) -> None:
-        """Begin an answer; a second one is not due."""
-        if self._answer.complete:
-            # A second answer where none is due.
-            self._answer.poisoned = True
+        """Begin a response, or record an extra one."""
+        if self._response.complete:
+            self._response.has_extra_response = True
             return
-        self._answer.headers = []
-        self._answer.stray = False
+        self._response.headers = []
+        self._response.belongs_to_other_request = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header."""
-        if not self._answer.poisoned:
-            self._answer.headers.append((name.decode("latin-1").lower(), value.decode("latin-1")))
+        """Store a header."""
+        if not self._response.has_extra_response:
+            self._response.headers.append((name.decode("latin-1").lower(), value.decode("latin-1")))
 
     def on_headers_complete(self) -> None:
-        """Judge whose answer it is and how its end is known."""
-        if self._answer.poisoned:
+        """Check the response's request id and how its body ends."""
+        if self._response.has_extra_response:
             return
         status = self._parser.get_status_code()
         if status < 200:
-            self._answer.informational = True
+            self._response.informational = True
             return
-        self._answer.informational = False
-        head = AnswerHead(status, self._answer.headers)
-        answer_id = head.get(self._id_header) if self._id_header else None
-        self._answer.stray = answer_id is not None and answer_id != self._expected_id
-        if self._answer.stray:
+        self._response.informational = False
+        head = ResponseHead(status, self._response.headers)
+        response_id = head.get(self._id_header) if self._id_header else None
+        self._response.belongs_to_other_request = (
+            response_id is not None and response_id != self._expected_id
+        )
+        if self._response.belongs_to_other_request:
             return
         chunked = "chunked" in (head.get("transfer-encoding") or "").lower()
         has_length = head.get("content-length") is not None or chunked
-        self._answer.until_close = not has_length and status not in NO_BODY_STATUSES
-        self._answer.status = status
-        self._answer.head_ready = True
+        self._response.until_close = not has_length and status not in NO_BODY_STATUSES
+        self._response.status = status
+        self._response.head_ready = True
         self._set_idle_limit(head)
 
     def on_body(self, body: bytes) -> None:
-        """Keep bytes of the body."""
-        if self._answer.poisoned or self._answer.stray or self._answer.informational:
+        """Buffer bytes of the body."""
+        if (
+            self._response.has_extra_response
+            or self._response.belongs_to_other_request
+            or self._response.informational
+        ):
             return
         self._parts.append(body)
-        self._buffered += len(body)
+        self._buffered_bytes += len(body)
 
     def on_message_complete(self) -> None:
-        """Note that the answer is whole."""
-        if self._answer.poisoned or self._answer.stray or self._answer.informational:
+        """Record that the response is complete."""
+        if (
+            self._response.has_extra_response
+            or self._response.belongs_to_other_request
+            or self._response.informational
+        ):
             return
-        self._answer.complete = True
-        self._answer.keep_alive = self._parser.should_keep_alive()
+        self._response.complete = True
+        self._response.keep_alive = self._parser.should_keep_alive()
 
-    # ---- inner ----
+    # ---- internals ----
 
     def _socket_error(self) -> int:
-        """Return the error that is pending on the socket, 0 for none.
+        """Return the pending error of the socket, 0 for none.
 
-        libuv tells the end of the stream where a reset came together with the last bytes (it takes
-        the hang-up for the end without another read); only the socket still knows.
+        libuv reports end of stream when a reset arrives together with the last bytes, since it
+        treats the hang-up as the end without another read. Only the socket shows the reset.
         """
         if self._transport is None:
             return 0
@@ -360,7 +373,7 @@
         except OSError as error:
             return error.errno or 1
 
-    def _set_idle_limit(self, head: AnswerHead) -> None:
+    def _set_idle_limit(self, head: ResponseHead) -> None:
         self.idle_limit_s = 0.0
         for part in (head.get("keep-alive") or "").split(","):
             name, _, value = part.strip().partition("=")
@@ -380,9 +393,9 @@
         self._notify()
 
     def _notify(self) -> None:
-        if self._wake is not None and not self._wake.done():
-            self._wake.set_result(None)
+        if self._waiter is not None and not self._waiter.done():
+            self._waiter.set_result(None)
 
     async def _wait(self) -> None:
-        self._wake = asyncio.get_running_loop().create_future()
-        await self._wake
+        self._waiter = asyncio.get_running_loop().create_future()
+        await self._waiter
--- a/src/wharfcart/node/serving_node.py
+++ b/src/wharfcart/node/serving_node.py
@@ -134,11 +134,13 @@
         self._poison_evidence_sync = PoisonEvidenceSync(
             poison_requests, self.coordination, self.mirror, self.random, self._relay_crashes
         )
-        self.metrics.contents_held.set_function(lambda: poison_requests.quarantined_count(time()))
+        self.metrics.quarantined_fingerprints.set_function(
+            lambda: poison_requests.quarantined_count(time())
+        )
         self.metrics.cold_backends.set_function(
             lambda: len(self.selector.cold_instances(monotonic()))
         )
-        self.metrics.mirror_age.set_function(lambda: min(self.mirror_sync.age_s, MAX_AGE_S))
+        self.metrics.mirror_age_seconds.set_function(lambda: min(self.mirror_sync.age_s, MAX_AGE_S))
         self.role_handler: Handler = _ignore
         self.count_nodes: Callable[[], int] = lambda: len(self.nodes)
 
@@ -274,7 +276,7 @@
         distance = "unknown"
         if zone is not None:
             distance = self.topology.distance(self.settings.zone, zone).name.lower()
-        self.metrics.sent_to_peer(distance, kind, size)
+        self.metrics.count_peer_message(distance, kind, size)
 
     # ---- mirror ----
 
@@ -299,7 +301,7 @@
     def _apply_configuration(self, change: KeyChange) -> None:
         if change.value is None:
             return
-        configuration = documents.configuration_from(change.value)
+        configuration = documents.parse_configuration(change.value)
         if self.configuration is not None and configuration.version <= self.configuration.version:
             return
         self.configuration = configuration
--- a/src/wharfcart/observability/decisions.py
+++ b/src/wharfcart/observability/decisions.py
@@ -1,7 +1,7 @@
-"""The decision log: one JSON line on standard output for each decision a process takes.
+"""Decision log: one JSON line on standard output for each decision of a process.
 
-Bounded and never blocking: lines wait in memory up to a bound and are written by a thread of their
-own, a few times a second. What does not fit is dropped and counted, and the count is logged.
+The log never blocks its callers. A bounded buffer holds the lines, and a thread writes them
+periodically. Lines over the bound or the rate limit are dropped, and their count is logged.
 """
 
 import asyncio
@@ -13,22 +13,22 @@
 from time import time
 from typing import Protocol
 
-MOST_WAITING_LINES = 2000
-MOST_LINES_A_SECOND = 200
-FLUSH_PERIOD_S = 0.5
-STANDARD_OUTPUT = 1
+MAX_PENDING_LINES = 2000
+MAX_LINES_PER_SECOND = 200
+FLUSH_INTERVAL_S = 0.5
+STDOUT_FD = 1
 
 
 class Counter(Protocol):
     """A counter with one label."""
 
     def add(self, label: str) -> None:
-        """Count one."""
+        """Increment the counter of a label."""
         ...
 
 
 class Event(StrEnum):
-    """Kinds of lines; docs/operations/decision-log.md lists the fields of each."""
+    """Types of log lines; docs/operations/decision-log.md lists the fields of each."""
 
     STARTED = "started"
     STOPPING = "stopping"
@@ -84,62 +84,64 @@
 
 
 class DecisionLog:
-    """Writer of one process's decision lines."""
+    """Decision log of one process."""
 
     def __init__(self, node_id: str) -> None:
         self._node_id = node_id
-        self._waiting: deque[str] = deque()
+        self._pending_lines: deque[str] = deque()
         self._dropped = 0
-        self._second = 0
+        self._current_second = 0
         self._lines_this_second = 0
 
     def write(self, event: Event, **fields: object) -> None:
-        """Log one decision; never waits.
+        """Log one decision without blocking.
 
-        Fields are plain values: ids, the inputs that decided with their age or version, the
-        outcome.
+        Args:
+            event: type of the line.
+            fields: plain values: ids, the inputs of the decision with their age or version, and
+                the outcome.
         """
         now = time()
-        if not self._within_rate(int(now)):
+        if not self._admit_line(int(now)):
             self._dropped += 1
             return
         line = {"time": round(now, 3), "node": self._node_id, "event": event.value, **fields}
-        self._waiting.append(json.dumps(line, default=str))
+        self._pending_lines.append(json.dumps(line, default=str))
 
     async def run(self) -> None:
-        """Write what waits, until cancelled; a stuck reader holds up only this."""
+        """Write pending lines periodically until cancelled; never blocks the event loop."""
         while True:
-            await asyncio.sleep(FLUSH_PERIOD_S)
-            if self._waiting:
-                data = self._take()
+            await asyncio.sleep(FLUSH_INTERVAL_S)
+            if self._pending_lines:
+                data = self._drain_pending_lines()
                 await asyncio.get_running_loop().run_in_executor(None, _write_all, data)
 
     def flush(self) -> None:
-        """Write what waits before the process ends."""
-        if self._waiting:
-            _write_all(self._take())
+        """Write all pending lines, before the process exits."""
+        if self._pending_lines:
+            _write_all(self._drain_pending_lines())
 
-    def _within_rate(self, second: int) -> bool:
-        if second != self._second:
-            self._second = second
+    def _admit_line(self, second: int) -> bool:
+        if second != self._current_second:
+            self._current_second = second
             self._lines_this_second = 0
         self._lines_this_second += 1
-        within = self._lines_this_second <= MOST_LINES_A_SECOND
-        return within and len(self._waiting) < MOST_WAITING_LINES
+        within_rate = self._lines_this_second <= MAX_LINES_PER_SECOND
+        return within_rate and len(self._pending_lines) < MAX_PENDING_LINES
 
-    def _take(self) -> bytes:
+    def _drain_pending_lines(self) -> bytes:
         if self._dropped:
             dropped, self._dropped = self._dropped, 0
-            self._second = 0
+            self._current_second = 0
             self.write(Event.LINES_DROPPED, count=dropped)
-        data = ("\n".join(self._waiting) + "\n").encode()
-        self._waiting.clear()
+        data = ("\n".join(self._pending_lines) + "\n").encode()
+        self._pending_lines.clear()
         return data
 
 
 def _write_all(data: bytes) -> None:
     try:
         while data:
-            data = data[os.write(STANDARD_OUTPUT, data) :]
+            data = data[os.write(STDOUT_FD, data) :]
     except OSError as error:
         print(f"decision log: {error}", file=sys.stderr)
--- a/src/wharfcart/observability/logs.py
+++ b/src/wharfcart/observability/logs.py
@@ -1,4 +1,4 @@
-"""Logs: JSON lines on standard error, with the ids of the request at hand."""
+"""Logs: JSON lines on standard error, with the ids of the current request."""
 
 import logging
 import sys
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True)
 class RequestContext:
-    """Ids that each line of a request carries."""
+    """Ids that are added to each log line of a request."""
 
     request_id: str = ""
     tenant: str = ""
@@ -38,7 +38,7 @@
         return True
 
 
-def configure_logs(level: str, node_id: str) -> None:
+def configure_logging(level: str, node_id: str) -> None:
     """Send all logs of the process to standard error as JSON lines."""
     handler = logging.StreamHandler(sys.stderr)
     formatter = JsonFormatter(
--- a/src/wharfcart/platform/metadata_store.py
+++ b/src/wharfcart/platform/metadata_store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store, as the coordination service."""
+"""Client of the platform's metadata store, which serves as the coordination service."""
 
 import asyncio
 import base64
@@ -25,51 +25,55 @@
 
 CONNECT_TIMEOUT_S = 0.5
 CALL_TIMEOUT_S = 2.0
-WATCH_MARGIN_S = 1.0
-KEEP_IDLE_S = 3.0
+WATCH_TIMEOUT_MARGIN_S = 1.0
+MAX_IDLE_S = 3.0
 
 
 class MetadataStore:
-    """Client of the store; one kept connection for watches, one for everything else."""
+    """Client of the metadata store; reuses idle connections."""
 
     def __init__(self, host: str, port: int, calls: Counter) -> None:
         self._host = host
         self._port = port
         self._calls = calls
-        self._idle: list[HttpConnection] = []
+        self._idle_connections: list[HttpConnection] = []
 
     async def read_all(self, stale: bool = False) -> ChangeBatch:
-        """Return every key, a page at a time; ``stale`` ones may be seconds old."""
+        """Return every key, read page by page.
+
+        Args:
+            stale: whether values may be some seconds old.
+        """
         found: list[KeyChange] = []
         after = ""
-        at = 0
+        first_revision = 0
         while True:
             query = f"?pathPrefix=&after={quote(after, safe='')}" if after else "?pathPrefix="
             query += "&stale=1" if stale else ""
             page = await self._call("GET", names.READ_RANGE + query)
-            # Pages are no snapshot: only the first one's revision is sure to be complete.
-            at = at or int(page["at"])
-            found += [_change(item) for item in page["requests"]]
+            # Later pages are newer; the batch is complete only up to the first page's revision.
+            first_revision = first_revision or int(page["at"])
+            found += [_parse_change(item) for item in page["requests"]]
             if not page.get("more") or not page["requests"]:
-                return ChangeBatch(tuple(found), at, complete=True)
+                return ChangeBatch(tuple(found), first_revision, complete=True)
             after = str(page["requests"][-1]["key"])
 
     async def wait_for_changes(self, after: int, wait_s: float) -> ChangeBatch:
-        """Wait for changes after a revision."""
+        """Return the changes after a revision; wait for the first one for at most ``wait_s``."""
         query = f"?pathPrefix=&after={after}&waitMs={int(wait_s * 1000)}"
-        page = await self._call("GET", names.WATCH + query, wait_s + WATCH_MARGIN_S)
-        return ChangeBatch(tuple(_change(event) for event in page["events"]), int(page["at"]))
+        page = await self._call("GET", names.WATCH + query, wait_s + WATCH_TIMEOUT_MARGIN_S)
+        return ChangeBatch(tuple(_parse_change(event) for event in page["events"]), int(page["at"]))
 
     async def read(self, key: str) -> KeyChange | None:
-        """Return one key."""
+        """Return the value of a key and its revision, or None."""
         query = f"?key={quote(key, safe='')}"
         try:
-            return _change(await self._call("GET", names.READ_KEY + query))
+            return _parse_change(await self._call("GET", names.READ_KEY + query))
         except KeyError:
             return None
 
     async def commit(self, transaction: Transaction) -> int:
-        """Carry out a transaction."""
+        """Execute a transaction and return its revision."""
         body = {
             "expectedRevision": [
                 {"key": key, "revision": revision} for key, revision in transaction.expected.items()
@@ -81,15 +85,15 @@
             "remove": list(transaction.remove),
         }
         data = json.dumps(body).encode()
-        answer = await self._call("POST", names.TRANSACTION, CALL_TIMEOUT_S, data)
-        return int(answer["revision"])
+        result = await self._call("POST", names.TRANSACTION, CALL_TIMEOUT_S, data)
+        return int(result["revision"])
 
     async def _call(
         self, method: str, target: str, timeout_s: float = CALL_TIMEOUT_S, body: bytes = b""
     ) -> dict[str, Any]:
         self._calls.add(target.partition("?")[0].rpartition("/")[2])
-        writes = method == "POST"
-        connection = await self._take()
+        is_write = method == "POST"
+        connection = await self._acquire_connection()
         try:
             async with asyncio.timeout(timeout_s):
                 headers = [("host", f"{self._host}:{self._port}")]
@@ -100,19 +104,19 @@
                 data = await connection.read_body()
         except (TimeoutError, ConnectionBrokenError) as error:
             connection.close()
-            raise CoordinationUnavailableError(str(error) or "no answer", writes) from error
+            raise CoordinationUnavailableError(str(error) or "no answer", is_write) from error
         except BaseException:
             connection.close()
             raise
         if connection.finish(monotonic()):
-            self._idle.append(connection)
-        return _checked(head.status, data, writes)
+            self._idle_connections.append(connection)
+        return _parse_response(head.status, data, is_write)
 
-    async def _take(self) -> HttpConnection:
+    async def _acquire_connection(self) -> HttpConnection:
         now = monotonic()
-        while self._idle:
-            connection = self._idle.pop()
-            if connection.reusable and now - connection.idle_since < KEEP_IDLE_S:
+        while self._idle_connections:
+            connection = self._idle_connections.pop()
+            if connection.reusable and now - connection.idle_since < MAX_IDLE_S:
                 return connection
             connection.close()
         try:
@@ -121,13 +125,13 @@
             raise CoordinationUnavailableError(f"connect: {error}") from error
 
 
-def _checked(status: int, data: bytes, writes: bool) -> dict[str, Any]:
+def _parse_response(status: int, data: bytes, is_write: bool) -> dict[str, Any]:
     if status == 200:
         try:
-            answer: dict[str, Any] = json.loads(data)
+            result: dict[str, Any] = json.loads(data)
         except ValueError as error:
-            raise CoordinationUnavailableError("answer is no JSON", writes) from error
-        return answer
+            raise CoordinationUnavailableError("response is not JSON", is_write) from error
+        return result
     if status == 404:
         raise KeyError
     if status == 410:
@@ -135,9 +139,9 @@
     if status == 412:
         raise ConditionFailedError
     refused = status in (400, 403, 429, 503)
-    raise CoordinationUnavailableError(f"status {status}", writes and not refused)
+    raise CoordinationUnavailableError(f"status {status}", is_write and not refused)
 
 
-def _change(item: dict[str, Any]) -> KeyChange:
+def _parse_change(item: dict[str, Any]) -> KeyChange:
     value = None if item.get("gone") else base64.b64decode(item.get("value", ""))
     return KeyChange(str(item["key"]), int(item["revision"]), value)
