--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -168,10 +168,10 @@
     with ThreadPoolExecutor(MAX_CONCURRENT_RUNS) as pool:
         outputs += pool.map(lambda one: play(*one), plays[1:])
     scores = [parse_worth(output) for output in outputs]
-    known_scores = [worth for worth in scores if worth is not None]
+    known_scores = [score for score in scores if score is not None]
     mean = sum(known_scores) / len(known_scores) if known_scores else 0.0
     broken = [rule for output in outputs for rule in re.findall(r"BROKEN: ([A-Z]+ \d+)", output)]
-    cells = " | ".join("no result" if worth is None else f"{worth:.3f}" for worth in scores)
+    cells = " | ".join("no result" if score is None else f"{score:.3f}" for score in scores)
     return f"{ablation.name} | {cells} | {mean:.3f} | {', '.join(broken)}"
 
 
--- a/src/wharfcart/experiments/cold_shares.py
+++ b/src/wharfcart/experiments/cold_shares.py
@@ -51,10 +51,10 @@
     """Result of one run.
 
     Attributes:
-        worst_over: most requests within one second at one back end, minus the allowed number.
-        asked: all requests.
+        max_excess: most requests within one second at one back end, minus the allowed number.
+        requested: all requests.
         refused: refused requests.
-        needless: refused requests although some back end was below its rate.
+        avoidable_refusals: refused requests although some back end was below its rate.
     """
 
     max_excess: float = -1e9
--- a/src/wharfcart/experiments/job_group_simulation.py
+++ b/src/wharfcart/experiments/job_group_simulation.py
@@ -105,7 +105,7 @@
         return self.zones.get(number, "")
 
     async def transmit(self, source: int, target: int) -> None:
-        """Wait for the one-way delay; over a cut link, or if the message is lost, for an hour."""
+        """Wait for the one-way delay; a cut or lost message waits longer than any timeout."""
         await asyncio.sleep(self.random.uniform(0.0003, 0.004))
         if self.topology.distance(self.zone_of(source), self.zone_of(target)) is OTHER_REGION:
             await asyncio.sleep(CROSS_REGION_DELAY_S)
--- a/src/wharfcart/experiments/limits.py
+++ b/src/wharfcart/experiments/limits.py
@@ -250,9 +250,9 @@
     """Result of a strategy.
 
     Attributes:
-        worst_window: requests in the busiest window of any tenant, over the window's limit.
-        refused_wrongly: refused requests over requests that a single bucket permits.
-        hot_share: requests of the hot tenant during its burst, over its limit.
+        max_window_share: requests in the busiest window of any tenant, over the window's limit.
+        wrongly_refused_share: refused share of the requests that a single bucket permits.
+        hot_tenant_share: requests of the hot tenant during its burst, over its limit.
     """
 
     max_window_share: float = 0.0
@@ -296,12 +296,12 @@
 
 
 def _max_requests_in_window(times: list[float]) -> int:
-    most = first = 0
+    max_requests = first = 0
     for last, at in enumerate(times):
         while times[first] <= at - WINDOW_S:
             first += 1
-        most = max(most, last - first + 1)
-    return most
+        max_requests = max(max_requests, last - first + 1)
+    return max_requests
 
 
 def run_limits(seed: int, output: Path, sizes: tuple[int, ...] = GATEWAY_COUNTS) -> dict[str, Any]:
--- a/src/wharfcart/experiments/main_job.py
+++ b/src/wharfcart/experiments/main_job.py
@@ -137,7 +137,7 @@
         return completed and text.strip() == answer_text(question, self._names.online_tokens)
 
     async def _check_idempotent_requests(self) -> None:
-        """Send each request twice at once with one idempotency key; both must get one answer."""
+        """Send each request twice at once with one idempotency key; both get one answer."""
         run = uuid.uuid4().hex[:8]
 
         async def once(number: int) -> bool:
--- a/src/wharfcart/experiments/simulated_slots.py
+++ b/src/wharfcart/experiments/simulated_slots.py
@@ -210,8 +210,8 @@
 
     Args:
         seed: of all random choices.
-        grants: slots are granted; otherwise gateways choose by load snapshots.
-        yields: online requests preempt batch items.
+        uses_grants: slots are granted; otherwise gateways choose by load snapshots.
+        preempts_items: online requests preempt batch items.
     """
 
     def __init__(
--- a/src/wharfcart/experiments/waves.py
+++ b/src/wharfcart/experiments/waves.py
@@ -36,7 +36,7 @@
     """Load and fleet size; rates per second, times in seconds.
 
     Attributes:
-        old_jobs: accepted before the start, evenly spaced over the deadline, with all progress
+        backlog_jobs: accepted before the start, evenly spaced over the deadline, with all progress
             lost: the state after a power loss of all machines.
     """
 
--- a/tests/experiments/test_capacity.py
+++ b/tests/experiments/test_capacity.py
@@ -18,7 +18,7 @@
     assert replace_table(page, table) == page
 
 
-def test_control_keeps_its_limits_where_the_page_says_so() -> None:
+def test_no_figure_exceeds_its_limit() -> None:
     rows = compute_rows(load_figures(ROOT / "docs/figures"))
     over = {(row.role, row.figure) for row in rows if row.verdict == "OVER"}
     assert over == set()
--- a/tests/experiments/test_waves.py
+++ b/tests/experiments/test_waves.py
@@ -19,7 +19,7 @@
     assert outcome.items_in_time == outcome.items
 
 
-def test_items_that_stay_make_online_requests_late() -> None:
+def test_without_preemption_online_requests_are_late() -> None:
     outcome = simulate(WavePolicy.NO_PREEMPTION, LOAD, 3)
     assert outcome.online_in_time_share(LOAD.objective_s) < 0.9
 
@@ -41,7 +41,7 @@
     assert outcome.online_in_time_share(load.objective_s) > 0.97
 
 
-def test_old_jobs_after_a_loss_of_power_do_not_make_the_later_ones_late() -> None:
+def test_a_backlog_after_a_power_loss_does_not_delay_later_jobs() -> None:
     load = WaveLoad(duration_s=10.0, servers=10, backlog_jobs=8)
     outcome = simulate(WavePolicy.GRANTS, load, 1)
     too_old = sum(due_s < 5.0 for due_s in _backlog_deadlines_s(load)) * 1.3 * load.job_items
--- a/tests/integration/clients.py
+++ b/tests/integration/clients.py
@@ -63,16 +63,16 @@
             "messages": [{"role": "user", "content": question}],
             "stream": True,
         }
-        text, ended = "", False
+        text, completed = "", False
         async with self.session.post(f"{url}/v1/chat/completions", json=body) as response:
             async for raw in response.content:
                 line = raw.strip()
                 if line == b"data: [DONE]":
-                    ended = True
+                    completed = True
                 elif line.startswith(b"data: "):
                     delta = json.loads(line[6:])["choices"][0]["delta"]
                     text += str(delta.get("content", ""))
-        return ended and text.strip() == answer_text(question, 48)
+        return completed and text.strip() == answer_text(question, 48)
 
     async def call(self, method: str, path: str, **arguments: Any) -> dict[str, Any]:
         """Make a call, retried at other nodes until one answers."""
--- a/tests/integration/conftest.py
+++ b/tests/integration/conftest.py
@@ -160,7 +160,7 @@
     async def scenario() -> None:
         client = Client(world.fleet)
         world.victim = await busiest_leader(world.fleet)
-        # Sends every request twice at once, like a client that retries.
+        # Sends every request twice concurrently, like a client that retries.
         tasks = [
             asyncio.create_task(client.effect(number + copy, f"key-{number}", f"vehicle-{number}"))
             for number in range(EFFECTS)
@@ -652,5 +652,5 @@
 
 
 @then("every promise was kept")
-def promises_kept(world: World) -> None:
+def all_checks_passed(world: World) -> None:
     assert world.passed
--- a/tests/integration/test_serving_fleet.py
+++ b/tests/integration/test_serving_fleet.py
@@ -317,7 +317,7 @@
     run_scenario(scenario)
 
 
-def test_all_killed_at_once_serve_again() -> None:
+def test_the_fleet_serves_again_after_all_processes_are_killed() -> None:
     async def scenario(fleet: ServingFleet) -> None:
         assert await submit(fleet, "job1", 4) == 202
         before = await all_results(fleet, "job1", 4)
