--- a/src/wharfcart/experiments/simulated_serving.py
+++ b/src/wharfcart/experiments/simulated_serving.py
@@ -129,7 +129,7 @@
         self._router.put_backend(backend, 0.0)
         gate = BackendGate(name, GateCapacity(ONLINE_SLOTS, BATCH_SLOTS), self._policy)
         free = self.mode is ServingMode.ORACLE
-        return _Engine(name, EngineCore(EngineModel(resume_is_free=free)), gate)
+        return _Engine(name, EngineCore(EngineModel(keeps_kv_cache=free)), gate)
 
     def run(self) -> ServingResult:
         """Run the workload and return the result."""
@@ -243,7 +243,7 @@
         self._wake(engine)
 
     def _wake(self, engine: _Engine) -> None:
-        if not engine.stepping and engine.core.busy:
+        if not engine.stepping and engine.core.is_busy:
             engine.stepping = True
             self._begin_step(engine)
 
@@ -254,7 +254,7 @@
 
     def _finish_step(self, engine: _Engine, step: StepResult) -> None:
         engine.core.finish_step(step, self.now)
-        for request in step.gained:
+        for request in step.token_receivers:
             if request.state in (StreamState.RUNNING, StreamState.FINISHED):
                 self._handle_token(engine, request)
         engine.stepping = False
--- a/src/wharfcart/gateway/interface.py
+++ b/src/wharfcart/gateway/interface.py
@@ -8,7 +8,7 @@
 from wharfcart.admission.limiter import Limiter
 from wharfcart.batch.jobs import BatchApiService
 from wharfcart.configuration.services import ServiceIndex
-from wharfcart.gateway.idempotency import KeyedRequests
+from wharfcart.gateway.idempotency import IdempotencyService
 from wharfcart.observability.metrics import Metrics
 
 
@@ -19,15 +19,15 @@
     node_id: str
     services: ServiceIndex
     limiter: Limiter
-    requests: KeyedRequests
+    idempotency: IdempotencyService
     jobs: BatchApiService
     metrics: Metrics
-    ready: Callable[[], bool]
-    most_file_bytes: int
+    is_ready: Callable[[], bool]
+    max_file_bytes: int
 
 
 @dataclass(frozen=True)
-class Route:
+class HttpRoute:
     """One handler and where it belongs.
 
     ``streams_in``: the handler reads the body itself, as it arrives.
@@ -36,4 +36,4 @@
     handler: Callable[..., Awaitable[HTTPResponse | None]]
     path: str
     method: str
-    streams_in: bool = False
+    streams_body: bool = False
--- a/src/wharfcart/gateway/online.py
+++ b/src/wharfcart/gateway/online.py
@@ -22,8 +22,8 @@
 from wharfcart.configuration.schema import TemplateKind, Tenant
 from wharfcart.configuration.services import Service
 from wharfcart.errors import Outcome, ServingError
-from wharfcart.gateway.idempotency import KeyedRequest, request_digest
-from wharfcart.gateway.interface import GatewayContext, Route
+from wharfcart.gateway.idempotency import IdempotentRequest, request_digest
+from wharfcart.gateway.interface import GatewayContext, HttpRoute
 from wharfcart.gateway.responses import (
     OUTCOME_HEADER,
     REQUEST_ID_HEADER,
@@ -35,10 +35,10 @@
 from wharfcart.gateway.schema import ChatCompletionRequest, CompletionRequest
 from wharfcart.observability.logs import request_context
 
-KEY_HEADER = "Idempotency-Key"
-MOST_KEY_LENGTH = 200
-PASSED_REQUEST_HEADERS = ("content-type", "accept", "x-business-key", "traceparent")
-PREFIX_CHARACTERS = 512
+IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
+MAX_KEY_LENGTH = 200
+FORWARDED_REQUEST_HEADERS = ("content-type", "accept", "x-business-key", "traceparent")
+PREFIX_BYTES = 512
 APPLICATION_METHODS = ("GET", "POST", "PUT", "PATCH", "DELETE")
 
 
@@ -48,17 +48,17 @@
     def __init__(self, context: GatewayContext) -> None:
         self._context = context
 
-    def routes(self) -> list[Route]:
+    def routes(self) -> list[HttpRoute]:
         """Return the handlers and where they belong."""
         return [
-            Route(self.chat, CHAT_PATH, "POST"),
-            Route(self.completion, COMPLETIONS_PATH, "POST"),
-            Route(self.models, "/v1/models", "GET"),
+            HttpRoute(self.chat, CHAT_PATH, "POST"),
+            HttpRoute(self.completion, COMPLETIONS_PATH, "POST"),
+            HttpRoute(self.models, "/v1/models", "GET"),
             *(
-                Route(self.application, "/v1/services/<service>/<path:path>", method)
+                HttpRoute(self.application, "/v1/services/<service>/<path:path>", method)
                 for method in APPLICATION_METHODS
             ),
-            Route(self.look_up, "/v1/requests/<key>", "GET"),
+            HttpRoute(self.look_up, "/v1/requests/<key>", "GET"),
         ]
 
     async def models(self, request: Request) -> HTTPResponse:
@@ -98,7 +98,7 @@
         backend_request = build_engine_request(
             service, path, body, request_id_of(request), batch=False
         )
-        prefix = xxhash.xxh3_64_hexdigest(backend_request.body[:PREFIX_CHARACTERS])
+        prefix = xxhash.xxh3_64_hexdigest(backend_request.body[:PREFIX_BYTES])
         return await self._serve(request, service, backend_request, prefix)
 
     async def application(self, request: Request, service: str, path: str) -> HTTPResponse | None:
@@ -106,7 +106,7 @@
         found = self._find_service(request, service, TemplateKind.APPLICATION)
         headers = {
             name: request.headers[name]
-            for name in PASSED_REQUEST_HEADERS
+            for name in FORWARDED_REQUEST_HEADERS
             if name in request.headers
         }
         if request.query_string:
@@ -119,7 +119,7 @@
     async def look_up(self, request: Request, key: str) -> HTTPResponse:
         """Tell what became of a request by its Idempotency-Key or its request id."""
         tenant: Tenant = request.ctx.tenant
-        record = await self._context.requests.look_up(tenant.name, key)
+        record = await self._context.idempotency.look_up(tenant.name, key)
         if not record.state:
             raise ServingError("request_not_found", f"no request under {key!r}", 404)
         answer: dict[str, Any] = {
@@ -152,7 +152,7 @@
         await limiter.check(f"tenant/{tenant.name}", tenant.limits)
         await limiter.check(f"service/{tenant.name}/{service.name}", service.limits)
         started_at = monotonic()
-        keyed = KeyedRequest(
+        keyed = IdempotentRequest(
             service,
             backend_request,
             started_at + service.deadline_seconds,
@@ -160,7 +160,7 @@
             idempotency_key(request),
             request_digest(request.method, request.path, request.body),
         )
-        async with aclosing(self._context.requests.run(keyed)) as parts:
+        async with aclosing(self._context.idempotency.run(keyed)) as parts:
             head = await anext(parts)
             self._context.metrics.first_byte_seconds.observe(monotonic() - started_at)
             if head.is_last:
@@ -194,9 +194,9 @@
     ServingError
         If it is too long.
     """
-    key: str | None = request.headers.get(KEY_HEADER)
-    if key is not None and not 0 < len(key) <= MOST_KEY_LENGTH:
-        raise bad_request(f"{KEY_HEADER} must have 1 to {MOST_KEY_LENGTH} characters")
+    key: str | None = request.headers.get(IDEMPOTENCY_KEY_HEADER)
+    if key is not None and not 0 < len(key) <= MAX_KEY_LENGTH:
+        raise bad_request(f"{IDEMPOTENCY_KEY_HEADER} must have 1 to {MAX_KEY_LENGTH} characters")
     return key
 
 
--- a/src/wharfcart/node/node.py
+++ b/src/wharfcart/node/node.py
@@ -8,7 +8,7 @@
 
 import aiohttp
 
-from wharfcart.admin.acceptance import ROOT, ConfigurationStore
+from wharfcart.admin.configuration_store import KEY_ROOT, ConfigurationStore
 from wharfcart.admin.handlers import AdminHandlers
 from wharfcart.admin.interface import AdminContext, NodeStatus
 from wharfcart.admission.limiter import Limiter
@@ -37,7 +37,7 @@
 from wharfcart.configuration.services import ServiceIndex
 from wharfcart.errors import ServingError
 from wharfcart.gateway.app import GatewayServer
-from wharfcart.gateway.idempotency import KeyedRequests
+from wharfcart.gateway.idempotency import IdempotencyService
 from wharfcart.gateway.interface import GatewayContext
 from wharfcart.node.call_handler import CallHandler
 from wharfcart.node.fleet import FleetContext, FleetDriver
@@ -56,7 +56,7 @@
 from wharfcart.storage.journal_client import JournalClient
 from wharfcart.storage.journal_database import open_database
 
-PLACEMENT_KEY = ROOT + "placement"
+PLACEMENT_KEY = KEY_ROOT + "placement"
 PLACEMENT_CHECK_INTERVAL_S = 0.5
 STATUS_TIMEOUT_S = 2.0
 MAX_CONCURRENT_STATUS_CALLS = 32
@@ -192,7 +192,7 @@
             self._journal,
             self._batch_leader,
         )
-        requests = KeyedRequests(
+        requests = IdempotencyService(
             self._journal_client, self._dispatcher, self.router, self.owner, self._tasks.track
         )
         jobs = BatchApiService(
--- a/tests/integration/test_poison_requests.py
+++ b/tests/integration/test_poison_requests.py
@@ -82,9 +82,9 @@
         return outcomes
 
     def _set_up_crashes(self, server: ModelServer) -> None:
-        server.fatal_bodies = {POISON_BODY}
-        server.events_before_end = self._events_before_crash
-        server.on_end = self._record_crash
+        server.poison_bodies = {POISON_BODY}
+        server.events_before_crash = self._events_before_crash
+        server.on_crash = self._record_crash
 
     def _record_crash(self, server: ModelServer, _body: bytes) -> None:
         self.crashed.append(server.instance_id)
@@ -202,7 +202,7 @@
 
 def test_a_gateway_without_coordination_service_shares_poison_evidence() -> None:
     async def scenario(fleet: CrashingFleet) -> None:
-        fleet.store.refused.add("gateway-0")
+        fleet.store.refused_node_ids.add("gateway-0")
 
         def both_ends_are_shared() -> bool:
             items = fleet.store.state.items
--- a/tests/integration/test_residence.py
+++ b/tests/integration/test_residence.py
@@ -35,7 +35,7 @@
     async def announce(self, server: ModelServer, service: str, state: str = "ready") -> None:
         """Write a server's entry; its number selects its zone."""
         zone = "abc"[int(server.instance_id[-1])]
-        entry = server.entry(service, zone, state) | {"address": self.address_of(server)}
+        entry = server.backend_entry(service, zone, state) | {"address": self.address_of(server)}
         await self.store.put(names.SERVER_PREFIX + server.instance_id, entry)
 
     async def apply_region_routes(self) -> None:
--- a/tests/integration/test_serving_fleet.py
+++ b/tests/integration/test_serving_fleet.py
@@ -116,8 +116,8 @@
 
 def test_a_gateway_refused_by_the_store_learns_from_its_peer() -> None:
     async def scenario(fleet: ServingFleet) -> None:
-        fleet.store.refused.add("gateway-0")
-        fleet.store.silent.add("gateway-0")
+        fleet.store.refused_node_ids.add("gateway-0")
+        fleet.store.unanswered_node_ids.add("gateway-0")
         added = {"kind": "safe", "timeoutMs": 2000, "backend": PLAIN_SERVICE, "maxAttempts": 1}
         await fleet.put_configuration(fleet.configuration(fresh=added))
 
@@ -134,7 +134,7 @@
     async def scenario(fleet: ServingFleet) -> None:
         gateway = fleet.gateways[0]
         fleet.signal(gateway, signal.SIGKILL)
-        fleet.store.silent.add("gateway-0")
+        fleet.store.unanswered_node_ids.add("gateway-0")
         fleet.start_node(gateway)
         await fleet.until(lambda: fleet.is_ready(gateway), 8.0)
         status, _, _ = await fleet.request(0, "/look/x", "r")
@@ -224,7 +224,7 @@
     """Guards against look-ups that wait for an unresponsive server until their deadline."""
 
     async def scenario(fleet: ServingFleet) -> None:
-        fleet.plain_servers[0].silent = True
+        fleet.plain_servers[0].is_unresponsive = True
         loop = asyncio.get_running_loop()
         for number in range(6):
             began = loop.time()
@@ -238,7 +238,7 @@
 def test_a_stream_moves_away_from_an_unresponsive_server() -> None:
     async def scenario(fleet: ServingFleet) -> None:
         for server in fleet.stream_servers[:2]:
-            server.silent = True
+            server.is_unresponsive = True
         for number in range(3):
             status, body, _ = await fleet.request(0, "/read/x", f"r{number}")
             assert (status, body) == (200, whole_stream(f"r{number}"))
@@ -249,7 +249,7 @@
 def test_the_route_timeout_is_enforced() -> None:
     async def scenario(fleet: ServingFleet) -> None:
         for server in fleet.plain_servers:
-            server.silent = True
+            server.is_unresponsive = True
         loop = asyncio.get_running_loop()
         began = loop.time()
         status, _, _ = await fleet.request(0, "/charge/x", "r1", deadline_ms=8000)
@@ -265,7 +265,7 @@
         await fleet.until(lambda: any(server.runs for server in fleet.stream_servers), 3.0)
         request.cancel()
         await fleet.until(
-            lambda: any(server.abandoned["r1"] for server in fleet.stream_servers), 0.5
+            lambda: any(server.abandoned_by_id["r1"] for server in fleet.stream_servers), 0.5
         )
 
     run_scenario(scenario, event_s=0.2)
@@ -371,7 +371,7 @@
 def test_items_that_can_not_be_done_are_listed_as_dead() -> None:
     async def scenario(fleet: ServingFleet) -> None:
         for server in fleet.stream_servers:
-            server.failing_ids = {"job1-0": 422, "job1-1": 500}
+            server.failure_status_by_id = {"job1-0": 422, "job1-1": 500}
         assert await submit(fleet, "job1", 3) == 202
         states = {result["id"]: result["state"] for result in await all_results(fleet, "job1", 3)}
         assert states == {
@@ -416,7 +416,7 @@
     """Guards against a server that reports healthy, fails every request and attracts more."""
 
     async def scenario(fleet: ServingFleet) -> None:
-        fleet.stream_servers[0].fails_with = 500
+        fleet.stream_servers[0].failure_status = 500
         failed = 0
         for number in range(60):
             status, _, _ = await fleet.request(number % 2, "/chat/x", f"r{number}")
@@ -508,7 +508,7 @@
         ]
         assert {run.tenant for run in runs_of_items} == {"t"}
         keys = {
-            run.key
+            run.api_key
             for server in (*fleet.stream_servers, *fleet.plain_servers)
             for run in server.runs
         }
--- a/tests/routing/test_changes_during_connect.py
+++ b/tests/routing/test_changes_during_connect.py
@@ -300,7 +300,7 @@
         assert (await harness.forward()).status == 200
         assert not len(harness.crash_detector.poison_requests)
         harness.crash_detector.poison_requests.record_crash(FINGERPRINT, "gone-1", 1.0, time())
-        harness.servers["a"].fails_with = 422
+        harness.servers["a"].failure_status = 422
         assert await harness.run_item("a") is RunOutcome.UNPROCESSABLE
         assert not len(harness.crash_detector.poison_requests)
 
--- /dev/null
+++ b/tests/soak/test_invariants.py
@@ -0,0 +1,203 @@
+"""The soak's verdict: each promise, broken in a history made by hand."""
+
+from wharfcart.emulator.model_server import ModelServer, RunRecord
+from wharfcart.soak.history import (
+    EvacuationRecord,
+    JobRecord,
+    RequestKind,
+    RequestRecord,
+    RouteRecord,
+    SoakHistory,
+)
+from wharfcart.soak.invariants import (
+    EVENTS_PER_STREAM,
+    ZoneBackend,
+    find_excessive_crashes,
+    find_runs_in_evacuated_zone,
+    find_violations,
+)
+from wharfcart.soak.tenants import (
+    LIMITED_REQUEST_PREFIX,
+    LIMITED_TENANT,
+    UNLIMITED_TENANT,
+    tenant_of,
+)
+
+
+def complete_stream(request_id: str) -> bytes:
+    return b"".join(
+        f"id: {n}\ndata: {request_id}-{n}\n\n".encode() for n in range(EVENTS_PER_STREAM)
+    )
+
+
+def complete_text(item: str) -> str:
+    return "\n".join(f"{item}-{n}" for n in range(EVENTS_PER_STREAM))
+
+
+def violations_of(
+    run_ids: list[str], *requests: RequestRecord, jobs: tuple[JobRecord, ...] = ()
+) -> list[str]:
+    server = ModelServer("i", EVENTS_PER_STREAM, 0.0)
+    server.runs = [RunRecord(run, 0, 1000, tenant=tenant_of(run).name) for run in run_ids]
+    history = SoakHistory(requests=list(requests), jobs_by_id={job.job_id: job for job in jobs})
+    return find_violations(history, [server])
+
+
+def request_record(kind: RequestKind, status: int | None, body: bytes = b"") -> RequestRecord:
+    return RequestRecord("r", kind, 0, 0.0, 0.1, status, body)
+
+
+def finished_job() -> JobRecord:
+    job = JobRecord("j", 2, [202], accepted_at=1.0, is_readable_at_end=True)
+    job.record_result(0, ("j-1", "succeeded", complete_text("j-1")), "")
+    job.record_result(1, ("j-0", "succeeded", complete_text("j-0")), "")
+    return job
+
+
+def test_valid_history_has_no_violations() -> None:
+    assert violations_of(["r"], request_record(RequestKind.STREAM, 200, complete_stream("r"))) == []
+    assert (
+        violations_of(["r", "r"], request_record(RequestKind.REPEATABLE, 200, b"answer to r")) == []
+    )
+    assert violations_of(["j-0", "j-1", "j-1"], jobs=(finished_job(),)) == []
+
+
+def test_truncated_response_is_a_violation() -> None:
+    assert violations_of(["r"], request_record(RequestKind.STREAM, 200, complete_stream("r")[:-9]))
+
+
+def test_response_of_another_request_is_a_violation() -> None:
+    assert violations_of(["r"], request_record(RequestKind.REPEATABLE, 200, b"answer to q"))
+
+
+def test_refused_request_that_ran_is_a_violation() -> None:
+    assert violations_of(["r"], request_record(RequestKind.AT_MOST_ONCE, 503))
+    assert violations_of([], request_record(RequestKind.AT_MOST_ONCE, 503)) == []
+
+
+def test_second_run_of_unrepeatable_request_is_a_violation() -> None:
+    assert violations_of(["r", "r"], request_record(RequestKind.AT_MOST_ONCE, None))
+    assert violations_of(["r", "r"], request_record(RequestKind.STREAM, None))
+
+
+def test_too_many_attempts_are_a_violation() -> None:
+    assert violations_of(["r"] * 3, request_record(RequestKind.REPEATABLE, 200, b"answer to r"))
+
+
+def test_not_found_for_a_configured_route_is_a_violation() -> None:
+    assert violations_of([], request_record(RequestKind.REPEATABLE, 404))
+
+
+def test_refused_job_that_ran_is_a_violation() -> None:
+    assert violations_of(["j-0"], jobs=(JobRecord("j", 1, [503, 503]),))
+    assert violations_of(["j-0"], jobs=(JobRecord("j", 1, [503, None]),)) == []
+
+
+def test_lost_job_is_a_violation() -> None:
+    job = finished_job()
+    job.is_readable_at_end = False
+    assert violations_of([], jobs=(job,))
+    job = finished_job()
+    job.denied_at = [3.0]
+    assert violations_of([], jobs=(job,))
+
+
+def test_poison_request_that_crashes_too_many_backends_is_a_violation() -> None:
+    assert find_excessive_crashes({b"fatal 0": 6, b"fatal 1": 7}, 3) == [
+        "fatal 1: 7 back ends ended while they ran it, 6 may"
+    ]
+
+
+def test_item_without_a_result_is_a_violation() -> None:
+    job = finished_job()
+    del job.results[1]
+    assert violations_of([], jobs=(job,))
+    job.cancelled_at = 2.0
+    assert violations_of([], jobs=(job,)) == []
+
+
+def test_item_run_after_cancellation_is_a_violation() -> None:
+    job = finished_job()
+    job.cancelled_at = 2.0
+    server = ModelServer("i", EVENTS_PER_STREAM, 0.0)
+    history = SoakHistory(started_at=100.0, jobs_by_id={"j": job})
+    server.runs = [RunRecord("j-0", 0, 1000, run_at=104.0, tenant=UNLIMITED_TENANT.name)]
+    assert find_violations(history, [server]) == []
+    server.runs = [RunRecord("j-0", 0, 1000, run_at=106.0, tenant=UNLIMITED_TENANT.name)]
+    assert find_violations(history, [server])
+
+
+def test_changed_result_is_a_violation() -> None:
+    job = finished_job()
+    job.record_result(1, ("j-0", "succeeded", complete_text("j-0")[:-1]), "at gateway 1")
+    assert violations_of([], jobs=(job,))
+
+
+def test_duplicate_or_truncated_result_is_a_violation() -> None:
+    job = finished_job()
+    job.record_result(2, ("j-0", "succeeded", complete_text("j-0")), "")
+    assert violations_of([], jobs=(job,))
+    job = JobRecord("j", 1, [202], accepted_at=1.0, is_readable_at_end=True)
+    job.record_result(0, ("j-0", "succeeded", complete_text("j-0")[:-1]), "")
+    assert violations_of([], jobs=(job,))
+
+
+def test_route_that_disappears_is_a_violation() -> None:
+    history = SoakHistory(routes=[RouteRecord("/added-0/", 1.0, regressed_processes=["0:17"])])
+    assert find_violations(history, [])
+
+
+def violations_of_runs(*runs: RunRecord) -> list[str]:
+    server = ModelServer("i", EVENTS_PER_STREAM, 0.0)
+    server.runs = list(runs)
+    return find_violations(SoakHistory(requests=[], jobs_by_id={}), [server])
+
+
+def test_wrong_tenant_or_forwarded_api_key_is_a_violation() -> None:
+    assert violations_of_runs(RunRecord("r", 0, 1000, tenant=LIMITED_TENANT.name))
+    assert violations_of_runs(RunRecord("r", 0, 1000, tenant=""))
+    assert violations_of_runs(
+        RunRecord("r", 0, 1000, tenant=UNLIMITED_TENANT.name, api_key="Bearer k")
+    )
+    assert violations_of_runs(RunRecord("r", 0, 1000, tenant=UNLIMITED_TENANT.name)) == []
+
+
+def test_runs_above_the_tenant_limit_are_a_violation() -> None:
+    def hot(count: int, gap_s: float) -> list[RunRecord]:
+        return [
+            RunRecord(f"{LIMITED_REQUEST_PREFIX}{n}", 0, 1000, n * gap_s, LIMITED_TENANT.name)
+            for n in range(count)
+        ]
+
+    assert violations_of_runs(*hot(46, 0.1)) == []
+    assert violations_of_runs(*hot(47, 0.1))
+    assert violations_of_runs(*hot(300, 0.2)) == []
+
+
+def test_rejection_of_a_valid_key_or_without_a_limit_is_a_violation() -> None:
+    assert violations_of([], request_record(RequestKind.REPEATABLE, 401))
+    assert violations_of([], request_record(RequestKind.REPEATABLE, 429))
+    limited = RequestRecord(f"{LIMITED_REQUEST_PREFIX}1", RequestKind.REPEATABLE, 0, 0.0, 0.1, 429)
+    assert violations_of([], limited) == []
+
+
+def evacuation_violations(
+    run_started_at: float, zone: str = "b", ended_at: float | None = 30.0
+) -> list[str]:
+    server = ModelServer("i", EVENTS_PER_STREAM, 0.0)
+    server.runs = [RunRecord("r", 0, 1000, run_started_at)]
+    served = ZoneBackend(server, zone, excused_intervals=((20.0, 21.0),))
+    return find_runs_in_evacuated_zone(served, [EvacuationRecord("b", 10.0, ended_at)])
+
+
+def test_run_in_an_evacuated_zone_is_a_violation() -> None:
+    assert evacuation_violations(12.5)
+    assert evacuation_violations(40.0, ended_at=None)
+    assert evacuation_violations(21.5)
+
+
+def test_evacuation_covers_its_zone_from_the_delay_to_its_end() -> None:
+    assert evacuation_violations(11.5) == []
+    assert evacuation_violations(31.0) == []
+    assert evacuation_violations(12.5, zone="a") == []
+    assert evacuation_violations(20.5) == []  # a node stood still
