--- a/benchmarks/granting.py
+++ b/benchmarks/granting.py
@@ -65,16 +65,16 @@
     numbers = iter(range(1, 10**9))
 
     def handle_instructions(instructions: list[object]) -> None:
-        for one in instructions:
-            if isinstance(one, Granted):
-                held.append((one.session, one.number))
-            elif isinstance(one, ItemOffered):
-                granter.handle(ItemStarted(leader, one.number, Urgency(15.0, 3.0)), now)
+        for instruction in instructions:
+            if isinstance(instruction, Granted):
+                held.append((instruction.session, instruction.number))
+            elif isinstance(instruction, ItemOffered):
+                granter.handle(ItemStarted(leader, instruction.number, Urgency(15.0, 3.0)), now)
 
     def request_slot() -> None:
         number = SlotNumber(next(numbers))
-        asked = SlotRequested(rng.choice(gateways), number, SERVICE, now + 0.28, now + 2.0)
-        handle_instructions(granter.handle(asked, now))
+        request = SlotRequested(rng.choice(gateways), number, SERVICE, now + 0.28, now + 2.0)
+        handle_instructions(granter.handle(request, now))
 
     if items:
         items_waiting = ItemsWaiting(leader, SERVICE, items, 0, Urgency(15.0, 3.0))
--- a/src/wharfcart/experiments/dev_fleet.py
+++ b/src/wharfcart/experiments/dev_fleet.py
@@ -118,9 +118,8 @@
 async def wait_for_fleet(urls: list[str], admin_key: str, nodes: int) -> None:
     """Wait until every node sees all nodes answering and each journal shard has a leader.
 
-    Raises
-    ------
-    TimeoutError
+    Raises:
+        TimeoutError: the fleet is not ready in time.
     """
     headers = {"Authorization": f"Bearer {admin_key}"}
     async with asyncio.timeout(START_TIMEOUT_S), aiohttp.ClientSession(headers=headers) as session:
@@ -144,10 +143,8 @@
 async def apply_document(url: str, admin_key: str, document: dict[str, object]) -> None:
     """Apply a configuration document and wait until it is in force on every node.
 
-    Raises
-    ------
-    RuntimeError
-        If the node rejects the document.
+    Raises:
+        RuntimeError: the node rejects the document.
     """
 
     body = {"document": yaml.safe_dump(document), "author": "dev", "wait": True}
--- a/src/wharfcart/experiments/job_group_simulation.py
+++ b/src/wharfcart/experiments/job_group_simulation.py
@@ -89,9 +89,8 @@
     def run(self) -> None:
         """Run the simulation and check every invariant.
 
-        Raises
-        ------
-        InvariantViolationError
+        Raises:
+            InvariantViolationError: an invariant does not hold.
         """
         with simulated_clock():
             run_in_virtual_time(self._run())
--- a/src/wharfcart/experiments/serving_fleet.py
+++ b/src/wharfcart/experiments/serving_fleet.py
@@ -131,9 +131,8 @@
     async def until(self, condition: Any, seconds: float) -> None:
         """Poll a condition, a function or coroutine function, until it holds.
 
-        Raises
-        ------
-        TimeoutError
+        Raises:
+            TimeoutError: the condition does not hold in time.
         """
         async with asyncio.timeout(seconds):
             while True:
@@ -190,9 +189,8 @@
     ) -> tuple[int, bytes, dict[str, str]]:
         """Send one request; return status, body and headers with lower-case names.
 
-        Raises
-        ------
-        aiohttp.ClientError: the connection closed before the response was complete.
+        Raises:
+            aiohttp.ClientError: the connection closed before the response was complete.
         """
         headers = {"Host": HOST, names.REQUEST_ID: request_id, names.DEADLINE_MS: str(deadline_ms)}
         key = more.pop("key", "")
