--- a/tests/experiments/test_waves.py
+++ b/tests/experiments/test_waves.py
@@ -1,4 +1,4 @@
-"""Experiment waves: the product's decisions in virtual time."""
+"""Experiment ``waves``: online requests and batch items in virtual time."""
 
 from wharfcart.experiments.waves import WaveLoad, WavePolicy, generate_arrivals, simulate
 
@@ -19,7 +19,7 @@
     assert outcome.items_in_time == outcome.items
 
 
-def test_items_that_stay_make_online_requests_late() -> None:
+def test_without_preemption_online_requests_are_late() -> None:
     outcome = simulate(WavePolicy.NO_PREEMPTION, LOAD, 3)
     assert outcome.online_in_time_share(LOAD.objective_s) < 0.9
 
@@ -34,15 +34,14 @@
 
 
 def test_batch_overload_prefers_items_that_can_meet_their_deadline() -> None:
-    """Items wait ever longer; run until each is nearly late, they all came late, one by one."""
+    """Guards against starting each item only when it is nearly late, so that all are late."""
     load = WaveLoad(duration_s=24.0, jobs_per_s=1.3)
     outcome = simulate(WavePolicy.GRANTS, load, 1)
-    # 0.43 where items start that are rather late than not.
     assert outcome.items_in_time > 0.55 * outcome.items
     assert outcome.online_in_time_share(load.objective_s) > 0.97
 
 
-def test_old_jobs_after_a_loss_of_power_do_not_make_the_later_ones_late() -> None:
+def test_a_backlog_after_a_power_loss_does_not_delay_later_jobs() -> None:
     load = WaveLoad(duration_s=10.0, servers=10, backlog_jobs=8)
     outcome = simulate(WavePolicy.GRANTS, load, 1)
     too_old = sum(due_s < 5.0 for due_s in _backlog_deadlines_s(load)) * 1.3 * load.job_items
