--- a/src/wharfcart/admission/backend_gate.py
+++ b/src/wharfcart/admission/backend_gate.py
@@ -182,7 +182,7 @@
         )
 
     def _prefilling_count(self, now: float) -> int:
-        """Return the number of batch requests that started within the current engine step."""
+        """Return the number of batch requests that the engine probably prefills in this step."""
         fitted = self.fit.coefficients()
         step_s = fitted[0] if fitted is not None else DEFAULT_STEP_S
         return sum(now - running.started_at < step_s for running in self.batch.values())
--- a/src/wharfcart/admission/poison_requests.py
+++ b/src/wharfcart/admission/poison_requests.py
@@ -35,7 +35,7 @@
 SAME_CRASH_S = 0.5
 # Separates instance id and time (in ms) in the key of every crash of an id but the first.
 CRASH_KEY_SEPARATOR = "#"
-# The longest quarantine.
+# Evidence is kept as long as the longest quarantine.
 EVIDENCE_TTL_S = 600.0
 # The oldest are evicted beyond this number.
 MAX_FINGERPRINTS = 1024
--- a/src/wharfcart/admission/tenant_limits.py
+++ b/src/wharfcart/admission/tenant_limits.py
@@ -28,7 +28,7 @@
 
 from wharfcart.configuration.serving import RequestLimit
 
-# Limits hold over every span of this length.
+# Limits hold over every span of this length; a new coordinator looks back as far.
 WINDOW_S = 5.0
 # A disconnected gateway sends for this long; the coordinator reserves its share a little longer.
 MAX_DISCONNECTED_S = 20.0
@@ -36,13 +36,16 @@
 # Share of a window's requests for a gateway that never had contact, and its least number.
 NO_CONTACT_SHARE = 1 / 16
 MIN_NO_CONTACT_REQUESTS = 4.0
-# Share of a window's requests that a new coordinator grants beyond the rate; bounds the excess.
+# Share of a window's requests that a new coordinator grants beyond the rate in its first window.
+# Bounds the excess if gateways lost with the previous coordinator had sent a whole burst.
 INITIAL_BURST_SHARE = 1 / 6
-# The coordinator reports the usage of tenants above this share of their limit.
+# The coordinator reports the usage of tenants above this share of their limit. Below it, requests
+# of gateways that a new coordinator does not know are assumed to be few compared with the limit.
 REPORTED_SHARE = 0.25
 # Above this share of its limit a tenant is near it.
 NEAR_LIMIT_SHARE = 0.7
-# Coordinators report usage several times per second; older reports are ignored.
+# Coordinators report usage several times per second. If the last report is older than this, a new
+# coordinator assumes that gateways not connected to it use the whole limit.
 MAX_USAGE_AGE_S = 1.5
 # Upper bound of the retry time sent to callers.
 MAX_RETRY_AFTER_S = WINDOW_S
@@ -94,7 +97,8 @@
         """Whether one more request stays within the rate before the disconnect.
 
         For a tenant near its limit that is the rate of the last window before the disconnect. For
-        other tenants it is the rate of the busiest recent window, which the limit still covers.
+        other tenants it is the rate of the busiest recent window, for which their limit has
+        headroom.
 
         Args:
             tenant: name of the tenant.
--- a/src/wharfcart/routing/backend_selection.py
+++ b/src/wharfcart/routing/backend_selection.py
@@ -78,7 +78,7 @@
         peers_unread_tokens: unread prompt tokens of these requests.
         avoided_by_granter: whether the granting node avoids the instance.
         snapshot_at: time at which the snapshot was received.
-        outcomes: recent outcomes of this node's requests.
+        outcomes: recent outcomes known to this node; to a granting node, also those of its holders.
         cold: until when the instance is cold, as it reported.
     """
 
@@ -123,7 +123,7 @@
         return now < self.avoid_until
 
     def is_failing(self, now: float) -> bool:
-        """Whether too many recent answers to this node failed."""
+        """Whether too many of the recent outcomes known to this node are failures."""
         return counts_as_failing(*self.outcomes.counts(now))
 
     def is_unresponsive(self, now: float) -> bool:
@@ -166,8 +166,8 @@
     def put(self, instance: BackendInstance, now: float = 0.0, revision: int = 0) -> None:
         """Add or update an instance from its entry in discovery.
 
-        The state of an instance that restarted under its id is reset. Entries of an earlier life
-        than the known one are ignored.
+        The state of an instance that restarted under its id is reset. Entries from before the known
+        start are ignored.
 
         Args:
             instance: the entry.
--- a/src/wharfcart/routing/cold_backends.py
+++ b/src/wharfcart/routing/cold_backends.py
@@ -35,7 +35,8 @@
 # Assumed number of gateways while it is unknown.
 MAX_GATEWAYS = 512
 HASH_RANGE = 1 << 64
-# Bucket sizes. Above one token, to make up for refills only on requests and ticks.
+# Bucket sizes. What a granting node saves above one token makes up for refills only on requests and
+# ticks.
 GRANTED_MAX_TOKENS = 1.5
 LOCAL_MAX_TOKENS = 1.0
 # A permitted request whose connection takes longer than this is placed again.
@@ -145,7 +146,7 @@
             bucket.tokens -= 1.0
 
     def retain(self, cold: Collection[str]) -> None:
-        """Discard the buckets of back ends that are no longer cold."""
+        """Discard the buckets of back ends that are no longer cold; later ones start empty."""
         for instance_id in [key for key in self._buckets if key not in cold]:
             del self._buckets[instance_id]
 
--- a/src/wharfcart/routing/crash_detection.py
+++ b/src/wharfcart/routing/crash_detection.py
@@ -26,7 +26,8 @@
 # Upper bound of the delay of a retry by the inspection.
 MAX_INSPECTION_WAIT_S = 0.1
 MAX_CONNECTION_CHECKS = 2
-# Shorter than a restart: a run interrupted later may have run on a restarted back end.
+# All runs of a crashed back end are interrupted within this time. Shorter than a restart: a run
+# interrupted later may have run on a restarted back end.
 CRASH_TTL_S = 1.0
 # The oldest crashes are evicted beyond this number.
 MAX_REMEMBERED_CRASHES = 256
--- a/src/wharfcart/routing/outcome_record.py
+++ b/src/wharfcart/routing/outcome_record.py
@@ -1,8 +1,8 @@
 """Decaying counts of a back end's recent successes and failures.
 
 A back end that fails every request at once looks idle and attracts all load, even if its health
-check passes. Only its answers show the failure. Each node sees few of them, so nodes sum up their
-counts in the load snapshots.
+check passes. Only its answers show the failure. Each node sees few of them, so holders report
+theirs to the granting node, whose load snapshots name the back ends to avoid.
 
 This module does no I/O; callers pass in the time in seconds.
 """
@@ -40,5 +40,5 @@
 
 
 def counts_as_failing(successes: float, failures: float) -> bool:
-    """Whether counts, summed over nodes, mark a back end as failing."""
+    """Whether decayed counts mark a back end as failing."""
     return failures >= MIN_FAILURES and failures / (successes + failures) >= FAILING_SHARE
--- a/src/wharfcart/routing/placement.py
+++ b/src/wharfcart/routing/placement.py
@@ -9,7 +9,8 @@
 from wharfcart.configuration.serving import RequestLimit
 from wharfcart.routing.backend_selection import BackendSelector, InstanceState
 
-# Retry time if only cold back ends are left without a share; a granting node is found within it.
+# Retry time if all back ends are cold and this gateway has no share left; a granting node is found
+# within it.
 RETRY_AFTER_COLD_S = 0.5
 
 
--- a/src/wharfcart/routing/region_reachability.py
+++ b/src/wharfcart/routing/region_reachability.py
@@ -14,7 +14,8 @@
 
 # Different back ends that fail to connect in a row before their region counts as unreachable.
 MIN_CONSECUTIVE_FAILURES = 3
-# Sessions with granting nodes detect a restored region sooner; this covers regions without them.
+# Interval of probes by one request each. Sessions with granting nodes detect a restored region
+# sooner; this covers regions without granting nodes.
 PROBE_PERIOD_S = 1.0
 
 
--- a/src/wharfcart/routing/sender.py
+++ b/src/wharfcart/routing/sender.py
@@ -37,7 +37,7 @@
 # A repeatable request is hedged if no answer has begun after this share of its objective.
 HEDGE_DELAY_SHARE = 0.55
 MIN_HEDGE_DELAY_S = 0.06
-# A stream without data for this time is resumed at another back end.
+# A resumable stream without data for this time is resumed at another back end.
 STREAM_STALL_TIMEOUT_S = 1.6
 STATUS_UNAVAILABLE = 503
 STATUS_TIMEOUT = 504
--- a/tests/admission/test_tenant_limits.py
+++ b/tests/admission/test_tenant_limits.py
@@ -294,20 +294,20 @@
             fleet.now += gap_s
             fleet.request(fleet.gateways[turn % 4])
 
-    def change_home(gone: int) -> None:
-        heard = [gateway for gateway in fleet.gateways if gateway.connected]
+    def change_coordinator(gone: int) -> None:
+        connected_gateways = [gateway for gateway in fleet.gateways if gateway.connected]
         fleet.replace_coordinator()
-        for gateway in heard:
+        for gateway in connected_gateways:
             if gateway is not fleet.gateways[gone]:
                 fleet.connect(gateway)
 
     send(3, 14, 0.3)
     fleet.now += 3.0
     send_everywhere(102, 0.005)
-    change_home(gone=3)
+    change_coordinator(gone=3)
     fleet.now += 1.0
     send(3, 41, 0.1)
-    change_home(gone=1)
+    change_coordinator(gone=1)
     send(0, 7, 0.3)
     send_everywhere(29, 0.1)
     assert fleet.max_window_count() <= 1.25 * window_limit(fleet.limit) + 4
