--- a/src/wharfcart/slots/granter.py
+++ b/src/wharfcart/slots/granter.py
@@ -47,12 +47,13 @@
 from wharfcart.slots.snapshot import ServiceCapacity, SlotSnapshot
 from wharfcart.slots.urgency import Urgency
 
-# As a share of a back end's slots.
+# Of the round trip and setup, as a share of a back end's slots.
 NEW_CONNECTION_COST = 0.25
 # An item that is preempted within this time wastes more than it completes.
 RESTART_COST_S = 0.06
 MIN_RETRY_AFTER_S = 0.2
 MAX_RETRY_AFTER_S = 1.5
+# The most loaded back ends: holders count the others as idle.
 MAX_BACKENDS_PER_SNAPSHOT = 48
 # Slot numbers below this one are assigned by holders.
 FIRST_OFFER_NUMBER = 1 << 40
@@ -150,7 +151,7 @@
         return self._assign_free_slots(now)
 
     def tick(self, now: float) -> list[SlotInstruction]:
-        """Refuse expired requests, preempt excess items and assign slots that time has freed."""
+        """Refuse expired requests, preempt excess items and retry back ends avoided until now."""
         self._backends.fill_cold_buckets(now)
         refused = [
             self._refuse(request, RefusalCause.TIMED_OUT, now)
@@ -301,7 +302,7 @@
     def _best_backend(
         self, request: SlotRequested, candidates: list[InstanceState], now: float
     ) -> InstanceState:
-        """Return the back end for a request: with a free slot, else with a preemptible item."""
+        """Return the back end: one with a free slot, else with a preemptible item, else any."""
         if request.affinity_key:
             return select_by_affinity(
                 self._backends.warm_with_free_slot(candidates, now) or candidates,
@@ -406,7 +407,7 @@
     def _reserved_for_online(
         self, service: str, residence: Residence, free: list[InstanceState], now: float
     ) -> bool:
-        """Whether free slots are reserved for online requests and not offered to patient items.
+        """Whether free slots are reserved for online requests, from items that are not urgent.
 
         Only requests that may use one of the slots reserve them.
         """
--- a/src/wharfcart/slots/group_backends.py
+++ b/src/wharfcart/slots/group_backends.py
@@ -24,7 +24,8 @@
 COLD_COST = 2.0
 # Mean time for which a slot is taken.
 SLOT_TURNOVER_S = 0.5
-# Lifetime of the cached list of usable back ends.
+# Lifetime of the cached list of usable back ends. Failures drop it at once; what only time changes,
+# such as the end of a back-off, can wait this long.
 USABLE_TTL_S = 0.02
 
 
--- a/src/wharfcart/slots/group_order.py
+++ b/src/wharfcart/slots/group_order.py
@@ -18,7 +18,8 @@
 
 RequestStep = tuple[int, RequestMode]
 
-# Waiting requests per slot that are added to a queue in another region.
+# Added to the waiting requests per slot of a queue in another region: about as many as are served
+# during the round trips there.
 REMOTE_QUEUE_PENALTY = 0.25
 
 
@@ -64,7 +65,8 @@
 ) -> list[RequestStep]:
     """Return the groups to request a slot from for a long shared prompt.
 
-    Groups with capacity come first, then groups in the own region, ordered by a hash of the key.
+    Groups with capacity come first, then groups in the own region, ordered by a hash of the key, so
+    that requests with one prompt reach the group whose back ends have it cached.
 
     Args:
         capacity_by_group: capacity for the service as the granting nodes reported it last.
--- a/src/wharfcart/slots/item_slots.py
+++ b/src/wharfcart/slots/item_slots.py
@@ -213,8 +213,9 @@
 ) -> dict[int, int]:
     """Divide waiting items over groups in proportion to one more than their free slots.
 
-    Groups in other regions get only items for which the own region has no free slot, and no more
-    than their free slots. Parts are rounded up; a surplus offer is released.
+    So a group without free slots still gets some. Groups in other regions get only items for which
+    the own region has no free slot, and no more than their free slots. Parts are rounded up; a
+    surplus offer is released.
 
     Args:
         count: waiting items.
--- a/src/wharfcart/slots/ledger.py
+++ b/src/wharfcart/slots/ledger.py
@@ -11,7 +11,7 @@
 from wharfcart.slots.events import HolderId, SessionKey, SlotNumber, SlotUse
 from wharfcart.slots.urgency import Urgency
 
-# Lower bound.
+# Back ends prefill at least this fast.
 PREFILL_TOKENS_PER_SECOND = 40_000
 # Delay until prefill starts.
 READ_START_S = 0.05
@@ -23,7 +23,7 @@
 
     Attributes:
         taken_at: monotonic time at which the slot was taken.
-        preempted: its batch item was told to stop.
+        preempted: its batch item must stop.
     """
 
     session: SessionKey
@@ -79,7 +79,7 @@
         self._key_by_holder[key.holder] = key
         for use in uses:
             self.take(key, use, now)
-            # The run may be among those that the back end reported as orphaned.
+            # The run may be among those counted as orphaned by the back end's last report.
             if use.instance_id in self._orphaned_by_instance:
                 self.set_orphaned_runs(use.instance_id, self.orphaned_runs(use.instance_id) - 1)
 
@@ -153,7 +153,7 @@
         taken.use = replace(taken.use, item=urgency)
 
     def mark_preempted(self, taken: TakenSlot) -> None:
-        """Record that a batch item was told to stop."""
+        """Record that a batch item must stop."""
         if not taken.preempted and taken.use.item is not None:
             _adjust_count(self._preemptible_by_instance, taken.use.instance_id, -1)
         taken.preempted = True
@@ -182,7 +182,7 @@
         return self._in_use_by_instance.get(instance_id, 0)
 
     def preemptible_count(self, instance_id: str) -> int:
-        """Return the number of batch items at a back end that were not told to stop."""
+        """Return the number of batch items at a back end that are not preempted."""
         return self._preemptible_by_instance.get(instance_id, 0)
 
     def unread_tokens(self, instance_id: str, now: float) -> int:
@@ -195,12 +195,12 @@
         return sum(tokens for _, tokens in unread)
 
     def preemptible_items(self, instance_id: str) -> list[TakenSlot]:
-        """Return the slots of a back end's batch items that were not told to stop."""
+        """Return the slots of a back end's batch items that are not preempted."""
         taken = self._taken_by_instance.get(instance_id, {}).values()
         return [slot for slot in taken if slot.use.item is not None and not slot.preempted]
 
     def preempted_count(self, instance_id: str) -> int:
-        """Return the number of batch items at a back end that were told to stop and still run."""
+        """Return the number of preempted batch items that still run at a back end."""
         return sum(slot.preempted for slot in self._taken_by_instance.get(instance_id, {}).values())
 
     def _set_unread(self, instance_id: str, slots: list[TakenSlot]) -> None:
--- a/src/wharfcart/slots/service.py
+++ b/src/wharfcart/slots/service.py
@@ -57,6 +57,7 @@
 )
 from wharfcart.slots.snapshot import SlotSnapshot
 
+# Interval of what depends on time alone: expired requests and ended back-offs.
 TICK_S = 0.05
 # Interval of heartbeats to a holder whose request waits.
 WAIT_HEARTBEAT_S = 0.1
@@ -65,9 +66,11 @@
 # Longer, as these holders send fewer requests here and their traffic costs more.
 OTHER_ZONE_SNAPSHOT_INTERVAL_S = 1.0
 OTHER_REGION_SNAPSHOT_INTERVAL_S = 1.0
+# With many holders, snapshots are sent less often.
 MAX_SNAPSHOTS_PER_SECOND = 400
 # Interval at which gateways receive the addresses of relays.
 RELAYS_INTERVAL_S = 5.0
+# Enough that probably one has contact even if a third of all gateways is disconnected.
 MAX_RELAYS = 6
 # Between snapshots that are sent early because the avoided back ends changed.
 MIN_SNAPSHOT_GAP_S = 0.05
@@ -187,7 +190,7 @@
     # ---- calls of holders ----
 
     async def serve_session(self, message: OpenSlotSession, respond: Respond) -> None:
-        """Serve a session until this node stops granting; cancelled if the connection closes."""
+        """Serve a session until it is closed or granting stops; cancelled on disconnect."""
         granter = self._granter
         if granter is None and message.limits_only:
             await self._serve_permits_only(message, respond)
@@ -378,7 +381,10 @@
             outbox.wake.set()
 
     def _send_due_snapshots(self, granter: SlotGranter, now: float) -> None:
-        """Send load snapshots that are due, or early if the avoided back ends changed."""
+        """Send load snapshots that are due, or early if the avoided back ends changed.
+
+        Holders in other regions get no early snapshots, as traffic between regions costs most.
+        """
         avoided = granter.avoided(now)
         changed = avoided != self._avoided and now - self._same_zone_sent_at >= MIN_SNAPSHOT_GAP_S
         period_s = max(SNAPSHOT_INTERVAL_S, len(self._outboxes) / MAX_SNAPSHOTS_PER_SECOND)
--- a/src/wharfcart/slots/session.py
+++ b/src/wharfcart/slots/session.py
@@ -51,11 +51,13 @@
 GRANT_TIMEOUT_S = 0.04
 # Requests to a node pause for this time after one has failed.
 PAUSE_AFTER_TIMEOUT_S = 0.5
+# Longer than the interval of heartbeats from a node at which a request waits.
 WAIT_HEARTBEAT_TIMEOUT_S = 0.25
-# Longer than the interval of snapshots at any number of holders.
+# Longer than the interval of snapshots to hundreds of holders.
 UPDATES_TIMEOUT_S = 2.0
 # To open a session with a backup coordinator, in addition to the round trips.
 BACKUP_TIMEOUT_S = 0.15
+# Of the check whether another node grants now.
 ADDRESS_CHECK_INTERVAL_S = 0.1
 # Mean of a random delay.
 REOPEN_DELAY_S = 0.1
--- a/src/wharfcart/slots/snapshot.py
+++ b/src/wharfcart/slots/snapshot.py
@@ -58,7 +58,7 @@
     gateways: int = 0
 
     def for_other_region(self) -> "SlotSnapshot":
-        """Return a smaller snapshot for holders in other regions: only avoided back ends."""
+        """Return a smaller snapshot for other regions; its back ends are only the avoided ones."""
         avoided = tuple(load for load in self.backends if load.avoided)
         return replace(self, backends=avoided)
 
--- a/src/wharfcart/slots/urgency.py
+++ b/src/wharfcart/slots/urgency.py
@@ -7,9 +7,10 @@
 
 # An item with less slack is urgent.
 MIN_SLACK_S = 1.0
-# Of the remaining run time, which is 1.3 times the mean; with less time left an item is too late.
+# Share of the remaining run time. That is estimated as 1.3 times the mean, so an item with less
+# time left is more likely late than not, and would only take slots from items that can be in time.
 TOO_LATE_FRACTION = 0.77
-# Of the estimated run time; the least that an item is assumed to still run.
+# Share of the estimated run time; the least that an item is assumed to still run.
 MIN_REMAINING_FRACTION = 0.2
 
 
@@ -37,7 +38,7 @@
 
     @property
     def is_urgent(self) -> bool:
-        """Whether the item finishes in time only if it starts now."""
+        """Whether the item finishes in time only if it runs from now on."""
         return not self.is_too_late and self.slack_s < MIN_SLACK_S
 
     @property
