--- a/src/wharfcart/cluster/membership.py
+++ b/src/wharfcart/cluster/membership.py
@@ -45,9 +45,11 @@
 MAX_UPDATES_PER_MESSAGE = 12
 RETRANSMIT_FACTOR = 4
 MAX_LOCAL_HEALTH = 8
-DEAD_RETENTION_S = 7200.0  # longer than a partition between regions
+DEAD_RETENTION_S = 7200.0  # longer than a partition between regions, which may last an hour
 RECONNECT_INTERVAL_S = 5.0  # between two probes of dead members
-MASS_SUSPICION_COUNT = 20  # suspects that double the timeout, as refutations take longer then
+# This many suspects mean a zone or link failure, in which refutations take longer: they double the
+# suspicion timeout.
+MASS_SUSPICION_COUNT = 20
 JOIN_RETRY_INTERVAL_S = 0.5
 DIGEST_FANOUT = 3
 RING_SIZE = 2**64
@@ -244,7 +246,8 @@
         """Run due timers: probes, suspicion timeouts, joins, and removal of dead members."""
         actions: list[MembershipAction] = []
         if self._last_tick_at is not None and now - self._last_tick_at > PAUSE_THRESHOLD_S:
-            self._probe = None  # the acknowledgement may have arrived during the pause
+            # The acknowledgement may have arrived during the pause: suspect nobody.
+            self._probe = None
         self._last_tick_at = now
         if not self.members and now >= self._next_join_at:
             actions.extend(self._join(now))
@@ -363,7 +366,7 @@
     def _indirect_probers(self, target: Member) -> list[Member]:
         """Choose members for indirect probes, preferring the target's zone.
 
-        A failed link between zones does not affect the members of the target's zone.
+        These still reach the target if a link between zones has failed.
         """
         peers = self._random_peers(len(self.members), target.node_id)
         peers.sort(key=lambda peer: peer.zone != target.zone)
@@ -413,8 +416,8 @@
         return [*actions, self._send(suspected, PING)]
 
     def _suspicion_timeout_s(self) -> float:
-        load_factor = min(2.0, len(self._suspected_until) / MASS_SUSPICION_COUNT)
-        return SUSPICION_TIMEOUT_S * (1 + max(load_factor, self._local_health / MAX_LOCAL_HEALTH))
+        suspect_ratio = min(2.0, len(self._suspected_until) / MASS_SUSPICION_COUNT)
+        return SUSPICION_TIMEOUT_S * (1 + max(suspect_ratio, self._local_health / MAX_LOCAL_HEALTH))
 
     def _declare_dead(self, node_id: str, now: float) -> list[MembershipAction]:
         member = self.members.get(node_id)
@@ -487,7 +490,8 @@
 
     def _select_rumours(self, receiver: str | None) -> list[Member]:
         limit = RETRANSMIT_FACTOR * ceil(log10(len(self.members) + 2))
-        # Send alive and suspect states first: a refutation must overtake the death it refutes.
+        # Of rumours sent equally often, send alive and suspect states first: a refutation must
+        # overtake the death it refutes.
         least_sent_first = sorted(
             self._rumours.values(),
             key=lambda rumour: (rumour.sent, rumour.member.state not in (ALIVE, SUSPECT)),
--- a/src/wharfcart/cluster/peer_selection.py
+++ b/src/wharfcart/cluster/peer_selection.py
@@ -21,15 +21,18 @@
 from wharfcart.cluster.topology import Distance, RegionName, Topology
 
 MIN_READERS = 2
+# Each reader costs the service a call per second; each follower costs its reader two small messages
+# per second.
 PEERS_PER_READER = 10
 # State confirmed longer ago than this may lack changes that other nodes have applied.
 STALE_AFTER_S = 1.5
 AVOID_FAILED_S = 2.0
-# Failed readers of the own region at which the region itself counts as cut off.
+# Peers of the own region that failed within AVOID_FAILED_S at which the region counts as cut off.
 REGION_FAILURE_THRESHOLD = 2
 # Time without failures in the own region before a peer is replaced by a better ranked one.
 SWITCH_DELAY_S = 5.0
-# Further time before the last peer of another region is replaced.
+# Further time before the last peer of another region is replaced, in which the peer found in the
+# own region must hold.
 TRIAL_PERIOD_S = 3.0
 
 
--- a/src/wharfcart/cluster/transport.py
+++ b/src/wharfcart/cluster/transport.py
@@ -26,7 +26,8 @@
 MAX_FRAME_BYTES = 32 * 1024 * 1024
 MAX_BUFFERED_BYTES = 16 * 1024 * 1024
 CONNECT_TIMEOUT_S = 1.0
-# A connection is closed once sent bytes stay unacknowledged for this time, as by a failed machine.
+# A connection is closed once sent bytes stay unacknowledged for this time, because the machine has
+# probably failed. A machine that pauses for less time keeps its connections.
 UNACKNOWLEDGED_TIMEOUT_MS = 2500
 ROUND_TRIP_SAMPLE_KINDS = frozenset(("slot_request", "permit_request", "replicate_jobs"))
 
@@ -251,7 +252,7 @@
             ServingError: the peer responded with an error.
         """
         connection = await self._connect(address, traffic)
-        # Only requests that are answered without work measure the round-trip time.
+        # Only requests that are answered immediately measure the round-trip time.
         sent_at = monotonic() if frame.WhichOneof("body") in ROUND_TRIP_SAMPLE_KINDS else None
         async with aclosing(connection.call(frame)) as answers:
             async for answer in answers:
--- a/src/wharfcart/configuration/api_keys.py
+++ b/src/wharfcart/configuration/api_keys.py
@@ -8,7 +8,7 @@
 
 KeyDigest = NewType("KeyDigest", str)
 
-# Hexadecimal digits of a digest in logs.
+# Hexadecimal digits of a digest in logs: enough to tell keys apart, too few to reveal a key.
 SHORT_DIGEST_DIGITS = 8
 
 
--- a/src/wharfcart/configuration/instances.py
+++ b/src/wharfcart/configuration/instances.py
@@ -5,7 +5,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendInstance:
-    """One instance of a back end, from its start to its end.
+    """One instance of a back end, from its start until it stops.
 
     The address does not identify it: another service may reuse the address later.
 
--- a/src/wharfcart/configuration/revisioned_map.py
+++ b/src/wharfcart/configuration/revisioned_map.py
@@ -17,8 +17,8 @@
     """Entries by key, each with the revision that set it.
 
     Attributes:
-        pull_overlap: how far below the own revision a pull starts. Zero if one writer issues the
-            revisions (configuration); a time span if several writers stamp entries with their
+        pull_overlap: how far below the own revision a pull starts. Zero if all revisions come from
+            one sequence (configuration); a time span if several writers stamp entries with their
             clocks (directory), so that an entry with a slightly earlier stamp is not missed.
         revision: newest known revision.
         entries: entries by key, including deleted ones.
--- a/src/wharfcart/configuration/serving.py
+++ b/src/wharfcart/configuration/serving.py
@@ -87,7 +87,7 @@
     """Request rate that a back end of a service sustains while it is cold.
 
     Attributes:
-        requests_per_s: rate of all callers together.
+        requests_per_s: rate of all callers together; well above it a cold back end fails.
         duration_s: how long a back end stays cold after a start.
     """
 
--- a/src/wharfcart/http/connection.py
+++ b/src/wharfcart/http/connection.py
@@ -21,7 +21,7 @@
 
 from wharfcart.http.dead_peer_detection import enable_dead_peer_detection
 
-# Longer than TCP retransmissions take, shorter than callers wait.
+# Longer than the retransmission of lost packets takes, shorter than callers wait.
 UNACKNOWLEDGED_TIMEOUT_MS = 1500
 CONNECTION_BUFFER_BYTES = 256 * 1024
 NO_BODY_STATUSES = frozenset({204, 304})
@@ -171,7 +171,8 @@
     ) -> None:
         """Send a request.
 
-        A response whose ``id_header`` differs from ``expected_id`` is dropped.
+        A response with an ``id_header`` that differs from ``expected_id`` is dropped; one without
+        the header is accepted.
 
         Raises:
             ConnectionBrokenError: the connection is not reusable; ``sent`` is False.
--- a/src/wharfcart/node/evacuations.py
+++ b/src/wharfcart/node/evacuations.py
@@ -78,7 +78,7 @@
             return
         self._idle_zones.discard(zone)
         self._update_eligibility()
-        # Back ends of the zone may have become cold, which their entries show only later.
+        # Back ends of the zone may just have become cold, which their entries show only later.
         self._selector.cold.zone_restored(zone, monotonic(), revision)
         self._metrics.evacuated_zones.set(zone, 0)
         self._metrics.in_flight_in_evacuated_zones.set(zone, 0)
--- a/src/wharfcart/node/gateway_process.py
+++ b/src/wharfcart/node/gateway_process.py
@@ -24,14 +24,16 @@
 from wharfcart.slots.sessions import SlotSessions
 from wharfcart.storage.job_client import JobClient
 
-# The load balancer needs two failed readiness checks to stop sending connections.
+# The load balancer checks readiness every second and sends connections until two checks fail.
 UNREADY_DELAY_S = 2.6
 STOP_MARGIN_S = 0.7
 IDLE_CLOSE_INTERVAL_S = 0.1
 POLL_INTERVAL_S = 0.02
-# Without a configuration, a gateway listens after this time and responds with an error.
+# A starting gateway without a configuration leaves callers to other gateways for this time; then it
+# listens and responds with an error.
 MAX_CONFIGURATION_WAIT_S = 1.0
-# Queued requests arrive all at once; with slot sessions open, they do not overload the back ends.
+# Requests queued during the start arrive all at once. Slot sessions that are opened first keep them
+# from filling the queues of the back ends.
 MAX_SESSIONS_WAIT_S = 0.3
 
 
--- a/src/wharfcart/node/poison_evidence_sync.py
+++ b/src/wharfcart/node/poison_evidence_sync.py
@@ -26,7 +26,7 @@
 from wharfcart.cluster.randomness import RandomSource
 from wharfcart.node.fleet_keys import POISON_REQUEST_PREFIX
 
-# All interrupted runs of a crashed back end are written together.
+# All runs of a crashed back end are interrupted within this time and written together.
 BATCH_DELAY_S = 0.01
 # After a conflict, the other node's change arrives within this time.
 CONFLICT_RETRY_S = 0.1
@@ -35,7 +35,7 @@
 MAX_RETRY_S = 4.0
 # Between two removals of expired evidence.
 CLEANUP_INTERVAL_S = 60.0
-# Limits of one transaction.
+# Limits of one transaction, in which each of these keys also has a condition.
 MAX_KEYS_WRITTEN = 10
 MAX_KEYS_REMOVED = 6
 
@@ -48,7 +48,7 @@
         service: the coordination service.
         mirror: mirror of the service's keys.
         random: source of the retries' jitter.
-        relay: sends evidence that could not be written to some storage nodes.
+        relay: sends evidence to some storage nodes if the service does not accept it.
     """
 
     def __init__(
--- a/src/wharfcart/node/serving_node.py
+++ b/src/wharfcart/node/serving_node.py
@@ -59,9 +59,10 @@
 MAX_LOGGED_FINDINGS = 20  # of one configuration
 MIN_CONNECTIONS = 2
 MAX_AGE_S = 1e6  # shown by the metric until the mirror is first confirmed
-# Storage nodes that receive evidence when the coordination service is unavailable here.
+# Storage nodes that receive evidence when the coordination service is unavailable here: more than
+# one, because the service may be unavailable to one of them as well. Such a node relays it further.
 MAX_RELAYS = 2
-# Assumed until the number of nodes is known.
+# Lower bound, because a starting node does not know all nodes yet.
 MIN_ASSUMED_NODES = 8
 
 
--- a/src/wharfcart/platform/documents.py
+++ b/src/wharfcart/platform/documents.py
@@ -39,7 +39,7 @@
 
     Raises:
         ValueError: the document is not valid JSON, or a value is malformed.
-        LookupError: a required field is missing.
+        LookupError: a required field is missing, or the kind of a route is unknown.
     """
     document = json.loads(value)
     limits = document.get("limits", {})
