--- a/src/wharfcart/cluster/peer_selection.py
+++ b/src/wharfcart/cluster/peer_selection.py
@@ -31,8 +31,8 @@
 REGION_FAILURE_THRESHOLD = 2
 # Time without failures in the own region before a peer is replaced by a better ranked one.
 SWITCH_DELAY_S = 5.0
-# Further time before the last peer of another region is replaced, in which the peer found in the
-# own region must hold.
+# Further time before the last peer of another region is replaced, during which the peer that was
+# found in the own region must not fail.
 TRIAL_PERIOD_S = 3.0
 
 
