--- a/src/wharfcart/batch/held_leases.py
+++ b/src/wharfcart/batch/held_leases.py
@@ -168,7 +168,7 @@
     # ---- ending ----
 
     async def return_rows(self, lease: HeldLease, not_run: list[int]) -> None:
-        """Return rows that may run elsewhere; the lease keeps its other rows.
+        """Return rows that did not run or may run twice; the lease keeps its other rows.
 
         Args:
             lease: the lease.
@@ -178,7 +178,7 @@
         await self._propose_lease_end(lease, LeaseEnd(rows=not_run, not_run=not_run))
 
     async def release(self, lease: HeldLease, not_run: list[int]) -> None:
-        """Commit the results of a lease and return its other rows.
+        """End a lease: commit its results and return its other rows.
 
         Args:
             lease: the lease.
--- a/src/wharfcart/batch/job_execution.py
+++ b/src/wharfcart/batch/job_execution.py
@@ -33,7 +33,7 @@
 from wharfcart.storage.job_leadership import JobLeadership
 from wharfcart.storage.replicated_job import ReplicatedJob
 
-# Longest and shortest time between two demand reports.
+# Longest time with open jobs, and shortest time, between two demand reports.
 DEMAND_INTERVAL_S = 0.1
 MIN_DEMAND_INTERVAL_S = 0.005
 # Items counted in one demand report; more slots never become free at once.
@@ -164,7 +164,7 @@
         """Yield the items of a job that may start now, in order.
 
         Skips quarantined items. Yields nothing while leadership is unconfirmed after a suspension
-        of the process, because another node may lead by then.
+        of the machine, because another node may lead by then.
         """
         if not self._group.is_confirmed_since_resume:
             return
--- a/src/wharfcart/batch/job_scheduler.py
+++ b/src/wharfcart/batch/job_scheduler.py
@@ -21,7 +21,7 @@
         due_at: monotonic time at which the completion objective ends.
         give_up_at: monotonic time after which unfinished items are given up.
         waiting: items by id that neither run nor have a result, in the order of their start.
-        partial_texts: partial results of the group's items.
+        partial_texts: partial texts of the group's items.
         progress: progress of items that have no result, by item id.
         running: ids of the items that run.
     """
@@ -53,7 +53,7 @@
     def add(self, job: RequestJob, finished_item_ids: set[str], accepted_at: float) -> ScheduledJob:
         """Add a job and return it.
 
-        Items with partial results of an earlier leader come first, the most advanced one in front.
+        Items with partial texts of an earlier leader come first, the most advanced one in front.
 
         Args:
             job: the job.
--- a/src/wharfcart/batch/job_service.py
+++ b/src/wharfcart/batch/job_service.py
@@ -227,9 +227,10 @@
 
         A resubmission reaches a different group if the residence of its route or tenant, or the set
         of eligible groups, has changed since the first submission. All other groups are therefore
-        asked for the job id, if any residence is or was restricted since this process started. If a
-        group does not answer, the job is refused only if its gateway reports a recent change;
-        otherwise an unreachable region would block submissions in all other regions.
+        asked for the job id, if any residence is or was restricted since this process started or
+        the gateway reports a recent change. If a group does not answer, the job is refused only if
+        its gateway reports such a change; otherwise an unreachable region would block submissions
+        in all other regions.
 
         Limitation: a job may be accepted twice if gateway and leader both started after the change
         and the group that has the job does not answer.
--- a/src/wharfcart/storage/job_database.py
+++ b/src/wharfcart/storage/job_database.py
@@ -1,7 +1,8 @@
 """Database of a storage node: jobs of its groups, promised epochs, identity of the disk.
 
 The database is one SQLite file with ``synchronous=FULL``: a method's writes are on disk once it
-returns. The exclusive lock is set before WAL mode so that SQLite does not map a shared-memory file.
+returns. The exclusive lock is set before WAL mode so that SQLite does not map a shared-memory file,
+which this project must not use.
 """
 
 import sqlite3
@@ -148,7 +149,8 @@
     def load_partial_texts(self, group: int) -> list[PartialText]:
         """Return the partial texts of open jobs, ordered by item and event number.
 
-        Parts that do not match their checksum are skipped.
+        Parts that do not match their checksum are skipped; :meth:`PartialTexts.apply` then ignores
+        the later events of the item.
         """
         rows = self._connection.execute(
             "select value, checksum from running_text where job_group=?"
--- a/src/wharfcart/storage/job_group.py
+++ b/src/wharfcart/storage/job_group.py
@@ -50,7 +50,7 @@
 # Three missed heartbeats; a pre-vote then asks the other replicas.
 ELECTION_TIMEOUT_S = 0.5
 ELECTION_TIMEOUT_STEP_S = 0.15
-# Wait for the remaining replicas after a quorum has answered.
+# Wait for the remaining replicas once enough have answered a pre-vote.
 STRAGGLER_WAIT_S = 0.15
 CONFIRMATION_VALID_S = 0.75
 ELECTION_RETRY_S = 0.3
@@ -358,8 +358,9 @@
         """Return whether enough replicas answer and none of them has contact with a leader.
 
         Without the pre-vote, a replica that is partitioned from the others but reaches the
-        coordination service would win an epoch that it can't lead. A lost leader does not answer:
-        once enough replicas have answered, the rest get only a short wait.
+        coordination service would displace a working leader with an epoch that it can't lead. A
+        lost leader does not answer: once enough replicas have answered, the rest get only a short
+        wait.
         """
         others = record.members - {self._context.identity}
         needed = len(record.members) - self._context.write_quorum
--- a/src/wharfcart/storage/job_leadership.py
+++ b/src/wharfcart/storage/job_leadership.py
@@ -36,7 +36,7 @@
         written_versions: version that the replica wrote in this epoch, by job; only these versions
             count for a commit.
         jobs_to_delete: jobs that the replica must delete.
-        incomplete_jobs: jobs that the replica has not completely written, in order of their change.
+        incomplete_jobs: jobs that the replica has not completely written, longest waiting first.
     """
 
     matched_versions: dict[str, int] = field(default_factory=dict)
--- a/src/wharfcart/storage/journal.py
+++ b/src/wharfcart/storage/journal.py
@@ -159,8 +159,8 @@
 
         Raises:
             ServingError: ``recovery_refused`` if a majority of the voters is live, if this disk
-                holds no voting replica of the shard, or if the shard's set has changed without
-                this replica.
+                holds no voting replica of the shard, or if this replica is not in sync or missed a
+                change of the shard's set.
         """
         shard = self.shards.get(number)
         if shard is None or self.identity not in shard.replica.replica_set.voters:
--- a/src/wharfcart/storage/journal_database.py
+++ b/src/wharfcart/storage/journal_database.py
@@ -2,7 +2,7 @@
 
 One thread writes everything in group commits with ``synchronous=FULL``, so a returned commit is on
 disk. ``locking_mode=EXCLUSIVE`` is set before WAL mode so that SQLite does not map a shared-memory
-file. Each log entry and row has a checksum.
+file, which this project must not use. Each log entry and row has a checksum.
 """
 
 import logging
--- a/src/wharfcart/storage/layout.py
+++ b/src/wharfcart/storage/layout.py
@@ -3,7 +3,7 @@
 The layout is fixed at the first start of a fleet and stored in the coordination service: jobs are
 distributed over the groups by a hash of their IDs, so the number of groups can't change. A group
 grants the slots of the back ends in its zones. A small fleet has one group; a large fleet has
-several, so that the loss of one granting node affects only a part of the slots.
+several, so that no node grants all slots and the loss of one affects only a part of them.
 
 In a fleet over several regions each region with enough storage nodes has its own groups: a slot
 granted in another region adds a round trip between the regions to each request.
--- a/src/wharfcart/storage/replica.py
+++ b/src/wharfcart/storage/replica.py
@@ -379,8 +379,8 @@
         self._round_sent_at = {}
         self._policy.reset()
         self._progress = {
-            # A majority has lost contact with the previous leader for an election timeout, so it
-            # leaves the in-sync set without a further wait.
+            # A majority has lost contact with the previous leader for an election timeout, so
+            # that leader is dropped from the in-sync set without a further wait.
             peer: Progress(
                 next_index=self.last_index + 1,
                 last_contact_at=now - 2 * IN_SYNC_TIMEOUT_S
@@ -399,13 +399,14 @@
     def recover_as_sole_voter(self, now: float) -> list[ReplicaAction]:
         """Continue as the only voter after an operator declared the other disks lost.
 
-        The repair then adds spares. This method can't tell whether the replica was in sync to the
-        end; the caller checks that as far as possible (docs/operations/failures.md).
+        The repair then adds spares. This method can't tell whether the replica was in sync when
+        the disks were lost; the caller checks that as far as possible
+        (docs/operations/failures.md).
         """
         self.epoch += 1
         self.voted_for = self.identity
-        alone = ReplicaSet(voters=[self.identity], in_sync=[self.identity])
-        command = Command(replica_set=alone).SerializeToString()
+        sole_voter_set = ReplicaSet(voters=[self.identity], in_sync=[self.identity])
+        command = Command(replica_set=sole_voter_set).SerializeToString()
         entry = LogEntry(index=self.last_index + 1, epoch=self.epoch, command=command)
         actions = self._append_entries([entry])
         return actions + self._become_leader(now)
--- a/src/wharfcart/storage/replica_placement.py
+++ b/src/wharfcart/storage/replica_placement.py
@@ -151,7 +151,7 @@
         return best
 
     def is_satisfied_by(self, members: Collection[str]) -> bool:
-        """Whether all members are in the group's region and tolerate the zone failures."""
+        """Whether all members may hold the group, are in its region, and tolerate zone failures."""
         if any(
             self.in_other_region(identity) or not self.may_hold(identity) for identity in members
         ):
@@ -196,7 +196,7 @@
         )
 
     def _violations(self, members: Iterable[str]) -> tuple[int, int, int]:
-        """Count members that may not hold the group, exceed their zone, or are in other regions."""
+        """Count members that may not hold the group, exceed a zone limit, are in other regions."""
         members = list(members)
         in_zone = Counter(map(self.zone_of, members))
         return (
--- a/src/wharfcart/storage/replica_set_changer.py
+++ b/src/wharfcart/storage/replica_set_changer.py
@@ -6,7 +6,8 @@
 the group's own region.
 
 Only one change is in progress at a time. During a change a write needs a quorum in the old set and
-in the new one. The change takes effect by compare-and-swap once the new set has every write.
+in the new one. The change takes effect by compare-and-swap once a quorum of the new set has every
+write.
 """
 
 import asyncio
--- a/src/wharfcart/storage/shard_state.py
+++ b/src/wharfcart/storage/shard_state.py
@@ -81,7 +81,7 @@
     record: JobRecord
     states: bytearray
     classes: bytes  # one byte per row: index into the record's service names
-    pending_from: dict[int, int] = field(default_factory=dict)  # first row that may be pending
+    pending_from: dict[int, int] = field(default_factory=dict)  # first row to search, by class
 
     @property
     def cancelled(self) -> bool:
--- a/tests/batch/test_job_execution.py
+++ b/tests/batch/test_job_execution.py
@@ -537,7 +537,7 @@
         harness.submit("j", 8)
         await harness.settle()
         assert "j-7" in harness.runner.running
-        # 0.4 of the objective for a new item, and 39 of 130 planned events of it for j-7.
+        # A new item takes 0.4 of the objective; j-7 still has 39 of 130 planned events to run.
         assert sorted({round(urgency.remaining_s, 1) for urgency in reported}) == [2.4, 8.0]
 
     run_scenario(scenario)
--- a/tests/storage/test_job_group.py
+++ b/tests/storage/test_job_group.py
@@ -625,7 +625,7 @@
 
 
 def test_the_session_with_an_ineligible_spare_is_closed() -> None:
-    """Bound jobs are refused as long as the session is open."""
+    """Jobs that the spare may not hold are refused as long as the session is open."""
 
     async def scenario() -> None:
         fleet = Fleet(stores=4, zones=("w1", "w1", "w2", "e1"))
