--- a/src/wharfcart/batch/item_run.py
+++ b/src/wharfcart/batch/item_run.py
@@ -39,7 +39,7 @@
     INTERRUPTED = "broken"
 
 
-# Outcomes after which the back end is known to be alive.
+# Outcomes of runs that the back end finished without a crash.
 _FINISHED_RUNS = frozenset({RunOutcome.SUCCEEDED, RunOutcome.FAILED, RunOutcome.UNPROCESSABLE})
 
 
--- a/src/wharfcart/storage/disk.py
+++ b/src/wharfcart/storage/disk.py
@@ -64,7 +64,7 @@
         )
 
     async def load_jobs(self, job_ids: Sequence[str]) -> list[JobUpdate]:
-        """Return complete jobs; unknown IDs are skipped."""
+        """Return complete jobs; unknown ids are skipped."""
         return await self._run_on_writer(lambda: self._require_open().load_jobs(job_ids))
 
     async def save_partial_texts(
--- a/src/wharfcart/storage/job_client.py
+++ b/src/wharfcart/storage/job_client.py
@@ -87,7 +87,7 @@
         Fails at once if no group may hold the job.
 
         Args:
-            job_id: ID of the job; its hash picks the group.
+            job_id: id of the job; its hash picks the group.
             frame: the call.
             answer_field: field of the answer that holds a status.
             timeout_s: timeout of the whole call.
@@ -121,12 +121,12 @@
         """Call the group that has a job, whichever it is.
 
         A job's group depends on its residence and the eligible groups at the time of its
-        submission, and both may have changed since. The client first calls the groups that the ID
+        submission, and both may have changed since. The client first calls the groups that the id
         hashes to now, one for each residence, and then all others. The answer is NOT_FOUND only if
         every group returns it.
 
         Args:
-            job_id: ID of the job.
+            job_id: id of the job.
             frame: the call.
             answer_field: field of the answer that holds a status.
             timeout_s: timeout of the call at the groups that probably have the job.
--- a/src/wharfcart/storage/job_database.py
+++ b/src/wharfcart/storage/job_database.py
@@ -111,7 +111,7 @@
         return True
 
     def load_jobs(self, job_ids: Iterable[str]) -> list[JobUpdate]:
-        """Return complete jobs; unknown IDs are skipped.
+        """Return complete jobs; unknown ids are skipped.
 
         Raises:
             CorruptJobError: a record does not match its checksum.
--- a/src/wharfcart/storage/job_leadership.py
+++ b/src/wharfcart/storage/job_leadership.py
@@ -54,7 +54,7 @@
         write_quorum: replicas that must have a write on disk before it is committed.
         members: identities of the current replica set.
         target_members: identities of the next replica set during a change, else None.
-        jobs: jobs by ID.
+        jobs: jobs by id.
     """
 
     epoch: int
@@ -181,7 +181,7 @@
         return frozenset(self._job_count_by_residence)
 
     def accept_job(self, job: RequestJob) -> ReplicatedJob:
-        """Accept a job; return the known job if one has the same ID."""
+        """Accept a job; return the known job if one has the same id."""
         known = self.jobs.get(job.job_id)
         if known is not None:
             return known
--- a/src/wharfcart/storage/job_residence.py
+++ b/src/wharfcart/storage/job_residence.py
@@ -1,7 +1,7 @@
 """Job residence core: which job groups may hold the data of a job, and which disks may join one.
 
 A job's body, partial texts and results are stored on the disks of its group only. A job that is
-bound to regions goes to a group with all of its disks in these regions; a hash of the job's ID
+bound to regions goes to a group with all of its disks in these regions; a hash of the job's id
 picks one of the eligible groups. A group that holds such a job admits no disk outside the regions.
 
 Pure: no sockets, clock, files.
--- a/src/wharfcart/storage/journal.py
+++ b/src/wharfcart/storage/journal.py
@@ -249,7 +249,7 @@
     async def read_rows(
         self, number: int, kind: str, id_: str, first: int, limit: int, max_bytes: int
     ) -> Rows:
-        """Read rows of one ID as the leader."""
+        """Read rows of one id as the leader."""
         self.leading_shard(number)
         # Collected before the read: otherwise a group commit that starts meanwhile hides its rows.
         unwritten = self._unwritten_rows(number, kind, id_, first)
--- a/src/wharfcart/storage/journal_client.py
+++ b/src/wharfcart/storage/journal_client.py
@@ -1,6 +1,6 @@
 """Journal client: finds a shard's leader and calls it, from any node.
 
-The IDs in commands make them idempotent, so the client retries a proposal whose answer was lost. An
+The ids in commands make them idempotent, so the client retries a proposal whose answer was lost. An
 error has outcome ``not_run`` only if no attempt can have reached a leader.
 """
 
@@ -54,7 +54,7 @@
 
         Raises:
             ServingError: ``journal_unavailable`` if this node does not know all shards yet. It then
-                can't tell which shard a key belongs to, nor whether the shard in an ID exists.
+                can't tell which shard a key belongs to, nor whether the shard in an id exists.
         """
         count = self.placement.shard_count
         if count == 0:
@@ -81,7 +81,7 @@
     async def read_rows(
         self, shard: int, kind: str, id_: str, first: int, limit: int = ROWS_PER_READ
     ) -> list[Row]:
-        """Return rows of one ID from ``first`` on."""
+        """Return rows of one id from ``first`` on."""
         read = ReadRows(
             shard=shard, kind=kind, id=id_, first=first, most=limit, most_bytes=BYTES_PER_READ
         )
@@ -91,7 +91,7 @@
     async def iterate_rows(
         self, shard: int, kind: str, id_: str, first: int = 0, end: int | None = None
     ) -> AsyncIterator[Row]:
-        """Yield rows of one ID in order, fetched in chunks."""
+        """Yield rows of one id in order, fetched in chunks."""
         while True:
             rows = await self.read_rows(shard, kind, id_, first)
             for row in rows:
--- a/src/wharfcart/storage/journal_database.py
+++ b/src/wharfcart/storage/journal_database.py
@@ -169,7 +169,7 @@
             yield from self._rows_of_kind(shard, RowKind.RESULT, job_id)
 
     def _rows_of_kind(self, shard: int, kind: RowKind, id_: str) -> Iterator[Row]:
-        """Iterate over the rows of a kind, of one ID unless it is ''."""
+        """Iterate over the rows of a kind, of one id unless it is ''."""
         query = (
             "select kind, id, number, value, checksum from record where shard=? and kind=?"
             " and (id, number) > (?, ?) and (?='' or id=?) order by id, number limit ?"
@@ -196,7 +196,7 @@
     def read_rows(
         self, shard: int, kind: str, id_: str, first: int, limit: int, max_bytes: int
     ) -> list[Row]:
-        """Return rows of one ID from number ``first`` on."""
+        """Return rows of one id from number ``first`` on."""
         query = (
             "select kind, id, number, value, checksum from record where shard=? and kind=?"
             " and id=? and number>=? order by number limit ?"
--- a/src/wharfcart/storage/layout.py
+++ b/src/wharfcart/storage/layout.py
@@ -1,7 +1,7 @@
 """Layout core: the number of job groups of a fleet, and the back ends whose slots each one grants.
 
 The layout is fixed at the first start of a fleet and stored in the coordination service: jobs are
-distributed over the groups by a hash of their IDs, so the number of groups can't change. A group
+distributed over the groups by a hash of their ids, so the number of groups can't change. A group
 grants the slots of the back ends in its zones. A small fleet has one group; a large fleet has
 several, so that no node grants all slots and the loss of one affects only a part of them.
 
--- a/src/wharfcart/storage/partial_texts.py
+++ b/src/wharfcart/storage/partial_texts.py
@@ -17,7 +17,7 @@
     """Events of one item so far, and the back ends at which it failed.
 
     Attributes:
-        job_id: ID of the item's job.
+        job_id: id of the item's job.
         last_event: number of the last event, or None.
         texts: data of the events, in order.
         failed_at: back-end instances that returned a failure, one entry per failure.
