--- a/src/wharfcart/storage/journal.py
+++ b/src/wharfcart/storage/journal.py
@@ -159,8 +159,8 @@
 
         Raises:
             ServingError: ``recovery_refused`` if a majority of the voters is live, if this disk
-                holds no voting replica of the shard, or if the shard's set has changed without
-                this replica.
+                holds no voting replica of the shard, or if this replica is not in sync or missed a
+                change of the shard's set.
         """
         shard = self.shards.get(number)
         if shard is None or self.identity not in shard.replica.replica_set.voters:
@@ -247,7 +247,7 @@
     async def read_rows(
         self, number: int, kind: str, id_: str, first: int, limit: int, max_bytes: int
     ) -> Rows:
-        """Read rows of one ID as the leader."""
+        """Read rows of one id as the leader."""
         self.leading_shard(number)
         # Collected before the read: otherwise a group commit that starts meanwhile hides its rows.
         unwritten = self._unwritten_rows(number, kind, id_, first)
--- a/src/wharfcart/storage/journal_database.py
+++ b/src/wharfcart/storage/journal_database.py
@@ -2,7 +2,7 @@
 
 One thread writes everything in group commits with ``synchronous=FULL``, so a returned commit is on
 disk. ``locking_mode=EXCLUSIVE`` is set before WAL mode so that SQLite does not map a shared-memory
-file. Each log entry and row has a checksum.
+file, which this project must not use. Each log entry and row has a checksum.
 """
 
 import logging
@@ -169,7 +169,7 @@
             yield from self._rows_of_kind(shard, RowKind.RESULT, job_id)
 
     def _rows_of_kind(self, shard: int, kind: RowKind, id_: str) -> Iterator[Row]:
-        """Iterate over the rows of a kind, of one ID unless it is ''."""
+        """Iterate over the rows of a kind, of one id unless it is ''."""
         query = (
             "select kind, id, number, value, checksum from record where shard=? and kind=?"
             " and (id, number) > (?, ?) and (?='' or id=?) order by id, number limit ?"
@@ -196,7 +196,7 @@
     def read_rows(
         self, shard: int, kind: str, id_: str, first: int, limit: int, max_bytes: int
     ) -> list[Row]:
-        """Return rows of one ID from number ``first`` on."""
+        """Return rows of one id from number ``first`` on."""
         query = (
             "select kind, id, number, value, checksum from record where shard=? and kind=?"
             " and id=? and number>=? order by number limit ?"
