--- a/src/wharfcart/batch/job_scheduler.py
+++ b/src/wharfcart/batch/job_scheduler.py
@@ -1,6 +1,6 @@
 """Scheduling core: orders jobs and their items, earliest due time first.
 
-Pure: callers pass times in seconds.
+This module does no I/O; callers pass in the time in seconds.
 """
 
 from collections import OrderedDict
--- a/src/wharfcart/batch/run_estimate.py
+++ b/src/wharfcart/batch/run_estimate.py
@@ -1,6 +1,6 @@
 """Estimates the remaining run time of an item from the items that have finished.
 
-Pure: callers pass times in seconds.
+This module does no I/O; callers pass in the time in seconds.
 """
 
 from dataclasses import dataclass
--- a/src/wharfcart/cluster/membership.py
+++ b/src/wharfcart/cluster/membership.py
@@ -5,8 +5,8 @@
 acknowledgements slows its own probes before it suspects others. Rumours are piggybacked on probes,
 a bounded number on each, so that the bytes a node sends do not grow with the number of nodes.
 
-Performs no I/O: callers pass in the time in seconds and a seeded random source, and execute the
-returned actions.
+This module does no I/O; callers pass in the time in seconds and a seeded random source, and execute
+the returned actions.
 """
 
 from dataclasses import dataclass, field
@@ -33,7 +33,7 @@
     Member,
 )
 
-PROBE_PERIOD_S = 1.0
+PROBE_INTERVAL_S = 1.0
 PROBE_TIMEOUT_S = 0.3
 SUSPICION_TIMEOUT_S = 2.0
 PUSH_ROUNDS = 2
@@ -199,7 +199,7 @@
 
     def start(self, now: float) -> list[MembershipAction]:
         """Request the member list from the seeds."""
-        self._next_probe_at = now + PROBE_PERIOD_S * self.random.random()
+        self._next_probe_at = now + PROBE_INTERVAL_S * self.random.random()
         return self._join(now)
 
     def leave(self, now: float) -> list[MembershipAction]:
@@ -302,7 +302,7 @@
 
     def _start_probe(self, now: float) -> list[MembershipAction]:
         slowdown = 1 + self._local_health
-        self._next_probe_at = now + PROBE_PERIOD_S * slowdown
+        self._next_probe_at = now + PROBE_INTERVAL_S * slowdown
         target = self._next_target()
         if target is None:
             return []
--- a/src/wharfcart/cluster/peer_selection.py
+++ b/src/wharfcart/cluster/peer_selection.py
@@ -8,7 +8,7 @@
 once per reader instead of once per node. If these fail, the region may be cut off from the service,
 and its nodes follow readers of other regions.
 
-Performs no I/O; callers pass in the time in seconds.
+This module does no I/O; callers pass in the time in seconds.
 """
 
 import math
--- a/src/wharfcart/cluster/round_trips.py
+++ b/src/wharfcart/cluster/round_trips.py
@@ -3,7 +3,7 @@
 Timeouts for a peer's work add the round-trip time, so that they allow the same time for work in any
 region. The minimum over a time window excludes delays by busy peers and queues.
 
-Performs no I/O; callers pass in the time in seconds.
+This module does no I/O; callers pass in the time in seconds.
 """
 
 from dataclasses import dataclass, field
--- a/src/wharfcart/routing/backend_selection.py
+++ b/src/wharfcart/routing/backend_selection.py
@@ -7,7 +7,7 @@
 the prompt before, unless that one is overloaded (rendezvous hashing with bounded load). All other
 requests go to the least loaded instances, in the node's own zone first.
 
-This module does no I/O; callers pass in time and randomness.
+This module does no I/O; callers pass in the time in seconds and the source of randomness.
 """
 
 from collections.abc import Callable, Collection, Iterable, Mapping, Sequence
--- a/src/wharfcart/routing/cold_backends.py
+++ b/src/wharfcart/routing/cold_backends.py
@@ -42,7 +42,7 @@
 # A permitted request whose connection takes longer than this is placed again.
 PERMIT_TTL_S = 0.2
 # Longer than two report intervals; back ends of a restored zone count as cold until they report.
-UNREPORTED_COLD_S = 3.0
+UNREPORTED_COLD_TTL_S = 3.0
 
 
 @dataclass(slots=True)
@@ -97,8 +97,8 @@
 
     def zone_restored(self, zone: str, now: float, revision: int) -> None:
         """Record that an evacuated zone is in use again."""
-        self._restored_by_zone[zone] = _RestoredZone(now + UNREPORTED_COLD_S, revision)
-        self._latest_until = max(self._latest_until, now + UNREPORTED_COLD_S)
+        self._restored_by_zone[zone] = _RestoredZone(now + UNREPORTED_COLD_TTL_S, revision)
+        self._latest_until = max(self._latest_until, now + UNREPORTED_COLD_TTL_S)
 
     def may_have_cold(self, now: float) -> bool:
         """Whether any back end may currently be cold."""
--- a/src/wharfcart/routing/region_reachability.py
+++ b/src/wharfcart/routing/region_reachability.py
@@ -16,7 +16,7 @@
 MIN_CONSECUTIVE_FAILURES = 3
 # Interval of probes by one request each. Sessions with granting nodes detect a restored region
 # sooner; this covers regions without granting nodes.
-PROBE_PERIOD_S = 1.0
+PROBE_INTERVAL_S = 1.0
 
 
 @dataclass
@@ -49,7 +49,7 @@
             return
         state = self._regions.setdefault(region, _RegionState())
         state.failed_instances.add(instance_id)
-        state.probe_at = now + PROBE_PERIOD_S
+        state.probe_at = now + PROBE_INTERVAL_S
 
     def are_unreachable(self, regions: Collection[RegionName], now: float) -> bool:
         """Whether all of the regions are unreachable; False once per interval, for a probe."""
@@ -64,5 +64,5 @@
         due = next((state for state in unreachable if now >= state.probe_at), None)
         if due is None:
             return True
-        due.probe_at = now + PROBE_PERIOD_S
+        due.probe_at = now + PROBE_INTERVAL_S
         return False
--- a/src/wharfcart/slots/granter.py
+++ b/src/wharfcart/slots/granter.py
@@ -5,7 +5,7 @@
 slot before the start of the item has paid off. If no slot is free, an online request preempts the
 item with the least loss.
 
-Pure: the caller passes times; events in, instructions out.
+This module does no I/O; callers pass in the time in seconds. Events go in, instructions come out.
 """
 
 from collections.abc import Callable, Collection, Iterator
--- a/src/wharfcart/slots/group_backends.py
+++ b/src/wharfcart/slots/group_backends.py
@@ -3,7 +3,7 @@
 Considers taken slots, failures, unresponsiveness and the rate limit of cold back ends. The granter
 decides who gets a slot.
 
-Pure: the caller passes times in seconds.
+This module does no I/O; callers pass in the time in seconds.
 """
 
 from collections.abc import Callable, Collection
--- a/src/wharfcart/slots/ledger.py
+++ b/src/wharfcart/slots/ledger.py
@@ -2,7 +2,7 @@
 
 Slots do not expire: a slot is free once its holder releases it or the session is closed.
 
-Pure: the caller passes times in seconds.
+This module does no I/O; callers pass in the time in seconds.
 """
 
 from collections.abc import Iterable
--- a/src/wharfcart/slots/permits.py
+++ b/src/wharfcart/slots/permits.py
@@ -20,7 +20,7 @@
 # Longest wait of a request for a backup coordinator.
 BACKUP_WAIT_S = 0.2
 # A gateway whose last contact is older is disconnected and does not wait for a backup.
-RECENT_CONTACT_S = 1.0
+MAX_CONTACT_AGE_S = 1.0
 BACKUP_POLL_S = 0.01
 # Leaves time for a new coordinator to be elected.
 DISCONNECTED_RETRY_AFTER_S = 0.5
@@ -119,7 +119,7 @@
         """Wait for a limited time until a backup coordinator is available."""
         session = self._sessions.coordinator(self._tenant)
         contact_at = None if session is None else session.last_contact_at
-        if contact_at is not None and monotonic() - contact_at > RECENT_CONTACT_S:
+        if contact_at is not None and monotonic() - contact_at > MAX_CONTACT_AGE_S:
             return
         until = monotonic() + BACKUP_WAIT_S
         while self._sessions.backup_coordinator(self._tenant) is None and monotonic() < until:
--- a/src/wharfcart/slots/queue.py
+++ b/src/wharfcart/slots/queue.py
@@ -3,7 +3,7 @@
 Back ends serve requests first in, first out, so that under overload every request is late. This
 queue serves requests that can still answer in time before those that cannot.
 
-Pure: the caller passes times in seconds.
+This module does no I/O; callers pass in the time in seconds.
 """
 
 from collections.abc import Collection
--- a/src/wharfcart/slots/service.py
+++ b/src/wharfcart/slots/service.py
@@ -58,9 +58,9 @@
 from wharfcart.slots.snapshot import SlotSnapshot
 
 # Interval of what depends on time alone: expired requests and ended back-offs.
-TICK_S = 0.05
+TICK_INTERVAL_S = 0.05
 # Interval of heartbeats to a holder whose request waits.
-WAIT_HEARTBEAT_S = 0.1
+WAIT_HEARTBEAT_INTERVAL_S = 0.1
 # To holders in the zone of the group's back ends.
 SNAPSHOT_INTERVAL_S = 0.25
 # Longer, as these holders send fewer requests here and their traffic costs more.
@@ -177,7 +177,7 @@
     async def run(self) -> None:
         """Run periodic work until cancelled."""
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
             granter = self._granter
             if granter is None:
                 continue
@@ -263,7 +263,7 @@
             self._apply(granter, request)
             while not answer.done():
                 await respond(Frame(slot_grant=SlotGrant(waiting=True)))
-                await asyncio.wait((answer,), timeout=WAIT_HEARTBEAT_S)
+                await asyncio.wait((answer,), timeout=WAIT_HEARTBEAT_INTERVAL_S)
             self._log_refusal(request.service, request.request_id, answer.result())
             await respond(Frame(slot_grant=_grant_message(answer.result()), last=True))
             sent = True
--- a/src/wharfcart/slots/urgency.py
+++ b/src/wharfcart/slots/urgency.py
@@ -1,6 +1,6 @@
 """Urgency of a batch item: its estimated run time compared with its due time.
 
-Pure: the caller passes times in seconds.
+This module does no I/O; callers pass in the time in seconds.
 """
 
 from dataclasses import dataclass
--- a/src/wharfcart/storage/job_move_tracker.py
+++ b/src/wharfcart/storage/job_move_tracker.py
@@ -3,7 +3,7 @@
 The groups that may hold such jobs change with the configuration and the replica sets. For some time
 after a change, a submission may be a retry of one that a former group has already accepted.
 
-Pure: callers pass the time in seconds.
+This module does no I/O; callers pass in the time in seconds.
 """
 
 from dataclasses import dataclass, field
--- a/tests/routing/test_region_reachability.py
+++ b/tests/routing/test_region_reachability.py
@@ -3,7 +3,7 @@
 from wharfcart.cluster.topology import RegionName
 from wharfcart.routing.region_reachability import (
     MIN_CONSECUTIVE_FAILURES,
-    PROBE_PERIOD_S,
+    PROBE_INTERVAL_S,
     RegionReachability,
 )
 
@@ -34,9 +34,9 @@
 
 def test_one_request_per_period_probes_the_region() -> None:
     reachability = with_unreachable_west()
-    assert not reachability.are_unreachable([WEST], PROBE_PERIOD_S)
-    assert reachability.are_unreachable([WEST], PROBE_PERIOD_S + 0.01)
-    assert not reachability.are_unreachable([WEST], 2 * PROBE_PERIOD_S)
+    assert not reachability.are_unreachable([WEST], PROBE_INTERVAL_S)
+    assert reachability.are_unreachable([WEST], PROBE_INTERVAL_S + 0.01)
+    assert not reachability.are_unreachable([WEST], 2 * PROBE_INTERVAL_S)
 
 
 def test_answer_makes_the_region_reachable() -> None:
